--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -13,7 +13,7 @@
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
 use roseshore_core::ledger::account::{Counts, Fold, Part, Row, RowKey};
-use roseshore_core::ledger::book::{Book, Ended, Whose};
+use roseshore_core::ledger::history::{Book, Ended, Whose};
 use roseshore_core::load::{Content, EngineState, Index};
 use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
 use roseshore_core::once::keys::Keys;
--- a/crates/roseshore_core/src/ledger/account.rs
+++ b/crates/roseshore_core/src/ledger/account.rs
@@ -5,7 +5,7 @@
 //! once. The [`Fold`] over all parts is the account of the system; it is written down as a
 //! [`Summary`] before the log trims the parts it rests on.
 
-use crate::ledger::book::Ended;
+use crate::ledger::history::Ended;
 use crate::prelude::*;
 use crate::wall::millis;
 use serde::{Deserialize, Serialize};
--- a/crates/roseshore_core/src/lookup.rs
+++ b/crates/roseshore_core/src/lookup.rs
@@ -11,11 +11,11 @@
 //! slow. A source that is slow is asked a second time at another replica (a hedge), and a source
 //! that failed is asked again (a retry), each within a [`Budget`].
 
-mod pace;
-mod terms;
+mod latency;
+mod types;
 
-pub use pace::Pace;
-pub use terms::{Action, Budgets, Outcome, Policy, Reason, Said, SourceIndex};
+pub use latency::Pace;
+pub use types::{Action, Budgets, Outcome, Policy, Reason, Said, SourceIndex};
 
 use crate::prelude::*;
 use crate::retry::backoff;
--- a/crates/roseshore_core/src/once.rs
+++ b/crates/roseshore_core/src/once.rs
@@ -2,12 +2,12 @@
 //!
 //! The order of records in the log decides who may dispatch a key: the first claim of a free key
 //! holds it, and only its claimant can free it again or record its outcome. [`record`] is what
-//! stands in the log, [`keys`] the fold over one partition of it, [`born`] the time that a key
+//! stands in the log, [`keys`] the fold over one partition of it, [`key_time`] the time that a key
 //! carries, [`batch`] the choice of what is appended when, and [`partition`] one daemon's part in
 //! it all: attempts in, appends, reads and decisions out.
 
 pub mod batch;
-pub mod born;
+pub mod key_time;
 pub mod keys;
 pub mod partition;
 pub mod record;
--- a/crates/roseshore_core/src/once/keys.rs
+++ b/crates/roseshore_core/src/once/keys.rs
@@ -5,7 +5,7 @@
 //! append whose reply was lost may take effect after the record that gives it up. Only the log's
 //! own times are compared, with each other and with the time that a key carries.
 
-use super::born::{Millis, SKEW, born};
+use super::key_time::{Millis, SKEW, born};
 use super::record::{Act, Nonce, Outcome, Owner, Record, Word};
 use crate::prelude::*;
 use rustc_hash::FxHashMap;
--- a/crates/roseshore_core/src/once/partition.rs
+++ b/crates/roseshore_core/src/once/partition.rs
@@ -7,19 +7,19 @@
 //! may come to stand there, leaves an abandonment that is sent until the log has taken it.
 
 mod decide;
-mod terms;
-mod word;
+mod settle;
+mod types;
 
-pub use terms::{Action, Attempt, AttemptId, Decision, Line, ReadEnd, Work};
-pub use word::{Claimant, Known, Ruling, Settling, may_settle};
+pub use settle::{Claimant, Known, Ruling, Settling, may_settle};
+pub use types::{Action, Attempt, AttemptId, Decision, Line, ReadEnd, Work};
 
 use super::batch::{Appended, Batch};
 use super::keys::Keys;
 use super::record::{Act, MAX_BODY, Nonce, Outcome, Owner, Record};
 use crate::prelude::*;
+use settle::Desk;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
-use word::Desk;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long a fault of the log is waited out before attempts are refused.
--- a/crates/roseshore_core/src/once/partition/word.rs
+++ b/crates/roseshore_core/src/once/partition/settle.rs
@@ -5,7 +5,7 @@
 //! left; of any other nobody knows yet whether it takes effect.
 
 use super::{Action, AttemptId, Partition, Phase};
-use crate::once::born::{Millis, SKEW};
+use crate::once::key_time::{Millis, SKEW};
 use crate::once::keys::{Said, State};
 use crate::once::record::{Act, Nonce, Record, Word};
 use crate::prelude::*;
--- a/crates/roseshore_core/src/once/partition/terms.rs
+++ b/crates/roseshore_core/src/once/partition/types.rs
@@ -1,6 +1,6 @@
 //! What goes into a partition's machine and what comes out.
 
-use super::word::{Known, Ruling};
+use super::settle::{Known, Ruling};
 use crate::once::record::{Outcome, Owner};
 use crate::prelude::*;
 use std::sync::Arc;
--- a/crates/roseshore_core/src/once/record.rs
+++ b/crates/roseshore_core/src/once/record.rs
@@ -1,6 +1,6 @@
 //! The records of the claim streams, as JSON.
 
-use super::born::Millis;
+use super::key_time::Millis;
 use crate::prelude::*;
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
--- a/crates/roseshore_core/src/polling.rs
+++ b/crates/roseshore_core/src/polling.rs
@@ -8,9 +8,9 @@
 //! A poll that fails is repeated at once; after the second failure the target is out of use, which
 //! is said at once, and it is probed ever more slowly until it answers.
 
-mod caches;
+mod cache_cursors;
 
-pub use caches::Caches;
+pub use cache_cursors::Caches;
 
 use crate::prelude::*;
 use std::collections::BTreeMap;
--- a/crates/roseshore_core/tests/ledger.rs
+++ b/crates/roseshore_core/tests/ledger.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use roseshore_core::ledger::account::{Counter, Counts, Fold, OTHERS, Part, ROWS, week_of};
-use roseshore_core::ledger::book::{Book, Ended, Fate, KEPT, Running, Whose};
+use roseshore_core::ledger::history::{Book, Ended, Fate, KEPT, Running, Whose};
 use roseshore_core::prelude::*;
 
 const DAY: u64 = 24 * 3600 * 1000;
--- a/crates/roseshore_core/tests/once.rs
+++ b/crates/roseshore_core/tests/once.rs
@@ -2,18 +2,18 @@
 
 // A part of it is unused in each test program, since both share it.
 #[allow(dead_code)]
-#[path = "once/world.rs"]
-mod world;
+#[path = "once/simulation.rs"]
+mod simulation;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseshore_core::once::Outcome;
-use roseshore_core::once::born::born;
+use roseshore_core::once::key_time::born;
 use roseshore_core::once::keys::{Keys, State};
 use roseshore_core::once::partition::Decision;
 use roseshore_core::once::record::{Act, Nonce, Record, Word};
 use roseshore_core::prelude::*;
-use world::*;
+use simulation::*;
 
 fn daemon() -> impl Strategy<Value = usize> {
     0..DAEMONS
--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -2,12 +2,12 @@
 
 // A part of it is unused in each test program, since both share it.
 #[allow(dead_code)]
-#[path = "once/world.rs"]
-mod world;
+#[path = "once/simulation.rs"]
+mod simulation;
 
 use roseshore_core::once::partition::Decision;
 use roseshore_core::prelude::*;
-use world::*;
+use simulation::*;
 
 /// What the last decided attempt was told.
 fn told(world: &World) -> String {
--- a/crates/roseshore_ports/src/inside.rs
+++ b/crates/roseshore_ports/src/inside.rs
@@ -3,7 +3,7 @@
 //! One trait per part; each is given out as a trait object, so that a part can be swapped for its
 //! first, simple version or for a fake in tests.
 
-pub use roseshore_core::ledger::book::Fate;
+pub use roseshore_core::ledger::history::Fate;
 pub use roseshore_core::membership::{Member, MemberState};
 pub use roseshore_core::once::Outcome;
 pub use roseshore_core::once::partition::{Known, Ruling};
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -9,7 +9,7 @@
 
 use crate::ledger::account::Account;
 use parking_lot::Mutex;
-use roseshore_core::ledger::book::{Book, Ended, Fate, Running, Whose};
+use roseshore_core::ledger::history::{Book, Ended, Fate, Running, Whose};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Answers, Ask, End, Ledger, Member, MemberState, Members, Queries};
 use roseshore_ports::outside::Peers;
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -4,7 +4,7 @@
 use crate::stream::{Met, read_on};
 use parking_lot::Mutex;
 use roseshore_core::ledger::account::{Counter, Fold, Part, Row, Summary};
-use roseshore_core::ledger::book::Ended;
+use roseshore_core::ledger::history::Ended;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Member, Members};
 use roseshore_ports::outside::{Called, Log};
--- a/crates/roseshored/src/ledger/rows.rs
+++ b/crates/roseshored/src/ledger/rows.rs
@@ -1,6 +1,6 @@
 //! Rows for operators' queries.
 
-use roseshore_core::ledger::book::{Book, Ended, Running, Whose};
+use roseshore_core::ledger::history::{Book, Ended, Running, Whose};
 use roseshore_core::prelude::*;
 use roseshore_core::wall::millis;
 use roseshore_wire::query::{
--- a/crates/roseshored/src/serve/sight.rs
+++ b/crates/roseshored/src/serve/sight.rs
@@ -6,7 +6,7 @@
 use crate::front::reply::Response;
 use crate::operators::{self, Call, Console};
 use roseshore_core::fleet::ServiceKind;
-use roseshore_core::ledger::book::{Ended, Fate};
+use roseshore_core::ledger::history::{Ended, Fate};
 use roseshore_core::prelude::*;
 use serde_json::{Value, json};
 use tiny_http::Method;
