--- a/crates/roseshore_bench/src/bin/claims.rs
+++ b/crates/roseshore_bench/src/bin/claims.rs
@@ -175,7 +175,7 @@
     let began = Instant::now();
     let mut keys = Keys::new(usize::MAX);
     for (offset, line) in (0..).zip(&lines) {
-        keys.take(offset, offset, line);
+        keys.apply(offset, offset, line);
     }
     let took = began.elapsed().as_secs_f64() * 1e6 / lines.len() as f64;
     let bytes = resident().saturating_sub(before) / keys.len().max(1);
--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -12,8 +12,8 @@
     Change, Command, FORMAT, Judged, Object, ObjectKey, Outcome as Folding, State,
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
-use roseshore_core::ledger::account::{Counts, Fold, Part, Row, RowKey};
-use roseshore_core::ledger::history::{Book, Ended, Whose};
+use roseshore_core::ledger::account::{AccountDelta, Counts, Fold, Row, RowKey};
+use roseshore_core::ledger::history::{EndedRequest, RequestHistory, RequestMeta};
 use roseshore_core::load::{Content, EngineState, Index};
 use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
 use roseshore_core::once::keys::Keys;
@@ -375,7 +375,7 @@
     let fold = |lines: &[String]| {
         let mut keys = Keys::new(usize::MAX);
         for (offset, line) in (0..).zip(lines) {
-            keys.take(offset, offset, line);
+            keys.apply(offset, offset, line);
         }
         keys
     };
@@ -399,21 +399,21 @@
     ]
 }
 
-fn ended(n: usize) -> Ended {
-    let whose = Whose {
+fn ended(n: usize) -> EndedRequest {
+    let meta = RequestMeta {
         request: format!("r-{n:08}~0123456789abcdef"),
         service: "indus-notes".into(),
         organisation: format!("organisation-{:05}", n % 33_000),
     };
-    Ended {
-        whose,
-        at: SystemTime::UNIX_EPOCH,
-        late: Duration::from_millis(1),
+    EndedRequest {
+        meta,
+        ended_at: SystemTime::UNIX_EPOCH,
+        late_by: Duration::from_millis(1),
         verdict: Verdict::Answered,
         code: None,
         repeated: false,
-        left: false,
-        resumed: 0,
+        caller_left: false,
+        reroutes: 0,
         missed: false,
     }
 }
@@ -421,8 +421,8 @@
 fn ledger() -> Series {
     let points = points([1024, 2048, 3072, 4096], |n| {
         bytes(n * 250, || {
-            let mut book = Book::default();
-            (0..n).for_each(|row| book.ended(ended(row)));
+            let mut book = RequestHistory::default();
+            (0..n).for_each(|row| book.end(ended(row)));
             book
         })
     });
@@ -433,7 +433,7 @@
 
 fn account() -> Vec<Series> {
     const SIZES: [usize; 4] = [250, 500, 1_000, 2_000];
-    let part = |n: usize| Part {
+    let part = |n: usize| AccountDelta {
         host: "entry-1".into(),
         incarnation: 1,
         sequence: 1,
@@ -452,7 +452,7 @@
         let part = part(n);
         bytes(n * 200, || {
             let mut fold = Fold::default();
-            fold.take(0, Some(&part));
+            fold.apply(0, Some(&part));
             fold
         })
     });
--- a/crates/roseshore_core/src/ledger/account.rs
+++ b/crates/roseshore_core/src/ledger/account.rs
@@ -1,21 +1,21 @@
 //! The weekly account of late and repeated answers.
 //!
-//! A daemon counts in a [`Counter`] and appends what it counted as a [`Part`] now and then. Parts
+//! A daemon counts in a [`Counter`] and appends what it counted as a [`AccountDelta`] now and then. Parts
 //! are numbered by their writer, so a part that was appended twice because a reply was lost counts
 //! once. The [`Fold`] over all parts is the account of the system; it is written down as a
 //! [`Summary`] before the log trims the parts it rests on.
 
-use crate::ledger::history::Ended;
+use crate::ledger::history::EndedRequest;
 use crate::prelude::*;
 use crate::wall::millis;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Weeks that the account reaches back.
-pub const WEEKS: usize = 8;
+pub const MAX_WEEKS: usize = 8;
 /// Rows of one week that are kept apart; the rest are added up under [`OTHERS`].
-pub const ROWS: usize = 2_000;
-/// The organisation under which rows beyond [`ROWS`] are added up.
+pub const MAX_ROWS: usize = 2_000;
+/// The organisation under which rows beyond [`MAX_ROWS`] are added up.
 pub const OTHERS: &str = "*";
 
 const WEEK: u64 = 7 * 24 * 3600 * 1000;
@@ -41,7 +41,7 @@
 }
 
 impl Counts {
-    fn of(ended: &Ended) -> Counts {
+    fn of(ended: &EndedRequest) -> Counts {
         let mut counts = Counts::default();
         match ended.verdict {
             Verdict::Answered if ended.was_late() => counts.late = 1,
@@ -91,7 +91,7 @@
 
 /// What one daemon counted since its last part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct AccountDelta {
     /// The daemon.
     pub host: HostId,
     /// Its life.
@@ -115,7 +115,7 @@
     sequence: u64,
     rows: BTreeMap<RowKey, Counts>,
     /// The part that was appended without a reply, to be appended again as it is.
-    pending: Option<Part>,
+    pending: Option<AccountDelta>,
 }
 
 impl Counter {
@@ -125,12 +125,12 @@
     }
 
     /// Counts a request.
-    pub fn ended(&mut self, ended: &Ended) {
-        let millis = millis(ended.at);
+    pub fn count(&mut self, ended: &EndedRequest) {
+        let millis = millis(ended.ended_at);
         let key = RowKey {
             week: week_of(millis),
-            service: ended.whose.service.clone(),
-            organisation: ended.whose.organisation.clone(),
+            service: ended.meta.service.clone(),
+            organisation: ended.meta.organisation.clone(),
         };
         self.rows.entry(key).or_default().add(Counts::of(ended));
     }
@@ -139,13 +139,13 @@
     ///
     /// Until [`Counter::appended`] the same part is given again, so that an append whose reply was
     /// lost is repeated under its number.
-    pub fn due(&mut self) -> Option<Part> {
+    pub fn next_delta(&mut self) -> Option<AccountDelta> {
         if self.pending.is_none() && !self.rows.is_empty() {
             self.sequence += 1;
             let rows = std::mem::take(&mut self.rows);
             let rows = rows.into_iter().map(|(key, counts)| Row { key, counts }).collect();
             let (host, incarnation) = (self.host.clone(), self.incarnation);
-            self.pending = Some(Part { host, incarnation, sequence: self.sequence, rows });
+            self.pending = Some(AccountDelta { host, incarnation, sequence: self.sequence, rows });
         }
         self.pending.clone()
     }
@@ -156,7 +156,7 @@
     }
 
     /// Rows that are not known to be in the log.
-    pub fn open(&self) -> usize {
+    pub fn pending_rows(&self) -> usize {
         self.rows.len() + self.pending.as_ref().map_or(0, |p| p.rows.len())
     }
 }
@@ -169,12 +169,12 @@
     /// The rows.
     pub rows: Vec<Row>,
     /// The last part taken of each daemon's life.
-    pub taken: Vec<Taken>,
+    pub taken: Vec<LastDelta>,
 }
 
 /// The last part taken of one daemon's life.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct LastDelta {
     /// The daemon.
     pub host: HostId,
     /// Its life.
@@ -217,7 +217,7 @@
     }
 
     /// Takes the record at an offset; `None` stands for one that cannot be read.
-    pub fn take(&mut self, offset: Offset, part: Option<&Part>) {
+    pub fn apply(&mut self, offset: Offset, part: Option<&AccountDelta>) {
         if offset < self.next {
             return;
         }
@@ -240,7 +240,7 @@
     fn bound(&mut self) {
         let mut weeks: Vec<u64> = self.rows.keys().map(|k| k.week).collect();
         weeks.dedup();
-        if let Some(&first) = weeks.iter().rev().nth(WEEKS - 1) {
+        if let Some(&first) = weeks.iter().rev().nth(MAX_WEEKS - 1) {
             self.rows.retain(|key, _| key.week >= first);
         }
         for week in weeks {
@@ -253,11 +253,11 @@
         let mut rows: Vec<(u64, RowKey)> =
             of_week.map(|(key, counts)| (counts.weight(), key.clone())).collect();
         // A little slack, so that not every part beyond the bound sorts the whole week again.
-        if rows.len() <= ROWS + ROWS / 8 {
+        if rows.len() <= MAX_ROWS + MAX_ROWS / 8 {
             return;
         }
         rows.sort_by(|a, b| b.0.cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        for (_, key) in rows.split_off(ROWS) {
+        for (_, key) in rows.split_off(MAX_ROWS) {
             if key.organisation == OTHERS {
                 continue;
             }
@@ -274,7 +274,7 @@
 
     /// The account so far, to be written down.
     pub fn summary(&self) -> Summary {
-        let taken = self.taken.iter().map(|(host, (incarnation, sequence))| Taken {
+        let taken = self.taken.iter().map(|(host, (incarnation, sequence))| LastDelta {
             host: host.clone(),
             incarnation: *incarnation,
             sequence: *sequence,
--- a/crates/roseshore_core/src/ledger/history.rs
+++ b/crates/roseshore_core/src/ledger/history.rs
@@ -7,11 +7,11 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Ended requests of one kind that are remembered.
-pub const KEPT: usize = 4096;
+pub const MAX_ENDED: usize = 4096;
 
 /// Whose request it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whose {
+pub struct RequestMeta {
     /// The request.
     pub request: RequestId,
     /// The service.
@@ -22,24 +22,24 @@
 
 /// A request in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Running {
+pub struct RunningRequest {
     /// Whose it is.
-    pub whose: Whose,
+    pub meta: RequestMeta,
     /// When it came in.
-    pub begun: SystemTime,
+    pub started: SystemTime,
     /// When its answer must be whole.
     pub deadline: SystemTime,
 }
 
 /// A request that has its final verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedRequest {
     /// Whose it was.
-    pub whose: Whose,
+    pub meta: RequestMeta,
     /// When it ended.
-    pub at: SystemTime,
+    pub ended_at: SystemTime,
     /// How long past its deadline it ended; zero when in time.
-    pub late: Duration,
+    pub late_by: Duration,
     /// What the caller was told.
     pub verdict: Verdict,
     /// Why it was refused, if it was, or that the answer is "not found".
@@ -47,17 +47,17 @@
     /// Whether a recorded answer was given again.
     pub repeated: bool,
     /// Whether the caller left first.
-    pub left: bool,
+    pub caller_left: bool,
     /// Re-routes it took.
-    pub resumed: u32,
+    pub reroutes: u32,
     /// Whether it is advisory work that ended without a whole answer in time.
     pub missed: bool,
 }
 
-impl Ended {
+impl EndedRequest {
     /// Whether it was answered, but after its deadline.
     pub fn was_late(&self) -> bool {
-        self.verdict == Verdict::Answered && !self.late.is_zero()
+        self.verdict == Verdict::Answered && !self.late_by.is_zero()
     }
 
     /// Whether the caller was told that it got no answer.
@@ -68,31 +68,31 @@
 
 /// What became of a request, as far as this daemon remembers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     /// It runs.
-    Running(Running),
+    Running(RunningRequest),
     /// It ended.
-    Ended(Ended),
+    Ended(EndedRequest),
 }
 
 /// The requests of one daemon.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
-    running: HashMap<RequestId, Running>,
-    answered: VecDeque<Ended>,
-    late: VecDeque<Ended>,
-    refused: VecDeque<Ended>,
+pub struct RequestHistory {
+    running: HashMap<RequestId, RunningRequest>,
+    answered: VecDeque<EndedRequest>,
+    late: VecDeque<EndedRequest>,
+    refused: VecDeque<EndedRequest>,
 }
 
-impl Book {
+impl RequestHistory {
     /// A request has come in.
-    pub fn begun(&mut self, running: Running) {
-        self.running.insert(running.whose.request.clone(), running);
+    pub fn begin(&mut self, running: RunningRequest) {
+        self.running.insert(running.meta.request.clone(), running);
     }
 
     /// A request got its final verdict.
-    pub fn ended(&mut self, ended: Ended) {
-        self.running.remove(&ended.whose.request);
+    pub fn end(&mut self, ended: EndedRequest) {
+        self.running.remove(&ended.meta.request);
         let rows = if ended.was_late() {
             &mut self.late
         } else if ended.was_refused() {
@@ -100,40 +100,40 @@
         } else {
             &mut self.answered
         };
-        if rows.len() == KEPT {
+        if rows.len() == MAX_ENDED {
             rows.pop_front();
         }
         rows.push_back(ended);
     }
 
     /// What runs, in no order.
-    pub fn running(&self) -> impl Iterator<Item = &Running> {
+    pub fn running(&self) -> impl Iterator<Item = &RunningRequest> {
         self.running.values()
     }
 
     /// Answers that came after their deadline, oldest first.
-    pub fn late(&self) -> impl Iterator<Item = &Ended> {
+    pub fn late(&self) -> impl Iterator<Item = &EndedRequest> {
         self.late.iter()
     }
 
     /// Requests that got no answer, oldest first.
-    pub fn refused(&self) -> impl Iterator<Item = &Ended> {
+    pub fn refused(&self) -> impl Iterator<Item = &EndedRequest> {
         self.refused.iter()
     }
 
     /// What became of a request, by its whole id or its caller's part; `None` when this daemon never had it or has forgotten it.
-    pub fn fate(&self, request: &str) -> Option<Fate> {
-        let known = |it: &&Running| is_request(&it.whose.request, request);
+    pub fn find(&self, request: &str) -> Option<RequestState> {
+        let known = |it: &&RunningRequest| is_request(&it.meta.request, request);
         if let Some(running) = self.running.values().find(known) {
-            return Some(Fate::Running(running.clone()));
+            return Some(RequestState::Running(running.clone()));
         }
         // A caller may use an id again; the newest use is the one it asks about.
         let ended = [&self.answered, &self.late, &self.refused];
         let found = ended.into_iter().filter_map(|rows| newest(rows, request));
-        found.max_by_key(|e| e.at).cloned().map(Fate::Ended)
+        found.max_by_key(|e| e.ended_at).cloned().map(RequestState::Ended)
     }
 }
 
-fn newest<'a>(rows: &'a VecDeque<Ended>, request: &str) -> Option<&'a Ended> {
-    rows.iter().rev().find(|e| is_request(&e.whose.request, request))
+fn newest<'a>(rows: &'a VecDeque<EndedRequest>, request: &str) -> Option<&'a EndedRequest> {
+    rows.iter().rev().find(|e| is_request(&e.meta.request, request))
 }
--- a/crates/roseshore_core/src/lookup.rs
+++ b/crates/roseshore_core/src/lookup.rs
@@ -14,8 +14,8 @@
 mod latency;
 mod types;
 
-pub use latency::Pace;
-pub use types::{Action, Budgets, Outcome, Policy, Reason, Said, SourceIndex};
+pub use latency::LatencyEstimate;
+pub use types::{Action, Budgets, Outcome, Policy, Reason, SourceIndex, SourceReply};
 
 use crate::prelude::*;
 use crate::retry::backoff;
@@ -25,9 +25,9 @@
     Unasked,
     Asking,
     Waiting(Instant),
-    Holds(T),
+    Found(T),
     Missing,
-    Silent,
+    Failed,
 }
 
 #[derive(Clone, Debug)]
@@ -72,14 +72,14 @@
     }
 
     /// Takes what an attempt brought, and lets time pass.
-    pub fn heard(
+    pub fn on_reply(
         &mut self,
         attempt: usize,
-        said: Said<T>,
+        said: SourceReply<T>,
         now: Instant,
         budgets: &mut Budgets,
     ) -> Vec<Action<T>> {
-        let mut actions = self.hear(attempt, said, now, budgets);
+        let mut actions = self.record_reply(attempt, said, now, budgets);
         actions.extend(self.tick(now, budgets));
         actions
     }
@@ -87,10 +87,10 @@
     /// Takes what an attempt brought; [`Lookup::tick`] is to follow.
     ///
     /// A driver that takes all it has before it lets time pass gets the most certain verdict.
-    pub fn hear(
+    pub fn record_reply(
         &mut self,
         attempt: usize,
-        said: Said<T>,
+        said: SourceReply<T>,
         now: Instant,
         budgets: &mut Budgets,
     ) -> Vec<Action<T>> {
@@ -99,25 +99,25 @@
         known.open = false;
         let mut actions = Vec::new();
         match said {
-            Said::Holds(record) => {
+            SourceReply::Found(record) => {
                 self.earn(budgets);
                 actions.extend(self.conflicts(source, Some(&record)));
-                if !matches!(self.sources[source].state, State::Holds(_)) {
-                    self.sources[source].state = State::Holds(record);
+                if !matches!(self.sources[source].state, State::Found(_)) {
+                    self.sources[source].state = State::Found(record);
                 }
             }
-            Said::Missing => {
+            SourceReply::Missing => {
                 self.earn(budgets);
                 actions.extend(self.conflicts(source, None));
-                if !matches!(self.sources[source].state, State::Holds(_)) {
+                if !matches!(self.sources[source].state, State::Found(_)) {
                     self.sources[source].state = State::Missing;
                 }
             }
-            Said::Failed(verdict) => {
+            SourceReply::Failed(verdict) => {
                 self.verdict = self.verdict.join(verdict);
                 self.failed(source, now, budgets);
             }
-            Said::Unasked => self.unasked(attempt, now, budgets),
+            SourceReply::NoReplica => self.unasked(attempt, now, budgets),
         }
         actions
     }
@@ -141,7 +141,7 @@
     }
 
     /// When [`Lookup::tick`] is due at the latest.
-    pub fn wake(&self) -> Instant {
+    pub fn next_wake(&self) -> Instant {
         let mut wake = self.deadline;
         for known in self.attempts.iter().filter(|a| a.open) {
             wake = wake.min(known.limit);
@@ -168,7 +168,7 @@
     }
 
     /// Whether an attempt has brought nothing yet.
-    pub fn open(&self) -> bool {
+    pub fn has_open(&self) -> bool {
         self.attempts.iter().any(|a| a.open)
     }
 
@@ -182,8 +182,8 @@
         for (index, source) in self.sources.iter().enumerate() {
             match &source.state {
                 State::Missing => {}
-                State::Holds(record) => return Some(Outcome::Found(index, record.clone())),
-                State::Silent => return Some(Outcome::Silent(index, self.verdict())),
+                State::Found(record) => return Some(Outcome::Found(index, record.clone())),
+                State::Failed => return Some(Outcome::Unavailable(index, self.verdict())),
                 State::Unasked | State::Asking | State::Waiting(_) => return None,
             }
         }
@@ -192,7 +192,7 @@
 
     /// An open attempt may run yet.
     fn verdict(&self) -> Verdict {
-        if self.open() { self.verdict.join(Verdict::MayHaveRun) } else { self.verdict }
+        if self.has_open_attempts() { self.verdict.join(Verdict::MayHaveRun) } else { self.verdict }
     }
 
     fn failed(&mut self, source: SourceIndex, now: Instant, budgets: &mut Budgets) {
@@ -206,7 +206,7 @@
             && due < self.deadline
             && !self.done
             && budgets.retries.spend(now);
-        known.state = if again { State::Waiting(due) } else { State::Silent };
+        known.state = if again { State::Waiting(due) } else { State::Failed };
     }
 
     /// Without any replica a retry is of no use; without a second one for a hedge, it may be.
@@ -217,7 +217,7 @@
             known.asked -= 1;
             self.failed(source, now, budgets);
         } else if matches!(known.state, State::Asking) {
-            known.state = State::Silent;
+            known.state = State::Failed;
         }
     }
 
@@ -233,8 +233,8 @@
         }
         if self.deadline <= now {
             for source in &mut self.sources {
-                if !matches!(source.state, State::Holds(_) | State::Missing) {
-                    source.state = State::Silent;
+                if !matches!(source.state, State::Found(_) | State::Missing) {
+                    source.state = State::Failed;
                 }
             }
         }
@@ -306,8 +306,8 @@
         let mut found = Vec::new();
         for (index, other) in self.sources.iter().enumerate() {
             let differs = match (&other.state, record) {
-                (State::Holds(known), Some(new)) => known != new,
-                (State::Holds(_), None) | (State::Missing, Some(_)) => index == source,
+                (State::Found(known), Some(new)) => known != new,
+                (State::Found(_), None) | (State::Missing, Some(_)) => index == source,
                 _ => false,
             };
             if differs {
--- a/crates/roseshore_core/src/lookup/latency.rs
+++ b/crates/roseshore_core/src/lookup/latency.rs
@@ -14,7 +14,7 @@
 
 /// The smoothed time of a source's replies.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct LatencyEstimate {
     known: Option<Smoothed>,
 }
 
@@ -24,7 +24,7 @@
     deviation: f64,
 }
 
-impl Pace {
+impl LatencyEstimate {
     /// Takes note of a reply's time.
     pub fn observe(&mut self, took: Duration) {
         let took = took.as_secs_f64();
--- a/crates/roseshore_core/src/lookup/types.rs
+++ b/crates/roseshore_core/src/lookup/types.rs
@@ -47,15 +47,15 @@
 
 /// What one attempt at a source brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Said<T> {
+pub enum SourceReply<T> {
     /// The source holds the name, with this record.
-    Holds(T),
+    Found(T),
     /// The source certainly does not hold the name.
     Missing,
     /// The source could not say; the verdict tells whether it may have worked on it.
     Failed(Verdict),
     /// No replica could be asked.
-    Unasked,
+    NoReplica,
 }
 
 /// Why an attempt is made.
@@ -102,5 +102,5 @@
     /// Every source said that it does not hold the name.
     NotFound,
     /// A source that could hold the name was given up on.
-    Silent(SourceIndex, Verdict),
+    Unavailable(SourceIndex, Verdict),
 }
--- a/crates/roseshore_core/src/once/batch.rs
+++ b/crates/roseshore_core/src/once/batch.rs
@@ -48,15 +48,15 @@
 
 /// How an append ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendResult {
     /// The records stand in the log.
     Done,
     /// The log refused them: over its rate.
-    Busy,
+    RateLimited,
     /// They were not appended: the log is out.
-    Unreached,
+    Unreachable,
     /// They may have been appended, now or later.
-    Lost,
+    Unconfirmed,
 }
 
 impl Batch {
@@ -77,7 +77,7 @@
     }
 
     /// Takes back a claim or an operator's word; `true` when it certainly never reached the log and never will.
-    pub fn recall(&mut self, nonce: Nonce) -> bool {
+    pub fn revoke(&mut self, nonce: Nonce) -> bool {
         let mine = |waiting: &Waiting| waiting.recalls && waiting.nonce == nonce;
         if let Some(flying) = self.flight.iter_mut().find(|waiting| mine(waiting)) {
             flying.recalled = true;
@@ -88,7 +88,7 @@
     }
 
     /// Whether a record of this claim waits or is under way.
-    pub fn holds(&self, nonce: Nonce) -> bool {
+    pub fn contains(&self, nonce: Nonce) -> bool {
         self.queue.iter().chain(&self.flight).any(|waiting| waiting.nonce == nonce)
     }
 
@@ -124,26 +124,26 @@
 
     /// Takes note of how the append under way ended; the claims whose records, other than the claim
     /// itself, the log has taken.
-    pub fn appended(&mut self, how: Appended, now: Instant) -> Vec<Nonce> {
+    pub fn on_append(&mut self, how: AppendResult, now: Instant) -> Vec<Nonce> {
         let flight = std::mem::take(&mut self.flight);
         match how {
-            Appended::Done => {
+            AppendResult::Done => {
                 self.pace = (self.pace * 9 / 10).max(MIN_PACE);
                 self.retry = MIN_PACE;
                 let taken = flight.iter().filter(|waiting| !waiting.claim);
                 return taken.map(|waiting| waiting.nonce).collect();
             }
-            Appended::Busy => {
+            AppendResult::RateLimited => {
                 self.pace = (self.pace * 2).min(MAX_PACE);
                 self.retry = MIN_PACE;
             }
-            Appended::Unreached | Appended::Lost => {
+            AppendResult::Unreachable | AppendResult::Unconfirmed => {
                 self.retry = (self.retry * 2).min(MAX_RETRY);
             }
         }
         self.due = Some(now + self.pace.max(self.retry));
         for mut waiting in flight.into_iter().rev().filter(|waiting| !waiting.recalled) {
-            waiting.unsure |= how == Appended::Lost;
+            waiting.unsure |= how == AppendResult::Unconfirmed;
             self.queue.push_front(waiting);
         }
         vec![]
--- a/crates/roseshore_core/src/once/key_time.rs
+++ b/crates/roseshore_core/src/once/key_time.rs
@@ -10,7 +10,7 @@
 pub type Millis = u64;
 
 /// How far a caller's clock may be from the log service's.
-pub const SKEW: Duration = Duration::from_mins(1);
+pub const MAX_SKEW: Duration = Duration::from_mins(1);
 
 /// Lengths of the groups of a UUID.
 const GROUPS: [usize; 5] = [8, 4, 4, 4, 12];
--- a/crates/roseshore_core/src/once/keys.rs
+++ b/crates/roseshore_core/src/once/keys.rs
@@ -5,8 +5,8 @@
 //! append whose reply was lost may take effect after the record that gives it up. Only the log's
 //! own times are compared, with each other and with the time that a key carries.
 
-use super::key_time::{Millis, SKEW, born};
-use super::record::{Act, Nonce, Outcome, Owner, Record, Word};
+use super::key_time::{MAX_SKEW, Millis, born};
+use super::record::{Act, Nonce, Outcome, Owner, Record, Settlement};
 use crate::prelude::*;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -48,9 +48,9 @@
 #[derive(Debug, Default)]
 struct Entry {
     state: State,
-    spent: Vec<Nonce>,
+    void_nonces: Vec<Nonce>,
     last: Offset,
-    said: Option<Arc<Said>>,
+    settlement: Option<Arc<AppliedSettlement>>,
 }
 
 /// Where a key stands.
@@ -64,20 +64,20 @@
     /// Its claimant, while alive, said that nobody knows whether it ran.
     Unknown(Holder),
     /// Its end is recorded.
-    Settled(Settled),
+    Recorded(RecordedOutcome),
     /// It ran, and nobody has its answer; the digest is that of the request's body, if known.
     Ran(Option<u64>),
 }
 
 /// The last operator's word on a key that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct AppliedSettlement {
     /// The record.
     pub nonce: Nonce,
     /// Where it stands.
     pub offset: Offset,
     /// What it says.
-    pub word: Word,
+    pub settlement: Settlement,
 }
 
 /// A claim that holds its key.
@@ -99,7 +99,7 @@
 
 /// A recorded end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct RecordedOutcome {
     /// A digest of the request's body.
     pub digest: u64,
     /// The answer; `None` where it is not held in memory.
@@ -126,7 +126,7 @@
     }
 
     /// The log's time of the newest record seen.
-    pub fn newest(&self) -> Option<Millis> {
+    pub fn newest_time(&self) -> Option<Millis> {
         self.newest
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Takes the record at [`Keys::next`]; one from elsewhere is ignored.
-    pub fn take(&mut self, offset: Offset, time: Millis, line: &str) -> Option<Record> {
+    pub fn apply(&mut self, offset: Offset, time: Millis, line: &str) -> Option<Record> {
         if offset != self.next {
             return None;
         }
@@ -171,28 +171,28 @@
     }
 
     /// The last operator's word on a key that took effect.
-    pub fn said(&self, key: &Key) -> Option<&Arc<Said>> {
-        self.entries.get(key.as_str()).and_then(|entry| entry.said.as_ref())
+    pub fn settlement(&self, key: &Key) -> Option<&Arc<AppliedSettlement>> {
+        self.entries.get(key.as_str()).and_then(|entry| entry.settlement.as_ref())
     }
 
     /// Whether a claim has been seen and does not, and never will, hold its key.
-    pub fn spent(&self, key: &Key, nonce: Nonce) -> bool {
-        self.entries.get(key.as_str()).is_some_and(|entry| entry.spent.contains(&nonce))
+    pub fn is_void(&self, key: &Key, nonce: Nonce) -> bool {
+        self.entries.get(key.as_str()).is_some_and(|entry| entry.void_nonces.contains(&nonce))
     }
 
     /// Whether every claim that the key ever had must stand inside the fold's reach.
-    pub fn reaches(&self, key: &Key) -> bool {
+    pub fn covers(&self, key: &Key) -> bool {
         if self.window.complete {
             return true;
         }
         match (born(key), self.window.start) {
-            (Some(born), Some(start)) => born > start.saturating_add(SKEW.as_millis() as u64),
+            (Some(born), Some(start)) => born > start.saturating_add(MAX_SKEW.as_millis() as u64),
             _ => false,
         }
     }
 
     /// Whether the key's own time lies ahead of the log's.
-    pub fn ahead(&self, key: &Key) -> bool {
+    pub fn is_in_future(&self, key: &Key) -> bool {
         let newest = self.newest.unwrap_or(Millis::MAX);
         is_ahead(key, newest)
     }
@@ -223,7 +223,7 @@
             Act::Settle(word) => entry.settle(&at, word),
             Act::Mark => {}
         }
-        let State::Settled(settled) = &entry.state else { return };
+        let State::Recorded(settled) = &entry.state else { return };
         if let Some(outcome) = settled.outcome.as_ref().filter(|_| settled.offset == offset) {
             self.bytes += outcome.body.len();
             self.bodies.push_back((key, outcome.body.len()));
@@ -245,7 +245,8 @@
         while self.bytes > MAX_HELD {
             let Some((key, bytes)) = self.bodies.pop_front() else { return };
             self.bytes -= bytes;
-            if let Some(Entry { state: State::Settled(settled), .. }) = self.entries.get_mut(&key) {
+            if let Some(Entry { state: State::Recorded(settled), .. }) = self.entries.get_mut(&key)
+            {
                 settled.outcome = None;
             }
         }
@@ -255,12 +256,12 @@
 impl Entry {
     fn claim(&mut self, holder: Holder, void: bool) {
         let nonce = holder.nonce;
-        let known = self.spent.contains(&nonce);
+        let known = self.void_nonces.contains(&nonce);
         match &self.state {
             State::Held(held) | State::Unknown(held) if held.nonce == nonce => {}
             State::Free if !known && !void => self.state = State::Held(holder),
             _ if known => {}
-            _ => self.spent.push(nonce),
+            _ => self.void_nonces.push(nonce),
         }
     }
 
@@ -270,15 +271,15 @@
         {
             self.state = State::Free;
         }
-        if !self.spent.contains(&nonce) {
-            self.spent.push(nonce);
+        if !self.void_nonces.contains(&nonce) {
+            self.void_nonces.push(nonce);
         }
     }
 
     fn outcome(&mut self, at: &Place, digest: u64, outcome: &Outcome, whole: bool) {
         let Place { nonce, offset, time } = *at;
         let owner = match &self.state {
-            State::Settled(_) | State::Ran(_) => return,
+            State::Recorded(_) | State::Ran(_) => return,
             State::Held(held) | State::Unknown(held) if held.nonce == nonce => held.owner.clone(),
             _ => None,
         };
@@ -290,20 +291,21 @@
             }
             Verdict::Answered => {
                 let outcome = whole.then(|| Arc::new(outcome.clone()));
-                self.state = State::Settled(Settled { digest, outcome, whole, offset, owner });
+                self.state =
+                    State::Recorded(RecordedOutcome { digest, outcome, whole, offset, owner });
             }
         }
     }
 
     /// An operator's word is about one claim, so that one that lands late cannot void a later claim.
     /// It counts only when the claimant cannot dispatch any more, by the log's own times.
-    fn settle(&mut self, at: &Place, word: &Word) {
-        if self.spent.contains(&at.nonce) {
+    fn settle(&mut self, at: &Place, word: &Settlement) {
+        if self.void_nonces.contains(&at.nonce) {
             return;
         }
-        self.spent.push(at.nonce);
+        self.void_nonces.push(at.nonce);
         let (claim, digest) = match &self.state {
-            State::Settled(_) | State::Ran(_) => return,
+            State::Recorded(_) | State::Ran(_) => return,
             State::Held(held) if held.may_dispatch(at.time) => return,
             State::Held(held) | State::Unknown(held) => (Some(held.nonce), Some(held.digest)),
             State::Free => (None, None),
@@ -311,10 +313,10 @@
         if claim != word.claim || (claim.is_none() && !word.ran) {
             return;
         }
-        self.spent.extend(claim);
+        self.void_nonces.extend(claim);
         self.state = if word.ran { State::Ran(digest) } else { State::Free };
-        let (nonce, offset, word) = (at.nonce, at.offset, word.clone());
-        self.said = Some(Arc::new(Said { nonce, offset, word }));
+        let (nonce, offset, settlement) = (at.nonce, at.offset, word.clone());
+        self.settlement = Some(Arc::new(AppliedSettlement { nonce, offset, settlement }));
     }
 }
 
@@ -328,11 +330,11 @@
 impl Holder {
     /// Whether the claimant may still dispatch at a time of the log.
     pub fn may_dispatch(&self, time: Millis) -> bool {
-        time < self.until.saturating_add(SKEW.as_millis() as Millis)
+        time < self.until.saturating_add(MAX_SKEW.as_millis() as Millis)
     }
 }
 
 fn is_ahead(key: &Key, time: Millis) -> bool {
-    let limit = time.saturating_add(SKEW.as_millis() as u64);
+    let limit = time.saturating_add(MAX_SKEW.as_millis() as u64);
     born(key).is_some_and(|born| born > limit)
 }
--- a/crates/roseshore_core/src/once/partition.rs
+++ b/crates/roseshore_core/src/once/partition.rs
@@ -10,10 +10,10 @@
 mod settle;
 mod types;
 
-pub use settle::{Claimant, Known, Ruling, Settling, may_settle};
-pub use types::{Action, Attempt, AttemptId, Decision, Line, ReadEnd, Work};
+pub use settle::{ClaimantStatus, KeyStatus, SettleRequest, SettleResult, may_settle};
+pub use types::{Action, Attempt, AttemptId, Decision, LocalWork, LogRecord, ReadResult};
 
-use super::batch::{Appended, Batch};
+use super::batch::{AppendResult, Batch};
 use super::keys::Keys;
 use super::record::{Act, MAX_BODY, Nonce, Outcome, Owner, Record};
 use crate::prelude::*;
@@ -23,9 +23,9 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long a fault of the log is waited out before attempts are refused.
-pub const PATIENCE: Duration = Duration::from_millis(500);
+pub const LOG_FAULT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an attempt waits for the outcome of another one at most.
-pub const WAIT: Duration = Duration::from_secs(10);
+pub const MAX_OUTCOME_WAIT: Duration = Duration::from_secs(10);
 /// How long one read waits for records.
 const POLL: Duration = Duration::from_millis(100);
 /// How long after a failed read the next one begins.
@@ -37,7 +37,7 @@
 /// Over how long those that are refused together are spread, milliseconds.
 const SPREAD: u64 = 2000;
 /// How often a daemon without keys keeps the window from being empty.
-pub const MARK_EVERY: Duration = Duration::from_mins(10);
+pub const MARK_INTERVAL: Duration = Duration::from_mins(10);
 
 #[derive(Debug)]
 struct Running {
@@ -58,7 +58,7 @@
     /// The caller has been allowed to send.
     Dispatched(Offset),
     /// Its end waits for its place in the log.
-    Settling(Offset, Arc<Outcome>),
+    Recording(Offset, Arc<Outcome>),
 }
 
 /// The state machine.
@@ -122,7 +122,7 @@
     }
 
     /// Whether nothing is under way that the log has not yet taken.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.running.is_empty() && self.batch.is_empty() && self.desk.is_empty()
     }
 
@@ -146,7 +146,7 @@
         });
         let again = self.again.filter(|_| self.wants_read());
         let fails = [self.appends_fail, self.reads_fail].into_iter().flatten();
-        let fails = fails.map(|since| since + PATIENCE).filter(|end| *end > now);
+        let fails = fails.map(|since| since + LOG_FAULT_TIMEOUT).filter(|end| *end > now);
         let desk = self.desk.due();
         ends.chain(self.batch.due()).chain(again).chain(fails).chain(desk).min()
     }
@@ -186,13 +186,13 @@
     }
 
     /// Records the end of a dispatched attempt.
-    pub fn settle(&mut self, offset: Offset, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, offset: Offset, outcome: Outcome, now: Instant) {
         let dispatched = |run: &&mut Running| run.phase == Phase::Dispatched(offset);
         let Some(run) = self.running.values_mut().find(dispatched) else { return };
         let (key, digest) = (run.ask.key.clone(), run.ask.digest);
         self.batch.push(&Record::outcome(key, run.nonce, digest, &outcome));
         let (key, outcome) = (run.ask.key.clone(), Arc::new(outcome));
-        run.phase = Phase::Settling(offset, outcome.clone());
+        run.phase = Phase::Recording(offset, outcome.clone());
         if outcome.body.len() > MAX_BODY {
             self.keep_large(key, outcome);
         }
@@ -207,21 +207,21 @@
     }
 
     /// What this daemon knows of its own work on a key.
-    pub fn work(&self, key: &Key) -> Work {
+    pub fn local_work(&self, key: &Key) -> LocalWork {
         if let Some((_, outcome)) = self.large.iter().find(|(large, _)| large == key) {
-            return Work::Ended(outcome.clone());
+            return LocalWork::Done(outcome.clone());
         }
         let mut own = self.running.values().filter(|run| run.ask.key == *key);
         let work = own.find_map(|run| match &run.phase {
-            Phase::Settling(_, outcome) => Some(Work::Ended(outcome.clone())),
-            Phase::Won(_) | Phase::Dispatched(_) => Some(Work::UnderWay),
+            Phase::Recording(_, outcome) => Some(LocalWork::Done(outcome.clone())),
+            Phase::Won(_) | Phase::Dispatched(_) => Some(LocalWork::InProgress),
             Phase::Waiting(_) => None,
         });
-        work.unwrap_or(Work::Elsewhere)
+        work.unwrap_or(LocalWork::Unknown)
     }
 
     /// Takes the daemons that are counted; a claimant that is not among them is gone.
-    pub fn members(&mut self, alive: Vec<Owner>, now: Instant) {
+    pub fn set_members(&mut self, alive: Vec<Owner>, now: Instant) {
         if self.alive != alive {
             self.alive = alive;
             self.look_all(now);
@@ -229,14 +229,14 @@
     }
 
     /// Takes how the append under way ended.
-    pub fn appended(&mut self, how: Appended, now: Instant) {
-        let taken = self.batch.appended(how, now);
+    pub fn on_append(&mut self, how: AppendResult, now: Instant) {
+        let taken = self.batch.on_append(how, now);
         for nonce in taken {
             self.recorded(nonce);
         }
         match how {
-            Appended::Done | Appended::Busy => self.appends_fail = None,
-            Appended::Unreached | Appended::Lost => {
+            AppendResult::Done | AppendResult::RateLimited => self.appends_fail = None,
+            AppendResult::Unreachable | AppendResult::Unconfirmed => {
                 self.appends_fail.get_or_insert(now);
             }
         }
@@ -244,13 +244,13 @@
     }
 
     /// Takes how the read under way ended.
-    pub fn read(&mut self, end: ReadEnd, now: Instant) {
+    pub fn on_read(&mut self, end: ReadResult, now: Instant) {
         self.reading = false;
         self.again = None;
         match end {
             // A log that has lost records would have this daemon take known keys for new.
-            ReadEnd::Records { end, .. } if end < self.keys.next() => self.read_failed(now),
-            ReadEnd::Records { records, end } => {
+            ReadResult::Records { end, .. } if end < self.keys.next() => self.read_failed(now),
+            ReadResult::Records { records, end } => {
                 self.reads_fail = None;
                 for line in &records {
                     self.take(line);
@@ -263,16 +263,16 @@
                     self.appends_fail = None;
                 }
             }
-            ReadEnd::Trimmed { oldest } => {
+            ReadResult::Trimmed { oldest } => {
                 self.reads_fail = None;
                 self.keys.restart(oldest);
                 let batch = &self.batch;
                 let ended = |run: &Running| {
-                    matches!(run.phase, Phase::Settling(..)) && !batch.holds(run.nonce)
+                    matches!(run.phase, Phase::Recording(..)) && !batch.contains(run.nonce)
                 };
                 self.running.retain(|_, run| !ended(run));
             }
-            ReadEnd::Failed => self.read_failed(now),
+            ReadResult::Failed => self.read_failed(now),
         }
         self.look_all(now);
         self.show_current();
@@ -287,7 +287,7 @@
     /// Gives up what is over its time.
     pub fn tick(&mut self, now: Instant) {
         let wrote = *self.wrote.get_or_insert(now);
-        if now >= wrote + MARK_EVERY && self.batch.is_empty() {
+        if now >= wrote + MARK_INTERVAL && self.batch.is_empty() {
             let nonce = self.fresh();
             self.batch.push(&Record::mark(nonce));
         }
@@ -307,7 +307,7 @@
     fn recorded(&mut self, nonce: Nonce) {
         let mut own = self.running.values().filter(|run| run.nonce == nonce);
         let settling = own.find_map(|run| match run.phase {
-            Phase::Settling(offset, _) => Some(offset),
+            Phase::Recording(offset, _) => Some(offset),
             _ => None,
         });
         self.actions.extend(settling.map(Action::Recorded));
@@ -325,7 +325,7 @@
 
     fn out(&self, now: Instant) -> bool {
         let mut fails = [self.appends_fail, self.reads_fail].into_iter().flatten();
-        fails.any(|since| now >= since + PATIENCE)
+        fails.any(|since| now >= since + LOG_FAULT_TIMEOUT)
     }
 
     fn wants_read(&self) -> bool {
@@ -333,7 +333,7 @@
         failing
             || !self.desk.is_empty()
             || self.running.values().any(|run| match run.phase {
-                Phase::Waiting(_) | Phase::Settling(..) => true,
+                Phase::Waiting(_) | Phase::Recording(..) => true,
                 Phase::Won(_) | Phase::Dispatched(_) => false,
             })
     }
@@ -353,20 +353,20 @@
     }
 
     /// Folds one record, and lets go of what it ends.
-    fn take(&mut self, line: &Line) {
-        let Some(record) = self.keys.take(line.offset, line.time, &line.data) else { return };
+    fn take(&mut self, line: &LogRecord) {
+        let Some(record) = self.keys.apply(line.offset, line.time, &line.data) else { return };
         match record.act {
             Act::Claim { .. } => {
-                self.batch.recall(record.nonce);
+                self.batch.revoke(record.nonce);
             }
             Act::Outcome { .. } => {
                 self.recorded(record.nonce);
                 let ended = |run: &Running| {
-                    run.nonce == record.nonce && matches!(run.phase, Phase::Settling(..))
+                    run.nonce == record.nonce && matches!(run.phase, Phase::Recording(..))
                 };
                 self.running.retain(|_, run| !ended(run));
             }
-            Act::Settle(_) => self.settled_by(&record, line.offset),
+            Act::Settle(_) => self.on_settlement(&record, line.offset),
             Act::Mark => self.marked(record.nonce),
             Act::Abandon => {}
         }
@@ -376,7 +376,7 @@
 impl Running {
     /// When it is given up.
     fn limit(&self) -> Instant {
-        self.ask.deadline.min(self.arrived + WAIT)
+        self.ask.deadline.min(self.arrived + MAX_OUTCOME_WAIT)
     }
 
     fn abandonment(&self) -> Record {
--- a/crates/roseshore_core/src/once/partition/decide.rs
+++ b/crates/roseshore_core/src/once/partition/decide.rs
@@ -1,7 +1,7 @@
 //! What becomes of an attempt, by what the fold says of its key.
 
 use super::{Action, AttemptId, COME_BACK, Decision, Partition, Phase, SPREAD};
-use crate::once::keys::{Holder, Settled, State};
+use crate::once::keys::{Holder, RecordedOutcome, State};
 use crate::once::record::{Act, Nonce, Outcome, Owner, Record};
 use crate::once::refusals::{
     ahead, free_but_out, in_progress, late, log_out, log_slow, not_held, ran, reused, too_old,
@@ -25,7 +25,7 @@
         let (key, digest, nonce) = (run.ask.key.clone(), run.ask.digest, run.nonce);
         let current = self.current > run.earlier;
         match self.keys.state(&key).clone() {
-            State::Settled(settled) => {
+            State::Recorded(settled) => {
                 if settled.digest != digest {
                     return self.refuse(id, reused(&key));
                 }
@@ -41,10 +41,10 @@
                     if held.digest != digest {
                         return self.refuse(id, reused(&key));
                     }
-                    return self.decide(id, Decision::Repeat(outcome));
+                    return self.decide(id, Decision::Replay(outcome));
                 }
                 // An older holder may have been freed since, and this body have run.
-                if current && held.digest != digest && self.keys.reaches(&key) {
+                if current && held.digest != digest && self.keys.covers(&key) {
                     return self.refuse(id, reused(&key));
                 }
                 let gone = held.owner.as_ref().is_none_or(|owner| self.gone(owner));
@@ -55,18 +55,18 @@
             State::Unknown(_) if current => {
                 self.refuse(id, unknown(&key, "its claimant got no whole reply"));
             }
-            State::Free if self.keys.spent(&key, nonce) => self.claim_anew(id, now),
-            State::Free if current && !self.keys.reaches(&key) => self.refuse(id, too_old(&key)),
+            State::Free if self.keys.is_void(&key, nonce) => self.claim_anew(id, now),
+            State::Free if current && !self.keys.covers(&key) => self.refuse(id, too_old(&key)),
             State::Free if !claimed && self.current > 0 => self.claim(id, now),
             State::Unknown(_) | State::Free => {}
         }
     }
 
-    fn repeat(&mut self, id: AttemptId, settled: Settled) {
+    fn repeat(&mut self, id: AttemptId, settled: RecordedOutcome) {
         let refusal = not_held(&self.running[&id].ask.key);
         let decision = match (settled.outcome, settled.owner) {
-            (Some(outcome), _) => Decision::Repeat(outcome),
-            (None, _) if settled.whole => Decision::Stored(settled.offset, refusal),
+            (Some(outcome), _) => Decision::Replay(outcome),
+            (None, _) if settled.whole => Decision::ReadFromLog(settled.offset, refusal),
             (None, Some(owner)) => Decision::AskOwner(owner, refusal),
             (None, None) => Decision::Refused(refusal),
         };
@@ -79,7 +79,7 @@
         if now >= run.ask.deadline {
             return self.give_up(id, now);
         }
-        if !self.keys.reaches(&run.ask.key) {
+        if !self.keys.covers(&run.ask.key) {
             let refusal = too_old(&run.ask.key);
             return self.refuse(id, refusal);
         }
@@ -99,7 +99,7 @@
     /// The claim came while another one held the key, which is free now.
     fn claim_anew(&mut self, id: AttemptId, now: Instant) {
         let key = self.running[&id].ask.key.clone();
-        if self.keys.ahead(&key) {
+        if self.keys.is_in_future(&key) {
             return self.refuse(id, ahead(&key));
         }
         let nonce = self.fresh();
@@ -110,7 +110,7 @@
 
     fn own_outcome(&self, nonce: Nonce) -> Option<Arc<Outcome>> {
         self.running.values().find(|run| run.nonce == nonce).and_then(|run| match &run.phase {
-            Phase::Settling(_, outcome) if outcome.verdict == Verdict::Answered => {
+            Phase::Recording(_, outcome) if outcome.verdict == Verdict::Answered => {
                 Some(outcome.clone())
             }
             _ => None,
@@ -129,10 +129,10 @@
 
     fn decide(&mut self, id: AttemptId, decision: Decision) {
         let Some(run) = self.running.remove(&id) else { return };
-        let spent = self.keys.spent(&run.ask.key, run.nonce);
+        let spent = self.keys.is_void(&run.ask.key, run.nonce);
         let claimed = run.phase == Phase::Waiting(true);
         // A claim that was read back as void needs no abandonment; one that may yet land does.
-        if claimed && !self.batch.recall(run.nonce) && !spent {
+        if claimed && !self.batch.revoke(run.nonce) && !spent {
             self.batch.push(&run.abandonment());
         }
         self.actions.push(Action::Decide(id, decision));
@@ -152,7 +152,7 @@
         let out = self.out(now);
         let current = self.current > run.earlier;
         let refusal = match self.keys.state(key) {
-            State::Held(held) if held.nonce == run.nonce && self.keys.reaches(key) => late(key),
+            State::Held(held) if held.nonce == run.nonce && self.keys.covers(key) => late(key),
             State::Held(held) if out && held.digest == run.ask.digest => {
                 let refusal = unknown(key, "the log cannot be reached").after(COME_BACK);
                 let owner = held.owner.clone();
@@ -163,10 +163,10 @@
             State::Held(_) if out => unknown(key, "the log cannot be reached"),
             State::Held(_) => in_progress(key),
             State::Unknown(_) => unknown(key, "its claimant got no whole reply"),
-            State::Free if current && self.keys.reaches(key) && out => free_but_out(key),
-            State::Free if current && self.keys.reaches(key) => late(key),
+            State::Free if current && self.keys.covers(key) && out => free_but_out(key),
+            State::Free if current && self.keys.covers(key) => late(key),
             State::Free if out => log_out(key),
-            State::Free | State::Settled(_) | State::Ran(_) => log_slow(key),
+            State::Free | State::Recorded(_) | State::Ran(_) => log_slow(key),
         };
         let spread = Duration::from_millis(run.nonce % SPREAD);
         self.refuse(id, refusal.after(COME_BACK + spread));
--- a/crates/roseshore_core/src/once/partition/settle.rs
+++ b/crates/roseshore_core/src/once/partition/settle.rs
@@ -5,16 +5,16 @@
 //! left; of any other nobody knows yet whether it takes effect.
 
 use super::{Action, AttemptId, Partition, Phase};
-use crate::once::key_time::{Millis, SKEW};
-use crate::once::keys::{Said, State};
-use crate::once::record::{Act, Nonce, Record, Word};
+use crate::once::key_time::{MAX_SKEW, Millis};
+use crate::once::keys::{AppliedSettlement, State};
+use crate::once::record::{Act, Nonce, Record, Settlement};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// What is known of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KeyStatus {
     /// One past the last record folded.
     pub offset: Offset,
     /// Whether the log's end was read after the question came.
@@ -22,29 +22,29 @@
     /// The log's time of the newest record seen.
     pub time: Option<Millis>,
     /// Whether every claim that the key ever had must have been seen.
-    pub reaches: bool,
+    pub covered: bool,
     /// Where the key stands.
     pub state: State,
     /// The last operator's word that took effect.
-    pub said: Option<Arc<Said>>,
+    pub settlement: Option<Arc<AppliedSettlement>>,
 }
 
 /// What an operator wants recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settling {
+pub struct SettleRequest {
     /// The key.
     pub key: Key,
     /// The word.
-    pub word: Word,
+    pub settlement: Settlement,
     /// How long to wait for its place in the log.
     pub deadline: Instant,
 }
 
 /// What became of an operator's word.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ruling {
+pub enum SettleResult {
     /// It took effect, and stands at this offset.
-    Taken(Offset),
+    Applied(Offset),
     /// It changed nothing and never will.
     Rejected(Refusal),
     /// It may take effect, now or later.
@@ -53,7 +53,7 @@
 
 /// What the claimant says of a key that it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claimant {
+pub enum ClaimantStatus {
     /// Nobody holds the key, or the claimant is no longer counted among the daemons.
     Gone,
     /// It is there, and neither works on the key nor knows its end.
@@ -61,7 +61,7 @@
     /// It is there, and works on the key or knows its end.
     Working,
     /// It is counted among the daemons, and does not answer.
-    Silent,
+    Unresponsive,
 }
 
 /// Whether an operator's word may be sent, by what a daemon knows before; the claim it is about.
@@ -70,22 +70,22 @@
 /// A refusal of the command; nothing was sent.
 pub fn may_settle(
     key: &Key,
-    known: &Known,
+    known: &KeyStatus,
     ran: bool,
-    claimant: Claimant,
+    claimant: ClaimantStatus,
 ) -> Result<Option<Nonce>, Refusal> {
     if !known.current {
         let text = "the log cannot be read from here; nothing was sent, ask another host";
         return Err(Refusal::not_run(Code::LogUnreachable, text));
     }
     match (&known.state, claimant) {
-        (State::Settled(_) | State::Ran(_), _) => Err(already(key)),
+        (State::Recorded(_) | State::Ran(_), _) => Err(already(key)),
         (State::Free, _) if !ran => {
             let text = format!("nobody holds key `{key}`; there is nothing to settle");
             Err(Refusal::not_run(Code::CommandInvalid, text))
         }
         (State::Free, _) => Ok(None),
-        (State::Held(_), Claimant::Working | Claimant::Silent) => {
+        (State::Held(_), ClaimantStatus::Working | ClaimantStatus::Unresponsive) => {
             let text = format!(
                 "the claimant of key `{key}` is among the daemons and may be working on it; wait for \
                  its end, or end that daemon and wait until it is gone"
@@ -110,7 +110,7 @@
     let text = format!(
         "the claimant of key `{key}` may dispatch it until {until} ms of the epoch by the log's time, \
          and {} s more are waited out; look at the target again then, and settle it",
-        SKEW.as_secs()
+        MAX_SKEW.as_secs()
     );
     Refusal::not_run(Code::KeyInProgress, text)
 }
@@ -162,7 +162,7 @@
 impl Partition {
     /// Asks what is known of a key, once the log's end was read or the deadline has come; with
     /// `mark`, the log's time is learned too.
-    pub fn ask(&mut self, key: Key, mark: bool, deadline: Instant) -> AttemptId {
+    pub fn query_key(&mut self, key: Key, mark: bool, deadline: Instant) -> AttemptId {
         let id = self.count;
         let nonce = self.fresh();
         if mark {
@@ -174,11 +174,11 @@
     }
 
     /// Sends an operator's word on a key.
-    pub fn settle_by(&mut self, settling: Settling) -> AttemptId {
+    pub fn submit_settlement(&mut self, settling: SettleRequest) -> AttemptId {
         let id = self.count;
         let nonce = self.fresh();
-        let Settling { key, word, deadline } = settling;
-        self.batch.push(&Record { key, nonce, act: Act::Settle(word) });
+        let SettleRequest { key, settlement, deadline } = settling;
+        self.batch.push(&Record { key, nonce, act: Act::Settle(settlement) });
         self.desk.words.insert(id, Sent { nonce, deadline });
         id
     }
@@ -206,14 +206,17 @@
 
     fn show(&mut self, id: AttemptId, key: &Key, current: bool) {
         let keys = &self.keys;
-        let (offset, time, reaches) = (keys.next(), keys.newest(), keys.reaches(key));
-        let (state, said) = (keys.state(key).clone(), keys.said(key).cloned());
-        self.actions.push(Action::Show(id, Known { offset, current, time, reaches, state, said }));
+        let (offset, time, covered) = (keys.next(), keys.newest_time(), keys.covers(key));
+        let (state, settlement) = (keys.state(key).clone(), keys.settlement(key).cloned());
+        self.actions.push(Action::ReportKey(
+            id,
+            KeyStatus { offset, current, time, covered, state, settlement },
+        ));
     }
 
     /// A word was read back: tells its sender, and ends the attempt whose claim it voids.
-    pub(super) fn settled_by(&mut self, record: &Record, at: Offset) {
-        self.batch.recall(record.nonce);
+    pub(super) fn on_settlement(&mut self, record: &Record, at: Offset) {
+        self.batch.revoke(record.nonce);
         let key = &record.key;
         let keys = &self.keys;
         let holds = |nonce| matches!(keys.state(key), State::Held(held) if held.nonce == nonce);
@@ -225,16 +228,16 @@
             return;
         };
         self.desk.words.remove(&id);
-        let taken = keys.said(key).is_some_and(|said| said.nonce == record.nonce);
+        let taken = keys.settlement(key).is_some_and(|settled| settled.nonce == record.nonce);
         let ruling = match keys.state(key) {
-            _ if taken => Ruling::Taken(at),
-            State::Settled(_) | State::Ran(_) => Ruling::Rejected(already(key)),
+            _ if taken => SettleResult::Applied(at),
+            State::Recorded(_) | State::Ran(_) => SettleResult::Rejected(already(key)),
             State::Held(held) if is_about(&record.act, held.nonce) => {
-                Ruling::Rejected(early(key, held.until))
+                SettleResult::Rejected(early(key, held.until))
             }
-            _ => Ruling::Rejected(changed(key)),
+            _ => SettleResult::Rejected(changed(key)),
         };
-        self.actions.push(Action::Rule(id, ruling));
+        self.actions.push(Action::ReportSettle(id, ruling));
     }
 
     /// Gives up what is over its time, or all of it while the log is out.
@@ -252,13 +255,13 @@
                 self.desk.words.insert(id, sent);
                 continue;
             }
-            let ruling = if self.batch.recall(sent.nonce) {
+            let ruling = if self.batch.revoke(sent.nonce) {
                 let text = "the log takes no records now; nothing was sent, settle it later";
-                Ruling::Rejected(Refusal::not_run(Code::LogUnreachable, text))
+                SettleResult::Rejected(Refusal::not_run(Code::LogUnreachable, text))
             } else {
-                Ruling::Unknown
+                SettleResult::Unknown
             };
-            self.actions.push(Action::Rule(id, ruling));
+            self.actions.push(Action::ReportSettle(id, ruling));
         }
     }
 }
--- a/crates/roseshore_core/src/once/partition/types.rs
+++ b/crates/roseshore_core/src/once/partition/types.rs
@@ -1,6 +1,6 @@
 //! What goes into a partition's machine and what comes out.
 
-use super::settle::{Known, Ruling};
+use super::settle::{KeyStatus, SettleResult};
 use crate::once::record::{Outcome, Owner};
 use crate::prelude::*;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
     /// It holds the key by the claim at this offset, and may ask to be dispatched.
     Won(Offset),
     /// The key's end is recorded.
-    Repeat(Arc<Outcome>),
+    Replay(Arc<Outcome>),
     /// The key's end is recorded, and its answer is to be read at this offset; this is said if it
     /// cannot be.
-    Stored(Offset, Refusal),
+    ReadFromLog(Offset, Refusal),
     /// The claimant may know the answer; this is said if it does not tell.
     AskOwner(Owner, Refusal),
     /// It is given up.
@@ -52,29 +52,29 @@
     /// The outcome of the claim at this offset stands in the log.
     Recorded(Offset),
     /// Tell an operator what is known of a key.
-    Show(AttemptId, Known),
+    ReportKey(AttemptId, KeyStatus),
     /// Tell an operator what became of a word.
-    Rule(AttemptId, Ruling),
+    ReportSettle(AttemptId, SettleResult),
 }
 
 /// What a daemon knows of its own work on a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum LocalWork {
     /// It does not work on the key, or does not remember.
-    Elsewhere,
+    Unknown,
     /// It may dispatch the key, or has.
-    UnderWay,
+    InProgress,
     /// It has ended.
-    Ended(Arc<Outcome>),
+    Done(Arc<Outcome>),
 }
 
 /// How a read ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ReadEnd {
+pub enum ReadResult {
     /// Records came.
     Records {
         /// The records in order.
-        records: Vec<Line>,
+        records: Vec<LogRecord>,
         /// One past the stream's last record.
         end: Offset,
     },
@@ -89,7 +89,7 @@
 
 /// A record as the log gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct LogRecord {
     /// Its place.
     pub offset: Offset,
     /// The log's time.
--- a/crates/roseshore_core/src/once/record.rs
+++ b/crates/roseshore_core/src/once/record.rs
@@ -48,7 +48,7 @@
         whole: bool,
     },
     /// An operator has looked and says whether it ran.
-    Settle(Word),
+    Settle(Settlement),
     /// Nothing; it keeps the window from being empty while no key comes, so that a daemon that
     /// starts then finds out how far back the stream reaches.
     Mark,
@@ -56,7 +56,7 @@
 
 /// An operator's word on a key that nobody else can settle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Settlement {
     /// Who says so.
     pub operator: String,
     /// What the operator looked at.
--- a/crates/roseshore_core/src/polling.rs
+++ b/crates/roseshore_core/src/polling.rs
@@ -10,7 +10,7 @@
 
 mod cache_cursors;
 
-pub use cache_cursors::Caches;
+pub use cache_cursors::CacheCursors;
 
 use crate::prelude::*;
 use std::collections::BTreeMap;
@@ -21,39 +21,39 @@
     /// The time between polls of one target.
     pub period: Duration,
     /// The time to the second try after a poll that failed.
-    pub retry: Duration,
+    pub retry_delay: Duration,
     /// The longest time between probes of a target that is out of use.
-    pub probe: Duration,
+    pub max_probe: Duration,
     /// Missing reports, in periods, after which the second in order polls.
-    pub missing: u32,
+    pub silent_periods: u32,
     /// What each further place in the order waits more.
     pub stagger: Duration,
     /// Failed polls after which a target is out of use.
-    pub misses: u32,
+    pub max_failures: u32,
     /// How often a target that another daemon polls is looked at.
     pub recheck: Duration,
     /// Polls under way at once.
-    pub inflight: usize,
+    pub max_polls: usize,
     /// A poll of which nothing was heard for so long is no longer under way.
-    pub abandon: Duration,
+    pub poll_timeout: Duration,
     /// The most declared targets of a fleet that every data centre polls in full, so that it can
     /// use the others' when its own are lost; in a larger one it polls its own only.
-    pub full: usize,
+    pub full_limit: usize,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             period: Duration::from_millis(250),
-            retry: Duration::from_millis(50),
-            probe: Duration::from_secs(1),
-            missing: 3,
+            retry_delay: Duration::from_millis(50),
+            max_probe: Duration::from_secs(1),
+            silent_periods: 3,
             stagger: Duration::from_millis(100),
-            misses: 2,
+            max_failures: 2,
             recheck: Duration::from_millis(50),
-            inflight: 16,
-            abandon: Duration::from_secs(2),
-            full: 256,
+            max_polls: 16,
+            poll_timeout: Duration::from_secs(2),
+            full_limit: 256,
         }
     }
 }
@@ -61,15 +61,15 @@
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the target for its report, and come back with [`Polling::answered`] or
-    /// [`Polling::missed`].
+    /// Ask the target for its report, and come back with [`Polling::on_answer`] or
+    /// [`Polling::on_failure`].
     Poll(TargetId),
     /// Tell the router and the peers that the target does not answer.
-    Silent(TargetId),
+    Unresponsive(TargetId),
     /// The target is out of use, for the log.
-    Lost(TargetId),
+    Down(TargetId),
     /// The target is in use again, for the log.
-    Back(TargetId),
+    Up(TargetId),
 }
 
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     seen: Instant,
     due: Instant,
     asked: Option<Instant>,
-    misses: u32,
+    failures: u32,
     lost: bool,
 }
 
@@ -106,7 +106,7 @@
                 seen: now,
                 due: now + self.phase(&target),
                 asked: None,
-                misses: 0,
+                failures: 0,
                 lost: false,
             });
             self.watches.insert(target, watch);
@@ -117,11 +117,11 @@
     /// to poll at all; call it with a view that is not stale.
     pub fn tick(&mut self, now: Instant, place: impl Fn(&str) -> Option<usize>) -> Vec<Action> {
         for watch in self.watches.values_mut() {
-            let abandon = self.settings.abandon;
-            watch.asked = watch.asked.filter(|at| now.saturating_duration_since(*at) < abandon);
+            let timeout = self.settings.poll_timeout;
+            watch.asked = watch.asked.filter(|at| now.saturating_duration_since(*at) < timeout);
         }
         let busy = self.watches.values().filter(|w| w.asked.is_some()).count();
-        let mut room = self.settings.inflight.saturating_sub(busy);
+        let mut room = self.settings.max_polls.saturating_sub(busy);
         let mut due: Vec<_> = self.watches.iter_mut().filter(|(_, w)| w.ready(now)).collect();
         due.sort_by_key(|(_, w)| w.due);
         let mut actions = Vec::new();
@@ -141,34 +141,39 @@
     }
 
     /// A target answered a poll.
-    pub fn answered(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
+    pub fn on_answer(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
         let period = self.settings.period;
         let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
         let begun = watch.asked.take().unwrap_or(now);
         watch.due = (begun + period).max(now);
-        watch.misses = 0;
+        watch.failures = 0;
         watch.heard(target, false, now)
     }
 
     /// A poll of a target failed.
-    pub fn missed(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
-        let Settings { retry, probe, misses, .. } = self.settings;
+    pub fn on_failure(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
+        let Settings { retry_delay, max_probe, max_failures, .. } = self.settings;
         let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
         watch.asked = None;
-        watch.misses += 1;
-        if watch.misses < misses {
-            watch.due = now + retry;
+        watch.failures += 1;
+        if watch.failures < max_failures {
+            watch.due = now + retry_delay;
             return Vec::new();
         }
-        let doublings = (watch.misses - misses).min(MAX_DOUBLINGS);
-        watch.due = now + (retry * 2u32.pow(doublings)).min(probe);
+        let doublings = (watch.failures - max_failures).min(MAX_DOUBLINGS);
+        watch.due = now + (retry_delay * 2u32.pow(doublings)).min(max_probe);
         let mut actions = watch.heard(target, true, now);
-        actions.push(Action::Silent(target.clone()));
+        actions.push(Action::Unresponsive(target.clone()));
         actions
     }
 
     /// A peer told a report of a target that it polled at `seen`.
-    pub fn told(&mut self, target: &TargetId, silent: bool, seen: Instant) -> Vec<Action> {
+    pub fn on_peer_report(
+        &mut self,
+        target: &TargetId,
+        silent: bool,
+        seen: Instant,
+    ) -> Vec<Action> {
         let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
         if seen <= watch.seen {
             return Vec::new();
@@ -177,7 +182,7 @@
     }
 
     /// Whether a target is out of use.
-    pub fn lost(&self, target: &TargetId) -> bool {
+    pub fn is_down(&self, target: &TargetId) -> bool {
         self.watches.get(target).is_some_and(|w| w.lost)
     }
 
@@ -188,7 +193,7 @@
     }
 }
 
-/// Bounds the exponent of the probe's wait, far above what [`Settings::probe`] lets through.
+/// Bounds the exponent of the probe's wait, far above what [`Settings::max_probe`] lets through.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Watch {
@@ -202,8 +207,8 @@
         if place == 0 {
             return true;
         }
-        let usual = if self.lost { settings.probe } else { settings.period };
-        let wait = usual * settings.missing + settings.stagger * (place as u32 - 1);
+        let usual = if self.lost { settings.max_probe } else { settings.period };
+        let wait = usual * settings.silent_periods + settings.stagger * (place as u32 - 1);
         now.saturating_duration_since(self.seen) >= wait
     }
 
@@ -211,8 +216,8 @@
         self.seen = self.seen.max(seen);
         let was = std::mem::replace(&mut self.lost, silent);
         match (was, silent) {
-            (false, true) => vec![Action::Lost(target.clone())],
-            (true, false) => vec![Action::Back(target.clone())],
+            (false, true) => vec![Action::Down(target.clone())],
+            (true, false) => vec![Action::Up(target.clone())],
             _ => Vec::new(),
         }
     }
--- a/crates/roseshore_core/src/polling/cache_cursors.rs
+++ b/crates/roseshore_core/src/polling/cache_cursors.rs
@@ -8,7 +8,7 @@
 
 /// How far the events of each engine were read.
 #[derive(Debug)]
-pub struct Caches {
+pub struct CacheCursors {
     rest: Duration,
     engines: BTreeMap<TargetId, Cursor>,
 }
@@ -20,15 +20,15 @@
     asked: Option<Instant>,
 }
 
-impl Caches {
+impl CacheCursors {
     /// No engine yet; `rest` lies between two questions to one engine.
-    pub fn new(rest: Duration) -> Caches {
-        Caches { rest, engines: BTreeMap::new() }
+    pub fn new(rest: Duration) -> CacheCursors {
+        CacheCursors { rest, engines: BTreeMap::new() }
     }
 
     /// Sets the engines that answer, with the number of their life; returns those whose cache is
     /// that of an earlier life, of which nothing is left.
-    pub fn set(
+    pub fn set_engines(
         &mut self,
         engines: impl IntoIterator<Item = (TargetId, Incarnation)>,
     ) -> Vec<TargetId> {
@@ -58,7 +58,7 @@
     }
 
     /// An engine's events were read up to `next`.
-    pub fn read(&mut self, target: &TargetId, next: u64) {
+    pub fn advance(&mut self, target: &TargetId, next: u64) {
         if let Some(cursor) = self.engines.get_mut(target) {
             cursor.next = next;
         }
--- a/crates/roseshore_core/tests/ledger.rs
+++ b/crates/roseshore_core/tests/ledger.rs
@@ -1,8 +1,12 @@
 //! The record of requests and the weekly account.
 
 use proptest::prelude::*;
-use roseshore_core::ledger::account::{Counter, Counts, Fold, OTHERS, Part, ROWS, week_of};
-use roseshore_core::ledger::history::{Book, Ended, Fate, KEPT, Running, Whose};
+use roseshore_core::ledger::account::{
+    AccountDelta, Counter, Counts, Fold, MAX_ROWS, OTHERS, week_of,
+};
+use roseshore_core::ledger::history::{
+    EndedRequest, MAX_ENDED, RequestHistory, RequestMeta, RequestState, RunningRequest,
+};
 use roseshore_core::prelude::*;
 
 const DAY: u64 = 24 * 3600 * 1000;
@@ -11,23 +15,27 @@
     SystemTime::UNIX_EPOCH + Duration::from_millis(millis)
 }
 
-fn ended(request: &str, verdict: Verdict, late: u64) -> Ended {
-    Ended {
-        whose: Whose { request: request.into(), service: "s".into(), organisation: "o".into() },
-        at: at(10 * DAY),
-        late: Duration::from_millis(late),
+fn ended(request: &str, verdict: Verdict, late: u64) -> EndedRequest {
+    EndedRequest {
+        meta: RequestMeta {
+            request: request.into(),
+            service: "s".into(),
+            organisation: "o".into(),
+        },
+        ended_at: at(10 * DAY),
+        late_by: Duration::from_millis(late),
         verdict,
         code: None,
         repeated: false,
-        left: false,
-        resumed: 0,
+        caller_left: false,
+        reroutes: 0,
         missed: false,
     }
 }
 
 struct Case {
     name: &'static str,
-    ended: Ended,
+    ended: EndedRequest,
     late: usize,
     refused: usize,
     counts: Counts,
@@ -52,21 +60,25 @@
         },
         Case {
             name: "a repeat that came late counts as both",
-            ended: Ended { repeated: true, ..ended("r", Verdict::Answered, 5) },
+            ended: EndedRequest { repeated: true, ..ended("r", Verdict::Answered, 5) },
             late: 1,
             refused: 0,
             counts: Counts { late: 1, repeated: 1, ..none },
         },
         Case {
             name: "not found is an answer",
-            ended: Ended { code: Some(Code::NotFound), ..ended("r", Verdict::Answered, 0) },
+            ended: EndedRequest { code: Some(Code::NotFound), ..ended("r", Verdict::Answered, 0) },
             late: 0,
             refused: 0,
             counts: Counts { answered: 1, ..none },
         },
         Case {
             name: "missed advisory work",
-            ended: Ended { missed: true, left: true, ..ended("r", Verdict::Answered, 0) },
+            ended: EndedRequest {
+                missed: true,
+                caller_left: true,
+                ..ended("r", Verdict::Answered, 0)
+            },
             late: 0,
             refused: 0,
             counts: Counts { answered: 1, missed: 1, ..none },
@@ -91,30 +103,30 @@
 #[test]
 fn every_end_is_listed_and_counted_once() {
     for case in cases() {
-        let mut book = Book::default();
+        let mut book = RequestHistory::default();
         let mut counter = Counter::new("h".into(), 1);
-        let whose = case.ended.whose.clone();
-        book.begun(Running { whose, begun: at(0), deadline: at(1) });
-        assert!(matches!(book.fate("r"), Some(Fate::Running(_))), "{}", case.name);
-        book.ended(case.ended.clone());
-        counter.ended(&case.ended);
+        let meta = case.ended.meta.clone();
+        book.begin(RunningRequest { meta, started: at(0), deadline: at(1) });
+        assert!(matches!(book.find("r"), Some(RequestState::Running(_))), "{}", case.name);
+        book.end(case.ended.clone());
+        counter.count(&case.ended);
         assert_eq!(book.running().count(), 0, "{}", case.name);
         assert_eq!(book.late().count(), case.late, "{}", case.name);
         assert_eq!(book.refused().count(), case.refused, "{}", case.name);
-        assert_eq!(book.fate("r"), Some(Fate::Ended(case.ended)), "{}", case.name);
-        let part = counter.due().expect("something was counted");
+        assert_eq!(book.find("r"), Some(RequestState::Ended(case.ended)), "{}", case.name);
+        let part = counter.next_delta().expect("something was counted");
         assert_eq!(part.rows[0].counts, case.counts, "{}", case.name);
     }
 }
 
 #[test]
 fn a_flood_of_refusals_does_not_push_out_late_answers() {
-    let mut book = Book::default();
-    book.ended(ended("late", Verdict::Answered, 5));
-    for i in 0..KEPT + 10 {
-        book.ended(ended(&i.to_string(), Verdict::NotRun, 0));
+    let mut book = RequestHistory::default();
+    book.end(ended("late", Verdict::Answered, 5));
+    for i in 0..MAX_ENDED + 10 {
+        book.end(ended(&i.to_string(), Verdict::NotRun, 0));
     }
-    assert_eq!((book.late().count(), book.refused().count()), (1, KEPT));
+    assert_eq!((book.late().count(), book.refused().count()), (1, MAX_ENDED));
 }
 
 #[test]
@@ -134,31 +146,35 @@
 #[test]
 fn a_part_without_a_reply_is_given_again_under_its_number() {
     let mut counter = Counter::new("h".into(), 1);
-    counter.ended(&ended("a", Verdict::Answered, 1));
-    let first = counter.due().expect("due");
-    counter.ended(&ended("b", Verdict::Answered, 1));
-    assert_eq!(counter.due().as_ref(), Some(&first), "unchanged until it is known to be there");
+    counter.count(&ended("a", Verdict::Answered, 1));
+    let first = counter.next_delta().expect("due");
+    counter.count(&ended("b", Verdict::Answered, 1));
+    assert_eq!(
+        counter.next_delta().as_ref(),
+        Some(&first),
+        "unchanged until it is known to be there"
+    );
     counter.appended();
-    let second = counter.due().expect("due");
+    let second = counter.next_delta().expect("due");
     assert_eq!((first.sequence, second.sequence), (1, 2));
     counter.appended();
-    assert_eq!((counter.due(), counter.open()), (None, 0));
+    assert_eq!((counter.next_delta(), counter.pending_rows()), (None, 0));
 }
 
 #[test]
 fn too_many_rows_of_a_week_are_added_up() {
     let mut fold = Fold::default();
     let mut counter = Counter::new("h".into(), 1);
-    for i in 0..2 * ROWS {
+    for i in 0..2 * MAX_ROWS {
         let mut end = ended("r", Verdict::Answered, 1);
-        end.whose.organisation = format!("o{i}");
-        counter.ended(&end);
+        end.meta.organisation = format!("o{i}");
+        counter.count(&end);
     }
-    fold.take(0, counter.due().as_ref());
+    fold.apply(0, counter.next_delta().as_ref());
     let rows: Vec<_> = fold.rows().collect();
-    assert_eq!(rows.len(), ROWS + 1);
+    assert_eq!(rows.len(), MAX_ROWS + 1);
     let late: u64 = rows.iter().map(|r| r.counts.late).sum();
-    assert_eq!(late, 2 * ROWS as u64, "nothing is lost by adding up");
+    assert_eq!(late, 2 * MAX_ROWS as u64, "nothing is lost by adding up");
     assert!(rows.iter().any(|r| r.key.organisation == OTHERS));
 }
 
@@ -194,19 +210,19 @@
         let mut counters: Vec<Counter> = (0..2).map(|i| Counter::new(format!("h{i}"), 1)).collect();
         // What each daemon counted and has not put into the log: late, in time.
         let mut open = [(0_u64, 0_u64); 2];
-        let mut pending: [Option<(Part, (u64, u64))>; 2] = [None, None];
+        let mut pending: [Option<(AccountDelta, (u64, u64))>; 2] = [None, None];
         let mut expected = (0_u64, 0_u64);
-        let mut log: Vec<Part> = Vec::new();
+        let mut log: Vec<AccountDelta> = Vec::new();
         let mut fold = Fold::default();
         for step in steps {
             match step {
                 Step::End { daemon, late } => {
-                    counters[daemon].ended(&ended("r", Verdict::Answered, u64::from(late)));
+                    counters[daemon].count(&ended("r", Verdict::Answered, u64::from(late)));
                     let counts = &mut open[daemon];
                     if late { counts.0 += 1 } else { counts.1 += 1 }
                 }
                 Step::Append { daemon, kept, replied } => {
-                    let Some(part) = counters[daemon].due() else { continue };
+                    let Some(part) = counters[daemon].next_delta() else { continue };
                     if pending[daemon].as_ref().is_none_or(|(p, _)| *p != part) {
                         pending[daemon] = Some((part.clone(), std::mem::take(&mut open[daemon])));
                     }
@@ -234,7 +250,7 @@
                 }
             }
             for (offset, part) in log.iter().enumerate().skip(fold.next() as usize) {
-                fold.take(offset as Offset, Some(part));
+                fold.apply(offset as Offset, Some(part));
             }
             let late: u64 = fold.rows().map(|r| r.counts.late).sum();
             let answered: u64 = fold.rows().map(|r| r.counts.answered).sum();
--- a/crates/roseshore_core/tests/lookup.rs
+++ b/crates/roseshore_core/tests/lookup.rs
@@ -2,7 +2,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use roseshore_core::lookup::{Action, Budgets, Lookup, Outcome, Pace, Policy, Reason, Said};
+use roseshore_core::lookup::{
+    Action, Budgets, LatencyEstimate, Lookup, Outcome, Policy, Reason, SourceReply,
+};
 use roseshore_core::prelude::*;
 use roseshore_core::retry::Budget;
 
@@ -24,7 +26,7 @@
 /// An event, at a time in milliseconds from the start.
 enum Step {
     Tick(u64),
-    Say(u64, usize, Said<&'static str>),
+    Say(u64, usize, SourceReply<&'static str>),
 }
 
 #[derive(Default)]
@@ -45,7 +47,9 @@
     for step in start.chain(steps) {
         let (at, actions) = match step {
             Step::Tick(at) => (at, lookup.tick(t0 + ms(at), budgets)),
-            Step::Say(at, attempt, said) => (at, lookup.heard(attempt, said, t0 + ms(at), budgets)),
+            Step::Say(at, attempt, said) => {
+                (at, lookup.on_reply(attempt, said, t0 + ms(at), budgets))
+            }
         };
         for action in actions {
             match action {
@@ -69,7 +73,7 @@
 #[test]
 fn scripts() {
     use Reason::{First, Hedge, Retry};
-    use Said::{Failed, Holds, Missing, Unasked};
+    use SourceReply::{Failed, Found, Missing, NoReplica};
     use Step::{Say, Tick};
     use Verdict::{MayHaveRun, NotRun};
     struct Case {
@@ -93,14 +97,14 @@
         conflicts: vec![],
     };
     let found = |at, index, record| Some((at, Outcome::Found(index, record)));
-    let silent = |at, index, verdict| Some((at, Outcome::Silent(index, verdict)));
+    let silent = |at, index, verdict| Some((at, Outcome::Unavailable(index, verdict)));
     let firsts = || vec![(0, First), (1, First), (2, First)];
     let cases = [
-        base("first holds", 3, vec![Say(1, 0, Holds("a"))], vec![(0, First)], found(1, 0, "a")),
+        base("first holds", 3, vec![Say(1, 0, Found("a"))], vec![(0, First)], found(1, 0, "a")),
         base(
             "second holds",
             3,
-            vec![Say(1, 0, Missing), Say(2, 1, Holds("b"))],
+            vec![Say(1, 0, Missing), Say(2, 1, Found("b"))],
             vec![(0, First), (1, First)],
             found(2, 1, "b"),
         ),
@@ -114,21 +118,21 @@
         base(
             "last source silent",
             3,
-            vec![Say(1, 0, Missing), Say(2, 1, Missing), Say(3, 2, Unasked)],
+            vec![Say(1, 0, Missing), Say(2, 1, Missing), Say(3, 2, NoReplica)],
             firsts(),
             silent(3, 2, MayHaveRun),
         ),
         base(
             "no replica of the only source",
             1,
-            vec![Say(0, 0, Unasked)],
+            vec![Say(0, 0, NoReplica)],
             vec![(0, First)],
             silent(0, 0, NotRun),
         ),
         base(
             "retry after a failure",
             1,
-            vec![Say(1, 0, Failed(MayHaveRun)), Tick(30), Say(31, 1, Holds("a"))],
+            vec![Say(1, 0, Failed(MayHaveRun)), Tick(30), Say(31, 1, Found("a"))],
             vec![(0, First), (0, Retry)],
             found(31, 0, "a"),
         ),
@@ -181,28 +185,28 @@
         base(
             "hedge answers",
             1,
-            vec![Tick(30), Say(35, 1, Holds("a"))],
+            vec![Tick(30), Say(35, 1, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(35, 0, "a"),
         ),
         base(
             "slow one answers after the hedge failed",
             1,
-            vec![Tick(30), Say(35, 1, Failed(MayHaveRun)), Say(40, 0, Holds("a"))],
+            vec![Tick(30), Say(35, 1, Failed(MayHaveRun)), Say(40, 0, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(40, 0, "a"),
         ),
         base(
             "hedge without a second replica",
             1,
-            vec![Tick(30), Say(30, 1, Unasked), Say(40, 0, Holds("a"))],
+            vec![Tick(30), Say(30, 1, NoReplica), Say(40, 0, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(40, 0, "a"),
         ),
         base(
             "slow first source: the second's record waits for the first's word",
             2,
-            vec![Tick(30), Say(31, 1, Holds("b")), Say(500, 0, Missing)],
+            vec![Tick(30), Say(31, 1, Found("b")), Say(500, 0, Missing)],
             vec![(0, First), (1, First), (0, Hedge)],
             found(500, 1, "b"),
         ),
@@ -211,8 +215,8 @@
             2,
             vec![
                 Tick(30),
-                Say(31, 1, Holds("b")),
-                Say(32, 2, Unasked),
+                Say(31, 1, Found("b")),
+                Say(32, 2, NoReplica),
                 Tick(1000),
                 Tick(1030),
                 Tick(2030),
@@ -225,7 +229,7 @@
         base(
             "later source silent, earlier one holds: answered",
             2,
-            vec![Tick(30), Say(31, 1, Unasked), Say(32, 0, Holds("a"))],
+            vec![Tick(30), Say(31, 1, NoReplica), Say(32, 0, Found("a"))],
             vec![(0, First), (1, First), (0, Hedge)],
             found(32, 0, "a"),
         ),
@@ -242,7 +246,7 @@
             ..base(
                 "sources that differ, the first in order goes first",
                 3,
-                vec![Say(1, 1, Holds("b")), Say(2, 0, Holds("a")), Say(3, 2, Missing)],
+                vec![Say(1, 1, Found("b")), Say(2, 0, Found("a")), Say(3, 2, Missing)],
                 firsts(),
                 found(2, 0, "a"),
             )
@@ -253,7 +257,7 @@
             ..base(
                 "sources that differ, the later one after the answer",
                 3,
-                vec![Say(1, 0, Holds("a")), Say(2, 1, Missing), Say(3, 2, Holds("c"))],
+                vec![Say(1, 0, Found("a")), Say(2, 1, Missing), Say(3, 2, Found("c"))],
                 firsts(),
                 found(1, 0, "a"),
             )
@@ -263,7 +267,7 @@
             ..base(
                 "equal records are no conflict",
                 3,
-                vec![Say(1, 2, Holds("a")), Say(2, 1, Holds("a")), Say(3, 0, Holds("a"))],
+                vec![Say(1, 2, Found("a")), Say(2, 1, Found("a")), Say(3, 0, Found("a"))],
                 firsts(),
                 found(3, 0, "a"),
             )
@@ -273,7 +277,7 @@
             ..base(
                 "replicas of one source differ: the record goes before its absence",
                 2,
-                vec![Tick(30), Say(31, 2, Missing), Say(32, 0, Holds("a"))],
+                vec![Tick(30), Say(31, 2, Missing), Say(32, 0, Found("a"))],
                 vec![(0, First), (1, First), (0, Hedge)],
                 found(32, 0, "a"),
             )
@@ -302,7 +306,7 @@
     Truth,
     NotRun,
     Lost,
-    Unasked,
+    NoReplica,
 }
 
 #[derive(Clone, Debug)]
@@ -319,7 +323,7 @@
         4 => Just(Luck::Truth),
         1 => Just(Luck::NotRun),
         2 => Just(Luck::Lost),
-        1 => Just(Luck::Unasked)
+        1 => Just(Luck::NoReplica)
     ];
     let any = any::<prop::sample::Index>;
     let reply = (any(), luck.clone()).prop_map(|(i, l)| Move::Reply(i, l));
@@ -367,7 +371,7 @@
                 assert!(all_missing(*index) && self.holds[*index]);
                 assert_eq!(record, index);
             }
-            Outcome::Silent(index, verdict) => {
+            Outcome::Unavailable(index, verdict) => {
                 assert!(all_missing(*index) && !self.missing[*index] && !self.holds[*index]);
                 let unclear = self.ran || self.replied.iter().any(|r| !r);
                 assert!(*verdict != Verdict::NotRun || !unclear, "`not run` is not true");
@@ -375,7 +379,7 @@
         }
     }
 
-    fn said(&mut self, attempt: usize, luck: Luck, truth: &[bool]) -> Said<usize> {
+    fn said(&mut self, attempt: usize, luck: Luck, truth: &[bool]) -> SourceReply<usize> {
         let source = self.asks[attempt].0;
         let first = !std::mem::replace(&mut self.replied[attempt], true);
         let told = matches!(luck, Luck::Truth | Luck::Lost);
@@ -385,15 +389,15 @@
                 self.successes += 1.0;
                 if truth[source] {
                     self.holds[source] = true;
-                    Said::Holds(source)
+                    SourceReply::Found(source)
                 } else {
                     self.missing[source] = true;
-                    Said::Missing
+                    SourceReply::Missing
                 }
             }
-            Luck::NotRun => Said::Failed(Verdict::NotRun),
-            Luck::Lost => Said::Failed(Verdict::MayHaveRun),
-            Luck::Unasked => Said::Unasked,
+            Luck::NotRun => SourceReply::Failed(Verdict::NotRun),
+            Luck::Lost => SourceReply::Failed(Verdict::MayHaveRun),
+            Luck::NoReplica => SourceReply::NoReplica,
         }
     }
 }
@@ -424,7 +428,7 @@
             let (late, index, luck) = match step {
                 Move::Pass(wait) => {
                     now += ms(wait);
-                    prop_assert!(lookup.done() || lookup.wake() <= deadline);
+                    prop_assert!(lookup.done() || lookup.next_wake() <= deadline);
                     run.take(lookup.tick(now, &mut budgets));
                     continue;
                 }
@@ -435,7 +439,7 @@
             if !fit.is_empty() && (!late || matches!(luck, Luck::Truth)) {
                 let attempt = *index.get(&fit);
                 let said = run.said(attempt, luck, &truth);
-                run.take(lookup.heard(attempt, said, now, &mut budgets));
+                run.take(lookup.on_reply(attempt, said, now, &mut budgets));
             }
         }
         run.take(lookup.tick(deadline.max(now), &mut budgets));
@@ -466,7 +470,7 @@
         Case { name: "wide", took: [10, 40].repeat(50), least: 50, most: 150 },
     ];
     for case in cases {
-        let mut pace = Pace::default();
+        let mut pace = LatencyEstimate::default();
         case.took.iter().for_each(|t| pace.observe(ms(*t)));
         let after = pace.hedge_after();
         assert!(ms(case.least) <= after && after <= ms(case.most), "{}: {after:?}", case.name);
--- a/crates/roseshore_core/tests/once.rs
+++ b/crates/roseshore_core/tests/once.rs
@@ -11,7 +11,7 @@
 use roseshore_core::once::key_time::born;
 use roseshore_core::once::keys::{Keys, State};
 use roseshore_core::once::partition::Decision;
-use roseshore_core::once::record::{Act, Nonce, Record, Word};
+use roseshore_core::once::record::{Act, Nonce, Record, Settlement};
 use roseshore_core::prelude::*;
 use simulation::*;
 
@@ -76,7 +76,7 @@
         world.calm();
         for daemon in &world.daemons {
             prop_assert!(daemon.attempts.is_empty(), "an attempt was never answered");
-            prop_assert!(daemon.machine.idle(), "work is left over");
+            prop_assert!(daemon.machine.is_idle(), "work is left over");
         }
     }
 
@@ -93,7 +93,7 @@
         }
         world.calm();
         for (key, decision) in &world.decisions {
-            let fine = matches!(decision, Decision::Won(_) | Decision::Repeat(_));
+            let fine = matches!(decision, Decision::Won(_) | Decision::Replay(_));
             prop_assert!(fine, "{}: {:?}", key, decision);
         }
         let once = world.runs.values().all(|runs| runs.len() == 1);
@@ -120,7 +120,8 @@
         records: Vec<(Nonce, Act)>,
         state: &'static str,
     }
-    let word = Word { operator: "op".into(), note: "looked".into(), ran: true, claim: Some(1) };
+    let word =
+        Settlement { operator: "op".into(), note: "looked".into(), ran: true, claim: Some(1) };
     let ran = || Act::Settle(word.clone());
     let cases = [
         Case {
@@ -199,14 +200,14 @@
         for (at, (nonce, act)) in case.records.into_iter().enumerate() {
             let record = Record { key: PLAIN.into(), nonce, act };
             // A minute apart, so that a claim with no time left can be settled by the next record.
-            keys.take(at as Offset, EPOCH + at as u64 * 60_000, &record.line());
+            keys.apply(at as Offset, EPOCH + at as u64 * 60_000, &record.line());
         }
         let state = match keys.state(&PLAIN.into()) {
             State::Ran(_) => "ran".into(),
             State::Free => "free".into(),
             State::Held(held) => format!("held {}", held.nonce),
             State::Unknown(held) => format!("unknown {}", held.nonce),
-            State::Settled(settled) => {
+            State::Recorded(settled) => {
                 let outcome = settled.outcome.as_ref().expect("the bodies are short");
                 format!("settled {}", String::from_utf8_lossy(&outcome.body))
             }
@@ -282,9 +283,9 @@
         keys.restart(case.oldest);
         for nonce in 0..2 {
             let record = Record { key: format!("other{nonce}"), nonce, act: claim(nonce) };
-            keys.take(case.oldest + nonce, EPOCH, &record.line());
+            keys.apply(case.oldest + nonce, EPOCH, &record.line());
         }
-        assert_eq!(keys.reaches(&case.key.into()), case.reaches, "{}", case.name);
+        assert_eq!(keys.covers(&case.key.into()), case.reaches, "{}", case.name);
     }
 }
 
@@ -299,9 +300,9 @@
     // The log keeps the mark; a daemon that starts now can judge a key that is made now.
     let mut keys = Keys::new(9);
     keys.restart(5);
-    keys.take(5, world.log[0].0, &world.log[0].1);
+    keys.apply(5, world.log[0].0, &world.log[0].1);
     assert!(keys.is_empty());
-    assert!(keys.reaches(&format!("k@{}", EPOCH + 12 * 60_000)));
+    assert!(keys.covers(&format!("k@{}", EPOCH + 12 * 60_000)));
 }
 
 #[test]
@@ -309,8 +310,8 @@
     let mut keys = Keys::new(9);
     let key = Key::from("k@1800000060001");
     let first = Record { key: key.clone(), nonce: 1, act: claim(1) };
-    keys.take(0, EPOCH, &first.line());
-    assert_eq!((keys.state(&key), keys.ahead(&key)), (&State::Free, true));
-    keys.take(1, EPOCH + 1, &Record { nonce: 2, ..first }.line());
+    keys.apply(0, EPOCH, &first.line());
+    assert_eq!((keys.state(&key), keys.is_in_future(&key)), (&State::Free, true));
+    keys.apply(1, EPOCH + 1, &Record { nonce: 2, ..first }.line());
     assert!(matches!(keys.state(&key), State::Held(held) if held.nonce == 2));
 }
--- a/crates/roseshore_core/tests/once/simulation.rs
+++ b/crates/roseshore_core/tests/once/simulation.rs
@@ -1,12 +1,12 @@
 //! Daemons on one stream of a log with faults, and a judge outside.
 
 use roseshore_core::once::Outcome;
-use roseshore_core::once::batch::Appended;
+use roseshore_core::once::batch::AppendResult;
 use roseshore_core::once::partition::{
-    Action, Attempt, AttemptId, Claimant, Decision, Known, Line, Partition, ReadEnd, Ruling,
-    Settling, may_settle,
+    Action, Attempt, AttemptId, ClaimantStatus, Decision, KeyStatus, LogRecord, Partition,
+    ReadResult, SettleRequest, SettleResult, may_settle,
 };
-use roseshore_core::once::record::{Owner, Record, Word};
+use roseshore_core::once::record::{Owner, Record, Settlement};
 use roseshore_core::prelude::*;
 use std::collections::BTreeMap;
 
@@ -110,7 +110,7 @@
     pub(crate) runs: BTreeMap<Key, Vec<Run>>,
     pub(crate) answers: BTreeMap<Key, Vec<Outcome>>,
     pub(crate) decisions: Vec<(Key, Decision)>,
-    pub(crate) rulings: Vec<Ruling>,
+    pub(crate) rulings: Vec<SettleResult>,
     pub(crate) clock: usize,
 }
 
@@ -165,7 +165,7 @@
             Step::Operator(d, timed) => {
                 let key = if timed { TIMED } else { PLAIN };
                 let limit = self.now + Duration::from_secs(5);
-                let id = self.daemons[d].machine.ask(key.into(), true, limit);
+                let id = self.daemons[d].machine.query_key(key.into(), true, limit);
                 self.daemons[d].asked.insert(id, key);
             }
             Step::Members => {
@@ -173,7 +173,7 @@
                 let alive: Vec<Owner> = lives.map(|(host, d)| owner(host, d.life)).collect();
                 let now = self.now;
                 let all = self.daemons.iter_mut();
-                all.for_each(|daemon| daemon.machine.members(alive.clone(), now));
+                all.for_each(|daemon| daemon.machine.set_members(alive.clone(), now));
             }
         }
         (0..DAEMONS).for_each(|d| self.act(d));
@@ -190,36 +190,36 @@
     pub(crate) fn append(&mut self, d: usize, fate: Fate) {
         let Some(lines) = self.daemons[d].append.take() else { return };
         let how = match fate {
-            Fate::Done => Appended::Done,
-            Fate::Busy => Appended::Busy,
-            Fate::Unreached => Appended::Unreached,
-            Fate::LostBefore | Fate::LostAfter | Fate::LostLater => Appended::Lost,
+            Fate::Done => AppendResult::Done,
+            Fate::Busy => AppendResult::RateLimited,
+            Fate::Unreached => AppendResult::Unreachable,
+            Fate::LostBefore | Fate::LostAfter | Fate::LostLater => AppendResult::Unconfirmed,
         };
         match fate {
             Fate::Done | Fate::LostAfter => self.take_in(lines),
             Fate::LostLater => self.late.push(lines),
             Fate::Busy | Fate::Unreached | Fate::LostBefore => {}
         }
-        self.daemons[d].machine.appended(how, self.now);
+        self.daemons[d].machine.on_append(how, self.now);
     }
 
     pub(crate) fn read(&mut self, d: usize, works: bool) {
         let Some(from) = self.daemons[d].read.take() else { return };
         let end = self.log.len() as Offset;
         let kept = self.log.iter().enumerate().skip(from as usize);
-        let line = |(at, (time, data)): (usize, &(u64, String))| Line {
+        let line = |(at, (time, data)): (usize, &(u64, String))| LogRecord {
             offset: at as Offset,
             time: *time,
             data: data.clone(),
         };
         let read = match works {
-            false => ReadEnd::Failed,
+            false => ReadResult::Failed,
             true if (from as usize) < self.oldest => {
-                ReadEnd::Trimmed { oldest: self.oldest as Offset }
+                ReadResult::Trimmed { oldest: self.oldest as Offset }
             }
-            true => ReadEnd::Records { records: kept.map(line).collect(), end },
+            true => ReadResult::Records { records: kept.map(line).collect(), end },
         };
-        self.daemons[d].machine.read(read, self.now);
+        self.daemons[d].machine.on_read(read, self.now);
     }
 
     pub(crate) fn dispatch(&mut self, d: usize) {
@@ -243,7 +243,7 @@
         if verdict == Verdict::NotRun {
             self.runs.get_mut(&key).expect("it was dispatched")[run].ran = false;
         }
-        self.daemons[d].machine.settle(offset, outcome, self.now);
+        self.daemons[d].machine.record_outcome(offset, outcome, self.now);
     }
 
     pub(crate) fn act(&mut self, d: usize) {
@@ -259,8 +259,8 @@
                     let outcome = |line: &String| line.contains("outcome") && nonce(line) == of;
                     assert!(lines.clone().any(outcome), "no outcome of the claim at {claim}");
                 }
-                Action::Show(id, known) => self.settle_by(d, id, &known),
-                Action::Rule(_, ruling) => self.rulings.push(ruling),
+                Action::ReportKey(id, known) => self.settle_by(d, id, &known),
+                Action::ReportSettle(_, ruling) => self.rulings.push(ruling),
                 Action::Decide(id, decision) => {
                     let asked = self.daemons[d].attempts.remove(&id).expect("one decision");
                     self.judge(d, asked, decision);
@@ -270,24 +270,24 @@
     }
 
     /// The operator tells the truth as of now, and believes that the claimant is gone.
-    fn settle_by(&mut self, d: usize, id: AttemptId, known: &Known) {
+    fn settle_by(&mut self, d: usize, id: AttemptId, known: &KeyStatus) {
         let key = Key::from(self.daemons[d].asked[&id]);
         let ran = self.runs.get(&key).is_some_and(|runs| runs.iter().any(|run| run.ran));
-        let claim = match may_settle(&key, known, ran, Claimant::Gone) {
+        let claim = match may_settle(&key, known, ran, ClaimantStatus::Gone) {
             Ok(claim) => claim,
-            Err(refusal) => return self.rulings.push(Ruling::Rejected(refusal)),
+            Err(refusal) => return self.rulings.push(SettleResult::Rejected(refusal)),
         };
         let (operator, note) = ("op".into(), "looked".into());
-        let word = Word { operator, note, ran, claim };
+        let settlement = Settlement { operator, note, ran, claim };
         let deadline = self.now + Duration::from_secs(5);
-        self.daemons[d].machine.settle_by(Settling { key, word, deadline });
+        self.daemons[d].machine.submit_settlement(SettleRequest { key, settlement, deadline });
     }
 
     pub(crate) fn judge(&mut self, d: usize, asked: Asked, decision: Decision) {
         let key = asked.key.clone();
         match &decision {
             Decision::Won(offset) => self.daemons[d].won.push((asked, *offset)),
-            Decision::Repeat(outcome) => {
+            Decision::Replay(outcome) => {
                 let answers = self.answers.entry(key.clone()).or_default();
                 answers.push(Outcome::clone(outcome));
                 assert!(answers.iter().all(|a| *a == answers[0]), "repeats of {key} differ");
@@ -300,7 +300,7 @@
                 let ran = runs.iter().any(|run| mine(run) && run.at < asked.at);
                 assert!(!ran, "{key} had run, and was told {refusal:?}");
             }
-            Decision::Refused(_) | Decision::Stored(..) | Decision::AskOwner(..) => {}
+            Decision::Refused(_) | Decision::ReadFromLog(..) | Decision::AskOwner(..) => {}
         }
         self.decisions.push((key, decision));
     }
--- a/crates/roseshore_core/tests/once_batch.rs
+++ b/crates/roseshore_core/tests/once_batch.rs
@@ -1,12 +1,12 @@
 //! When records are appended, after the log was over its rate and after it was out.
 
-use roseshore_core::once::batch::{Appended, Batch};
+use roseshore_core::once::batch::{AppendResult, Batch};
 use roseshore_core::once::record::Record;
 use std::time::{Duration, Instant};
 
 struct Case {
     name: &'static str,
-    how: Appended,
+    how: AppendResult,
     /// The longest time from one failed append to the next.
     retry: Duration,
     /// Whether the next record after the first taken one goes at once.
@@ -16,14 +16,19 @@
 const CASES: &[Case] = &[
     Case {
         name: "over the rate",
-        how: Appended::Busy,
+        how: AppendResult::RateLimited,
         retry: Duration::from_millis(500),
         prompt: false,
     },
-    Case { name: "out", how: Appended::Unreached, retry: Duration::from_millis(250), prompt: true },
+    Case {
+        name: "out",
+        how: AppendResult::Unreachable,
+        retry: Duration::from_millis(250),
+        prompt: true,
+    },
     Case {
         name: "replies lost",
-        how: Appended::Lost,
+        how: AppendResult::Unconfirmed,
         retry: Duration::from_millis(250),
         prompt: true,
     },
@@ -48,11 +53,11 @@
             let wait = next(&mut batch, now);
             longest = longest.max(wait);
             now += wait;
-            batch.appended(*how, now);
+            batch.on_append(*how, now);
         }
         assert_eq!(longest, *retry, "{name}");
         now += next(&mut batch, now);
-        batch.appended(Appended::Done, now);
+        batch.on_append(AppendResult::Done, now);
         batch.push(&Record::mark(2));
         let wait = next(&mut batch, now);
         assert_eq!(wait <= Duration::from_millis(5), *prompt, "{name}: {wait:?}");
--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -14,8 +14,8 @@
     match world.decisions.last().map(|(_, decision)| decision) {
         None => "nothing".into(),
         Some(Decision::Won(_)) => "won".into(),
-        Some(Decision::Repeat(_)) => "repeat".into(),
-        Some(Decision::Stored(..)) => "stored".into(),
+        Some(Decision::Replay(_)) => "repeat".into(),
+        Some(Decision::ReadFromLog(..)) => "stored".into(),
         Some(Decision::AskOwner(owner, refusal)) => {
             format!("ask {} or {}", owner.host, refusal.code)
         }
--- a/crates/roseshore_core/tests/once_reused.rs
+++ b/crates/roseshore_core/tests/once_reused.rs
@@ -1,8 +1,10 @@
 //! A key that comes back with another body, at every step of the first one's work.
 
 use roseshore_core::once::Outcome;
-use roseshore_core::once::batch::Appended;
-use roseshore_core::once::partition::{Action, Attempt, Decision, Line, Partition, ReadEnd};
+use roseshore_core::once::batch::AppendResult;
+use roseshore_core::once::partition::{
+    Action, Attempt, Decision, LogRecord, Partition, ReadResult,
+};
 use roseshore_core::once::record::Owner;
 use roseshore_core::prelude::*;
 
@@ -30,12 +32,12 @@
                 match action {
                     Action::Append(lines) if append => {
                         self.log.extend(lines);
-                        self.machine.appended(Appended::Done, self.now);
+                        self.machine.on_append(AppendResult::Done, self.now);
                     }
                     Action::Append(_)
                     | Action::Recorded(_)
-                    | Action::Show(..)
-                    | Action::Rule(..) => {}
+                    | Action::ReportKey(..)
+                    | Action::ReportSettle(..) => {}
                     Action::Read { from, .. } => self.read(from),
                     Action::Decide(_, decision) => last = Some(decision),
                 }
@@ -46,14 +48,14 @@
     }
 
     fn read(&mut self, from: Offset) {
-        let line = |(at, data): (usize, &String)| Line {
+        let line = |(at, data): (usize, &String)| LogRecord {
             offset: at as Offset,
             time: TIME,
             data: data.clone(),
         };
         let records = self.log.iter().enumerate().skip(from as usize).map(line).collect();
         let end = self.log.len() as Offset;
-        self.machine.read(ReadEnd::Records { records, end }, self.now);
+        self.machine.on_read(ReadResult::Records { records, end }, self.now);
     }
 }
 
@@ -93,11 +95,11 @@
         assert!(world.machine.dispatch(offset, world.now), "{}", case.name);
         let (content, body) = ("text/plain".to_owned(), b"yes".to_vec());
         let outcome = Outcome { verdict: Verdict::Answered, status: 200, content, body };
-        world.machine.settle(offset, outcome, world.now);
+        world.machine.record_outcome(offset, outcome, world.now);
         world.turn(case.recorded);
         world.begin(case.digest);
         let code = match world.turn(case.recorded) {
-            Some(Decision::Repeat(_)) => None,
+            Some(Decision::Replay(_)) => None,
             Some(Decision::Refused(refusal)) => Some(refusal.code),
             other => panic!("{}: {other:?}", case.name),
         };
--- a/crates/roseshore_core/tests/once_settle.rs
+++ b/crates/roseshore_core/tests/once_settle.rs
@@ -2,8 +2,8 @@
 
 use roseshore_core::once::Outcome;
 use roseshore_core::once::keys::{Keys, State};
-use roseshore_core::once::partition::{Claimant, Known, may_settle};
-use roseshore_core::once::record::{Act, Nonce, Owner, Record, Word};
+use roseshore_core::once::partition::{ClaimantStatus, KeyStatus, may_settle};
+use roseshore_core::once::record::{Act, Nonce, Owner, Record, Settlement};
 use roseshore_core::prelude::*;
 
 const KEY: &str = "o/s/plain";
@@ -28,7 +28,7 @@
 }
 
 fn word(ran: bool, claim: Option<Nonce>) -> Act {
-    Act::Settle(Word { operator: "op".into(), note: "looked".into(), ran, claim })
+    Act::Settle(Settlement { operator: "op".into(), note: "looked".into(), ran, claim })
 }
 
 struct Case {
@@ -65,13 +65,13 @@
         let mut keys = Keys::new(100);
         for (at, (nonce, act)) in case.records.into_iter().enumerate() {
             let record = Record { key: KEY.into(), nonce, act };
-            keys.take(at as Offset, at as u64 * STEP, &record.line());
+            keys.apply(at as Offset, at as u64 * STEP, &record.line());
         }
         let state = match keys.state(&KEY.into()) {
             State::Free => "free".into(),
             State::Held(held) => format!("held {}", held.nonce),
             State::Unknown(held) => format!("unknown {}", held.nonce),
-            State::Settled(_) => "settled".into(),
+            State::Recorded(_) => "settled".into(),
             State::Ran(_) => "ran".into(),
         };
         assert_eq!(state, case.state, "{}", case.name);
@@ -82,7 +82,7 @@
     name: &'static str,
     records: Vec<(Nonce, Act)>,
     current: bool,
-    claimant: Claimant,
+    claimant: ClaimantStatus,
     ran: bool,
     told: &'static str,
 }
@@ -91,12 +91,12 @@
 #[rustfmt::skip]
 fn asked() -> Vec<Asked> {
     let held = || vec![(1, claim(0)), (2, Act::Mark), (3, Act::Mark)];
-    let (gone, current) = (Claimant::Gone, true);
+    let (gone, current) = (ClaimantStatus::Gone, true);
     vec![
         Asked { name: "claimant gone", records: held(), current, claimant: gone, ran: false, told: "Some(1)" },
-        Asked { name: "claimant does not know the key", records: held(), current, claimant: Claimant::Idle, ran: true, told: "Some(1)" },
-        Asked { name: "claimant works", records: held(), current, claimant: Claimant::Working, ran: true, told: "RS401" },
-        Asked { name: "claimant does not answer", records: held(), current, claimant: Claimant::Silent, ran: false, told: "RS401" },
+        Asked { name: "claimant does not know the key", records: held(), current, claimant: ClaimantStatus::Idle, ran: true, told: "Some(1)" },
+        Asked { name: "claimant works", records: held(), current, claimant: ClaimantStatus::Working, ran: true, told: "RS401" },
+        Asked { name: "claimant does not answer", records: held(), current, claimant: ClaimantStatus::Unresponsive, ran: false, told: "RS401" },
         Asked { name: "claimant may still dispatch", records: vec![(1, claim(STEP)), (2, Act::Mark)], current, claimant: gone, ran: true, told: "RS401" },
         Asked { name: "claimant does not know", records: vec![(1, claim(9 * STEP)), (1, ended(Verdict::MayHaveRun))], current, claimant: gone, ran: false, told: "Some(1)" },
         Asked { name: "log not read", records: held(), current: false, claimant: gone, ran: true, told: "RS502" },
@@ -113,10 +113,18 @@
         let mut keys = Keys::new(100);
         for (at, (nonce, act)) in case.records.into_iter().enumerate() {
             let record = Record { key: KEY.into(), nonce, act };
-            keys.take(at as Offset, at as u64 * STEP, &record.line());
+            keys.apply(at as Offset, at as u64 * STEP, &record.line());
         }
-        let (current, time, state) = (case.current, keys.newest(), keys.state(&KEY.into()).clone());
-        let known = Known { offset: keys.next(), current, time, reaches: true, state, said: None };
+        let (current, time, state) =
+            (case.current, keys.newest_time(), keys.state(&KEY.into()).clone());
+        let known = KeyStatus {
+            offset: keys.next(),
+            current,
+            time,
+            covered: true,
+            state,
+            settlement: None,
+        };
         let told = match may_settle(&KEY.into(), &known, case.ran, case.claimant) {
             Ok(claim) => format!("{claim:?}"),
             Err(refusal) => refusal.code.to_string(),
--- a/crates/roseshore_core/tests/polling.rs
+++ b/crates/roseshore_core/tests/polling.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use roseshore_core::membership::weight;
-use roseshore_core::polling::{Action, Caches, Polling, Settings};
+use roseshore_core::polling::{Action, CacheCursors, Polling, Settings};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -123,11 +123,11 @@
                     assert_eq!(got.len(), usize::from(due), "{at}");
                     continue;
                 }
-                Answer(want) => (polling.answered(target, now), want),
-                Miss(want) => (polling.missed(target, now), want),
+                Answer(want) => (polling.on_answer(target, now), want),
+                Miss(want) => (polling.on_failure(target, now), want),
                 Told(age, silent, want) => {
                     let seen = now.checked_sub(ms(age)).expect("a clock that has run a while");
-                    (polling.told(target, silent, seen), want)
+                    (polling.on_peer_report(target, silent, seen), want)
                 }
             };
             assert_eq!(got.iter().map(word).collect::<Vec<_>>(), want, "{at}");
@@ -138,16 +138,16 @@
 fn word(action: &Action) -> &'static str {
     match action {
         Action::Poll(_) => "poll",
-        Action::Silent(_) => "silent",
-        Action::Lost(_) => "lost",
-        Action::Back(_) => "back",
+        Action::Unresponsive(_) => "silent",
+        Action::Down(_) => "lost",
+        Action::Up(_) => "back",
     }
 }
 
 #[test]
 fn polls_under_way_are_bounded_and_none_starves() {
     let mut now = Instant::now();
-    let settings = Settings { inflight: 4, ..Settings::default() };
+    let settings = Settings { max_polls: 4, ..Settings::default() };
     let mut polling = Polling::new(settings);
     polling.set_targets((0..20).map(|n| format!("t{n}")), now);
     let mut seen = BTreeMap::new();
@@ -158,7 +158,7 @@
         for action in actions {
             let Action::Poll(target) = action else { panic!("{action:?}") };
             *seen.entry(target.clone()).or_insert(0) += 1;
-            polling.answered(&target, now);
+            polling.on_answer(&target, now);
         }
     }
     assert!(seen.len() == 20 && seen.values().all(|n| *n == 4), "{seen:?}");
@@ -225,7 +225,7 @@
                 .collect();
             for action in self.polls[own].tick(self.now, |t| places.get(t).copied()) {
                 let Action::Poll(target) = action else { continue };
-                self.polls[own].answered(&target, self.now);
+                self.polls[own].on_answer(&target, self.now);
                 self.tell(own, &target);
             }
         }
@@ -236,7 +236,7 @@
         self.known.insert((own, target.to_owned()), self.now);
         for other in 0..self.polls.len() {
             if other != own && self.dead[other].is_none() && !self.cut.contains(&(own, other)) {
-                self.polls[other].told(&target.to_owned(), false, self.now);
+                self.polls[other].on_peer_report(&target.to_owned(), false, self.now);
                 self.known.insert((other, target.to_owned()), self.now);
             }
         }
@@ -351,17 +351,17 @@
         },
     ];
     for case in cases {
-        let mut caches = Caches::new(Duration::from_secs(2));
+        let mut caches = CacheCursors::new(Duration::from_secs(2));
         let mut now = Instant::now();
         for (i, &(after, engines, restarted, due)) in case.steps.iter().enumerate() {
             now += ms(after);
             let lives = engines.iter().map(|&(id, life)| (id.to_owned(), life));
-            assert_eq!(caches.set(lives), restarted, "{}, step {i}", case.name);
+            assert_eq!(caches.set_engines(lives), restarted, "{}, step {i}", case.name);
             let asked = caches.due(now);
             let want = due.map(|(id, from)| (id.to_owned(), from));
             assert_eq!(asked, want, "{}, step {i}", case.name);
             if let Some((target, from)) = asked {
-                caches.read(&target, from + 10);
+                caches.advance(&target, from + 10);
             }
         }
     }
--- a/crates/roseshore_ports/src/inside.rs
+++ b/crates/roseshore_ports/src/inside.rs
@@ -3,10 +3,10 @@
 //! One trait per part; each is given out as a trait object, so that a part can be swapped for its
 //! first, simple version or for a fake in tests.
 
-pub use roseshore_core::ledger::history::Fate;
+pub use roseshore_core::ledger::history::RequestState;
 pub use roseshore_core::membership::{Member, MemberState};
 pub use roseshore_core::once::Outcome;
-pub use roseshore_core::once::partition::{Known, Ruling};
+pub use roseshore_core::once::partition::{KeyStatus, SettleResult};
 use roseshore_core::prelude::*;
 use roseshore_wire::engine::{CacheEvent, Load, Stage};
 use roseshore_wire::service::ServiceLoad;
@@ -228,10 +228,10 @@
 /// What operators ask about keys.
 pub trait Keys: Send + Sync {
     /// What is known of a key; `None` when this daemon cannot judge keys.
-    fn known(&self, key: &Key, deadline: Instant) -> Option<Known>;
+    fn known(&self, key: &Key, deadline: Instant) -> Option<KeyStatus>;
 
     /// Records an operator's word on a key that nobody else can settle.
-    fn settle_by(&self, key: &Key, word: KeyWord, deadline: Instant) -> Ruling;
+    fn settle_by(&self, key: &Key, word: KeyWord, deadline: Instant) -> SettleResult;
 }
 
 /// How a request ended, for the account, the operators' queries and the metrics.
@@ -274,7 +274,7 @@
     fn ended(&self, end: &End);
 
     /// What became of a request, by its id or the part of it before `~`, which its caller gave.
-    fn find(&self, _id: &str) -> Option<Fate> {
+    fn find(&self, _id: &str) -> Option<RequestState> {
         None
     }
 }
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -229,7 +229,7 @@
         later += Duration::from_millis(20);
         for action in polling.tick(later, |t| view.place(t)) {
             if let Action::Poll(target) = action {
-                polling.answered(&target, later);
+                polling.on_answer(&target, later);
             }
         }
     });
--- a/crates/roseshored/src/claims.rs
+++ b/crates/roseshored/src/claims.rs
@@ -13,7 +13,7 @@
 use flume::{Receiver, Sender};
 use partition::Event;
 use roseshore_core::once::batch::MAX_RECORDS;
-use roseshore_core::once::partition::{Attempt, Decision, Work};
+use roseshore_core::once::partition::{Attempt, Decision, LocalWork};
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::once::{PARTITIONS, partition_of, stream_of};
 use roseshore_core::prelude::*;
@@ -95,10 +95,10 @@
         &self.partitions[partition_of(key, self.partitions.len())]
     }
 
-    fn work(&self, key: &Key) -> Work {
+    fn work(&self, key: &Key) -> LocalWork {
         let (told, answer) = flume::bounded(1);
         self.send(key, Event::Work(key.clone(), told));
-        answer.recv().unwrap_or(Work::Elsewhere)
+        answer.recv().unwrap_or(LocalWork::Unknown)
     }
 
     /// Reads a recorded answer that is not held in memory any more.
@@ -118,7 +118,7 @@
     fn ask_owner(&self, key: &Key, owner: &Owner, deadline: Instant, refusal: Refusal) -> Begin {
         if self.members.own().host == owner.host {
             return match self.work(key) {
-                Work::Ended(outcome) if outcome.verdict == Verdict::Answered => {
+                LocalWork::Done(outcome) if outcome.verdict == Verdict::Answered => {
                     Begin::Settled(Outcome::clone(&outcome))
                 }
                 _ => Begin::Refused(refusal),
@@ -155,8 +155,8 @@
         self.send(key, Event::Begin(ask, told));
         match decided.recv_deadline(deadline + GRACE) {
             Ok(Decision::Won(offset)) => Begin::Won(Claim { key: key.clone(), offset }),
-            Ok(Decision::Repeat(outcome)) => Begin::Settled(Outcome::clone(&outcome)),
-            Ok(Decision::Stored(offset, refusal)) => self.stored(key, offset, refusal),
+            Ok(Decision::Replay(outcome)) => Begin::Settled(Outcome::clone(&outcome)),
+            Ok(Decision::ReadFromLog(offset, refusal)) => self.stored(key, offset, refusal),
             Ok(Decision::AskOwner(owner, refusal)) => {
                 self.ask_owner(key, &owner, deadline, refusal)
             }
@@ -189,11 +189,11 @@
     fn answer(&self, ask: &Ask) -> Option<Reply> {
         let Ask::Outcome { key } = ask else { return None };
         let reply = match self.work(key) {
-            Work::Elsewhere => {
+            LocalWork::Unknown => {
                 Reply::Unable { reason: format!("key `{key}` is not worked on here") }
             }
-            Work::UnderWay => Reply::Outcome { outcome: None },
-            Work::Ended(outcome) => match serde_json::to_string(&*outcome) {
+            LocalWork::InProgress => Reply::Outcome { outcome: None },
+            LocalWork::Done(outcome) => match serde_json::to_string(&*outcome) {
                 Ok(json) => Reply::Outcome { outcome: Some(json) },
                 Err(err) => Reply::Unable { reason: err.to_string() },
             },
--- a/crates/roseshored/src/claims/desk.rs
+++ b/crates/roseshored/src/claims/desk.rs
@@ -4,8 +4,10 @@
 use super::{ASK_LIMIT, ClaimsDriver};
 use crate::event;
 use roseshore_core::once::keys::State;
-use roseshore_core::once::partition::{Claimant, Known, Ruling, Settling, Work, may_settle};
-use roseshore_core::once::record::{Owner, Word};
+use roseshore_core::once::partition::{
+    ClaimantStatus, KeyStatus, LocalWork, SettleRequest, SettleResult, may_settle,
+};
+use roseshore_core::once::record::{Owner, Settlement};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{KeyWord, Keys};
 use roseshore_wire::peer::{Ask, Reply};
@@ -14,25 +16,27 @@
 const GRACE: Duration = Duration::from_secs(1);
 
 impl Keys for ClaimsDriver {
-    fn known(&self, key: &Key, deadline: Instant) -> Option<Known> {
+    fn known(&self, key: &Key, deadline: Instant) -> Option<KeyStatus> {
         self.look(key, false, deadline)
     }
 
-    fn settle_by(&self, key: &Key, said: KeyWord, deadline: Instant) -> Ruling {
-        let Some(known) = self.look(key, true, deadline) else { return Ruling::Rejected(gone()) };
+    fn settle_by(&self, key: &Key, said: KeyWord, deadline: Instant) -> SettleResult {
+        let Some(known) = self.look(key, true, deadline) else {
+            return SettleResult::Rejected(gone());
+        };
         let claimant = self.claimant(key, &known.state);
         let claim = match may_settle(key, &known, said.ran, claimant) {
             Ok(claim) => claim,
-            Err(refusal) => return Ruling::Rejected(refusal),
+            Err(refusal) => return SettleResult::Rejected(refusal),
         };
         let KeyWord { operator, note, ran } = said;
-        let word = Word { operator, note, ran, claim };
-        let settling = Settling { key: key.clone(), word: word.clone(), deadline };
+        let word = Settlement { operator, note, ran, claim };
+        let settling = SettleRequest { key: key.clone(), settlement: word.clone(), deadline };
         let (told, ruled) = flume::bounded(1);
         self.send(key, Said::SettleBy(settling, told));
-        let ruling = ruled.recv_deadline(deadline + GRACE).unwrap_or(Ruling::Unknown);
-        if let Ruling::Taken(offset) = ruling {
-            let Word { operator, note, ran, .. } = &word;
+        let ruling = ruled.recv_deadline(deadline + GRACE).unwrap_or(SettleResult::Unknown);
+        if let SettleResult::Applied(offset) = ruling {
+            let Settlement { operator, note, ran, .. } = &word;
             event!(
                 Event::KeySettled,
                 "key={key} offset={offset} ran={ran} operator={operator:?} note={note:?}"
@@ -43,39 +47,39 @@
 }
 
 impl ClaimsDriver {
-    fn look(&self, key: &Key, mark: bool, deadline: Instant) -> Option<Known> {
+    fn look(&self, key: &Key, mark: bool, deadline: Instant) -> Option<KeyStatus> {
         let (told, known) = flume::bounded(1);
         self.send(key, Said::Look(key.clone(), mark, deadline, told));
         known.recv_deadline(deadline + GRACE).ok()
     }
 
     /// What the claimant of a key says itself, if it is still among the daemons.
-    fn claimant(&self, key: &Key, state: &State) -> Claimant {
-        let State::Held(held) = state else { return Claimant::Gone };
-        let Some(owner) = &held.owner else { return Claimant::Gone };
+    fn claimant(&self, key: &Key, state: &State) -> ClaimantStatus {
+        let State::Held(held) = state else { return ClaimantStatus::Gone };
+        let Some(owner) = &held.owner else { return ClaimantStatus::Gone };
         let own = self.members.own();
         if own.host == owner.host {
             return match self.work(key) {
-                _ if own.incarnation != owner.incarnation => Claimant::Gone,
-                Work::Elsewhere => Claimant::Idle,
-                Work::UnderWay | Work::Ended(_) => Claimant::Working,
+                _ if own.incarnation != owner.incarnation => ClaimantStatus::Gone,
+                LocalWork::Unknown => ClaimantStatus::Idle,
+                LocalWork::InProgress | LocalWork::Done(_) => ClaimantStatus::Working,
             };
         }
         self.ask_claimant(key, owner)
     }
 
-    fn ask_claimant(&self, key: &Key, owner: &Owner) -> Claimant {
+    fn ask_claimant(&self, key: &Key, owner: &Owner) -> ClaimantStatus {
         let members = self.members.all();
         // A daemon that was only named to this one has no known life yet.
         let is = |life| life == owner.incarnation || life == 0;
         let Some(member) = members.iter().find(|it| it.host == owner.host && is(it.incarnation))
         else {
-            return Claimant::Gone;
+            return ClaimantStatus::Gone;
         };
         match self.peers.ask(member.peer, &Ask::Outcome { key: key.clone() }, ASK_LIMIT) {
-            Ok(Reply::Outcome { .. }) => Claimant::Working,
-            Ok(Reply::Unable { .. }) => Claimant::Idle,
-            Ok(_) | Err(_) => Claimant::Silent,
+            Ok(Reply::Outcome { .. }) => ClaimantStatus::Working,
+            Ok(Reply::Unable { .. }) => ClaimantStatus::Idle,
+            Ok(_) | Err(_) => ClaimantStatus::Unresponsive,
         }
     }
 }
--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -5,9 +5,10 @@
 use flume::{Receiver, RecvTimeoutError, Sender};
 use roseshore_core::event as numbered;
 use roseshore_core::once::Outcome;
-use roseshore_core::once::batch::Appended;
+use roseshore_core::once::batch::AppendResult;
 use roseshore_core::once::partition::{
-    Action, Attempt, AttemptId, Decision, Known, Line, Partition, ReadEnd, Ruling, Settling, Work,
+    Action, Attempt, AttemptId, Decision, KeyStatus, LocalWork, LogRecord, Partition, ReadResult,
+    SettleRequest, SettleResult,
 };
 use roseshore_core::once::record::Owner;
 use roseshore_core::prelude::{Code, Duration, Instant, Key, Offset, Verdict};
@@ -32,12 +33,12 @@
     /// The sender is dropped once the outcome stands in the log.
     Settle(Offset, Outcome, Sender<()>),
     /// What is known of a key; `true` to learn the log's time too.
-    Look(Key, bool, Instant, Sender<Known>),
-    SettleBy(Settling, Sender<Ruling>),
+    Look(Key, bool, Instant, Sender<KeyStatus>),
+    SettleBy(SettleRequest, Sender<SettleResult>),
     Abandon(Offset),
-    Work(Key, Sender<Work>),
-    Appended(Appended),
-    Read(ReadEnd),
+    Work(Key, Sender<LocalWork>),
+    Appended(AppendResult),
+    Read(ReadResult),
     /// Tell when nothing waits for the log.
     Flush(Sender<()>),
     /// The driver is gone.
@@ -60,8 +61,8 @@
     reads: Sender<ReadAsk>,
     flushing: Vec<Sender<()>>,
     settling: FxHashMap<Offset, Sender<()>>,
-    looks: FxHashMap<AttemptId, Sender<Known>>,
-    words: FxHashMap<AttemptId, Sender<Ruling>>,
+    looks: FxHashMap<AttemptId, Sender<KeyStatus>>,
+    words: FxHashMap<AttemptId, Sender<SettleResult>>,
 }
 
 struct Caller {
@@ -117,10 +118,10 @@
     for lines in asks {
         let began = Instant::now();
         let how = match log.append(stream, &lines) {
-            Ok(_) => Appended::Done,
-            Err(CallError::Refused(429, ..)) => Appended::Busy,
-            Err(err) if err.verdict() == Verdict::NotRun => Appended::Unreached,
-            Err(_) => Appended::Lost,
+            Ok(_) => AppendResult::Done,
+            Err(CallError::Refused(429, ..)) => AppendResult::RateLimited,
+            Err(err) if err.verdict() == Verdict::NotRun => AppendResult::Unreachable,
+            Err(_) => AppendResult::Unconfirmed,
         };
         metrics::histogram!("roseshore_claims_append_seconds").record(began.elapsed());
         metrics::histogram!("roseshore_claims_append_records").record(lines.len() as f64);
@@ -139,21 +140,21 @@
     }
 }
 
-fn read_end(read: Called<Records>) -> ReadEnd {
+fn read_end(read: Called<Records>) -> ReadResult {
     match read {
         Ok(read) => {
-            let line = |record: roseshore_wire::platform::Record| Line {
+            let line = |record: roseshore_wire::platform::Record| LogRecord {
                 offset: record.offset,
                 time: record.time_ms,
                 data: record.data,
             };
-            ReadEnd::Records {
+            ReadResult::Records {
                 records: read.records.into_iter().map(line).collect(),
                 end: read.end,
             }
         }
-        Err(CallError::Trimmed(oldest, _)) => ReadEnd::Trimmed { oldest },
-        Err(_) => ReadEnd::Failed,
+        Err(CallError::Trimmed(oldest, _)) => ReadResult::Trimmed { oldest },
+        Err(_) => ReadResult::Failed,
     }
 }
 
@@ -162,7 +163,7 @@
         loop {
             let now = Instant::now();
             let due = self.machine.due(now).map_or(now + IDLE, |due| due.min(now + IDLE));
-            let busy = !self.machine.idle();
+            let busy = !self.machine.is_idle();
             let due = if busy { due.min(now + MEMBERS_EVERY) } else { due };
             match inbox.recv_deadline(due) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
@@ -192,14 +193,14 @@
             }
             Event::Settle(offset, outcome, told) => {
                 self.settling.insert(offset, told);
-                self.machine.settle(offset, outcome, now);
+                self.machine.record_outcome(offset, outcome, now);
             }
             Event::Look(key, mark, deadline, told) => {
-                let id = self.machine.ask(key, mark, deadline);
+                let id = self.machine.query_key(key, mark, deadline);
                 self.looks.insert(id, told);
             }
             Event::SettleBy(settling, told) => {
-                let id = self.machine.settle_by(settling);
+                let id = self.machine.submit_settlement(settling);
                 self.words.insert(id, told);
             }
             Event::Abandon(offset) => {
@@ -207,10 +208,10 @@
                 self.machine.abandon(offset);
             }
             Event::Work(key, told) => {
-                let _ = told.send(self.machine.work(&key));
+                let _ = told.send(self.machine.local_work(&key));
             }
-            Event::Appended(how) => self.machine.appended(how, now),
-            Event::Read(end) => self.machine.read(end, now),
+            Event::Appended(how) => self.machine.on_append(how, now),
+            Event::Read(end) => self.machine.on_read(end, now),
             Event::Flush(told) => self.flushing.push(told),
             Event::Stop => {}
         }
@@ -220,7 +221,7 @@
     fn look_around(&mut self) {
         let now = Instant::now();
         let fresh = self.looked.is_some_and(|looked| now < looked + MEMBERS_EVERY);
-        if fresh || self.machine.idle() {
+        if fresh || self.machine.is_idle() {
             return;
         }
         self.looked = Some(now);
@@ -229,7 +230,7 @@
             host: member.host,
             incarnation: member.incarnation,
         };
-        self.machine.members(all.into_iter().map(owner).collect(), now);
+        self.machine.set_members(all.into_iter().map(owner).collect(), now);
     }
 
     fn act(&mut self) {
@@ -238,16 +239,16 @@
                 Action::Append(lines) => drop(self.appends.send(lines)),
                 Action::Read { from, wait } => drop(self.reads.send(ReadAsk { from, wait })),
                 Action::Decide(id, decision) => self.decide(id, decision),
-                Action::Show(id, known) => {
+                Action::ReportKey(id, known) => {
                     self.looks.remove(&id).map(|told| told.send(known));
                 }
-                Action::Rule(id, ruling) => {
+                Action::ReportSettle(id, ruling) => {
                     self.words.remove(&id).map(|told| told.send(ruling));
                 }
                 Action::Recorded(offset) => drop(self.settling.remove(&offset)),
             }
         }
-        if self.machine.idle() {
+        if self.machine.is_idle() {
             self.settling.clear();
             for told in self.flushing.drain(..) {
                 let _ = told.send(());
@@ -265,7 +266,7 @@
                 event!(numbered::Event::KeyClaimed, "key={key} offset={offset}");
                 "won"
             }
-            Decision::Repeat(_) | Decision::Stored(..) => {
+            Decision::Replay(_) | Decision::ReadFromLog(..) => {
                 event!(numbered::Event::KeyRepeated, "key={key}");
                 "repeated"
             }
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -9,7 +9,9 @@
 
 use crate::ledger::account::Account;
 use parking_lot::Mutex;
-use roseshore_core::ledger::history::{Book, Ended, Fate, Running, Whose};
+use roseshore_core::ledger::history::{
+    EndedRequest, RequestHistory, RequestMeta, RequestState, RunningRequest,
+};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Answers, Ask, End, Ledger, Member, MemberState, Members, Queries};
 use roseshore_ports::outside::Peers;
@@ -27,7 +29,7 @@
 pub struct LedgerDriver {
     host: HostId,
     data_centre: DataCentreId,
-    book: Mutex<Book>,
+    book: Mutex<RequestHistory>,
     account: Arc<Account>,
 }
 
@@ -48,29 +50,32 @@
 
 impl Ledger for LedgerDriver {
     fn begun(&self, ask: &Ask) {
-        let running =
-            Running { whose: whose(ask), begun: wall(ask.arrived), deadline: wall(ask.deadline) };
-        self.book.lock().begun(running);
+        let running = RunningRequest {
+            meta: whose(ask),
+            started: wall(ask.arrived),
+            deadline: wall(ask.deadline),
+        };
+        self.book.lock().begin(running);
     }
 
     fn ended(&self, end: &End) {
-        let ended = Ended {
-            whose: whose(&end.ask),
-            at: wall(end.ended),
-            late: end.ended.saturating_duration_since(end.ask.deadline),
+        let ended = EndedRequest {
+            meta: whose(&end.ask),
+            ended_at: wall(end.ended),
+            late_by: end.ended.saturating_duration_since(end.ask.deadline),
             verdict: end.verdict,
             code: end.code,
             repeated: end.repeated,
-            left: end.left,
-            resumed: end.resumed,
+            caller_left: end.left,
+            reroutes: end.resumed,
             missed: end.missed(),
         };
         self.account.ended(&ended);
-        self.book.lock().ended(ended);
+        self.book.lock().end(ended);
     }
 
-    fn find(&self, id: &str) -> Option<Fate> {
-        self.book.lock().fate(id)
+    fn find(&self, id: &str) -> Option<RequestState> {
+        self.book.lock().find(id)
     }
 }
 
@@ -168,8 +173,8 @@
     }
 }
 
-fn whose(ask: &Ask) -> Whose {
-    Whose {
+fn whose(ask: &Ask) -> RequestMeta {
+    RequestMeta {
         request: ask.request.clone(),
         service: ask.service.clone(),
         organisation: ask.organisation.clone(),
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -3,8 +3,8 @@
 use crate::event;
 use crate::stream::{Met, read_on};
 use parking_lot::Mutex;
-use roseshore_core::ledger::account::{Counter, Fold, Part, Row, Summary};
-use roseshore_core::ledger::history::Ended;
+use roseshore_core::ledger::account::{AccountDelta, Counter, Fold, Row, Summary};
+use roseshore_core::ledger::history::EndedRequest;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Member, Members};
 use roseshore_ports::outside::{Called, Log};
@@ -47,8 +47,8 @@
     }
 
     /// Counts a request.
-    pub(crate) fn ended(&self, ended: &Ended) {
-        self.counter.lock().ended(ended);
+    pub(crate) fn ended(&self, ended: &EndedRequest) {
+        self.counter.lock().count(ended);
     }
 
     /// Flushes until `stop` is closed, and once more then.
@@ -66,7 +66,7 @@
         }
         // The last chance: what is not in the log now is gone with this host.
         if self.flush().is_err() {
-            event!(Event::AccountDelayed, "lost rows={}", self.counter.lock().open());
+            event!(Event::AccountDelayed, "lost rows={}", self.counter.lock().pending_rows());
         }
     }
 
@@ -75,7 +75,7 @@
     /// # Errors
     /// When the log does not take it; it is kept and due again.
     pub fn flush(&self) -> Called<()> {
-        let Some(part) = self.counter.lock().due() else { return Ok(()) };
+        let Some(part) = self.counter.lock().next_delta() else { return Ok(()) };
         let Ok(line) = serde_json::to_string(&part) else { return Ok(()) };
         match self.log.append(PARTS, &[line]) {
             Ok(offset) => {
@@ -87,7 +87,11 @@
             Err(err) => {
                 // Said once per outage, not with every try.
                 if !self.delayed.swap(true, Ordering::Relaxed) {
-                    event!(Event::AccountDelayed, "rows={}: {err}", self.counter.lock().open());
+                    event!(
+                        Event::AccountDelayed,
+                        "rows={}: {err}",
+                        self.counter.lock().pending_rows()
+                    );
                 }
                 Err(err)
             }
@@ -140,8 +144,8 @@
     fn take(&self, records: &[Record]) {
         let mut fold = self.fold.lock();
         for record in records {
-            let part = serde_json::from_str::<Part>(&record.data).ok();
-            fold.take(record.offset, part.as_ref());
+            let part = serde_json::from_str::<AccountDelta>(&record.data).ok();
+            fold.apply(record.offset, part.as_ref());
         }
     }
 
@@ -149,7 +153,7 @@
     fn skip(&self, oldest: Offset) {
         let mut fold = self.fold.lock();
         if fold.next() < oldest {
-            fold.take(oldest - 1, None);
+            fold.apply(oldest - 1, None);
         }
     }
 
--- a/crates/roseshored/src/ledger/rows.rs
+++ b/crates/roseshored/src/ledger/rows.rs
@@ -1,6 +1,6 @@
 //! Rows for operators' queries.
 
-use roseshore_core::ledger::history::{Book, Ended, Running, Whose};
+use roseshore_core::ledger::history::{EndedRequest, RequestHistory, RequestMeta, RunningRequest};
 use roseshore_core::prelude::*;
 use roseshore_core::wall::millis;
 use roseshore_wire::query::{
@@ -19,7 +19,7 @@
 }
 
 impl Place<'_> {
-    fn origin(&self, whose: &Whose) -> Origin {
+    fn origin(&self, whose: &RequestMeta) -> Origin {
         Origin {
             request: whose.request.clone(),
             service: whose.service.clone(),
@@ -31,7 +31,7 @@
 }
 
 /// One daemon's rows.
-pub(crate) fn of_book(book: &Book, place: &Place<'_>, query: &Query) -> Reply {
+pub(crate) fn of_book(book: &RequestHistory, place: &Place<'_>, query: &Query) -> Reply {
     let mut reply = super::empty(query.topic);
     let filter = &query.filter;
     if filter.data_centre.as_ref().is_some_and(|dc| dc != place.data_centre) {
@@ -39,19 +39,19 @@
     }
     let (rows, cut) = match query.topic {
         Topic::Running => {
-            let mut found: Vec<&Running> =
-                book.running().filter(|r| fits(filter, &r.whose, r.begun)).collect();
-            found.sort_by_key(|r| r.begun);
+            let mut found: Vec<&RunningRequest> =
+                book.running().filter(|r| fits(filter, &r.meta, r.started)).collect();
+            found.sort_by_key(|r| r.started);
             let cut = keep_newest(&mut found);
             (Rows::Running(found.into_iter().map(|r| running_row(place, r)).collect()), cut)
         }
         Topic::Late => {
-            let mut found: Vec<&Ended> = ended(book.late(), filter);
+            let mut found: Vec<&EndedRequest> = ended(book.late(), filter);
             let cut = keep_newest(&mut found);
             (Rows::Late(found.into_iter().map(|e| late_row(place, e)).collect()), cut)
         }
         Topic::Refused => {
-            let mut found: Vec<&Ended> = ended(book.refused(), filter);
+            let mut found: Vec<&EndedRequest> = ended(book.refused(), filter);
             let cut = keep_newest(&mut found);
             (Rows::Refused(found.into_iter().filter_map(|e| refused_row(place, e)).collect()), cut)
         }
@@ -62,8 +62,11 @@
     reply
 }
 
-fn ended<'a>(rows: impl Iterator<Item = &'a Ended>, filter: &Filter) -> Vec<&'a Ended> {
-    rows.filter(|e| fits(filter, &e.whose, e.at)).collect()
+fn ended<'a>(
+    rows: impl Iterator<Item = &'a EndedRequest>,
+    filter: &Filter,
+) -> Vec<&'a EndedRequest> {
+    rows.filter(|e| fits(filter, &e.meta, e.ended_at)).collect()
 }
 
 fn keep_newest<T>(rows: &mut Vec<T>) -> bool {
@@ -72,36 +75,36 @@
     cut
 }
 
-fn fits(filter: &Filter, whose: &Whose, at: SystemTime) -> bool {
+fn fits(filter: &Filter, whose: &RequestMeta, at: SystemTime) -> bool {
     filter.service.as_ref().is_none_or(|s| *s == whose.service)
         && filter.organisation.as_ref().is_none_or(|o| *o == whose.organisation)
         && filter.since_ms.is_none_or(|since| millis(at) >= since)
 }
 
-fn running_row(place: &Place<'_>, running: &Running) -> RunningRow {
+fn running_row(place: &Place<'_>, running: &RunningRequest) -> RunningRow {
     let now = millis(SystemTime::now()).cast_signed();
     let left = millis(running.deadline).cast_signed() - now;
     RunningRow {
-        origin: place.origin(&running.whose),
-        begun_ms: millis(running.begun),
+        origin: place.origin(&running.meta),
+        begun_ms: millis(running.started),
         left_ms: left,
     }
 }
 
-fn late_row(place: &Place<'_>, ended: &Ended) -> LateRow {
+fn late_row(place: &Place<'_>, ended: &EndedRequest) -> LateRow {
     LateRow {
-        origin: place.origin(&ended.whose),
-        ended_ms: millis(ended.at),
-        late_ms: ended.late.as_millis() as u64,
+        origin: place.origin(&ended.meta),
+        ended_ms: millis(ended.ended_at),
+        late_ms: ended.late_by.as_millis() as u64,
         verdict: ended.verdict,
-        resumed: ended.resumed,
+        resumed: ended.reroutes,
     }
 }
 
-fn refused_row(place: &Place<'_>, ended: &Ended) -> Option<RefusedRow> {
+fn refused_row(place: &Place<'_>, ended: &EndedRequest) -> Option<RefusedRow> {
     Some(RefusedRow {
-        origin: place.origin(&ended.whose),
-        ended_ms: millis(ended.at),
+        origin: place.origin(&ended.meta),
+        ended_ms: millis(ended.ended_at),
         verdict: ended.verdict,
         code: ended.code?,
     })
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -56,8 +56,8 @@
     /// When a thread cannot be started.
     pub fn start(parts: Parts) -> io::Result<LoadDriver> {
         let stopped = Arc::new(AtomicBool::new(false));
-        let (ask, jobs) = flume::bounded(parts.settings.inflight);
-        let (tell, polled) = flume::bounded(parts.settings.inflight);
+        let (ask, jobs) = flume::bounded(parts.settings.max_polls);
+        let (tell, polled) = flume::bounded(parts.settings.max_polls);
         for n in 0..WORKERS {
             let worker = Worker {
                 engine: parts.engine.clone(),
@@ -69,7 +69,7 @@
             thread::Builder::new().name(name).spawn(move || worker.run())?;
         }
         let told = parts.members.told();
-        let (period, full) = (parts.settings.period, parts.settings.full);
+        let (period, full) = (parts.settings.period, parts.settings.full_limit);
         let driver = Driver {
             polling: Polling::new(parts.settings),
             members: parts.members,
@@ -217,9 +217,11 @@
                     metrics::counter!("roseshore_polls_crowded_total").increment(1);
                 }
             }
-            Action::Silent(target) => self.publish(target, ReportContent::Silent, Instant::now()),
-            Action::Lost(target) => event!(Event::TargetLost, "target={target} does not answer"),
-            Action::Back(target) => event!(Event::TargetBack, "target={target} answers"),
+            Action::Unresponsive(target) => {
+                self.publish(target, ReportContent::Silent, Instant::now())
+            }
+            Action::Down(target) => event!(Event::TargetLost, "target={target} does not answer"),
+            Action::Up(target) => event!(Event::TargetBack, "target={target} answers"),
         }
     }
 
@@ -228,9 +230,9 @@
         let Polled { target, begun, content } = polled;
         let actions = if content == ReportContent::Silent {
             metrics::counter!("roseshore_polls_failed_total").increment(1);
-            self.polling.missed(&target, now)
+            self.polling.on_failure(&target, now)
         } else {
-            let actions = self.polling.answered(&target, now);
+            let actions = self.polling.on_answer(&target, now);
             self.publish(target, content, begun);
             actions
         };
@@ -254,7 +256,7 @@
             };
             let notes::Unpacked { target, content } = unpacked;
             let silent = content == ReportContent::Silent;
-            let actions = self.polling.told(&target, silent, seen);
+            let actions = self.polling.on_peer_report(&target, silent, seen);
             self.act_all(actions);
             self.reports.take(Report { target, seen, content });
         }
--- a/crates/roseshored/src/loads/caches.rs
+++ b/crates/roseshored/src/loads/caches.rs
@@ -32,14 +32,14 @@
 impl CacheReader {
     /// Asks until `stop` is closed.
     pub fn run(&self, stop: &flume::Receiver<()>) {
-        let mut cursors = polling::Caches::new(REST);
+        let mut cursors = polling::CacheCursors::new(REST);
         while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(PACE) {
             self.round(&mut cursors, Instant::now());
         }
     }
 
-    fn round(&self, cursors: &mut polling::Caches, now: Instant) {
-        for restarted in cursors.set(self.answering()) {
+    fn round(&self, cursors: &mut polling::CacheCursors, now: Instant) {
+        for restarted in cursors.set_engines(self.answering()) {
             self.caches.take_cache(&restarted, &[CacheEvent::Cleared]);
         }
         let Some((target, from)) = cursors.due(now) else { return };
@@ -48,7 +48,7 @@
         match self.engine.cache(declared.addr, from, LIMIT) {
             Ok(read) => {
                 self.caches.take_cache(&target, &read.events);
-                cursors.read(&target, read.next);
+                cursors.advance(&target, read.next);
             }
             Err(e) => {
                 metrics::counter!("roseshore_cache_reads_failed_total").increment(1);
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -124,7 +124,7 @@
 
     /// Hears the sources out that were asked for a comparison, behind the caller's back.
     fn watch(&self, asked: Asked, lookup: Lookup<Found>) {
-        if !lookup.compares() || !lookup.open() {
+        if !lookup.compares() || !lookup.has_open_attempts() {
             return;
         }
         // Without a free thread the comparison is left out.
@@ -135,12 +135,12 @@
 /// Waits for a reply or for time to pass, and takes all replies that are there: one that was not
 /// taken would count as unknown in the verdict.
 fn hear(asked: &Asked, lookup: &mut Lookup<Found>) -> Vec<Action<Found>> {
-    let first = asked.heard.recv_deadline(lookup.wake()).ok();
+    let first = asked.heard.recv_deadline(lookup.next_wake()).ok();
     let mut budgets = asked.service.budgets.lock();
     let now = Instant::now();
     let mut actions = Vec::new();
     for Heard { attempt, said } in first.into_iter().chain(asked.heard.try_iter()) {
-        actions.extend(lookup.hear(attempt, said, now, &mut budgets));
+        actions.extend(lookup.record_reply(attempt, said, now, &mut budgets));
     }
     actions.extend(lookup.tick(now, &mut budgets));
     actions
@@ -148,10 +148,10 @@
 
 fn compare(asked: Asked, mut lookup: Lookup<Found>) {
     let end = Instant::now() + Policy::default().attempt_limit;
-    while lookup.open() {
+    while lookup.has_open_attempts() {
         let Ok(Heard { attempt, said }) = asked.heard.recv_deadline(end) else { return };
         let mut budgets = asked.service.budgets.lock();
-        let actions = lookup.heard(attempt, said, Instant::now(), &mut budgets);
+        let actions = lookup.on_reply(attempt, said, Instant::now(), &mut budgets);
         drop(budgets);
         for action in actions {
             if let Action::Conflict { earlier, later } = action {
@@ -224,7 +224,7 @@
             let verdict = Verdict::Answered;
             Err(Refusal { verdict, code: Code::NotFound, message, retry_after: None })
         }
-        Outcome::Silent(index, verdict) => {
+        Outcome::Unavailable(index, verdict) => {
             counter!("roseshore_lookups_total", "outcome" => "silent").increment(1);
             let source = &service.sources[index];
             if source.silence.may_log(Instant::now()) {
--- a/crates/roseshored/src/lookups/ask.rs
+++ b/crates/roseshored/src/lookups/ask.rs
@@ -5,7 +5,7 @@
 use super::{Found, Parts, said};
 use crate::event;
 use metrics::counter;
-use roseshore_core::lookup::{Policy, Reason, Said, SourceIndex};
+use roseshore_core::lookup::{Policy, Reason, SourceIndex, SourceReply};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Ask, Permit, Replica};
 use roseshore_ports::outside::{Called, Hop, ServiceReply};
@@ -15,7 +15,7 @@
 /// What an attempt brought.
 pub(super) struct Heard {
     pub(super) attempt: usize,
-    pub(super) said: Said<Found>,
+    pub(super) said: SourceReply<Found>,
 }
 
 /// One lookup's attempts and where their replies arrive.
@@ -65,7 +65,7 @@
     ) {
         counter!("roseshore_lookup_attempts_total", "reason" => label(reason)).increment(1);
         if !self.send(index, attempt, reason, limit) {
-            let _ = self.tell.send(Heard { attempt, said: Said::Unasked });
+            let _ = self.tell.send(Heard { attempt, said: SourceReply::NoReplica });
         }
     }
 
@@ -86,8 +86,8 @@
             let began = Instant::now();
             let said = catch_unwind(AssertUnwindSafe(|| call.run(began)));
             drop((place, permit));
-            let said = said.unwrap_or(Said::Failed(Verdict::MayHaveRun));
-            if matches!(said, Said::Holds(_) | Said::Missing) {
+            let said = said.unwrap_or(SourceReply::Failed(Verdict::MayHaveRun));
+            if matches!(said, SourceReply::Found(_) | SourceReply::Missing) {
                 source.observe(began.elapsed());
             }
             // The lookup may have ended without this attempt.
@@ -135,7 +135,7 @@
 }
 
 impl Call {
-    fn run(&self, began: Instant) -> Said<Found> {
+    fn run(&self, began: Instant) -> SourceReply<Found> {
         let services = &self.parts.services;
         let reply = services.lookup(self.replica.addr, &self.source, &self.name, &self.hop);
         self.report(began, &reply);
--- a/crates/roseshored/src/lookups/said.rs
+++ b/crates/roseshored/src/lookups/said.rs
@@ -1,7 +1,7 @@
 //! What a reply of a replica says about a name.
 
 use super::Found;
-use roseshore_core::lookup::Said;
+use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::{Called, ServiceReply};
 use roseshore_wire::service::{Missing, Unstarted};
@@ -15,16 +15,16 @@
 ///
 /// A `404` counts only with the body that names both; one of a web server on the way, or for
 /// another source, is no reply of the source.
-pub fn said(called: Called<ServiceReply>, source: &str, name: &str) -> Said<Found> {
+pub fn said(called: Called<ServiceReply>, source: &str, name: &str) -> SourceReply<Found> {
     let reply = match called {
         Ok(reply) => reply,
-        Err(error) => return Said::Failed(error.verdict()),
+        Err(error) => return SourceReply::Failed(error.verdict()),
     };
     match reply.status {
-        FOUND => Said::Holds(Arc::new(reply)),
-        NOT_FOUND if is_missing(&reply, source, name) => Said::Missing,
-        UNAVAILABLE if is_unstarted(&reply) => Said::Failed(Verdict::NotRun),
-        _ => Said::Failed(Verdict::MayHaveRun),
+        FOUND => SourceReply::Found(Arc::new(reply)),
+        NOT_FOUND if is_missing(&reply, source, name) => SourceReply::Missing,
+        UNAVAILABLE if is_unstarted(&reply) => SourceReply::Failed(Verdict::NotRun),
+        _ => SourceReply::Failed(Verdict::MayHaveRun),
     }
 }
 
--- a/crates/roseshored/src/lookups/shared.rs
+++ b/crates/roseshored/src/lookups/shared.rs
@@ -1,7 +1,7 @@
 //! What lookups of one service share.
 
 use parking_lot::{Mutex, RwLock};
-use roseshore_core::lookup::{Budgets, Pace};
+use roseshore_core::lookup::{Budgets, LatencyEstimate};
 use roseshore_core::prelude::*;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     pub(super) name: String,
     /// What replicas of it are declared to serve.
     pub(super) serves: String,
-    pace: Mutex<Pace>,
+    pace: Mutex<LatencyEstimate>,
     open: AtomicUsize,
     /// Log lines about its silence.
     pub(super) silence: Pause,
--- a/crates/roseshored/src/operators/keys.rs
+++ b/crates/roseshored/src/operators/keys.rs
@@ -4,7 +4,7 @@
 use percent_encoding::percent_decode_str;
 use roseshore_core::once::keys::{Holder, State};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{KeyWord, Keys, Known, Ruling};
+use roseshore_ports::inside::{KeyStatus, KeyWord, Keys, SettleResult};
 use roseshore_wire::admin::{KeyReport, KeyState, Settle, Settled, WordReport};
 
 /// The longest note, bytes.
@@ -43,11 +43,11 @@
     }
     let word = KeyWord { operator: ask.operator, note: ask.note, ran: ask.ran };
     let settled = match keys.settle_by(&key, word, Instant::now() + DEFAULT_WAIT) {
-        Ruling::Taken(offset) => Settled::Taken { offset },
-        Ruling::Rejected(refusal) => {
+        SettleResult::Applied(offset) => Settled::Taken { offset },
+        SettleResult::Rejected(refusal) => {
             Settled::Rejected { code: refusal.code, message: refusal.message }
         }
-        Ruling::Unknown => {
+        SettleResult::Unknown => {
             let message = "the log did not say in time whether it took the word; look at the key";
             Settled::Unknown { message: message.into() }
         }
@@ -62,7 +62,7 @@
     Ok(format!("{organisation}/{service}/{key}"))
 }
 
-fn report(key: Key, known: &Known) -> KeyReport {
+fn report(key: Key, known: &KeyStatus) -> KeyReport {
     let host = |held: &Holder| held.owner.as_ref().map(|owner| owner.host.clone());
     let state = match &known.state {
         State::Free => KeyState::Free,
@@ -70,17 +70,17 @@
             KeyState::Held { host: host(held), since_ms: held.since, until_ms: held.until }
         }
         State::Unknown(held) => KeyState::Unknown { host: host(held), since_ms: held.since },
-        State::Settled(settled) => {
+        State::Recorded(settled) => {
             KeyState::Settled { verdict: Verdict::Answered, offset: settled.offset }
         }
         State::Ran(_) => KeyState::Ran,
     };
-    let word = known.said.as_ref().map(|said| WordReport {
-        operator: said.word.operator.clone(),
-        note: said.word.note.clone(),
-        ran: said.word.ran,
+    let word = known.settlement.as_ref().map(|said| WordReport {
+        operator: said.settlement.operator.clone(),
+        note: said.settlement.note.clone(),
+        ran: said.settlement.ran,
         offset: said.offset,
     });
-    let Known { offset, current, reaches: complete, .. } = *known;
+    let KeyStatus { offset, current, covered: complete, .. } = *known;
     KeyReport { key, offset, current, complete, state, word }
 }
--- a/crates/roseshored/src/serve/sight.rs
+++ b/crates/roseshored/src/serve/sight.rs
@@ -6,7 +6,7 @@
 use crate::front::reply::Response;
 use crate::operators::{self, Call, Console};
 use roseshore_core::fleet::ServiceKind;
-use roseshore_core::ledger::history::{Ended, Fate};
+use roseshore_core::ledger::history::{EndedRequest, RequestState};
 use roseshore_core::prelude::*;
 use serde_json::{Value, json};
 use tiny_http::Method;
@@ -87,11 +87,11 @@
 
 fn fate(exchange: &Exchange<'_>, id: &str) -> Response {
     match exchange.site.app.ledger.find(id) {
-        Some(Fate::Running(it)) => {
-            let body = json!({"request": id, "state": "running", "service": it.whose.service});
+        Some(RequestState::Running(it)) => {
+            let body = json!({"request": id, "state": "running", "service": it.meta.service});
             Response::json(200, &body)
         }
-        Some(Fate::Ended(ended)) => Response::json(200, &row(id, &ended)),
+        Some(RequestState::Ended(ended)) => Response::json(200, &row(id, &ended)),
         None => {
             let text = "this host knows nothing of it; it may be another host's, or too long ago";
             let body = json!({"request": id, "state": "unknown", "message": text});
@@ -100,18 +100,18 @@
     }
 }
 
-fn row(id: &str, ended: &Ended) -> Value {
+fn row(id: &str, ended: &EndedRequest) -> Value {
     json!({
         "request": id,
         "state": "ended",
-        "service": ended.whose.service,
-        "organisation": ended.whose.organisation,
+        "service": ended.meta.service,
+        "organisation": ended.meta.organisation,
         "verdict": ended.verdict.name(),
         "code": ended.code.map(|it| it.to_string()),
         "repeated": ended.repeated,
-        "left": ended.left,
-        "late_ms": ended.late.as_millis() as u64,
-        "resumed": ended.resumed,
+        "left": ended.caller_left,
+        "late_ms": ended.late_by.as_millis() as u64,
+        "resumed": ended.reroutes,
     })
 }
 
--- a/crates/roseshored/tests/claims.rs
+++ b/crates/roseshored/tests/claims.rs
@@ -6,7 +6,8 @@
 use roseshore_core::prelude::*;
 use roseshore_fakes::platform::{PlatformFake, PlatformFaults, PlatformSettings};
 use roseshore_ports::inside::{
-    Answers, Begin, Claim, Claims, KeyWord, Keys, Member, MemberState, Members, Outcome, Ruling,
+    Answers, Begin, Claim, Claims, KeyWord, Keys, Member, MemberState, Members, Outcome,
+    SettleResult,
 };
 use roseshore_ports::outside::{CallError, Called, Log, Peers};
 use roseshore_wire::peer::{Ask, Reply};
@@ -111,12 +112,12 @@
         let word = KeyWord { operator: "op".into(), note: "looked".into(), ran };
         let deadline = Instant::now() + Duration::from_secs(20);
         match self.daemons[1].settle_by(&KEY.into(), word, deadline) {
-            Ruling::Taken(offset) => format!("taken {offset}"),
-            Ruling::Rejected(refusal) if refusal.message.contains("among the daemons") => {
+            SettleResult::Applied(offset) => format!("taken {offset}"),
+            SettleResult::Rejected(refusal) if refusal.message.contains("among the daemons") => {
                 "at work".into()
             }
-            Ruling::Rejected(refusal) => refusal.code.to_string(),
-            Ruling::Unknown => "unknown".into(),
+            SettleResult::Rejected(refusal) => refusal.code.to_string(),
+            SettleResult::Unknown => "unknown".into(),
         }
     }
 
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -131,8 +131,8 @@
     poll_full(daemon, site, TARGETS)
 }
 
-/// Polls a fleet of at most `full` targets in full.
-fn poll_full(daemon: &Daemon, site: &Arc<Site>, full: usize) -> (LoadDriver, Arc<Taken>) {
+/// Polls a fleet of at most `full_limit` targets in full.
+fn poll_full(daemon: &Daemon, site: &Arc<Site>, full_limit: usize) -> (LoadDriver, Arc<Taken>) {
     let taken = Arc::new(Taken::default());
     let parts = loads::Parts {
         members: daemon.driver.clone(),
@@ -140,7 +140,7 @@
         engine: Arc::new(Targets(site.clone())),
         services: Arc::new(Targets(site.clone())),
         reports: taken.clone(),
-        settings: Settings { full, ..Settings::default() },
+        settings: Settings { full_limit, ..Settings::default() },
     };
     (LoadDriver::start(parts).expect("threads"), taken)
 }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -3,7 +3,7 @@
 use parking_lot::Mutex;
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::fleet::ServiceKind;
-use roseshore_core::lookup::Said;
+use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
 use roseshore_core::retry::{BURST, TRICKLE};
 use roseshore_fakes::closed::Closed;
@@ -391,17 +391,17 @@
     struct Case {
         name: &'static str,
         called: Called<ServiceReply>,
-        said: Said<()>,
+        said: SourceReply<()>,
     }
     let reply = |status, body: &str| {
         let (content, body) = ("application/json".to_owned(), body.as_bytes().to_vec());
         Ok(ServiceReply { status, content, body, replayed: false })
     };
-    let unclear = || Said::Failed(Verdict::MayHaveRun);
+    let unclear = || SourceReply::Failed(Verdict::MayHaveRun);
     let case = |name, called, said| Case { name, called, said };
     let cases = [
-        case("record", reply(200, "x"), Said::Holds(())),
-        case("missing", reply(404, r#"{"source":"s","missing":"n"}"#), Said::Missing),
+        case("record", reply(200, "x"), SourceReply::Found(())),
+        case("missing", reply(404, r#"{"source":"s","missing":"n"}"#), SourceReply::Missing),
         case("404 of a web server", reply(404, "<html>"), unclear()),
         case("404 without a body", reply(404, ""), unclear()),
         case("404 for another source", reply(404, r#"{"source":"z","missing":"n"}"#), unclear()),
@@ -409,22 +409,26 @@
         case("410", reply(410, r#"{"source":"s","missing":"n"}"#), unclear()),
         case("204", reply(204, ""), unclear()),
         case("500", reply(500, ""), unclear()),
-        case("503 unstarted", reply(503, r#"{"not_run":true}"#), Said::Failed(Verdict::NotRun)),
+        case(
+            "503 unstarted",
+            reply(503, r#"{"not_run":true}"#),
+            SourceReply::Failed(Verdict::NotRun),
+        ),
         case("503 of another kind", reply(503, "busy"), unclear()),
         case("reply lost", Err(CallError::Lost(String::new())), unclear()),
         case("reply garbled", Err(CallError::Garbled(String::new())), unclear()),
         case(
             "not reached",
             Err(CallError::Unreached(String::new())),
-            Said::Failed(Verdict::NotRun),
+            SourceReply::Failed(Verdict::NotRun),
         ),
     ];
     for case in cases {
         let plain = match said(case.called, "s", "n") {
-            Said::Holds(_) => Said::Holds(()),
-            Said::Missing => Said::Missing,
-            Said::Failed(verdict) => Said::Failed(verdict),
-            Said::Unasked => Said::Unasked,
+            SourceReply::Found(_) => SourceReply::Found(()),
+            SourceReply::Missing => SourceReply::Missing,
+            SourceReply::Failed(verdict) => SourceReply::Failed(verdict),
+            SourceReply::NoReplica => SourceReply::NoReplica,
         };
         assert_eq!(plain, case.said, "{}", case.name);
     }
