--- a/crates/roseshore_core/src/gateway/peers/sums.rs
+++ b/crates/roseshore_core/src/gateway/peers/sums.rs
@@ -2,8 +2,8 @@
 
 use super::message::{CountNote, LoadNote, TargetMark};
 use super::peer::Peer;
-use crate::gateway::allowance::Counted;
 use crate::gateway::fatal::FatalNote;
+use crate::gateway::retry_budget::Counted;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
--- a/crates/roseshore_core/src/gateway/peers/view.rs
+++ b/crates/roseshore_core/src/gateway/peers/view.rs
@@ -4,7 +4,7 @@
 use super::message::{CentreMark, LoadNote, Scope, TargetMark};
 use super::peer::Peer;
 use super::sums::Sums;
-use crate::gateway::allowance::Counted;
+use crate::gateway::retry_budget::Counted;
 use crate::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/roseshore_core/src/gateway/plan.rs
+++ b/crates/roseshore_core/src/gateway/plan.rs
@@ -12,8 +12,8 @@
 //! room is.
 
 mod copies;
-pub mod giving;
 mod improve;
+pub mod orders;
 pub mod pressure;
 mod repair;
 mod value;
--- a/crates/roseshore_core/tests/gateway.rs
+++ b/crates/roseshore_core/tests/gateway.rs
@@ -1,31 +1,31 @@
 //! The decisions of an entry host.
 
 mod gateway {
-    mod allowance;
     mod avoid;
     mod copies;
     mod failure;
     mod fatal;
     mod fatal_load;
-    mod figures;
-    mod giving;
-    mod hindrance;
+    mod fixtures;
     mod holdings;
     mod intake;
     mod leaving;
     mod limit_ways;
     mod limits;
-    mod look;
     mod older_store;
+    mod orders;
     mod outage;
     mod path;
     mod peers;
     mod plan;
+    mod poll_timing;
     mod position;
     mod pressure;
-    mod reading;
+    mod retry_budget;
     mod routes;
     mod shortage;
     mod starts;
+    mod store_reads;
     mod targets;
+    mod unavailable;
 }
--- a/crates/roseshore_core/tests/gateway/holdings.rs
+++ b/crates/roseshore_core/tests/gateway/holdings.rs
@@ -1,6 +1,6 @@
 //! Which layers a target is taken to hold, by the list and by what hosts learned.
 
-use super::figures::spec;
+use super::fixtures::spec;
 use roseshore_core::gateway::PathNeed;
 use roseshore_core::gateway::peers::mark;
 use roseshore_core::gateway::targets::{Holding, Target};
--- a/crates/roseshore_core/tests/gateway/giving.rs
+++ b/crates/roseshore_core/tests/gateway/orders.rs
@@ -1,7 +1,7 @@
 //! Who gives orders, and when one is sent.
 
 use roseshore_core::gateway::plan::Layers;
-use roseshore_core::gateway::plan::giving::{Need, Reported, judge, may_order, may_plan};
+use roseshore_core::gateway::plan::orders::{Need, Reported, judge, may_order, may_plan};
 use roseshore_core::prelude::*;
 
 struct Turn {
--- a/crates/roseshore_core/tests/gateway/plan.rs
+++ b/crates/roseshore_core/tests/gateway/plan.rs
@@ -1,6 +1,6 @@
 //! Which layers engines hold.
 
-use super::figures::spec;
+use super::fixtures::spec;
 use proptest::prelude::*;
 use roseshore_core::gateway::plan::{
     Layers, Member, Placement, firm, missing, next_step, plan as repairs,
--- a/crates/roseshore_core/tests/gateway/look.rs
+++ b/crates/roseshore_core/tests/gateway/poll_timing.rs
@@ -1,6 +1,6 @@
 //! When what a busy host looks at may have come.
 
-use roseshore_core::gateway::look::Look;
+use roseshore_core::gateway::poll_timing::Look;
 use roseshore_core::prelude::*;
 
 /// A look, in milliseconds after the one before.
--- a/crates/roseshore_core/tests/gateway/allowance.rs
+++ b/crates/roseshore_core/tests/gateway/retry_budget.rs
@@ -1,7 +1,7 @@
 //! How many sends may be repeated.
 
 use roseshore_core::gateway::Allowance;
-use roseshore_core::gateway::allowance::Counted;
+use roseshore_core::gateway::retry_budget::Counted;
 use std::time::{Duration, Instant};
 
 const WINDOW: Duration = Duration::from_secs(10);
--- a/crates/roseshore_core/tests/gateway/reading.rs
+++ b/crates/roseshore_core/tests/gateway/store_reads.rs
@@ -1,6 +1,6 @@
 //! When a host asks the store.
 
-use roseshore_core::gateway::reading::{backoff, config_patience, list_patience, listening};
+use roseshore_core::gateway::store_reads::{backoff, config_patience, list_patience, listening};
 use roseshore_core::prelude::*;
 
 fn ms(n: u64) -> Duration {
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -39,7 +39,7 @@
 use rand::rngs::SmallRng;
 use roseshore_core::gateway::copies::COPY_TIME;
 use roseshore_core::gateway::leaving::Pace;
-use roseshore_core::gateway::look::Look;
+use roseshore_core::gateway::poll_timing::Look;
 use roseshore_core::gateway::{
     Allowance, Copies, Currency, EntrySettings, Fatal, Peers, Shortage, Snapshot, Targets,
 };
--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/following.rs
@@ -12,7 +12,7 @@
 use super::{Entry, note};
 use roseshore_core::gateway::outage::Outage;
 use roseshore_core::gateway::peers::ListMark;
-use roseshore_core::gateway::reading::{self, CONFIG_WAIT, TARGETS_EVERY};
+use roseshore_core::gateway::store_reads::{self, CONFIG_WAIT, TARGETS_EVERY};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
@@ -143,7 +143,7 @@
         let now = self.now;
         // A read that waits proves nothing until it is answered; what was long not proven is read
         // at once.
-        let old = self.currency.age(now).is_none_or(|age| age > reading::NO_WAIT);
+        let old = self.currency.age(now).is_none_or(|age| age > store_reads::NO_WAIT);
         let wait = if old { Duration::ZERO } else { self.following.wait(stream) };
         let known = match stream {
             Stream::Config => self.snapshot.is_some(),
@@ -167,7 +167,7 @@
     fn listens(&self) -> bool {
         let since = self.now.saturating_duration_since(self.begun);
         let place = self.peers.starting_place(self.now);
-        !self.peers.alone() && since < reading::listening(self.settings.first_start, place)
+        !self.peers.alone() && since < store_reads::listening(self.settings.first_start, place)
     }
 
     fn ask_store(&mut self, stream: Stream, wait: Duration) {
@@ -207,9 +207,9 @@
     fn confirmed(&self, stream: Stream) -> bool {
         let place = self.peers.reading_place(self.now);
         let (age, patience) = match stream {
-            Stream::Config => (self.config_age(), reading::config_patience(place)),
+            Stream::Config => (self.config_age(), store_reads::config_patience(place)),
             Stream::Targets if self.following.list_differs => return false,
-            Stream::Targets => (self.list_age(), reading::list_patience(place)),
+            Stream::Targets => (self.list_age(), store_reads::list_patience(place)),
         };
         age.zip(patience).is_some_and(|(age, most)| age < most)
     }
--- a/crates/roseshore_relay/src/entry/following/replies.rs
+++ b/crates/roseshore_relay/src/entry/following/replies.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use roseshore_core::gateway::outage::Return;
 use roseshore_core::gateway::position::ReplyEra;
-use roseshore_core::gateway::reading;
+use roseshore_core::gateway::store_reads;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{CallReply, StoreFault, Stream};
 
@@ -49,7 +49,7 @@
                 let text = format!("stream={stream:?} era={told:?} asked={asked:?} known={known}");
                 note!(self, ReplyDropped, "{text}");
                 let place = self.peers.reading_place(self.now);
-                self.following.stream(stream).due = Some(self.now + reading::backoff(0, place));
+                self.following.stream(stream).due = Some(self.now + store_reads::backoff(0, place));
                 false
             }
         }
@@ -95,7 +95,7 @@
         let spread = 0.75 + 0.5 * self.random.random::<f64>();
         let place = self.peers.reading_place(now);
         let follow = self.following.stream(stream);
-        let wait = reading::backoff(follow.fails, place);
+        let wait = store_reads::backoff(follow.fails, place);
         follow.fails += 1;
         follow.due = Some(now + wait.mul_f64(spread));
         if self.following.outage.failed(now) {
--- a/crates/roseshore_relay/src/entry/placing.rs
+++ b/crates/roseshore_relay/src/entry/placing.rs
@@ -11,7 +11,7 @@
 use super::{Entry, note};
 use roseshore_core::gateway::EngineSpec;
 use roseshore_core::gateway::peers::HoldNote;
-use roseshore_core::gateway::plan::giving::{Need, Reported, judge, may_order, may_plan};
+use roseshore_core::gateway::plan::orders::{Need, Reported, judge, may_order, may_plan};
 use roseshore_core::gateway::plan::pressure::Pressure;
 use roseshore_core::gateway::plan::{
     Layers, Member, Placement, common, firm, missing, next_step, plan,
