--- a/crates/roseshore_core/examples/gateway_cost.rs
+++ b/crates/roseshore_core/examples/gateway_cost.rs
@@ -3,11 +3,11 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use roseshore_core::gateway::path::{PathNeed, choose};
+use roseshore_core::gateway::path::{PathRequest, choose};
 use roseshore_core::gateway::peers::{LoadNote, Own, Peers, mark};
-use roseshore_core::gateway::plan::{Member, next_step, plan};
+use roseshore_core::gateway::plan::{EngineState, next_improvement, plan};
 use roseshore_core::gateway::targets::{Absence, Claim};
-use roseshore_core::gateway::{EngineSpec, Holding, Kind, TargetRecord, Targets};
+use roseshore_core::gateway::{AcceleratorKind, EngineSpec, Holding, TargetRecord, Targets};
 use roseshore_core::prelude::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,8 +24,12 @@
 const LAYERS: Layer = 80;
 
 fn spec() -> EngineSpec {
-    let kind =
-        |name: &str, size_mb, pace, read| Kind { name: name.to_owned(), size_mb, pace, read };
+    let kind = |name: &str, memory_mb, step_factor, prefill_factor| AcceleratorKind {
+        name: name.to_owned(),
+        memory_mb,
+        step_factor,
+        prefill_factor,
+    };
     EngineSpec {
         slots: 192,
         layers: LAYERS,
@@ -34,11 +38,11 @@
         step_ms: 1.02,
         per_seq_ms: 0.007_14,
         context_ms: 0.009_56 / 1000.0,
-        read_per_ms: 105.0,
-        stride: 3.0,
-        load: Duration::from_secs(14),
-        prompt: 774.0,
-        answer: 200.0,
+        prefill_per_ms: 105.0,
+        event_tokens: 3.0,
+        load_time: Duration::from_secs(14),
+        mean_prompt: 774.0,
+        mean_answer: 200.0,
         kinds: vec![
             kind("a100", 72_000.0, 2.4, 3.2),
             kind("l40s", 43_200.0, 5.6, 2.7),
@@ -48,17 +52,17 @@
 }
 
 /// Kinds in the proportions of today's sites.
-fn members(count: usize) -> Vec<Member> {
+fn members(count: usize) -> Vec<EngineState> {
     let kind = |i: usize| match i % 12 {
         0 => "a100",
         1..=4 => "l40s",
         _ => "l4",
     };
-    let one = |i: usize| Member {
+    let one = |i: usize| EngineState {
         id: format!("i-{i:04}"),
         kind: kind(i).to_owned(),
         layers: None,
-        firm: None,
+        assured: None,
         ready: None,
     };
     (0..count).map(one).collect()
@@ -93,9 +97,9 @@
         lost.remove(0);
         let again = micros(runs, || drop(std::hint::black_box(plan(&spec, &lost))));
         for member in &mut lost {
-            (member.firm, member.ready) = (member.layers, member.layers);
+            (member.assured, member.ready) = (member.layers, member.layers);
         }
-        let step = micros(runs, || drop(std::hint::black_box(next_step(&spec, &lost))));
+        let step = micros(runs, || drop(std::hint::black_box(next_improvement(&spec, &lost))));
         let (path, hops) = path(&spec, &all);
         println!("{count:7}  {fresh:13.0}  {again:20.0}  {step:12.0}  {path:7.1}  {hops}");
     }
@@ -181,19 +185,19 @@
     ListCost { whole, record, loads, notes, path }
 }
 
-fn need() -> PathNeed<'static> {
-    PathNeed {
+fn need() -> PathRequest<'static> {
+    PathRequest {
         layers: LAYERS,
-        prompt: 774.0,
-        answer: 200.0,
-        near: "north",
-        avoid: &[],
-        shut: &[],
-        starts: None,
+        prompt_tokens: 774.0,
+        answer_tokens: 200.0,
+        data_centre: "north",
+        avoided: &[],
+        excluded_first: &[],
+        allowed_first: None,
     }
 }
 
-fn path(spec: &EngineSpec, members: &[Member]) -> (f64, usize) {
+fn path(spec: &EngineSpec, members: &[EngineState]) -> (f64, usize) {
     let now = Instant::now();
     let mut targets = Targets::default();
     for (i, member) in members.iter().enumerate() {
--- a/crates/roseshore_core/src/gateway.rs
+++ b/crates/roseshore_core/src/gateway.rs
@@ -40,21 +40,22 @@
 pub mod targets;
 pub mod unavailable;
 
-pub use avoid::Avoid;
-pub use config_lease::Currency;
+pub use avoid::AvoidedTargets;
+pub use config_lease::ConfigLease;
 pub use copies::Copies;
-pub use failure::{Fault, Next, Standing};
+pub use failure::{Fault, NextStep, RetryState};
 pub use fatal::Fatal;
 pub use fingerprint::Fingerprint;
-pub use outage::Outage;
-pub use path::{Hop, Part, PathNeed};
+pub use outage::StoreOutage;
+pub use path::{Candidate, Hop, PathRequest};
 pub use peers::Peers;
 pub use position::Position;
-pub use retry_budget::Allowance;
+pub use retry_budget::RetryBudget;
 pub use routes::{
-    CallKind, EngineSpec, Kind, Limits, OrganisationSpec, Route, ServiceSpec, Share, Snapshot,
+    AcceleratorKind, CallKind, EngineSpec, OrganisationSpec, RequestLimits, Route, ServiceSpec,
+    Snapshot, WeightedService,
 };
 pub use settings::{Bounds, EntrySettings};
 pub use shortage::Shortage;
 pub use targets::{Holding, TargetRecord, Targets};
-pub use unavailable::{Hindrance, Wish};
+pub use unavailable::{SelectionConditions, Unavailable};
--- a/crates/roseshore_core/src/gateway/avoid.rs
+++ b/crates/roseshore_core/src/gateway/avoid.rs
@@ -9,7 +9,7 @@
 
 /// The targets that one request avoids.
 #[derive(Clone, Debug, Default)]
-pub struct Avoid {
+pub struct AvoidedTargets {
     all: Vec<Avoided>,
 }
 
@@ -20,7 +20,7 @@
     until: Option<Instant>,
 }
 
-impl Avoid {
+impl AvoidedTargets {
     /// Avoids a target until a moment, or for the rest of the request.
     pub fn add(&mut self, target: TargetId, until: Option<Instant>) {
         self.all.push(Avoided { target, until });
--- a/crates/roseshore_core/src/gateway/config_lease.rs
+++ b/crates/roseshore_core/src/gateway/config_lease.rs
@@ -11,24 +11,24 @@
 
 /// The lease on the configuration.
 #[derive(Clone, Copy, Debug)]
-pub struct Currency {
+pub struct ConfigLease {
     bound: Duration,
     proven: Option<Instant>,
 }
 
-impl Currency {
+impl ConfigLease {
     /// A lease that nothing has proven yet; `bound` is how long a removed key may still work.
-    pub fn new(bound: Duration) -> Currency {
-        Currency { bound: bound.mul_f64(1.0 - MARGIN), proven: None }
+    pub fn new(bound: Duration) -> ConfigLease {
+        ConfigLease { bound: bound.mul_f64(1.0 - MARGIN), proven: None }
     }
 
     /// A read that was sent at `sent` was answered as current.
-    pub fn prove(&mut self, sent: Instant) {
+    pub fn renew(&mut self, sent: Instant) {
         self.proven = self.proven.max(Some(sent));
     }
 
     /// Whether keys may be honoured.
-    pub fn current(&self, now: Instant) -> bool {
+    pub fn is_valid(&self, now: Instant) -> bool {
         self.age(now).is_some_and(|age| age < self.bound)
     }
 
--- a/crates/roseshore_core/src/gateway/failure.rs
+++ b/crates/roseshore_core/src/gateway/failure.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether the target said something, so that it lives.
-    pub fn shows_life(self) -> bool {
+    pub fn proves_alive(self) -> bool {
         matches!(self, Fault::Refused | Fault::Garbled | Fault::Failed)
     }
 
@@ -74,15 +74,15 @@
 }
 
 /// Most sends of one request that may cost their targets work, whatever else allows more.
-pub const MOST_SENDS: u32 = 4;
+pub const MAX_SENDS: u32 = 4;
 
 /// Where a request stands when a send fails.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct RetryState {
     /// Whether running it again is harmless.
     pub idempotent: bool,
     /// Whether the caller has seen the head of an answer.
-    pub begun: bool,
+    pub head_sent: bool,
     /// What the sends so far prove, this one included.
     pub verdict: Verdict,
     /// Sends so far.
@@ -90,48 +90,48 @@
     /// Sends so far that a target refused to run.
     pub refused: u32,
     /// Time left.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The shortest time in which another send makes sense.
-    pub least: Duration,
+    pub min_remaining: Duration,
 }
 
 /// The next step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextStep {
     /// Send it to another target, if there is one and the allowance permits.
-    Again,
+    Retry,
     /// Give the final answer.
-    End(End),
+    Fail(FailureReply),
 }
 
 /// A final answer that is no success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FailureReply {
     /// It has not run and will not: come back later.
     NotRun,
     /// It may have run.
     Unknown,
     /// The answer that has begun breaks off visibly.
-    Break,
+    Abort,
 }
 
 /// The end that a request's standing allows.
-pub fn end(standing: &Standing) -> End {
-    if standing.begun {
-        return End::Break;
+pub fn failure_reply(standing: &RetryState) -> FailureReply {
+    if standing.head_sent {
+        return FailureReply::Abort;
     }
     match standing.verdict {
-        Verdict::NotRun => End::NotRun,
-        _ => End::Unknown,
+        Verdict::NotRun => FailureReply::NotRun,
+        _ => FailureReply::Unknown,
     }
 }
 
 /// What follows a fault.
-pub fn next(standing: &Standing) -> Next {
+pub fn next_step(standing: &RetryState) -> NextStep {
     let may = standing.verdict.may_retry(standing.idempotent);
     // Refused sends cost their targets no work. They count only before the answer has begun, when the request can
     // still be refused.
-    let counted_sends = standing.sends - if standing.begun { standing.refused } else { 0 };
-    let room = counted_sends < MOST_SENDS && standing.left >= standing.least;
-    if may && room { Next::Again } else { Next::End(end(standing)) }
+    let counted_sends = standing.sends - if standing.head_sent { standing.refused } else { 0 };
+    let room = counted_sends < MAX_SENDS && standing.remaining >= standing.min_remaining;
+    if may && room { NextStep::Retry } else { NextStep::Fail(failure_reply(standing)) }
 }
--- a/crates/roseshore_core/src/gateway/outage.rs
+++ b/crates/roseshore_core/src/gateway/outage.rs
@@ -17,7 +17,7 @@
 
 /// The store's absences as far as they concern the list of targets.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outage {
+pub struct StoreOutage {
     /// Since when the store has not answered this host.
     lost: Option<Instant>,
     /// Until when entries may still be missing by an outage that is over.
@@ -28,56 +28,56 @@
 
 /// The store answers again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Return {
+pub struct Recovery {
     /// Since when it had not answered this host.
     pub since: Instant,
     /// Whether it was away for all.
-    pub for_all: bool,
+    pub all_hosts: bool,
 }
 
-impl Outage {
+impl StoreOutage {
     /// The store did not answer; returns whether that is news.
-    pub fn failed(&mut self, now: Instant) -> bool {
+    pub fn record_failure(&mut self, now: Instant) -> bool {
         let news = self.lost.is_none();
         self.lost.get_or_insert(now);
         news
     }
 
     /// The store answered; returns what ends with that, if it had been away.
-    pub fn served(&mut self, now: Instant) -> Option<Return> {
-        let for_all = self.for_all(now);
+    pub fn record_success(&mut self, now: Instant) -> Option<Recovery> {
+        let all_hosts = self.for_all(now);
         let since = self.lost.take()?;
-        if for_all {
+        if all_hosts {
             self.lapse = Some(now + LAPSE);
         }
-        Some(Return { since, for_all })
+        Some(Recovery { since, all_hosts })
     }
 
     /// A read that was sent at `sent` showed the list at hand.
-    pub fn confirm(&mut self, sent: Option<Instant>) {
+    pub fn record_confirmation(&mut self, sent: Option<Instant>) {
         self.confirmed = self.confirmed.max(sent);
     }
 
     /// Another host holds missing entries for lapsed for so long.
-    pub fn told(&mut self, lapse: Duration, now: Instant) {
+    pub fn receive_grace(&mut self, lapse: Duration, now: Instant) {
         if lapse > Duration::ZERO {
             self.lapse = self.lapse.max(Some(now + lapse.min(LAPSE)));
         }
     }
 
     /// When the list at hand was last confirmed.
-    pub fn confirmed(&self) -> Option<Instant> {
+    pub fn last_confirmed(&self) -> Option<Instant> {
         self.confirmed
     }
 
     /// Whether the store does not answer this host.
-    pub fn away(&self) -> bool {
+    pub fn is_down(&self) -> bool {
         self.lost.is_some()
     }
 
     /// Another host's copy came, which says that the store answers again. Where nobody had confirmed
     /// the list here, this host was cut off, and the targets beside it may have been as well.
-    pub fn copied(&mut self, now: Instant) {
+    pub fn receive_copy(&mut self, now: Instant) {
         if self.for_all(now) {
             self.lapse = Some(now + LAPSE);
         }
@@ -85,7 +85,7 @@
 
     /// The store came back from an older copy: entries that it lacks may be of live targets that write them
     /// again.
-    pub fn went_back(&mut self, now: Instant) {
+    pub fn record_rollback(&mut self, now: Instant) {
         self.lapse = Some(now + LAPSE);
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// How long missing entries are held for lapsed, for other hosts.
-    pub fn lapse_left(&self, now: Instant) -> Duration {
+    pub fn grace_left(&self, now: Instant) -> Duration {
         match self.absence(now) {
             Absence::Left => Duration::ZERO,
             Absence::Lapsed(until) => until.saturating_duration_since(now),
--- a/crates/roseshore_core/src/gateway/path.rs
+++ b/crates/roseshore_core/src/gateway/path.rs
@@ -48,42 +48,42 @@
 
 /// An engine that could run a piece.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct Candidate {
     /// The target.
     pub id: TargetId,
     /// Where it listens.
     pub addr: SocketAddr,
     /// Whether it is in the own data centre.
-    pub near: bool,
+    pub local: bool,
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// First layer it holds and one past the last.
     pub layers: (Layer, Layer),
     /// Time for a token and layer, ms.
-    pub token_ms: f64,
+    pub decode_ms: f64,
     /// Time to read a token of a prompt through a layer, ms.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Requests in flight there of all hosts.
-    pub busy: f64,
+    pub in_flight: f64,
     /// Requests that it takes at once as the first of a path.
     pub slots: f64,
     /// Free KV cache, tokens times layers.
-    pub free: f64,
+    pub kv_free: f64,
     /// All KV cache beside its layers, tokens times layers.
-    pub room: f64,
+    pub kv_capacity: f64,
     /// Whether it has not failed of late.
-    pub sound: bool,
+    pub healthy: bool,
 }
 
-impl Part {
+impl Candidate {
     /// The share of its slots that are taken with one more request.
     fn started(&self) -> f64 {
-        (self.busy + 1.0) / self.slots.max(1.0)
+        (self.in_flight + 1.0) / self.slots.max(1.0)
     }
 
     /// Requests that would wait there for another one to end.
     fn waiting(&self) -> f64 {
-        (self.busy + 1.0 - self.slots).max(0.0)
+        (self.in_flight + 1.0 - self.slots).max(0.0)
     }
 
     /// What it costs to begin there, ms.
@@ -95,39 +95,39 @@
 
 /// What a request needs of its path.
 #[derive(Clone, Copy, Debug)]
-pub struct PathNeed<'a> {
+pub struct PathRequest<'a> {
     /// Layers of the model.
     pub layers: Layer,
     /// Tokens to read.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens expected to be written.
-    pub answer: f64,
+    pub answer_tokens: f64,
     /// The own data centre.
-    pub near: &'a str,
+    pub data_centre: &'a str,
     /// Targets not to use.
-    pub avoid: &'a [TargetId],
+    pub avoided: &'a [TargetId],
     /// Targets that a path may not begin at: what they take from all hosts is spent. What comes through another
     /// target is not counted there.
-    pub shut: &'a [TargetId],
+    pub excluded_first: &'a [TargetId],
     /// The only targets that a path may begin at, if that is bound.
-    pub starts: Option<&'a [TargetId]>,
+    pub allowed_first: Option<&'a [TargetId]>,
 }
 
-impl PathNeed<'_> {
-    fn may_start(&self, part: &Part) -> bool {
-        let bound = self.starts.is_none_or(|starts| starts.contains(&part.id));
-        bound && !self.shut.contains(&part.id)
+impl PathRequest<'_> {
+    fn may_start(&self, part: &Candidate) -> bool {
+        let bound = self.allowed_first.is_none_or(|starts| starts.contains(&part.id));
+        bound && !self.excluded_first.contains(&part.id)
     }
 
     /// KV cache of the request, tokens: its prompt and as much of its answer as is written on
     /// average while it runs, with a little to spare.
-    pub fn tokens(&self) -> f64 {
-        self.prompt + WRITTEN * self.answer
+    pub fn kv_tokens(&self) -> f64 {
+        self.prompt_tokens + WRITTEN * self.answer_tokens
     }
 
     /// Whether a part has room for so many layers of the request.
-    fn fits(&self, part: &Part, layers: f64) -> bool {
-        self.tokens() * layers <= part.free
+    fn fits(&self, part: &Candidate, layers: f64) -> bool {
+        self.kv_tokens() * layers <= part.kv_free
     }
 }
 
@@ -137,17 +137,17 @@
     /// Targets, addresses and pieces in order.
     pub hops: Vec<(TargetId, SocketAddr, Hop)>,
     /// Predicted time to the first token, ms.
-    pub first_ms: f64,
+    pub ttft_ms: f64,
     /// Predicted time between tokens, ms.
     pub token_ms: f64,
     /// Whether every part has room for the whole answer and failed nowhere of late.
-    pub roomy: bool,
+    pub suitable: bool,
     /// The fullest part's cache with this request, as a share.
-    pub fill: f64,
+    pub utilisation: f64,
     /// The target whose cache that is.
-    pub fullest: TargetId,
+    pub bottleneck: TargetId,
     /// Whether it lies in the own data centre.
-    pub near: bool,
+    pub local: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -159,31 +159,31 @@
 
 /// Chooses the path of least cost: each lies inside one data centre, and another data centre's is
 /// taken when the own has none, has no room, or is that much more crowded.
-pub fn choose(parts: &[Part], need: &PathNeed<'_>, random: &mut SmallRng) -> Option<Path> {
+pub fn choose(parts: &[Candidate], need: &PathRequest<'_>, random: &mut SmallRng) -> Option<Path> {
     let jitter: Vec<f64> = parts.iter().map(|_| 1.0 + JITTER * random.random::<f64>()).collect();
-    let near = within(parts, need, &jitter, |p| p.near);
-    if near.as_ref().is_some_and(|path| path.roomy && path.fill < SPILL) {
+    let near = within(parts, need, &jitter, |p| p.local);
+    if near.as_ref().is_some_and(|path| path.suitable && path.utilisation < SPILL) {
         return near;
     }
     let mut others: Vec<&str> =
-        parts.iter().filter(|p| !p.near).map(|p| p.data_centre.as_str()).collect();
+        parts.iter().filter(|p| !p.local).map(|p| p.data_centre.as_str()).collect();
     others.sort_unstable();
     others.dedup();
     let far =
         others.into_iter().filter_map(|dc| within(parts, need, &jitter, |p| p.data_centre == dc));
     let order = |p: &Path| {
-        let fill = p.fill * if p.near { 1.0 } else { FAR_FILL };
-        (!p.roomy, !p.near && !p.roomy, fill)
+        let fill = p.utilisation * if p.local { 1.0 } else { FAR_FILL };
+        (!p.suitable, !p.local && !p.suitable, fill)
     };
     let later = |a: &Path, b: &Path| order(a).partial_cmp(&order(b)).unwrap_or(Ordering::Equal);
     near.into_iter().chain(far).min_by(later)
 }
 
 fn within(
-    parts: &[Part],
-    need: &PathNeed<'_>,
+    parts: &[Candidate],
+    need: &PathRequest<'_>,
     jitter: &[f64],
-    allowed: impl Fn(&Part) -> bool,
+    allowed: impl Fn(&Candidate) -> bool,
 ) -> Option<Path> {
     let end = usize::from(need.layers);
     let mut border = vec![false; end + 1];
@@ -210,7 +210,7 @@
                 }
                 let piece = piece_ms(part, need, to - from) * jitter[index];
                 let start = if from == 0 { part.start_ms() } else { 0.0 };
-                let cost = base + piece + start + joint * need.answer;
+                let cost = base + piece + start + joint * need.answer_tokens;
                 if best[to].is_none_or(|b| cost < b.cost) {
                     best[to] = Some(Best { cost, part: index, from: from as Layer });
                 }
@@ -221,18 +221,20 @@
     Some(unroll(parts, need, &best))
 }
 
-fn piece_ms(part: &Part, need: &PathNeed<'_>, layers: usize) -> f64 {
+fn piece_ms(part: &Candidate, need: &PathRequest<'_>, layers: usize) -> f64 {
     let layers = layers as f64;
-    let work = layers * (need.prompt * part.read_ms + need.answer * part.token_ms);
-    let taken = need.tokens() * layers;
+    let work =
+        layers * (need.prompt_tokens * part.prefill_ms + need.answer_tokens * part.decode_ms);
+    let taken = need.kv_tokens() * layers;
     let full = !need.fits(part, layers);
-    let share = ((part.room - part.free + taken) / part.room.max(1.0)).clamp(0.0, 1.0);
+    let share =
+        ((part.kv_capacity - part.kv_free + taken) / part.kv_capacity.max(1.0)).clamp(0.0, 1.0);
     work * (1.0 + CROWD * share.powi(4))
         + if full { FULL_MS } else { 0.0 }
-        + if part.sound { 0.0 } else { UNSOUND_MS }
+        + if part.healthy { 0.0 } else { UNSOUND_MS }
 }
 
-fn unroll(parts: &[Part], need: &PathNeed<'_>, best: &[Option<Best>]) -> Path {
+fn unroll(parts: &[Candidate], need: &PathRequest<'_>, best: &[Option<Best>]) -> Path {
     let mut pieces: Vec<(usize, (Layer, Layer))> = Vec::new();
     let mut to = need.layers;
     while let Some(step) = best[usize::from(to)].filter(|_| to > 0) {
@@ -243,32 +245,32 @@
     let pieces = join_repeats(pieces);
     let mut path = Path {
         hops: Vec::new(),
-        first_ms: 0.0,
+        ttft_ms: 0.0,
         token_ms: 0.0,
-        roomy: true,
-        fill: 0.0,
-        fullest: TargetId::new(),
-        near: true,
+        suitable: true,
+        utilisation: 0.0,
+        bottleneck: TargetId::new(),
+        local: true,
     };
     for (index, layers) in pieces {
         let part = &parts[index];
         let width = f64::from(layers.1 - layers.0);
         let joint = if layers.0 == 0 { 0.0 } else { HOP_MS };
-        path.token_ms += width * part.token_ms + joint;
-        path.first_ms += width * (need.prompt * part.read_ms + part.token_ms) + joint;
-        let taken = need.tokens() * width;
-        path.roomy &= need.fits(part, width) && part.sound;
-        let mut fill = (part.room - part.free + taken) / part.room.max(1.0);
+        path.token_ms += width * part.decode_ms + joint;
+        path.ttft_ms += width * (need.prompt_tokens * part.prefill_ms + part.decode_ms) + joint;
+        let taken = need.kv_tokens() * width;
+        path.suitable &= need.fits(part, width) && part.healthy;
+        let mut fill = (part.kv_capacity - part.kv_free + taken) / part.kv_capacity.max(1.0);
         if layers.0 == 0 {
-            path.first_ms += part.waiting() * WAIT_MS;
-            path.roomy &= part.waiting() <= MOST_WAITING;
+            path.ttft_ms += part.waiting() * WAIT_MS;
+            path.suitable &= part.waiting() <= MOST_WAITING;
             fill = fill.max(part.started());
         }
-        if fill > path.fill {
-            path.fill = fill;
-            path.fullest.clone_from(&part.id);
+        if fill > path.utilisation {
+            path.utilisation = fill;
+            path.bottleneck.clone_from(&part.id);
         }
-        path.near &= part.near;
+        path.local &= part.local;
         path.hops.push((part.id.clone(), part.addr, Hop { layers }));
     }
     path
--- a/crates/roseshore_core/src/gateway/peers/sums.rs
+++ b/crates/roseshore_core/src/gateway/peers/sums.rs
@@ -3,7 +3,7 @@
 use super::message::{CountNote, LoadNote, TargetMark};
 use super::peer::Peer;
 use crate::gateway::fatal::FatalNote;
-use crate::gateway::retry_budget::Counted;
+use crate::gateway::retry_budget::RetryCounts;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sums {
     loads: HashMap<TargetMark, Sum>,
-    counts: HashMap<TargetMark, Counted>,
+    counts: HashMap<TargetMark, RetryCounts>,
     pub(super) hosts: usize,
 }
 
@@ -57,7 +57,7 @@
         for note in notes {
             let sum = self.counts.entry(note.service).or_default();
             sum.requests = sum.requests.saturating_add(note.requests);
-            sum.repeats = sum.repeats.saturating_add(note.repeats);
+            sum.retries = sum.retries.saturating_add(note.repeats);
         }
     }
 
@@ -75,7 +75,7 @@
         for note in &peer.counts {
             if let Some(sum) = rest.counts.get_mut(&note.service) {
                 sum.requests = sum.requests.saturating_sub(note.requests);
-                sum.repeats = sum.repeats.saturating_sub(note.repeats);
+                sum.retries = sum.retries.saturating_sub(note.repeats);
             }
         }
         rest
@@ -112,16 +112,16 @@
 
     /// The counts for a heartbeat.
     pub(super) fn count_notes(&self) -> Vec<CountNote> {
-        let note = |(service, sum): (&TargetMark, &Counted)| CountNote {
+        let note = |(service, sum): (&TargetMark, &RetryCounts)| CountNote {
             service: *service,
             requests: sum.requests,
-            repeats: sum.repeats,
+            repeats: sum.retries,
         };
         self.counts.iter().map(note).collect()
     }
 
     /// What was counted for a service.
-    pub(super) fn counted(&self, service: TargetMark) -> Counted {
+    pub(super) fn counted(&self, service: TargetMark) -> RetryCounts {
         self.counts.get(&service).copied().unwrap_or_default()
     }
 }
--- a/crates/roseshore_core/src/gateway/peers/view.rs
+++ b/crates/roseshore_core/src/gateway/peers/view.rs
@@ -4,7 +4,7 @@
 use super::message::{CentreMark, LoadNote, Scope, TargetMark};
 use super::peer::Peer;
 use super::sums::Sums;
-use crate::gateway::retry_budget::Counted;
+use crate::gateway::retry_budget::RetryCounts;
 use crate::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -22,7 +22,7 @@
 
 impl View {
     /// What they have counted for a service.
-    pub fn counted(&self, service: TargetMark) -> Counted {
+    pub fn counted(&self, service: TargetMark) -> RetryCounts {
         self.sums.counted(service)
     }
 }
--- a/crates/roseshore_core/src/gateway/plan/copies.rs
+++ b/crates/roseshore_core/src/gateway/plan/copies.rs
@@ -1,8 +1,8 @@
 //! Whole copies of the model for a data centre whose engines hold nothing yet.
 
 use super::value::{self, Work};
-use super::{Member, Placement, layers_at};
-use crate::gateway::routes::{EngineSpec, Kind};
+use super::{EngineState, Placement, layers_at};
+use crate::gateway::routes::{AcceleratorKind, EngineSpec};
 use crate::prelude::*;
 
 /// Room that each copy must leave, tokens; four of the largest requests.
@@ -13,24 +13,26 @@
 const SEARCH_STEPS: u32 = 24;
 
 /// Engines that together hold one copy, with their kinds.
-pub(super) type Group<'a> = Vec<(&'a Member, &'a Kind)>;
+pub(super) type Group<'a> = Vec<(&'a EngineState, &'a AcceleratorKind)>;
 
 /// A kind and how many engines of it there are. What a group carries depends on nothing else; looked at engine by
 /// engine, a split of hundreds would hold a small host up for seconds, in which it says nothing.
-type Count<'a> = (&'a Kind, usize);
+type Count<'a> = (&'a AcceleratorKind, usize);
 
 /// Engines of a kind, and the layers that each of them holds.
 struct Run<'a> {
-    kind: &'a Kind,
+    kind: &'a AcceleratorKind,
     engines: usize,
     layers: Layer,
 }
 
-pub(super) fn fresh(spec: &EngineSpec, members: &[Member]) -> Vec<Placement> {
-    let kind = |m: &'_ Member| spec.kinds.iter().find(|k| k.name == m.kind);
+pub(super) fn fresh(spec: &EngineSpec, members: &[EngineState]) -> Vec<Placement> {
+    let kind = |m: &'_ EngineState| spec.kinds.iter().find(|k| k.name == m.kind);
     let mut group: Group<'_> = members.iter().filter_map(|m| Some((m, kind(m)?))).collect();
     // Fast kinds first, and one order on every host.
-    group.sort_by(|a, b| a.1.pace.total_cmp(&b.1.pace).then_with(|| a.0.id.cmp(&b.0.id)));
+    group.sort_by(|a, b| {
+        a.1.step_factor.total_cmp(&b.1.step_factor).then_with(|| a.0.id.cmp(&b.0.id))
+    });
     let mut placements = Vec::new();
     for copy in split(spec, group, COPY_LEAST) {
         placements.extend(tile(spec, &copy));
@@ -94,7 +96,8 @@
 fn rate(spec: &EngineSpec, counts: &[Count<'_>]) -> f64 {
     let work = runs(spec, counts).into_iter().flat_map(|run| {
         let share = f64::from(run.layers) / f64::from(spec.layers);
-        let work = Work { share, visits: 1.0, pace: run.kind.pace, read: run.kind.read };
+        let work =
+            Work { share, visits: 1.0, pace: run.kind.step_factor, read: run.kind.prefill_factor };
         std::iter::repeat_n(work, run.engines)
     });
     value::rate(spec, room(spec, counts), 1, work)
--- a/crates/roseshore_core/src/gateway/plan/improve.rs
+++ b/crates/roseshore_core/src/gateway/plan/improve.rs
@@ -7,7 +7,7 @@
 //! order that went astray on the way costs nothing but a new look.
 
 use super::value::Layout;
-use super::{JOIN_ROOMS, Layers, Member, Move, join_width};
+use super::{EngineState, JOIN_ROOMS, LayerRange, Move, join_width};
 use crate::gateway::routes::EngineSpec;
 use crate::prelude::*;
 
@@ -24,9 +24,10 @@
 const NARROW: f64 = 2.0;
 
 /// The step that carries most, if one pays.
-pub(super) fn improve(spec: &EngineSpec, members: &[Member]) -> Option<Move> {
+pub(super) fn improve(spec: &EngineSpec, members: &[EngineState]) -> Option<Move> {
     // A configuration with fewer layers may come before the engines' new ranges.
-    let known = |m: &Member| [m.layers, m.ready].iter().flatten().all(|(_, to)| *to <= spec.layers);
+    let known =
+        |m: &EngineState| [m.layers, m.ready].iter().flatten().all(|(_, to)| *to <= spec.layers);
     if !members.iter().all(known) {
         return None;
     }
@@ -49,7 +50,7 @@
 
 /// The steps of engines that are under no order which touch a narrow layer and leave none without
 /// a holder.
-fn steps(spec: &EngineSpec, members: &[Member], narrow: &[bool]) -> Vec<Move> {
+fn steps(spec: &EngineSpec, members: &[EngineState], narrow: &[bool]) -> Vec<Move> {
     let holders = ready_holders(spec, members);
     let cuts = cuts(spec, members);
     let mut all = Vec::new();
@@ -67,7 +68,7 @@
 }
 
 /// What is carried after a step, or after the best step of another that it allows.
-fn value_of(layout: &mut Layout<'_>, members: &[Member], (index, range): Move) -> f64 {
+fn value_of(layout: &mut Layout<'_>, members: &[EngineState], (index, range): Move) -> f64 {
     layout.set(index, Some(range));
     let mut best = layout.carried();
     for (other, rest) in follow_ups(members, index, range) {
@@ -80,13 +81,13 @@
 }
 
 /// A number that differs from placement to placement.
-fn turn(members: &[Member]) -> usize {
+fn turn(members: &[EngineState]) -> usize {
     let ends = members.iter().filter_map(|m| m.layers);
     ends.map(|(from, to)| usize::from(from) + 3 * usize::from(to)).sum()
 }
 
 /// How many engines hold each layer already.
-fn ready_holders(spec: &EngineSpec, members: &[Member]) -> Vec<u32> {
+fn ready_holders(spec: &EngineSpec, members: &[EngineState]) -> Vec<u32> {
     let mut holders = vec![0; usize::from(spec.layers)];
     for (from, to) in members.iter().filter_map(|m| m.ready) {
         let to = usize::from(to).min(holders.len());
@@ -96,14 +97,14 @@
 }
 
 /// Whether all that an engine gives up has another holder already.
-fn whole_meanwhile(holders: &[u32], member: &Member, range: Layers) -> bool {
+fn whole_meanwhile(holders: &[u32], member: &EngineState, range: LayerRange) -> bool {
     let Some((from, to)) = member.ready else { return true };
     let given = (from..to).filter(|layer| *layer < range.0 || range.1 <= *layer);
     given.into_iter().all(|layer| holders[usize::from(layer)] > 1)
 }
 
 /// Where ranges begin and end.
-fn cuts(spec: &EngineSpec, members: &[Member]) -> Vec<Layer> {
+fn cuts(spec: &EngineSpec, members: &[EngineState]) -> Vec<Layer> {
     let ends = members.iter().filter_map(|m| m.layers).flat_map(|(from, to)| [from, to]);
     let mut cuts: Vec<Layer> = ends.chain([0, spec.layers]).collect();
     cuts.sort_unstable();
@@ -113,18 +114,18 @@
 
 /// The ranges that are worth a look for an engine: its own with one end moved, and others that
 /// begin or end where ranges do.
-fn ranges(spec: &EngineSpec, member: &Member, cuts: &[Layer]) -> Vec<Layers> {
+fn ranges(spec: &EngineSpec, member: &EngineState, cuts: &[Layer]) -> Vec<LayerRange> {
     let Some(kind) = spec.kind(Some(&member.kind)) else { return Vec::new() };
     let Some((from, to)) = member.layers else { return Vec::new() };
     let most = join_width(spec, kind, LEAST);
-    let mut all: Vec<Layers> = Vec::new();
+    let mut all: Vec<LayerRange> = Vec::new();
     all.extend((0..to).map(|begin| (begin, to)));
     all.extend((from + 1..=spec.layers).map(|end| (from, end)));
     for width in JOIN_ROOMS.map(|room| join_width(spec, kind, room)) {
         all.extend(cuts.iter().map(|cut| (*cut, cut + width)));
         all.extend(cuts.iter().map(|cut| (cut.saturating_sub(width), *cut)));
     }
-    let fits = |&(a, b): &Layers| a < b && b <= spec.layers && b - a <= most;
+    let fits = |&(a, b): &LayerRange| a < b && b <= spec.layers && b - a <= most;
     all.retain(|range| fits(range) && *range != (from, to));
     all.sort_unstable();
     all.dedup();
@@ -133,9 +134,9 @@
 
 /// What others could give up once an engine holds its new range.
 fn follow_ups(
-    members: &[Member],
+    members: &[EngineState],
     index: usize,
-    (from, to): Layers,
+    (from, to): LayerRange,
 ) -> impl Iterator<Item = Move> + '_ {
     let others = members.iter().enumerate().filter(move |(other, _)| *other != index);
     others.filter_map(move |(other, member)| {
--- a/crates/roseshore_core/src/gateway/plan/orders.rs
+++ b/crates/roseshore_core/src/gateway/plan/orders.rs
@@ -6,7 +6,7 @@
 //! lost. And were every host to act after a while, all of them would ask all engines for reports while the first is
 //! still giving its orders.
 
-use super::Layers;
+use super::LayerRange;
 use crate::prelude::*;
 
 /// Hosts of a data centre repair holes one after the other, so far apart: longer than it takes to
@@ -18,19 +18,19 @@
 
 /// What an order is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum OrderReason {
     /// Layers without a holder, or an engine without layers.
     Repair,
     /// A placement that carries more; nothing is broken.
-    Step,
+    Improve,
 }
 
 /// Whether a host gives the orders that it has wanted for so long; `place` is its own among the
 /// living hosts of its data centre, 0 the first.
-pub fn may_order(need: Need, place: usize, waited: Duration) -> bool {
+pub fn may_order(need: OrderReason, place: usize, waited: Duration) -> bool {
     match need {
-        Need::Step => place == 0,
-        Need::Repair => may_plan(place) && waited >= APART * place as u32,
+        OrderReason::Improve => place == 0,
+        OrderReason::Repair => may_plan(place) && waited >= APART * place as u32,
     }
 }
 
@@ -41,25 +41,25 @@
 
 /// What a target's report leads to before an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reported {
+pub enum ReportAction {
     /// It is under an order, or holds the range already.
-    Underway,
+    Skip,
     /// It holds other layers than the plan was made from, which is made anew.
-    Other(Layers),
+    Replan(LayerRange),
     /// The order is sent.
-    Order,
+    Send,
 }
 
 /// Judges a report: what the target holds, against what is wanted and what it was taken to hold.
-pub fn judge(
+pub fn check_report(
     busy: bool,
-    held: Option<Layers>,
-    wanted: Layers,
-    assumed: Option<Layers>,
-) -> Reported {
+    held: Option<LayerRange>,
+    wanted: LayerRange,
+    assumed: Option<LayerRange>,
+) -> ReportAction {
     match held {
-        _ if busy || held == Some(wanted) => Reported::Underway,
-        Some(held) if assumed != Some(held) => Reported::Other(held),
-        _ => Reported::Order,
+        _ if busy || held == Some(wanted) => ReportAction::Skip,
+        Some(held) if assumed != Some(held) => ReportAction::Replan(held),
+        _ => ReportAction::Send,
     }
 }
--- a/crates/roseshore_core/src/gateway/plan/pressure.rs
+++ b/crates/roseshore_core/src/gateway/plan/pressure.rs
@@ -1,7 +1,7 @@
 //! How full the engines of a data centre are, which decides whether a better placement is worth the
 //! orders.
 
-use super::Layers;
+use super::LayerRange;
 use crate::prelude::*;
 
 /// From this share of the fullest layer's room on, steps to a better placement are taken. Below it
@@ -16,25 +16,25 @@
 
 /// What an engine holds, and how much of it is taken.
 #[derive(Clone, Copy, Debug)]
-pub struct Taken {
+pub struct EngineUsage {
     /// The layers it holds.
-    pub layers: Layers,
+    pub layers: LayerRange,
     /// KV cache beside its layers, tokens times layers.
-    pub room: f64,
+    pub capacity: f64,
     /// What requests take of it, tokens times layers.
-    pub taken: f64,
+    pub used: f64,
 }
 
 /// The share of the fullest layer's room that is taken.
-pub fn fullest(layers: Layer, engines: impl Iterator<Item = Taken>) -> f64 {
+pub fn peak_utilisation(layers: Layer, engines: impl Iterator<Item = EngineUsage>) -> f64 {
     let mut sums = vec![(0.0, 0.0); usize::from(layers)];
     for engine in engines {
         let (from, to) = engine.layers;
         let width = f64::from(to.saturating_sub(from)).max(1.0);
         let to = usize::from(to).min(sums.len());
         for (taken, room) in &mut sums[usize::from(from).min(to)..to] {
-            *taken += engine.taken / width;
-            *room += engine.room / width;
+            *taken += engine.used / width;
+            *room += engine.capacity / width;
         }
     }
     let shares = sums.iter().filter(|(_, room)| *room > 0.0).map(|(taken, room)| taken / room);
@@ -49,12 +49,12 @@
 
 impl Pressure {
     /// Takes a measurement.
-    pub fn measured(&mut self, share: f64) {
+    pub fn record(&mut self, share: f64) {
         self.share += WEIGHT * (share.min(1.0) - self.share);
     }
 
     /// Whether a step is worth taking while so many engines are under an order.
-    pub fn wants_step(&self, unsettled: usize) -> bool {
+    pub fn allows_step(&self, unsettled: usize) -> bool {
         self.share >= STEP_FILL && unsettled <= UNSETTLED
     }
 }
--- a/crates/roseshore_core/src/gateway/plan/repair.rs
+++ b/crates/roseshore_core/src/gateway/plan/repair.rs
@@ -1,19 +1,20 @@
 //! Holes in the layers: who fills them, and with the fewest moves.
 
 use super::copies::{Group, tile};
-use super::{JOIN_ROOMS, Layers, Member, Move, REPAIR_ROOMS};
+use super::{EngineState, JOIN_ROOMS, LayerRange, Move, REPAIR_ROOMS};
 use super::{first_hole, join_width, layers_at, rooms};
 use crate::gateway::routes::EngineSpec;
 use crate::prelude::*;
 
 /// Moves that fill a hole which only engines that must first give layers up are to fill: an empty
 /// one, and its neighbours, begin to load at once.
-pub(super) fn fill_at_once(spec: &EngineSpec, members: &[Member]) -> Vec<Move> {
-    let clearing = |m: &Member| m.layers != m.firm;
-    let counted = |&index: &usize| !clearing(&members[index]) || members[index].firm.is_some();
+pub(super) fn fill_at_once(spec: &EngineSpec, members: &[EngineState]) -> Vec<Move> {
+    let clearing = |m: &EngineState| m.layers != m.assured;
+    let counted = |&index: &usize| !clearing(&members[index]) || members[index].assured.is_some();
     let places: Vec<usize> = (0..members.len()).filter(counted).collect();
-    let sure = |&index: &usize| Member { layers: members[index].firm, ..members[index].clone() };
-    let sure: Vec<Member> = places.iter().map(sure).collect();
+    let sure =
+        |&index: &usize| EngineState { layers: members[index].assured, ..members[index].clone() };
+    let sure: Vec<EngineState> = places.iter().map(sure).collect();
     let Some(hole) = first_hole(spec, &sure) else { return Vec::new() };
     let moves = fill(spec, &sure, hole).into_iter();
     let moves: Vec<Move> = moves.map(|(index, layers)| (places[index], layers)).collect();
@@ -22,8 +23,8 @@
 
 /// One copy over all engines in their present order, for a hole that its neighbours cannot fill:
 /// every border moves a little. Nothing serves while a hole is there, so nothing is lost by it.
-pub(super) fn retile(spec: &EngineSpec, members: &[Member]) -> Vec<Move> {
-    let mut order: Vec<&Member> = members.iter().collect();
+pub(super) fn retile(spec: &EngineSpec, members: &[EngineState]) -> Vec<Move> {
+    let mut order: Vec<&EngineState> = members.iter().collect();
     order.sort_by_key(|m| (m.layers.map_or((spec.layers, 0), |l| l), m.id.clone()));
     let group: Group<'_> =
         order.into_iter().filter_map(|m| Some((m, spec.kind(Some(&m.kind))?))).collect();
@@ -38,24 +39,29 @@
 /// Who fills a hole, and what each holds then. The time until it is filled counts most, and that
 /// grows with the layers that one engine has to load: so it is dealt out to the neighbours, who
 /// hold on to what they have, and to empty engines, each by what it can take.
-pub(super) fn repair(spec: &EngineSpec, members: &[Member], hole: Layers) -> Vec<Move> {
+pub(super) fn repair(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Vec<Move> {
     let moves = fill(spec, members, hole);
     if moves.is_empty() { move_spare(spec, members, hole).into_iter().collect() } else { moves }
 }
 
 /// The moves that fill a hole without giving anything up; none where that cannot be done.
-fn fill(spec: &EngineSpec, members: &[Member], hole: Layers) -> Vec<Move> {
+fn fill(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Vec<Move> {
     let moves = REPAIR_ROOMS.iter().map(|least| repair_with(spec, members, hole, *least));
     moves.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
 }
 
-fn repair_with(spec: &EngineSpec, members: &[Member], hole: Layers, least: f64) -> Vec<Move> {
+fn repair_with(
+    spec: &EngineSpec,
+    members: &[EngineState],
+    hole: LayerRange,
+    least: f64,
+) -> Vec<Move> {
     let more = |index: usize| -> Layer {
         let Some(kind) = spec.kind(Some(&members[index].kind)) else { return 0 };
         let held = members[index].layers.map_or(0, |(from, to)| to - from);
         layers_at(spec, kind, least).saturating_sub(held)
     };
-    let able = |test: &dyn Fn(Layers) -> bool| {
+    let able = |test: &dyn Fn(LayerRange) -> bool| {
         let held = (0..members.len()).filter(|&i| members[i].layers.is_some_and(test));
         held.max_by_key(|&i| more(i)).filter(|&i| more(i) > 0)
     };
@@ -89,7 +95,7 @@
 
 /// The last resort: an engine whose layers all have other holders moves onto the hole; of those the
 /// one whose layers have most room elsewhere.
-fn move_spare(spec: &EngineSpec, members: &[Member], hole: Layers) -> Option<Move> {
+fn move_spare(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Option<Move> {
     let spare = |index: usize| -> Option<f64> {
         let (from, to) = members[index].layers?;
         let others = rooms(spec, members, index);
--- a/crates/roseshore_core/src/gateway/plan/value.rs
+++ b/crates/roseshore_core/src/gateway/plan/value.rs
@@ -1,6 +1,6 @@
 //! What a placement is worth: the requests a second that it can carry.
 
-use super::{Layers, Member, rooms};
+use super::{EngineState, LayerRange, rooms};
 use crate::gateway::path::HOP_MS;
 use crate::gateway::routes::EngineSpec;
 
@@ -32,7 +32,7 @@
     firsts: usize,
     work: impl Iterator<Item = Work>,
 ) -> f64 {
-    let held = spec.prompt + 0.5 * spec.answer;
+    let held = spec.mean_prompt + 0.5 * spec.mean_answer;
     let starts = firsts as f64 * f64::from(spec.slots);
     let running = WORKING_FILL * (room / held.max(1.0)).min(starts);
     let added = spec.per_seq_ms + spec.context_ms * held;
@@ -40,9 +40,9 @@
     for part in work {
         let step = spec.step_ms + running * part.visits * added;
         token += part.share * step * part.pace + part.visits * HOP_MS;
-        read += part.share * spec.prompt / spec.read_per_ms * part.read;
+        read += part.share * spec.mean_prompt / spec.prefill_per_ms * part.read;
     }
-    let life = read + spec.answer * token;
+    let life = read + spec.mean_answer * token;
     if life > 0.0 { 1000.0 * running / life } else { 0.0 }
 }
 
@@ -50,16 +50,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Holder {
     /// What it holds.
-    pub(super) layers: Option<Layers>,
+    pub(super) layers: Option<LayerRange>,
     size_mb: f64,
     pace: f64,
     read: f64,
 }
 
 impl Holder {
-    fn new(spec: &EngineSpec, member: &Member) -> Option<Holder> {
+    fn new(spec: &EngineSpec, member: &EngineState) -> Option<Holder> {
         let kind = spec.kind(Some(&member.kind))?;
-        let (size_mb, pace, read) = (kind.size_mb, kind.pace, kind.read);
+        let (size_mb, pace, read) = (kind.memory_mb, kind.step_factor, kind.prefill_factor);
         Some(Holder { layers: member.layers, size_mb, pace, read })
     }
 }
@@ -77,7 +77,7 @@
 }
 
 impl<'a> Layout<'a> {
-    pub(super) fn new(spec: &'a EngineSpec, members: &[Member]) -> Layout<'a> {
+    pub(super) fn new(spec: &'a EngineSpec, members: &[EngineState]) -> Layout<'a> {
         Layout {
             spec,
             holders: members.iter().map(|m| Holder::new(spec, m)).collect(),
@@ -87,7 +87,7 @@
     }
 
     /// Lets an engine hold other layers.
-    pub(super) fn set(&mut self, index: usize, layers: Option<Layers>) {
+    pub(super) fn set(&mut self, index: usize, layers: Option<LayerRange>) {
         let Some(mut holder) = self.holders[index] else { return };
         self.add(&holder, -1.0);
         holder.layers = layers;
@@ -105,7 +105,7 @@
     /// Room that an engine has, tokens; a little where it has none, as it holds the layers.
     fn room(&self, holder: &Holder) -> f64 {
         let width = holder.layers.map_or(0, |(from, to)| to - from);
-        self.spec.room(holder.size_mb, width).max(1.0)
+        self.spec.kv_capacity(holder.size_mb, width).max(1.0)
     }
 
     /// Requests a second that the placement carries, when those that share a layer take of it by
@@ -136,7 +136,7 @@
     pub(super) fn narrow(&self, multiple: f64) -> Vec<bool> {
         let least = self.rooms.iter().copied().fold(f64::INFINITY, f64::min);
         let mut narrow: Vec<bool> = self.rooms.iter().map(|r| *r < least * multiple).collect();
-        let held = self.spec.prompt + 0.5 * self.spec.answer;
+        let held = self.spec.mean_prompt + 0.5 * self.spec.mean_answer;
         let starts = self.firsts() as f64 * f64::from(self.spec.slots) * held;
         if let Some(first) = narrow.first_mut().filter(|_| starts < least * multiple) {
             *first = true;
--- a/crates/roseshore_core/src/gateway/poll_timing.rs
+++ b/crates/roseshore_core/src/gateway/poll_timing.rs
@@ -14,24 +14,24 @@
 
 /// One look at the sockets.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct PollTiming {
     /// When the look before this one ended.
-    pub before: Instant,
+    pub previous_end: Instant,
     /// When this one began to wait.
     pub began: Instant,
     /// For how long it wanted to wait at most.
-    pub asked: Duration,
+    pub timeout: Duration,
     /// When it ended.
     pub ended: Instant,
 }
 
-impl Look {
+impl PollTiming {
     /// The earliest moment at which what it found may have come.
-    pub fn earliest(&self) -> Instant {
+    pub fn earliest_arrival(&self) -> Instant {
         let waited = self.ended.saturating_duration_since(self.began);
         if waited < AT_ONCE {
-            self.before
-        } else if waited >= self.asked + HELD_UP {
+            self.previous_end
+        } else if waited >= self.timeout + HELD_UP {
             self.began
         } else {
             self.ended
--- a/crates/roseshore_core/src/gateway/retry_budget.rs
+++ b/crates/roseshore_core/src/gateway/retry_budget.rs
@@ -19,50 +19,50 @@
 
 /// Requests and repeated sends within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct RetryCounts {
     /// Requests.
     pub requests: u32,
     /// Repeated sends.
-    pub repeats: u32,
+    pub retries: u32,
 }
 
 /// What one host has counted for one service.
 #[derive(Clone, Debug)]
-pub struct Allowance {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
-    others: Counted,
+    others: RetryCounts,
     hosts: usize,
     told: usize,
 }
 
-impl Allowance {
+impl RetryBudget {
     /// An allowance of `ratio` repeats a request and `slack`, for all hosts, in each `window`.
-    pub fn new(ratio: f64, slack: f64, window: Duration) -> Allowance {
-        Allowance {
+    pub fn new(ratio: f64, slack: f64, window: Duration) -> RetryBudget {
+        RetryBudget {
             ratio,
             slack,
             window,
             requests: VecDeque::new(),
             repeats: VecDeque::new(),
-            others: Counted::default(),
+            others: RetryCounts::default(),
             hosts: 1,
             told: 1,
         }
     }
 
     /// A request came.
-    pub fn request(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.forget(now);
         self.requests.push_back(now);
     }
 
     /// What the other hosts have counted, how many hosts that is, and how many there are or were of late,
     /// this one included: one that is out of touch may still repeat.
-    pub fn others(&mut self, counted: Counted, told: usize, hosts: usize) {
+    pub fn set_peer_counts(&mut self, counted: RetryCounts, told: usize, hosts: usize) {
         self.others = counted;
         self.hosts = hosts.max(1);
         self.told = told.clamp(1, self.hosts);
@@ -82,18 +82,18 @@
     }
 
     /// What this host has counted.
-    pub fn counted(&mut self, now: Instant) -> Counted {
+    pub fn counts(&mut self, now: Instant) -> RetryCounts {
         self.forget(now);
-        Counted { requests: self.requests.len() as u32, repeats: self.repeats.len() as u32 }
+        RetryCounts { requests: self.requests.len() as u32, retries: self.repeats.len() as u32 }
     }
 
     /// Whether one more send may be repeated; if so, it is counted.
-    pub fn repeat(&mut self, now: Instant) -> bool {
+    pub fn try_retry(&mut self, now: Instant) -> bool {
         self.forget(now);
         let requests = self.requests.len() as f64 + f64::from(self.others.requests);
         let word = |at: &&Instant| now.saturating_duration_since(**at) < WORD;
         let recent = self.repeats.iter().rev().take_while(word).count();
-        let known = (self.repeats.len() - recent) as f64 + f64::from(self.others.repeats);
+        let known = (self.repeats.len() - recent) as f64 + f64::from(self.others.retries);
         let left = SHARE * (self.ratio * requests + self.slack) - known;
         let allowed = recent as f64 + 1.0 <= left * self.share();
         if allowed {
--- a/crates/roseshore_core/src/gateway/routes.rs
+++ b/crates/roseshore_core/src/gateway/routes.rs
@@ -11,7 +11,7 @@
     /// May run more than once.
     Idempotent,
     /// Runs at most once for each attempt of a caller.
-    Unrepeatable,
+    NonIdempotent,
     /// A series of events.
     Stream {
         /// Whether another target may go on after a given event.
@@ -29,7 +29,7 @@
     pub fn name(self) -> &'static str {
         match self {
             CallKind::Idempotent => "idempotent",
-            CallKind::Unrepeatable => "unrepeatable",
+            CallKind::NonIdempotent => "unrepeatable",
             CallKind::Stream { .. } => "stream",
         }
     }
@@ -42,7 +42,7 @@
 
 /// A service's part of a route.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
     /// Its weight among the route's services.
@@ -67,26 +67,26 @@
     /// Its rank, 0 first.
     pub priority: u32,
     /// Who serves it.
-    pub services: Vec<Share>,
+    pub services: Vec<WeightedService>,
     /// Targets to which one request may be sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether it needs no key.
     pub anonymous: bool,
     /// The longest pause between events that is still in time.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
 }
 
 /// A kind of accelerator.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct AcceleratorKind {
     /// Its name.
     pub name: String,
     /// Memory, MB.
-    pub size_mb: f64,
+    pub memory_mb: f64,
     /// Factor on the time of steps.
-    pub pace: f64,
+    pub step_factor: f64,
     /// Factor on the time of reading prompts.
-    pub read: f64,
+    pub prefill_factor: f64,
 }
 
 /// The published figures of a service's engines.
@@ -107,35 +107,35 @@
     /// Added to a step by each token of context, ms.
     pub context_ms: f64,
     /// Prompt tokens read in a ms, over all layers.
-    pub read_per_ms: f64,
+    pub prefill_per_ms: f64,
     /// Tokens of an event.
-    pub stride: f64,
+    pub event_tokens: f64,
     /// Time to load all layers.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Mean tokens of a prompt.
-    pub prompt: f64,
+    pub mean_prompt: f64,
     /// Mean tokens of an answer.
-    pub answer: f64,
+    pub mean_answer: f64,
     /// Kinds of accelerators.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<AcceleratorKind>,
 }
 
 impl EngineSpec {
     /// The figures of a kind.
-    pub fn kind(&self, name: Option<&str>) -> Option<&Kind> {
+    pub fn kind(&self, name: Option<&str>) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|k| Some(k.name.as_str()) == name)
     }
 
     /// KV cache of a token and layer, MB.
-    pub fn token_mb(&self) -> f64 {
+    pub fn kv_mb(&self) -> f64 {
         self.kv_bytes / f64::from(self.layers) / 1e6
     }
 
     /// KV tokens that an engine of this size has room for beside so many layers.
-    pub fn room(&self, size_mb: f64, layers: Layer) -> f64 {
+    pub fn kv_capacity(&self, size_mb: f64, layers: Layer) -> f64 {
         let held = f64::from(layers);
         let free = size_mb - held * self.layer_mb;
-        if layers == 0 { 0.0 } else { (free / (held * self.token_mb())).max(0.0) }
+        if layers == 0 { 0.0 } else { (free / (held * self.kv_mb())).max(0.0) }
     }
 }
 
@@ -145,7 +145,7 @@
     /// Its name.
     pub name: ServiceId,
     /// Connections that a target takes from all hosts together.
-    pub connections: Option<u32>,
+    pub max_connections: Option<u32>,
     /// The figures of its engines, if they are engines.
     pub engine: Option<EngineSpec>,
 }
@@ -163,25 +163,25 @@
 
 /// Bounds on what callers may send.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Bytes of a request's head.
-    pub head: usize,
+    pub head_bytes: usize,
     /// Bytes of a request's body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// From the first byte of a request to its last.
-    pub head_time: Duration,
+    pub receive_timeout: Duration,
     /// Silence on a connection that waits for a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The usual figures of the operators' configurations, until one is read.
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            head: 16 << 10,
-            body: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+impl Default for RequestLimits {
+    fn default() -> RequestLimits {
+        RequestLimits {
+            head_bytes: 16 << 10,
+            body_bytes: 4 << 20,
+            receive_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
@@ -202,7 +202,7 @@
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, Arc<ServiceSpec>>,
     keys: HashMap<String, Arc<OrganisationSpec>>,
-    limits: Limits,
+    limits: RequestLimits,
 }
 
 impl Snapshot {
@@ -212,7 +212,7 @@
         routes: Vec<Route>,
         services: Vec<ServiceSpec>,
         organisations: Vec<OrganisationSpec>,
-        limits: Limits,
+        limits: RequestLimits,
     ) -> Snapshot {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -237,7 +237,7 @@
     }
 
     /// Bounds on what callers may send.
-    pub fn limits(&self) -> &Limits {
+    pub fn limits(&self) -> &RequestLimits {
         &self.limits
     }
 
@@ -247,7 +247,7 @@
     }
 
     /// The services whose targets are engines.
-    pub fn engines(&self) -> impl Iterator<Item = &Arc<ServiceSpec>> {
+    pub fn engine_services(&self) -> impl Iterator<Item = &Arc<ServiceSpec>> {
         self.services.values().filter(|s| s.engine.is_some())
     }
 
--- a/crates/roseshore_core/src/gateway/settings.rs
+++ b/crates/roseshore_core/src/gateway/settings.rs
@@ -67,5 +67,5 @@
     /// Processor share of this host, thousandths of a core; 0 when it is not told.
     pub capacity: u16,
     /// Descriptors this process may use.
-    pub sockets: Option<usize>,
+    pub max_descriptors: Option<usize>,
 }
--- a/crates/roseshore_core/src/gateway/shortage.rs
+++ b/crates/roseshore_core/src/gateway/shortage.rs
@@ -21,7 +21,7 @@
     /// A request is refused; returns when its caller should come back. Nothing says when a shortage
     /// ends, but one that has lasted long is seldom over soon: callers who came back in the same time always would be
     /// refused again more often.
-    pub fn refused(&mut self, now: Instant) -> Duration {
+    pub fn record_refusal(&mut self, now: Instant) -> Duration {
         let goes_on = self.latest.is_some_and(|at| now.saturating_duration_since(at) <= OVER);
         let since = self.since.filter(|_| goes_on).unwrap_or(now);
         (self.since, self.latest) = (Some(since), Some(now));
--- a/crates/roseshore_core/src/gateway/store_reads.rs
+++ b/crates/roseshore_core/src/gateway/store_reads.rs
@@ -9,10 +9,10 @@
 /// How long a read of the configuration waits for a change. Each read has a price; but a store that
 /// drops its history may leave a waiting read unanswered while changes are made, and a change has
 /// to be in force two seconds after it was made: one host reads for all, so its wait has to leave time to tell them.
-pub const CONFIG_WAIT: Duration = Duration::from_millis(1100);
+pub const CONFIG_LONG_POLL: Duration = Duration::from_millis(1100);
 /// Between reads of the list of targets by the first host: well within the bound for leaving
 /// targets. The others compare digests with it.
-pub const TARGETS_EVERY: Duration = Duration::from_millis(900);
+pub const TARGETS_INTERVAL: Duration = Duration::from_millis(900);
 /// A host reads for itself when nothing has confirmed its list, or its configuration, for so much
 /// longer with each place; the last of them within 1.8 s, and the bound for leaving targets is two.
 const LATER: Duration = Duration::from_millis(300);
@@ -36,18 +36,18 @@
 
 /// How old the proof of a configuration may be before the host at a place reads for itself; `None`
 /// for the first one, which always does.
-pub fn config_patience(place: usize) -> Option<Duration> {
-    (place > 0).then(|| CONFIG_WAIT + LATER * steps(place))
+pub fn config_max_age(place: usize) -> Option<Duration> {
+    (place > 0).then(|| CONFIG_LONG_POLL + LATER * steps(place))
 }
 
 /// The same for the list of targets.
-pub fn list_patience(place: usize) -> Option<Duration> {
-    (place > 0).then(|| TARGETS_EVERY + LATER * steps(place))
+pub fn list_max_age(place: usize) -> Option<Duration> {
+    (place > 0).then(|| TARGETS_INTERVAL + LATER * steps(place))
 }
 
 /// The age of a proof from which on a read must not wait for a change: it proves nothing until it is
 /// answered.
-pub const NO_WAIT: Duration = Duration::from_millis(1250);
+pub const LONG_POLL_MAX_AGE: Duration = Duration::from_millis(1250);
 
 /// The wait after so many failed calls, this one left out.
 pub fn backoff(failed: u32, place: usize) -> Duration {
@@ -57,7 +57,7 @@
 
 /// How long a host that has begun waits for another one's copy; `first` where the whole system
 /// starts for the first time.
-pub fn listening(first: bool, place: usize) -> Duration {
+pub fn startup_delay(first: bool, place: usize) -> Duration {
     let (least, each) = if first { LISTEN_FIRST } else { LISTEN };
     least + each * steps(place)
 }
--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -13,9 +13,9 @@
 mod target;
 
 use super::paces::{Pace, PaceNote};
-use super::path::{Part, PathNeed};
+use super::path::{Candidate, PathRequest};
 use super::peers::{LoadNote, TargetMark};
-use super::plan::pressure::{Taken, fullest};
+use super::plan::pressure::{EngineUsage, peak_utilisation};
 use super::position::Position;
 use super::routes::EngineSpec;
 use crate::prelude::*;
@@ -263,10 +263,10 @@
         &self,
         service: &str,
         spec: &EngineSpec,
-        need: &PathNeed<'_>,
+        need: &PathRequest<'_>,
         now: Instant,
-    ) -> Vec<Part> {
-        let usable = |t: &&Target| t.takes(now) && !need.avoid.contains(&t.record.id);
+    ) -> Vec<Candidate> {
+        let usable = |t: &&Target| t.takes(now) && !need.avoided.contains(&t.record.id);
         let all = self.of(service).filter(usable);
         all.filter_map(|t| Self::part(t, spec, need, now)).collect()
     }
@@ -277,10 +277,10 @@
         let near = self.of(service).filter(|t| t.open() && t.record.data_centre == centre);
         let taken = near.filter_map(|t| {
             let layers = t.holding()?.layers;
-            let room = Self::room(t, spec)?;
-            Some(Taken { layers, room, taken: t.taken() })
+            let capacity = Self::room(t, spec)?;
+            Some(EngineUsage { layers, capacity, used: t.taken() })
         });
-        fullest(spec.layers, taken).max(self.started(service, centre))
+        peak_utilisation(spec.layers, taken).max(self.started(service, centre))
     }
 
     /// The share of the slots that are taken at the engines which requests may begin at.
@@ -301,32 +301,37 @@
     fn room(t: &Target, spec: &EngineSpec) -> Option<f64> {
         let weights = t.weights();
         let kind = spec.kind(t.record.kind.as_deref())?;
-        Some(spec.room(kind.size_mb, weights) * f64::from(weights))
+        Some(spec.kv_capacity(kind.memory_mb, weights) * f64::from(weights))
     }
 
-    fn part(t: &Target, spec: &EngineSpec, need: &PathNeed<'_>, now: Instant) -> Option<Part> {
+    fn part(
+        t: &Target,
+        spec: &EngineSpec,
+        need: &PathRequest<'_>,
+        now: Instant,
+    ) -> Option<Candidate> {
         let layers = t.holding()?.layers;
         let kind = spec.kind(t.record.kind.as_deref())?;
         let share = 1.0 / f64::from(spec.layers);
-        let busy = t.busy();
-        let context = spec.context_ms * (spec.prompt + spec.answer);
-        let step = spec.step_ms + (spec.per_seq_ms + context) * (busy + 1.0);
-        let room = Self::room(t, spec)?;
+        let in_flight = t.busy();
+        let context = spec.context_ms * (spec.mean_prompt + spec.mean_answer);
+        let step = spec.step_ms + (spec.per_seq_ms + context) * (in_flight + 1.0);
+        let kv_capacity = Self::room(t, spec)?;
         let slowness = t.slowness(now);
-        let read_ms = slowness * kind.read * share / spec.read_per_ms;
-        Some(Part {
+        let prefill_ms = slowness * kind.prefill_factor * share / spec.prefill_per_ms;
+        Some(Candidate {
             id: t.record.id.clone(),
             addr: t.record.addr,
-            near: t.record.data_centre == need.near,
+            local: t.record.data_centre == need.data_centre,
             data_centre: t.record.data_centre.clone(),
             layers,
-            token_ms: slowness * step * kind.pace * share,
-            read_ms,
-            busy,
+            decode_ms: slowness * step * kind.step_factor * share,
+            prefill_ms,
+            in_flight,
             slots: f64::from(t.record.slots),
-            free: room - t.taken(),
-            room,
-            sound: t.sound(now),
+            kv_free: kv_capacity - t.taken(),
+            kv_capacity,
+            healthy: t.sound(now),
         })
     }
 }
--- a/crates/roseshore_core/src/gateway/unavailable.rs
+++ b/crates/roseshore_core/src/gateway/unavailable.rs
@@ -8,48 +8,49 @@
 
 /// Why no target can be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hindrance {
+pub enum Unavailable {
     /// Targets want a rest; there is a way after so long.
-    Rest(Duration),
+    BackingOff(Duration),
     /// Targets take no more a second from all hosts.
-    Limit,
+    RateLimited,
     /// Something that neither the end of a rest nor more permits would mend.
     Other,
 }
 
-/// A question of [`Hindrance::of`].
+/// A question of [`Unavailable::of`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct SelectionConditions {
     /// The moment at which there would be a way.
     pub at: Instant,
     /// Whether limits are heeded.
-    pub limits: bool,
+    pub enforce_limits: bool,
 }
 
-impl Hindrance {
+impl Unavailable {
     /// The reason, where nothing can be chosen at `now`: `rests` are the ends of the rests of the service's targets,
     /// `limited` says whether any of them takes no more now, and `way` whether something could be chosen.
     pub fn of(
         mut rests: Vec<Instant>,
         limited: bool,
         now: Instant,
-        mut way: impl FnMut(Wish) -> bool,
-    ) -> Hindrance {
+        mut way: impl FnMut(SelectionConditions) -> bool,
+    ) -> Unavailable {
         rests.sort_unstable();
-        let mut after = |limits| {
-            let end = rests.iter().find(|end| way(Wish { at: **end, limits }));
-            end.map(|end| Hindrance::Rest(end.saturating_duration_since(now)))
+        let mut after = |enforce_limits| {
+            let end =
+                rests.iter().find(|end| way(SelectionConditions { at: **end, enforce_limits }));
+            end.map(|end| Unavailable::BackingOff(end.saturating_duration_since(now)))
         };
         if let Some(rest) = after(true) {
             return rest;
         }
         if !limited {
-            return Hindrance::Other;
+            return Unavailable::Other;
         }
         let rest = after(false);
-        if way(Wish { at: now, limits: false }) {
-            return Hindrance::Limit;
+        if way(SelectionConditions { at: now, enforce_limits: false }) {
+            return Unavailable::RateLimited;
         }
-        rest.unwrap_or(Hindrance::Other)
+        rest.unwrap_or(Unavailable::Other)
     }
 }
--- a/crates/roseshore_core/tests/gateway/avoid.rs
+++ b/crates/roseshore_core/tests/gateway/avoid.rs
@@ -1,6 +1,6 @@
 //! Which targets a request is not sent to again, and for how long.
 
-use roseshore_core::gateway::Avoid;
+use roseshore_core::gateway::AvoidedTargets;
 use std::time::{Duration, Instant};
 
 struct Case {
@@ -38,7 +38,7 @@
     ];
     let start = Instant::now();
     for case in cases {
-        let mut avoid = Avoid::default();
+        let mut avoid = AvoidedTargets::default();
         for (target, ms) in case.added {
             avoid.add(target.to_owned(), ms.map(|ms| start + Duration::from_millis(ms)));
         }
--- a/crates/roseshore_core/tests/gateway/failure.rs
+++ b/crates/roseshore_core/tests/gateway/failure.rs
@@ -1,6 +1,8 @@
 //! What follows a failed send.
 
-use roseshore_core::gateway::failure::{Blame, End, Fault, MOST_SENDS, Next, Standing, next};
+use roseshore_core::gateway::failure::{
+    Blame, FailureReply, Fault, MAX_SENDS, NextStep, RetryState, next_step,
+};
 use roseshore_core::prelude::*;
 
 struct Case {
@@ -11,62 +13,86 @@
     sends: u32,
     refused: u32,
     left_ms: u64,
-    next: Next,
+    next: NextStep,
 }
 
-const fn case(name: &'static str, fault: Fault, idempotent: bool, next: Next) -> Case {
+const fn case(name: &'static str, fault: Fault, idempotent: bool, next: NextStep) -> Case {
     Case { name, fault, idempotent, begun: false, sends: 1, refused: 0, left_ms: 500, next }
 }
 
 #[test]
 fn only_what_cannot_run_twice_is_sent_again() {
-    let end = Next::End;
+    let end = NextStep::Fail;
     let cases = [
-        case("not sent, once only", Fault::NotSent, false, Next::Again),
-        case("refused, once only", Fault::Refused, false, Next::Again),
-        case("lost, once only", Fault::Lost, false, end(End::Unknown)),
-        case("garbled, once only", Fault::Garbled, false, end(End::Unknown)),
-        case("cut, once only", Fault::Cut, false, end(End::Unknown)),
-        case("silent, once only", Fault::Silent, false, end(End::Unknown)),
-        case("failed, once only", Fault::Failed, false, end(End::Unknown)),
-        case("lost, may be repeated", Fault::Lost, true, Next::Again),
-        case("silent, may be repeated", Fault::Silent, true, Next::Again),
-        Case { sends: MOST_SENDS, ..case("last send lost", Fault::Lost, true, end(End::Unknown)) },
-        Case { sends: MOST_SENDS, ..case("last refused", Fault::Refused, true, end(End::NotRun)) },
-        Case { left_ms: 10, ..case("no time, refused", Fault::Refused, true, end(End::NotRun)) },
-        Case { left_ms: 10, ..case("no time, lost", Fault::Lost, true, end(End::Unknown)) },
-        Case { begun: true, ..case("begun, cut", Fault::Cut, true, Next::Again) },
-        Case { begun: true, ..case("begun, once only", Fault::Cut, false, end(End::Break)) },
+        case("not sent, once only", Fault::NotSent, false, NextStep::Retry),
+        case("refused, once only", Fault::Refused, false, NextStep::Retry),
+        case("lost, once only", Fault::Lost, false, end(FailureReply::Unknown)),
+        case("garbled, once only", Fault::Garbled, false, end(FailureReply::Unknown)),
+        case("cut, once only", Fault::Cut, false, end(FailureReply::Unknown)),
+        case("silent, once only", Fault::Silent, false, end(FailureReply::Unknown)),
+        case("failed, once only", Fault::Failed, false, end(FailureReply::Unknown)),
+        case("lost, may be repeated", Fault::Lost, true, NextStep::Retry),
+        case("silent, may be repeated", Fault::Silent, true, NextStep::Retry),
+        Case {
+            sends: MAX_SENDS,
+            ..case("last send lost", Fault::Lost, true, end(FailureReply::Unknown))
+        },
+        Case {
+            sends: MAX_SENDS,
+            ..case("last refused", Fault::Refused, true, end(FailureReply::NotRun))
+        },
+        Case {
+            left_ms: 10,
+            ..case("no time, refused", Fault::Refused, true, end(FailureReply::NotRun))
+        },
+        Case {
+            left_ms: 10,
+            ..case("no time, lost", Fault::Lost, true, end(FailureReply::Unknown))
+        },
+        Case { begun: true, ..case("begun, cut", Fault::Cut, true, NextStep::Retry) },
+        Case {
+            begun: true,
+            ..case("begun, once only", Fault::Cut, false, end(FailureReply::Abort))
+        },
         Case {
             begun: true,
-            sends: MOST_SENDS,
+            sends: MAX_SENDS,
             refused: 3,
-            ..case("begun, refused three times", Fault::Refused, true, Next::Again)
+            ..case("begun, refused three times", Fault::Refused, true, NextStep::Retry)
         },
         Case {
             begun: true,
-            sends: MOST_SENDS + 3,
+            sends: MAX_SENDS + 3,
             refused: 3,
-            ..case("begun, refused and cut too often", Fault::Cut, true, end(End::Break))
+            ..case("begun, refused and cut too often", Fault::Cut, true, end(FailureReply::Abort))
         },
         Case {
-            sends: MOST_SENDS,
+            sends: MAX_SENDS,
             refused: 3,
-            ..case("not begun, refused three times", Fault::Refused, true, end(End::NotRun))
+            ..case(
+                "not begun, refused three times",
+                Fault::Refused,
+                true,
+                end(FailureReply::NotRun),
+            )
+        },
+        Case {
+            begun: true,
+            left_ms: 0,
+            ..case("begun, late", Fault::Cut, true, end(FailureReply::Abort))
         },
-        Case { begun: true, left_ms: 0, ..case("begun, late", Fault::Cut, true, end(End::Break)) },
     ];
     for case in cases {
-        let standing = Standing {
+        let standing = RetryState {
             idempotent: case.idempotent,
-            begun: case.begun,
+            head_sent: case.begun,
             verdict: case.fault.verdict(),
             sends: case.sends,
             refused: case.refused,
-            left: Duration::from_millis(case.left_ms),
-            least: Duration::from_millis(60),
+            remaining: Duration::from_millis(case.left_ms),
+            min_remaining: Duration::from_millis(60),
         };
-        assert_eq!(next(&standing), case.next, "{}", case.name);
+        assert_eq!(next_step(&standing), case.next, "{}", case.name);
     }
 }
 
--- a/crates/roseshore_core/tests/gateway/holdings.rs
+++ b/crates/roseshore_core/tests/gateway/holdings.rs
@@ -1,7 +1,7 @@
 //! Which layers a target is taken to hold, by the list and by what hosts learned.
 
 use super::fixtures::spec;
-use roseshore_core::gateway::PathNeed;
+use roseshore_core::gateway::PathRequest;
 use roseshore_core::gateway::peers::mark;
 use roseshore_core::gateway::targets::{Holding, Target};
 use roseshore_core::gateway::{TargetRecord, Targets};
@@ -94,17 +94,17 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     let room = |targets: &Targets| {
-        let need = PathNeed {
+        let need = PathRequest {
             layers: 80,
-            prompt: 700.0,
-            answer: 200.0,
-            near: "north",
-            avoid: &[],
-            shut: &[],
-            starts: None,
+            prompt_tokens: 700.0,
+            answer_tokens: 200.0,
+            data_centre: "north",
+            avoided: &[],
+            excluded_first: &[],
+            allowed_first: None,
         };
         let parts = targets.parts("engines", &spec(), &need, now);
-        parts.first().map_or(0, |part| part.room as u64)
+        parts.first().map_or(0, |part| part.kv_capacity as u64)
     };
     targets.put(listed((70, 80)));
     let wide = room(&targets);
--- a/crates/roseshore_core/tests/gateway/path.rs
+++ b/crates/roseshore_core/tests/gateway/path.rs
@@ -3,28 +3,36 @@
 use proptest::prelude::*;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use roseshore_core::gateway::path::{Part, Path, PathNeed, choose};
+use roseshore_core::gateway::path::{Candidate, Path, PathRequest, choose};
 use roseshore_core::prelude::*;
 
-fn part(id: &str, near: bool, layers: (Layer, Layer), free: f64) -> Part {
-    Part {
+fn part(id: &str, local: bool, layers: (Layer, Layer), kv_free: f64) -> Candidate {
+    Candidate {
         id: id.to_owned(),
         addr: "10.0.0.1:80".parse().expect("an address"),
-        near,
-        data_centre: if near { "north".to_owned() } else { "south".to_owned() },
+        local,
+        data_centre: if local { "north".to_owned() } else { "south".to_owned() },
         layers,
-        token_ms: 0.02,
-        read_ms: 0.0001,
-        busy: 0.0,
+        decode_ms: 0.02,
+        prefill_ms: 0.0001,
+        in_flight: 0.0,
         slots: 192.0,
-        free,
-        room: 1e6,
-        sound: true,
+        kv_free,
+        kv_capacity: 1e6,
+        healthy: true,
     }
 }
 
-fn need<'a>(avoid: &'a [TargetId], starts: Option<&'a [TargetId]>) -> PathNeed<'a> {
-    PathNeed { layers: 80, prompt: 800.0, answer: 200.0, near: "north", avoid, shut: &[], starts }
+fn need<'a>(avoided: &'a [TargetId], allowed_first: Option<&'a [TargetId]>) -> PathRequest<'a> {
+    PathRequest {
+        layers: 80,
+        prompt_tokens: 800.0,
+        answer_tokens: 200.0,
+        data_centre: "north",
+        avoided,
+        excluded_first: &[],
+        allowed_first,
+    }
 }
 
 /// Each layer once and in order, no target twice.
@@ -43,14 +51,14 @@
 
 struct Case {
     name: &'static str,
-    parts: Vec<Part>,
+    parts: Vec<Candidate>,
     starts: Option<Vec<TargetId>>,
     /// The path's targets; empty for none.
     ids: &'static [&'static str],
 }
 
-fn unsound(mut part: Part) -> Part {
-    part.sound = false;
+fn unsound(mut part: Candidate) -> Candidate {
+    part.healthy = false;
     part
 }
 
@@ -58,7 +66,7 @@
 fn the_path_that_fits_best_is_taken() {
     let near = || vec![part("a", true, (0, 40), 9e5), part("b", true, (40, 80), 9e5)];
     let far = || vec![part("x", false, (0, 40), 9e5), part("y", false, (40, 80), 9e5)];
-    let with = |mut parts: Vec<Part>, more: Vec<Part>| {
+    let with = |mut parts: Vec<Candidate>, more: Vec<Candidate>| {
         parts.extend(more);
         parts
     };
@@ -122,7 +130,7 @@
         ranges in proptest::collection::vec((0_u16..79, 1_u16..60, any::<bool>(), 0_u32..1_000_000), 0..24),
         seed in any::<u64>(),
     ) {
-        let parts: Vec<Part> = ranges
+        let parts: Vec<Candidate> = ranges
             .iter()
             .enumerate()
             .map(|(i, (from, width, near, free))| {
@@ -140,7 +148,7 @@
             let nears: Vec<bool> = path
                 .hops
                 .iter()
-                .map(|(id, ..)| parts.iter().find(|p| p.id == *id).expect("known").near)
+                .map(|(id, ..)| parts.iter().find(|p| p.id == *id).expect("known").local)
                 .collect();
             prop_assert!(nears.iter().all(|n| *n == nears[0]), "a path crosses data centres");
         }
--- a/crates/roseshore_core/tests/gateway/plan.rs
+++ b/crates/roseshore_core/tests/gateway/plan.rs
@@ -3,59 +3,61 @@
 use super::fixtures::spec;
 use proptest::prelude::*;
 use roseshore_core::gateway::plan::{
-    Layers, Member, Placement, firm, missing, next_step, plan as repairs,
+    EngineState, LayerRange, Placement, assured_layers, first_gap, next_improvement,
+    plan as repairs,
 };
-use roseshore_core::gateway::{EngineSpec, Kind};
+use roseshore_core::gateway::{AcceleratorKind, EngineSpec};
 use roseshore_core::prelude::*;
 
 const KINDS: [&str; 3] = ["large", "middle", "small"];
 
 /// What is wanted at a moment: repairs, or else the next step to a better placement.
-fn plan(spec: &EngineSpec, members: &[Member]) -> Vec<Placement> {
+fn plan(spec: &EngineSpec, members: &[EngineState]) -> Vec<Placement> {
     let mut wanted = repairs(spec, members);
     if wanted.is_empty() {
-        wanted.extend(next_step(spec, members));
+        wanted.extend(next_improvement(spec, members));
     }
     wanted
 }
 
-fn members(counts: [usize; 3]) -> Vec<Member> {
-    let one = |kind: &str, i: usize| Member {
+fn members(counts: [usize; 3]) -> Vec<EngineState> {
+    let one = |kind: &str, i: usize| EngineState {
         id: format!("{kind}-{i:02}"),
         kind: kind.to_owned(),
         layers: None,
-        firm: None,
+        assured: None,
         ready: None,
     };
     let all = KINDS.iter().zip(counts);
     all.flat_map(|(kind, count)| (0..count).map(move |i| one(kind, i))).collect()
 }
 
-fn apply(members: &mut [Member], placements: &[Placement]) {
+fn apply(members: &mut [EngineState], placements: &[Placement]) {
     for (id, layers) in placements {
         let member = members.iter_mut().find(|m| m.id == *id).expect("a known engine");
         member.layers = Some(*layers);
-        member.firm = member.layers;
+        member.assured = member.layers;
         member.ready = member.layers;
     }
 }
 
-fn engine(id: &str, kind: &str, layers: Option<(Layer, Layer)>) -> Member {
-    Member { id: id.to_owned(), kind: kind.to_owned(), layers, firm: layers, ready: layers }
+fn engine(id: &str, kind: &str, layers: Option<(Layer, Layer)>) -> EngineState {
+    EngineState { id: id.to_owned(), kind: kind.to_owned(), layers, assured: layers, ready: layers }
 }
 
 /// How many hold each layer.
-fn holders(members: &[Member]) -> Vec<usize> {
+fn holders(members: &[EngineState]) -> Vec<usize> {
     let held = |layer: Layer| {
-        let holds = |m: &&Member| m.layers.is_some_and(|(from, to)| from <= layer && layer < to);
+        let holds =
+            |m: &&EngineState| m.layers.is_some_and(|(from, to)| from <= layer && layer < to);
         members.iter().filter(holds).count()
     };
     (0..spec().layers).map(held).collect()
 }
 
-fn fit(members: &[Member]) -> bool {
+fn fit(members: &[EngineState]) -> bool {
     members.iter().all(|m| {
-        let size = spec().kind(Some(&m.kind)).expect("a known kind").size_mb;
+        let size = spec().kind(Some(&m.kind)).expect("a known kind").memory_mb;
         m.layers.is_none_or(|(from, to)| {
             from < to && to <= 80 && f64::from(to - from) * spec().layer_mb < size
         })
@@ -145,8 +147,8 @@
 
 /// Ranges that are held, and the first gap.
 struct Gap {
-    held: &'static [Layers],
-    gap: Option<Layers>,
+    held: &'static [LayerRange],
+    gap: Option<LayerRange>,
 }
 
 #[test]
@@ -160,15 +162,15 @@
         Gap { held: &[(0, 20), (30, 50), (60, 80)], gap: Some((20, 30)) },
     ];
     for case in cases {
-        assert_eq!(missing(&spec(), case.held.iter().copied()), case.gap, "{:?}", case.held);
+        assert_eq!(first_gap(&spec(), case.held.iter().copied()), case.gap, "{:?}", case.held);
     }
 }
 
 /// An order to an engine, and which layers can be counted on soon.
 struct Order {
-    held: Option<Layers>,
-    ordered: Layers,
-    soon: Option<Layers>,
+    held: Option<LayerRange>,
+    ordered: LayerRange,
+    soon: Option<LayerRange>,
 }
 
 #[test]
@@ -181,13 +183,20 @@
         Order { held: Some((70, 80)), ordered: (20, 30), soon: None },
     ];
     for case in cases {
-        assert_eq!(firm(case.held, case.ordered), case.soon, "{:?} {:?}", case.held, case.ordered);
+        assert_eq!(
+            assured_layers(case.held, case.ordered),
+            case.soon,
+            "{:?} {:?}",
+            case.held,
+            case.ordered
+        );
     }
 }
 
 #[test]
 fn an_empty_engine_fills_a_hole_that_another_has_to_clear_itself_for() {
-    let moved = Member { firm: None, ready: None, ..engine("s-7", "small", Some((20, 30))) };
+    let moved =
+        EngineState { assured: None, ready: None, ..engine("s-7", "small", Some((20, 30))) };
     let mut all = vec![
         engine("m-0", "middle", Some((0, 20))),
         moved,
@@ -200,14 +209,14 @@
     let mut filled = all.clone();
     filled.remove(1);
     for member in &mut filled {
-        member.layers = member.firm;
+        member.layers = member.assured;
     }
     apply(&mut filled, &placements);
     assert_eq!(holders(&filled).into_iter().min(), Some(1), "{placements:?}");
     let widest = placements.iter().map(|(_, (from, to))| to - from).max();
     assert!(widest < Some(25), "what is asked for is soon loaded: {placements:?}");
     // One that loads without giving anything up is waited for.
-    all[1].firm = all[1].layers;
+    all[1].assured = all[1].layers;
     let wide = plan(&spec(), &all);
     assert!(wide.len() == 1 && wide[0].0 == "l-0" && wide != placements, "{wide:?}");
 }
@@ -260,25 +269,30 @@
 fn thin_spec() -> EngineSpec {
     let mut spec = spec();
     spec.kv_bytes = 590_000.0;
-    spec.read_per_ms = 164.0;
-    spec.kinds[1] = Kind { name: "middle".to_owned(), size_mb: 14_400.0, pace: 5.3, read: 7.9 };
+    spec.prefill_per_ms = 164.0;
+    spec.kinds[1] = AcceleratorKind {
+        name: "middle".to_owned(),
+        memory_mb: 14_400.0,
+        step_factor: 5.3,
+        prefill_factor: 7.9,
+    };
     spec
 }
 
 /// Room of the narrowest layer, tokens.
-fn narrowest(spec: &EngineSpec, all: &[Member]) -> f64 {
+fn narrowest(spec: &EngineSpec, all: &[EngineState]) -> f64 {
     let mut rooms = vec![0.0; usize::from(spec.layers)];
     for member in all {
         let Some((from, to)) = member.layers else { continue };
-        let size = spec.kind(Some(&member.kind)).expect("a known kind").size_mb;
-        let room = spec.room(size, to - from);
+        let size = spec.kind(Some(&member.kind)).expect("a known kind").memory_mb;
+        let room = spec.kv_capacity(size, to - from);
         rooms[usize::from(from)..usize::from(to)].iter_mut().for_each(|r| *r += room);
     }
     rooms.into_iter().fold(f64::INFINITY, f64::min)
 }
 
 /// Follows plans until nothing more is wanted; returns how many orders that took.
-fn settle(spec: &EngineSpec, all: &mut [Member]) -> usize {
+fn settle(spec: &EngineSpec, all: &mut [EngineState]) -> usize {
     let mut orders = 0;
     loop {
         let moves = plan(spec, all);
@@ -322,7 +336,7 @@
             assert!(fit(&all), "{all:?}");
             let mut fresh = all.clone();
             for member in &mut fresh {
-                (member.layers, member.firm, member.ready) = (None, None, None);
+                (member.layers, member.assured, member.ready) = (None, None, None);
             }
             let placements = repairs(&spec, &fresh);
             apply(&mut fresh, &placements);
@@ -343,7 +357,7 @@
         engine("m-0", "middle", Some((76, 96))),
         engine("m-1", "middle", Some((60, 80))),
     ];
-    assert_eq!(next_step(&spec(), &all), None);
+    assert_eq!(next_improvement(&spec(), &all), None);
 }
 
 proptest! {
@@ -366,7 +380,7 @@
         }
         let whole = holders(&all).into_iter().min() > Some(0);
         let mut steps = 0;
-        while let Some((id, layers)) = next_step(&spec, &all) {
+        while let Some((id, layers)) = next_improvement(&spec, &all) {
             // While it loads, an engine holds what it keeps.
             let member = all.iter_mut().find(|m| m.id == id).expect("a known engine");
             member.layers = member.layers.map(|(a, b)| (a.max(layers.0), b.min(layers.1)));
@@ -402,8 +416,8 @@
             prop_assert!(fit(&all), "{moves:?}");
         }
         // What is left could hold the model twice over: then it holds it once at least.
-        let layers = |m: &Member| {
-            (spec().kind(Some(&m.kind)).expect("known").size_mb / spec().layer_mb) as usize
+        let layers = |m: &EngineState| {
+            (spec().kind(Some(&m.kind)).expect("known").memory_mb / spec().layer_mb) as usize
         };
         let able: usize = all.iter().map(layers).sum();
         if whole && able >= 240 {
--- a/crates/roseshore_core/tests/gateway/poll_timing.rs
+++ b/crates/roseshore_core/tests/gateway/poll_timing.rs
@@ -1,6 +1,6 @@
 //! When what a busy host looks at may have come.
 
-use roseshore_core::gateway::poll_timing::Look;
+use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::prelude::*;
 
 /// A look, in milliseconds after the one before.
@@ -22,15 +22,15 @@
         Case { name: "a late timer", began: 2, asked: 9, ended: 21, earliest: 21 },
         Case { name: "suspended in the wait", began: 2, asked: 98, ended: 6_100, earliest: 2 },
     ];
-    let before = Instant::now();
-    let at = |ms: u64| before + Duration::from_millis(ms);
+    let previous_end = Instant::now();
+    let at = |ms: u64| previous_end + Duration::from_millis(ms);
     for case in cases {
-        let look = Look {
-            before,
+        let look = PollTiming {
+            previous_end,
             began: at(case.began),
-            asked: Duration::from_millis(case.asked),
+            timeout: Duration::from_millis(case.asked),
             ended: at(case.ended),
         };
-        assert_eq!(look.earliest(), at(case.earliest), "{}", case.name);
+        assert_eq!(look.earliest_arrival(), at(case.earliest), "{}", case.name);
     }
 }
--- a/crates/roseshore_core/tests/gateway/pressure.rs
+++ b/crates/roseshore_core/tests/gateway/pressure.rs
@@ -1,15 +1,15 @@
 //! When a better placement is worth the orders.
 
-use roseshore_core::gateway::plan::pressure::{Pressure, Taken, fullest};
+use roseshore_core::gateway::plan::pressure::{EngineUsage, Pressure, peak_utilisation};
 
 struct Case {
     name: &'static str,
-    engines: Vec<Taken>,
+    engines: Vec<EngineUsage>,
     share: f64,
 }
 
-fn engine(layers: (u16, u16), room: f64, taken: f64) -> Taken {
-    Taken { layers, room, taken }
+fn engine(layers: (u16, u16), capacity: f64, used: f64) -> EngineUsage {
+    EngineUsage { layers, capacity, used }
 }
 
 #[test]
@@ -34,7 +34,7 @@
         },
     ];
     for case in cases {
-        let share = fullest(10, case.engines.into_iter());
+        let share = peak_utilisation(10, case.engines.into_iter());
         assert!((share - case.share).abs() < 1e-9, "{}: {share}", case.name);
     }
 }
@@ -75,8 +75,8 @@
     for case in cases {
         let mut pressure = Pressure::default();
         for (share, times) in case.shares {
-            (0..*times).for_each(|_| pressure.measured(*share));
+            (0..*times).for_each(|_| pressure.record(*share));
         }
-        assert_eq!(pressure.wants_step(case.unsettled), case.step, "{}", case.name);
+        assert_eq!(pressure.allows_step(case.unsettled), case.step, "{}", case.name);
     }
 }
--- a/crates/roseshore_core/tests/gateway/retry_budget.rs
+++ b/crates/roseshore_core/tests/gateway/retry_budget.rs
@@ -1,7 +1,7 @@
 //! How many sends may be repeated.
 
-use roseshore_core::gateway::Allowance;
-use roseshore_core::gateway::retry_budget::Counted;
+use roseshore_core::gateway::RetryBudget;
+use roseshore_core::gateway::retry_budget::RetryCounts;
 use std::time::{Duration, Instant};
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -16,28 +16,28 @@
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 200.0;
     let start = Instant::now();
-    let mut hosts: Vec<Allowance> =
-        (0..HOSTS).map(|_| Allowance::new(RATIO, SLACK, WINDOW)).collect();
+    let mut hosts: Vec<RetryBudget> =
+        (0..HOSTS).map(|_| RetryBudget::new(RATIO, SLACK, WINDOW)).collect();
     let (mut requests, mut repeats) = (0_u32, 0_u32);
     for step in 0..90 {
         let now = start + ms(step * 100);
         // Each hears of the others with every fourth step.
         if step % 4 == 0 {
-            let all: Vec<Counted> = hosts.iter_mut().map(|h| h.counted(now)).collect();
+            let all: Vec<RetryCounts> = hosts.iter_mut().map(|h| h.counts(now)).collect();
             for (i, host) in hosts.iter_mut().enumerate() {
                 let others = all.iter().enumerate().filter(|(j, _)| *j != i);
-                let sum = others.fold(Counted::default(), |sum, (_, c)| Counted {
+                let sum = others.fold(RetryCounts::default(), |sum, (_, c)| RetryCounts {
                     requests: sum.requests + c.requests,
-                    repeats: sum.repeats + c.repeats,
+                    retries: sum.retries + c.retries,
                 });
-                host.others(sum, HOSTS, HOSTS);
+                host.set_peer_counts(sum, HOSTS, HOSTS);
             }
         }
         for host in &mut hosts {
-            host.request(now);
+            host.record_request(now);
             requests += 1;
             // Far more wants than the bound.
-            repeats += (0..5).filter(|_| host.repeat(now)).count() as u32;
+            repeats += (0..5).filter(|_| host.try_retry(now)).count() as u32;
         }
     }
     let bound = RATIO * f64::from(requests) + SLACK;
@@ -48,25 +48,25 @@
 #[test]
 fn what_was_counted_is_forgotten_after_the_window() {
     let start = Instant::now();
-    let mut host = Allowance::new(0.0, 10.0, WINDOW);
-    let spent = (0..100).filter(|_| host.repeat(start)).count();
+    let mut host = RetryBudget::new(0.0, 10.0, WINDOW);
+    let spent = (0..100).filter(|_| host.try_retry(start)).count();
     assert_eq!(spent, 8);
-    assert!(!host.repeat(start + ms(9_000)));
-    assert!(host.repeat(start + ms(10_500)));
+    assert!(!host.try_retry(start + ms(9_000)));
+    assert!(host.try_retry(start + ms(10_500)));
 }
 
 #[test]
 fn a_host_that_hears_nobody_keeps_to_its_part() {
     let now = Instant::now();
-    let mut host = Allowance::new(0.0, 160.0, WINDOW);
-    host.others(Counted::default(), 1, 8);
-    let spent = (0..100).filter(|_| host.repeat(now)).count();
+    let mut host = RetryBudget::new(0.0, 160.0, WINDOW);
+    host.set_peer_counts(RetryCounts::default(), 1, 8);
+    let spent = (0..100).filter(|_| host.try_retry(now)).count();
     assert_eq!(spent, 16);
     // Its own requests are all that it hears of, and still only its part.
-    let mut busy = Allowance::new(0.0, 160.0, WINDOW);
-    busy.others(Counted::default(), 1, 8);
-    (0..50).for_each(|_| busy.request(now));
-    assert_eq!((0..100).filter(|_| busy.repeat(now)).count(), 16);
+    let mut busy = RetryBudget::new(0.0, 160.0, WINDOW);
+    busy.set_peer_counts(RetryCounts::default(), 1, 8);
+    (0..50).for_each(|_| busy.record_request(now));
+    assert_eq!((0..100).filter(|_| busy.try_retry(now)).count(), 16);
 }
 
 /// Sixty-four hosts, of which some have five times the requests of others, lose streams by their requests at
@@ -80,13 +80,13 @@
     let (mut wanted, mut repeated) = (0, 0);
     for host in 0..HOSTS {
         let own = requests(host);
-        let mut allowance = Allowance::new(0.2, 312.0, WINDOW);
-        (0..own).for_each(|_| allowance.request(now));
-        let others = Counted { requests: all - own, repeats: 0 };
-        allowance.others(others, HOSTS as usize, HOSTS as usize);
+        let mut allowance = RetryBudget::new(0.2, 312.0, WINDOW);
+        (0..own).for_each(|_| allowance.record_request(now));
+        let others = RetryCounts { requests: all - own, retries: 0 };
+        allowance.set_peer_counts(others, HOSTS as usize, HOSTS as usize);
         let lost = own / 4 - own / 20;
         wanted += lost;
-        repeated += (0..lost).filter(|_| allowance.repeat(now)).count() as u32;
+        repeated += (0..lost).filter(|_| allowance.try_retry(now)).count() as u32;
     }
     let bound = 0.2 * f64::from(all) + 312.0;
     assert!(f64::from(repeated) <= 0.8 * bound, "{repeated} of {bound}");
--- a/crates/roseshore_core/tests/gateway/routes.rs
+++ b/crates/roseshore_core/tests/gateway/routes.rs
@@ -2,7 +2,8 @@
 
 use roseshore_core::gateway::routes::Denied;
 use roseshore_core::gateway::{
-    CallKind, Currency, Limits, OrganisationSpec, Route, ServiceSpec, Share, Snapshot,
+    CallKind, ConfigLease, OrganisationSpec, RequestLimits, Route, ServiceSpec, Snapshot,
+    WeightedService,
 };
 use roseshore_core::prelude::*;
 
@@ -16,12 +17,12 @@
         objective: Duration::from_millis(300),
         priority: 0,
         services: vec![
-            Share { service: "a".to_owned(), weight: 90.0 },
-            Share { service: "b".to_owned(), weight: 10.0 },
+            WeightedService { service: "a".to_owned(), weight: 90.0 },
+            WeightedService { service: "b".to_owned(), weight: 10.0 },
         ],
-        attempts: 2,
+        max_attempts: 2,
         anonymous,
-        pause: None,
+        max_gap: None,
     }
 }
 
@@ -33,13 +34,13 @@
         route("other", "else.example", "/api/", false),
     ];
     let service =
-        |name: &str| ServiceSpec { name: name.to_owned(), connections: None, engine: None };
+        |name: &str| ServiceSpec { name: name.to_owned(), max_connections: None, engine: None };
     let acme = OrganisationSpec {
         name: "acme".to_owned(),
         keys: vec!["k-1".to_owned(), "k-2".to_owned()],
         priority: None,
     };
-    Snapshot::new(3, routes, vec![service("a"), service("b")], vec![acme], Limits::default())
+    Snapshot::new(3, routes, vec![service("a"), service("b")], vec![acme], RequestLimits::default())
 }
 
 #[test]
@@ -95,13 +96,13 @@
 fn a_configuration_is_held_on_a_lease() {
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
-    let mut lease = Currency::new(Duration::from_secs(5));
-    assert!(!lease.current(at(0)), "nothing is proven yet");
-    lease.prove(at(1000));
-    assert!(lease.current(at(5000)));
-    assert!(!lease.current(at(5300)), "a margin is kept for requests on their way");
-    lease.prove(at(500));
+    let mut lease = ConfigLease::new(Duration::from_secs(5));
+    assert!(!lease.is_valid(at(0)), "nothing is proven yet");
+    lease.renew(at(1000));
+    assert!(lease.is_valid(at(5000)));
+    assert!(!lease.is_valid(at(5300)), "a margin is kept for requests on their way");
+    lease.renew(at(500));
     assert_eq!(lease.age(at(2000)), Some(Duration::from_secs(1)), "older proofs change nothing");
-    lease.prove(at(6000));
-    assert!(lease.current(at(6100)));
+    lease.renew(at(6000));
+    assert!(lease.is_valid(at(6100)));
 }
--- a/crates/roseshore_core/tests/gateway/shortage.rs
+++ b/crates/roseshore_core/tests/gateway/shortage.rs
@@ -24,7 +24,7 @@
     for case in cases {
         let start = Instant::now();
         let mut shortage = Shortage::default();
-        let refused = |at: &u64| shortage.refused(start + Duration::from_millis(*at));
+        let refused = |at: &u64| shortage.record_refusal(start + Duration::from_millis(*at));
         let back = case.at_ms.iter().map(refused).last();
         assert_eq!(back, Some(Duration::from_millis(case.back_ms)), "{}", case.name);
     }
@@ -79,7 +79,7 @@
     for case in cases {
         let mut shortage = Shortage::default();
         let before = refused_again(case.short_s, |_| Duration::from_millis(2_400));
-        let after = refused_again(case.short_s, |now| shortage.refused(now));
+        let after = refused_again(case.short_s, |now| shortage.record_refusal(now));
         println!("{} s: {before:.2} before, {after:.2} after", case.short_s);
         assert!((before - case.before).abs() < 0.02, "{} s: {before:.2}", case.short_s);
         assert!((after - case.after).abs() < 0.02, "{} s: {after:.2}", case.short_s);
--- a/crates/roseshore_core/tests/gateway/starts.rs
+++ b/crates/roseshore_core/tests/gateway/starts.rs
@@ -2,7 +2,7 @@
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use roseshore_core::gateway::path::{Part, PathNeed, choose};
+use roseshore_core::gateway::path::{Candidate, PathRequest, choose};
 
 /// Hosts that send, in turn, and how late each hears what the others have in flight, s.
 const HOSTS: usize = 20;
@@ -57,38 +57,38 @@
 fn play(load: &Load) -> (usize, usize) {
     let (mut sent, mut refused) = (Vec::new(), 0);
     let mut random = SmallRng::seed_from_u64(3);
-    let need = PathNeed {
+    let need = PathRequest {
         layers: 80,
-        prompt: 760.0,
-        answer: 138.0,
-        near: "north",
-        avoid: &[],
-        shut: &[],
-        starts: None,
+        prompt_tokens: 760.0,
+        answer_tokens: 138.0,
+        data_centre: "north",
+        avoided: &[],
+        excluded_first: &[],
+        allowed_first: None,
     };
     for n in 0..(RATE * SECONDS) as usize {
         let (host, now) = (n % HOSTS, n as f64 / RATE);
-        let part = |name: &str, layers, token_ms, busy: usize| Part {
+        let part = |name: &str, layers, decode_ms, busy: usize| Candidate {
             id: name.to_owned(),
             addr: "10.0.0.1:80".parse().expect("an address"),
-            near: true,
+            local: true,
             data_centre: "north".to_owned(),
             layers,
-            token_ms,
-            read_ms: 0.0001,
-            busy: busy as f64,
+            decode_ms,
+            prefill_ms: 0.0001,
+            in_flight: busy as f64,
             slots: SLOTS as f64,
-            free: 9e6,
-            room: 9e6,
-            sound: true,
+            kv_free: 9e6,
+            kv_capacity: 9e6,
+            healthy: true,
         };
         let busy = |engine| if load.counted { known(&sent, host, engine, now) } else { 0 };
         let firsts = load.engines.iter().enumerate();
-        let mut parts: Vec<Part> =
+        let mut parts: Vec<Candidate> =
             firsts.map(|(e, slow)| part(&e.to_string(), (0, 10), 0.05 * slow, busy(e))).collect();
         parts.push(part("rest", (10, 80), 0.3, 0));
         let path = choose(&parts, &need, &mut random).expect("a path");
-        if !path.roomy {
+        if !path.suitable {
             refused += 1;
             continue;
         }
--- a/crates/roseshore_core/tests/gateway/store_reads.rs
+++ b/crates/roseshore_core/tests/gateway/store_reads.rs
@@ -1,6 +1,6 @@
 //! When a host asks the store.
 
-use roseshore_core::gateway::store_reads::{backoff, config_patience, list_patience, listening};
+use roseshore_core::gateway::store_reads::{backoff, config_max_age, list_max_age, startup_delay};
 use roseshore_core::prelude::*;
 
 fn ms(n: u64) -> Duration {
@@ -45,11 +45,11 @@
     ];
     for case in cases {
         let place = case.place;
-        assert_eq!(config_patience(place), case.config.map(ms), "{place}");
-        assert_eq!(list_patience(place), case.list.map(ms), "{place}");
+        assert_eq!(config_max_age(place), case.config.map(ms), "{place}");
+        assert_eq!(list_max_age(place), case.list.map(ms), "{place}");
         assert_eq!((backoff(0, place), backoff(4, place)), (ms(case.failed.0), ms(case.failed.1)));
         assert_eq!(
-            (listening(false, place), listening(true, place)),
+            (startup_delay(false, place), startup_delay(true, place)),
             (ms(case.start.0), ms(case.start.1))
         );
     }
--- a/crates/roseshore_core/tests/gateway/unavailable.rs
+++ b/crates/roseshore_core/tests/gateway/unavailable.rs
@@ -1,6 +1,6 @@
 //! Why no target can be chosen, and when there is a way again.
 
-use roseshore_core::gateway::{Hindrance, Wish};
+use roseshore_core::gateway::{SelectionConditions, Unavailable};
 use std::time::{Duration, Instant};
 
 const fn ms(ms: u64) -> Duration {
@@ -15,7 +15,7 @@
     limited: bool,
     /// Whether there is a way after a time, with limits heeded or not.
     way: fn(Duration, bool) -> bool,
-    want: Hindrance,
+    want: Unavailable,
 }
 
 const NOTHING: Case = Case {
@@ -23,7 +23,7 @@
     rests: &[],
     limited: false,
     way: |_, _| false,
-    want: Hindrance::Other,
+    want: Unavailable::Other,
 };
 
 #[test]
@@ -41,28 +41,28 @@
             name: "the only target rests",
             rests: &[900],
             way: |at, _| at >= ms(900),
-            want: Hindrance::Rest(ms(900)),
+            want: Unavailable::BackingOff(ms(900)),
             ..NOTHING
         },
         Case {
             name: "two rest, the first is enough",
             rests: &[900, 300],
             way: |at, _| at >= ms(300),
-            want: Hindrance::Rest(ms(300)),
+            want: Unavailable::BackingOff(ms(300)),
             ..NOTHING
         },
         Case {
             name: "two rest, a path needs both",
             rests: &[300, 900],
             way: |at, _| at >= ms(900),
-            want: Hindrance::Rest(ms(900)),
+            want: Unavailable::BackingOff(ms(900)),
             ..NOTHING
         },
         Case {
             name: "the only target takes no more",
             limited: true,
             way: |_, limits| !limits,
-            want: Hindrance::Limit,
+            want: Unavailable::RateLimited,
             ..NOTHING
         },
         Case {
@@ -70,27 +70,27 @@
             rests: &[900],
             limited: true,
             way: |at, limits| at >= ms(900) || !limits,
-            want: Hindrance::Rest(ms(900)),
+            want: Unavailable::BackingOff(ms(900)),
         },
         Case {
             name: "one rests without which nothing helps, and it takes no more",
             rests: &[900],
             limited: true,
             way: |at, limits| at >= ms(900) && !limits,
-            want: Hindrance::Rest(ms(900)),
+            want: Unavailable::BackingOff(ms(900)),
         },
         Case {
             name: "a target takes no more, and one rests that is not needed",
             rests: &[900],
             limited: true,
             way: |_, limits| !limits,
-            want: Hindrance::Limit,
+            want: Unavailable::RateLimited,
         },
     ];
     let now = Instant::now();
     for case in cases {
         let rests = case.rests.iter().map(|rest| now + ms(*rest)).collect();
-        let way = |wish: Wish| (case.way)(wish.at - now, wish.limits);
-        assert_eq!(Hindrance::of(rests, case.limited, now, way), case.want, "{}", case.name);
+        let way = |wish: SelectionConditions| (case.way)(wish.at - now, wish.enforce_limits);
+        assert_eq!(Unavailable::of(rests, case.limited, now, way), case.want, "{}", case.name);
     }
 }
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -39,9 +39,9 @@
 use rand::rngs::SmallRng;
 use roseshore_core::gateway::copies::COPY_TIME;
 use roseshore_core::gateway::leaving::Pace;
-use roseshore_core::gateway::poll_timing::Look;
+use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::gateway::{
-    Allowance, Copies, Currency, EntrySettings, Fatal, Peers, Shortage, Snapshot, Targets,
+    ConfigLease, Copies, EntrySettings, Fatal, Peers, RetryBudget, Shortage, Snapshot, Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -123,7 +123,7 @@
     exchanges: Slab<Exchange>,
     calls: Slab<Call>,
     snapshot: Option<Arc<Snapshot>>,
-    currency: Currency,
+    currency: ConfigLease,
     targets: Targets,
     peers: Peers,
     /// Whether there is news that does not wait, and when such news was last told.
@@ -135,7 +135,7 @@
     speaking: bool,
     liveness: Liveness,
     limiting: Limiting,
-    allowances: HashMap<ServiceId, Allowance>,
+    allowances: HashMap<ServiceId, RetryBudget>,
     following: Following,
     copies: Copies,
     placing: Placing,
@@ -179,7 +179,7 @@
     pub fn new(start: Start) -> io::Result<Entry> {
         let Start { mut settings, reread, platform, clock, metrics, stop, reload, quiet } = start;
         let now = clock.now();
-        let sockets = settings.sockets.unwrap_or(USUAL_DESCRIPTORS);
+        let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
         settings.callers = net.listen(Door::Callers, settings.callers)?;
         settings.probes = net.listen(Door::Probes, settings.probes)?;
@@ -200,7 +200,7 @@
         let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
             .with_capacity(settings.capacity);
         let mut entry = Entry {
-            currency: Currency::new(settings.bounds.revoke),
+            currency: ConfigLease::new(settings.bounds.revoke),
             settings,
             reread,
             platform,
@@ -272,10 +272,11 @@
         let mut notices = Vec::new();
         loop {
             let began = self.clock.now();
-            let asked = self.next_timer().saturating_duration_since(began);
-            self.net.wait(asked, &mut notices)?;
-            let look = Look { before: self.now, began, asked, ended: self.clock.now() };
-            (self.now, self.came) = (look.ended, look.earliest());
+            let timeout = self.next_timer().saturating_duration_since(began);
+            self.net.wait(timeout, &mut notices)?;
+            let look =
+                PollTiming { previous_end: self.now, began, timeout, ended: self.clock.now() };
+            (self.now, self.came) = (look.ended, look.earliest_arrival());
             for notice in notices.drain(..) {
                 match notice {
                     Notice::Door(Door::Peers) => self.hear(),
--- a/crates/roseshore_relay/src/entry/blocked.rs
+++ b/crates/roseshore_relay/src/entry/blocked.rs
@@ -30,7 +30,8 @@
     pub(super) fn follow_blocked(&mut self) {
         let now = self.now;
         let early = self.blocked.due.is_some_and(|due| now < due);
-        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.away() {
+        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.is_down()
+        {
             return;
         }
         if self.snapshot.is_none() || self.peers.reading_place(now) > 0 {
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -3,7 +3,7 @@
 use super::{Entry, Role, Timer, note};
 use crate::http::{self, Decoder, Framing, HttpError, RequestHead, Sent};
 use crate::slab::Key;
-use roseshore_core::gateway::Limits;
+use roseshore_core::gateway::RequestLimits;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Field;
 use std::cmp::Reverse;
@@ -41,15 +41,17 @@
 }
 
 impl Entry {
-    fn limits(&self) -> Limits {
-        self.snapshot.as_ref().map_or_else(Limits::default, |s| s.limits().clone())
+    fn limits(&self) -> RequestLimits {
+        self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
 
     /// Sets the timer for a caller that is slow or rests.
     pub(super) fn watch_caller(&mut self, key: Key) {
         let limits = self.limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
-        let at = caller.first.map_or(caller.since + limits.idle, |first| first + limits.head_time);
+        let at = caller
+            .first
+            .map_or(caller.since + limits.idle_timeout, |first| first + limits.receive_timeout);
         self.arm(at, Timer::Caller(key));
     }
 
@@ -61,10 +63,10 @@
             return;
         }
         match caller.first {
-            Some(first) if self.now >= first + limits.head_time => {
+            Some(first) if self.now >= first + limits.receive_timeout => {
                 self.refuse_connection(key, Code::SlowCaller, "the request did not come in time");
             }
-            None if self.now >= caller.since + limits.idle => self.close(key),
+            None if self.now >= caller.since + limits.idle_timeout => self.close(key),
             _ => self.watch_caller(key),
         }
     }
@@ -101,10 +103,10 @@
                     socket.input.drain(..blank);
                     if !socket.input.is_empty() && caller.first.is_none() {
                         caller.first = Some(self.now);
-                        let late = self.now + limits.head_time;
+                        let late = self.now + limits.receive_timeout;
                         self.timers.push(Reverse((late, Timer::Caller(key))));
                     }
-                    match http::take_request(&mut socket.input, limits.head) {
+                    match http::take_request(&mut socket.input, limits.head_bytes) {
                         Ok(Some(head)) => self.begin_body(key, head, &limits),
                         Ok(None) if ended => return self.close(key),
                         Ok(None) => return,
@@ -114,7 +116,7 @@
                 Phase::Body(reading) => {
                     let Reading { decoder, body, .. } = &mut **reading;
                     let taken = decoder.take(&mut socket.input, body);
-                    let (done, large) = (decoder.done(), body.len() > limits.body);
+                    let (done, large) = (decoder.done(), body.len() > limits.body_bytes);
                     if let Err(err) = taken {
                         return self.refuse_bytes(key, err);
                     }
@@ -139,9 +141,9 @@
         }
     }
 
-    fn begin_body(&mut self, key: Key, head: RequestHead, limits: &Limits) {
+    fn begin_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
         if let Framing::Length(length) = head.framing
-            && length > limits.body as u64
+            && length > limits.body_bytes as u64
         {
             return self.refuse_connection(key, Code::BodyTooLarge, "the body is too large");
         }
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -4,9 +4,9 @@
 use crate::http::{self, RequestHead};
 use crate::slab::Key;
 use rand::RngExt;
-use roseshore_core::gateway::failure::{self, End, Next};
+use roseshore_core::gateway::failure::{self, FailureReply, NextStep};
 use roseshore_core::gateway::routes::Denied;
-use roseshore_core::gateway::{Avoid, Fingerprint, Route, ServiceSpec, Standing};
+use roseshore_core::gateway::{AvoidedTargets, Fingerprint, RetryState, Route, ServiceSpec};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Asked;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     pub(super) verdict: Verdict,
     /// Whether a send may have reached its target, so that the next one is a repeat.
     pub(super) arrived: bool,
-    pub(super) avoid: Avoid,
+    pub(super) avoid: AvoidedTargets,
     /// The targets it was sent to; the operators bound their number.
     pub(super) sent_to: Vec<TargetId>,
     /// Since when it waits for a target with room.
@@ -78,28 +78,28 @@
 }
 
 impl Exchange {
-    pub(super) fn standing(&self, now: Instant) -> Standing {
-        Standing {
+    pub(super) fn standing(&self, now: Instant) -> RetryState {
+        RetryState {
             idempotent: self.route.kind.idempotent(),
-            begun: self.out.begun,
+            head_sent: self.out.begun,
             verdict: self.verdict,
             sends: self.sends,
             refused: self.refused,
-            left: self.until.saturating_duration_since(now),
-            least: LEAST,
+            remaining: self.until.saturating_duration_since(now),
+            min_remaining: LEAST,
         }
     }
 
     /// Whether it was sent to as many targets as its route allows.
     pub(super) fn at_bound(&self) -> bool {
-        self.sent_to.len() >= self.route.attempts as usize
+        self.sent_to.len() >= self.route.max_attempts as usize
     }
 
     /// Whether it may be sent elsewhere although the send under way may have run.
     pub(super) fn may_move(&self, now: Instant) -> bool {
         let mut after = self.standing(now);
         after.verdict = after.verdict.join(Verdict::MayHaveRun);
-        failure::next(&after) == Next::Again
+        failure::next_step(&after) == NextStep::Retry
     }
 }
 
@@ -123,7 +123,7 @@
             Ok(exchange) => {
                 let until = exchange.until;
                 let now = self.now;
-                self.allowance(&exchange.service.name).request(now);
+                self.allowance(&exchange.service.name).record_request(now);
                 let key = self.exchanges.add(exchange);
                 self.arm(until, Timer::Exchange(key));
                 Ok(key)
@@ -202,7 +202,7 @@
             refused: 0,
             verdict: Verdict::NotRun,
             arrived: false,
-            avoid: Avoid::default(),
+            avoid: AvoidedTargets::default(),
             sent_to: Vec::new(),
             held: None,
             awaited: None,
@@ -215,7 +215,7 @@
     /// Whether a stream may be expected to end before this host does.
     fn ends_in_time(&self, asked: &Asked, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
-        let usual = service.engine.as_ref().map_or(0.0, |engine| engine.answer);
+        let usual = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
         let guess = asked.hint.map_or(usual, f64::from);
         self.pace.ends_within(guess, f64::from(asked.longest), left)
     }
@@ -273,32 +273,32 @@
         let now = self.now;
         self.join_open_send(key);
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let end = failure::end(&exchange.standing(now));
+        let end = failure::failure_reply(&exchange.standing(now));
         let (caller, keep) = (exchange.caller, exchange.head.keep);
         let attempt = exchange.asked.attempt.clone();
         let engine = exchange.service.engine.is_some();
         let fingerprint = exchange.fingerprint;
         let code = match end {
-            End::NotRun if code.status() != 503 => Code::NoTarget,
-            End::Unknown if code.status() == 503 => Code::TargetLost,
+            FailureReply::NotRun if code.status() != 503 => Code::NoTarget,
+            FailureReply::Unknown if code.status() == 503 => Code::TargetLost,
             _ => code,
         };
         self.close_exchange(key, code.number(), why);
         let refusal = match end {
-            End::Break => {
+            FailureReply::Abort => {
                 self.close(caller);
                 return;
             }
-            End::NotRun => {
+            FailureReply::NotRun => {
                 // A plain service that is full is done with some of it in milliseconds.
                 let usual = match self.fatal.blocked(fingerprint, now) {
                     Some(left) => left,
-                    None if engine => self.shortage.refused(now),
+                    None if engine => self.shortage.record_refusal(now),
                     None => COME_BACK,
                 };
                 Refusal::not_run(code, why).after(self.spread(back(usual)))
             }
-            End::Unknown => Refusal::may_have_run(code, why),
+            FailureReply::Unknown => Refusal::may_have_run(code, why),
         };
         metrics::counter!("roseshore_refused_total", "code" => code.to_string()).increment(1);
         let fields = refusal_fields(&refusal, Some(&attempt));
@@ -335,7 +335,7 @@
         if exchange.verdict == Verdict::Answered
             && let Some(engine) = &exchange.service.engine
         {
-            self.pace.ended(f64::from(exchange.out.events) * engine.stride, took);
+            self.pace.ended(f64::from(exchange.out.events) * engine.event_tokens, took);
         }
         if let Some(first) = first {
             metrics::histogram!("roseshore_first_event_seconds").record(first.as_secs_f64());
@@ -349,7 +349,7 @@
             exchange.route.name,
             exchange.route.kind.name(),
             exchange.route.objective.as_millis(),
-            exchange.route.pause.unwrap_or_default().as_millis(),
+            exchange.route.max_gap.unwrap_or_default().as_millis(),
             exchange.organisation.as_deref().unwrap_or("-"),
             exchange.service.name,
             exchange.version,
--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/following.rs
@@ -10,9 +10,9 @@
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::probes::millis;
 use super::{Entry, note};
-use roseshore_core::gateway::outage::Outage;
+use roseshore_core::gateway::outage::StoreOutage;
 use roseshore_core::gateway::peers::ListMark;
-use roseshore_core::gateway::store_reads::{self, CONFIG_WAIT, TARGETS_EVERY};
+use roseshore_core::gateway::store_reads::{self, CONFIG_LONG_POLL, TARGETS_INTERVAL};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
@@ -52,7 +52,7 @@
     list: Option<Position>,
     /// The store holds an older configuration than the one in force, so it proves nothing.
     config_behind: bool,
-    pub(super) outage: Outage,
+    pub(super) outage: StoreOutage,
     /// The list differs from a neighbour's, whose copy could not be had.
     list_differs: bool,
     /// The last copy of changes did not lead to the list of the host that gave it.
@@ -70,7 +70,7 @@
     /// that hangs would outlast the outage.
     fn wait(&self, stream: Stream) -> Duration {
         match stream {
-            Stream::Config if !self.outage.away() => CONFIG_WAIT,
+            Stream::Config if !self.outage.is_down() => CONFIG_LONG_POLL,
             Stream::Config | Stream::Targets => Duration::ZERO,
         }
     }
@@ -143,7 +143,7 @@
         let now = self.now;
         // A read that waits proves nothing until it is answered; what was long not proven is read
         // at once.
-        let old = self.currency.age(now).is_none_or(|age| age > store_reads::NO_WAIT);
+        let old = self.currency.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
         let wait = if old { Duration::ZERO } else { self.following.wait(stream) };
         let known = match stream {
             Stream::Config => self.snapshot.is_some(),
@@ -153,7 +153,7 @@
         if follow.busy || follow.due.is_some_and(|due| now < due) {
             return;
         }
-        if stream == Stream::Targets && known && self.following.outage.away() {
+        if stream == Stream::Targets && known && self.following.outage.is_down() {
             // One question shows whether the store is back.
             return;
         }
@@ -167,7 +167,7 @@
     fn listens(&self) -> bool {
         let since = self.now.saturating_duration_since(self.begun);
         let place = self.peers.starting_place(self.now);
-        !self.peers.alone() && since < store_reads::listening(self.settings.first_start, place)
+        !self.peers.alone() && since < store_reads::startup_delay(self.settings.first_start, place)
     }
 
     fn ask_store(&mut self, stream: Stream, wait: Duration) {
@@ -207,9 +207,9 @@
     fn confirmed(&self, stream: Stream) -> bool {
         let place = self.peers.reading_place(self.now);
         let (age, patience) = match stream {
-            Stream::Config => (self.config_age(), store_reads::config_patience(place)),
+            Stream::Config => (self.config_age(), store_reads::config_max_age(place)),
             Stream::Targets if self.following.list_differs => return false,
-            Stream::Targets => (self.list_age(), store_reads::list_patience(place)),
+            Stream::Targets => (self.list_age(), store_reads::list_max_age(place)),
         };
         age.zip(patience).is_some_and(|(age, most)| age < most)
     }
@@ -224,7 +224,7 @@
 
     /// Time since the list at hand was last confirmed, by this host or another.
     fn list_age(&self) -> Option<Duration> {
-        let confirmed = self.following.outage.confirmed();
+        let confirmed = self.following.outage.last_confirmed();
         confirmed.map(|at| self.now.saturating_duration_since(at))
     }
 
@@ -283,7 +283,7 @@
         }
         if theirs.digest == own.digest {
             self.following.list_reached(theirs.next);
-            self.following.outage.confirm(listed);
+            self.following.outage.record_confirmation(listed);
             self.following.list_differs = false;
             return;
         }
@@ -351,8 +351,8 @@
                 let absence = self.following.outage.absence(now);
                 self.take_list(next, records, absence, back);
                 self.following.list = Some(next);
-                self.following.targets.due = Some(now + TARGETS_EVERY);
-                self.following.outage.confirm(Some(sent));
+                self.following.targets.due = Some(now + TARGETS_INTERVAL);
+                self.following.outage.record_confirmation(Some(sent));
                 self.following.list_differs = false;
                 self.following.list_missed = false;
             }
@@ -400,8 +400,8 @@
         let caught_up = next >= reading.end;
         follow.next = Some(next);
         if stream == Stream::Targets && caught_up {
-            follow.due = Some(now + TARGETS_EVERY);
-            self.following.outage.confirm(Some(sent));
+            follow.due = Some(now + TARGETS_INTERVAL);
+            self.following.outage.record_confirmation(Some(sent));
             self.following.list_differs = false;
         }
         match stream {
--- a/crates/roseshore_relay/src/entry/following/replies.rs
+++ b/crates/roseshore_relay/src/entry/following/replies.rs
@@ -5,7 +5,7 @@
 use super::super::probes::millis;
 use super::super::{Entry, note};
 use rand::RngExt;
-use roseshore_core::gateway::outage::Return;
+use roseshore_core::gateway::outage::Recovery;
 use roseshore_core::gateway::position::ReplyEra;
 use roseshore_core::gateway::store_reads;
 use roseshore_core::prelude::*;
@@ -63,7 +63,7 @@
         );
         note!(self, StoreWentBack, "{text}");
         self.following.enter_era(era);
-        self.following.outage.went_back(self.now);
+        self.following.outage.record_rollback(self.now);
         self.blocked_changed();
     }
 
@@ -82,7 +82,7 @@
     /// The configuration in force was the newest at this time, if the store holds it at all.
     pub(super) fn prove_config(&mut self, at: Instant) {
         if !self.following.config_behind {
-            self.currency.prove(at);
+            self.currency.renew(at);
         }
     }
 
@@ -98,7 +98,7 @@
         let wait = store_reads::backoff(follow.fails, place);
         follow.fails += 1;
         follow.due = Some(now + wait.mul_f64(spread));
-        if self.following.outage.failed(now) {
+        if self.following.outage.record_failure(now) {
             let age = millis(self.currency.age(now));
             note!(self, LogLost, "stream={stream:?} why={why:?} config_age_ms={age}");
         }
@@ -110,10 +110,10 @@
             follow.fails = 0;
         }
         self.following.stream(stream).due = None;
-        if let Some(Return { since, for_all }) = self.following.outage.served(now) {
+        if let Some(Recovery { since, all_hosts }) = self.following.outage.record_success(now) {
             let out = now.saturating_duration_since(since).as_millis();
             self.following.targets.due = None;
-            note!(self, LogBack, "stream={stream:?} out_ms={out} for_all={for_all}");
+            note!(self, LogBack, "stream={stream:?} out_ms={out} for_all={all_hosts}");
         }
     }
 }
--- a/crates/roseshore_relay/src/entry/pacing.rs
+++ b/crates/roseshore_relay/src/entry/pacing.rs
@@ -55,7 +55,8 @@
     fn used_engines(&self) -> VecDeque<TargetId> {
         let Some(snapshot) = &self.snapshot else { return VecDeque::new() };
         let holds = |t: &&Target| t.holding().is_some();
-        let engines = snapshot.engines().flat_map(|service| self.live(&service.name).filter(holds));
+        let engines =
+            snapshot.engine_services().flat_map(|service| self.live(&service.name).filter(holds));
         engines.map(|t| t.record.id.clone()).collect()
     }
 
--- a/crates/roseshore_relay/src/entry/peering.rs
+++ b/crates/roseshore_relay/src/entry/peering.rs
@@ -2,7 +2,7 @@
 
 use super::fatal::HEARD;
 use super::{Entry, note};
-use roseshore_core::gateway::Allowance;
+use roseshore_core::gateway::RetryBudget;
 use roseshore_core::gateway::fatal::URGENT_EVERY;
 use roseshore_core::gateway::paces::{Pace, PaceNote};
 use roseshore_core::gateway::peers::{Beat, CountNote, Datagram, Own, mark};
@@ -69,7 +69,7 @@
         self.hear_limits(from, &limits);
         let known = self.config_version();
         if let Some(proven) = heard.proven.filter(|_| config == known && known > 0) {
-            self.currency.prove(proven);
+            self.currency.renew(proven);
         }
         if config > known && !self.ask_copy(from) && !self.awaits_copy() {
             self.read_config_now();
@@ -94,7 +94,7 @@
         let view = self.peers.view(now);
         self.targets.others(&view.loads);
         for (service, allowance) in &mut self.allowances {
-            allowance.others(view.counted(mark(service)), view.told, view.hosts);
+            allowance.set_peer_counts(view.counted(mark(service)), view.told, view.hosts);
         }
     }
 
@@ -108,9 +108,9 @@
 
     fn counts(&mut self) -> Vec<CountNote> {
         let now = self.now;
-        let note = |(service, allowance): (&ServiceId, &mut Allowance)| {
-            let counted = allowance.counted(now);
-            let (requests, repeats) = (counted.requests, counted.repeats);
+        let note = |(service, allowance): (&ServiceId, &mut RetryBudget)| {
+            let counted = allowance.counts(now);
+            let (requests, repeats) = (counted.requests, counted.retries);
             CountNote { service: mark(service), requests, repeats }
         };
         self.allowances.iter_mut().map(note).collect()
@@ -142,11 +142,11 @@
         let age = self.currency.age(self.now);
         let own = Own {
             leaving: self.stopping.is_some(),
-            reading: !self.following.outage.away(),
+            reading: !self.following.outage.is_down(),
             config: self.config_version(),
             proven: age.and_then(|age| self.now.checked_sub(age)),
             list: self.list_mark(),
-            listed: self.following.outage.confirmed(),
+            listed: self.following.outage.last_confirmed(),
             loads: self.targets.notes(),
             counts: self.counts(),
             holds: self.holds(),
--- a/crates/roseshore_relay/src/entry/placing.rs
+++ b/crates/roseshore_relay/src/entry/placing.rs
@@ -11,10 +11,13 @@
 use super::{Entry, note};
 use roseshore_core::gateway::EngineSpec;
 use roseshore_core::gateway::peers::HoldNote;
-use roseshore_core::gateway::plan::orders::{Need, Reported, judge, may_order, may_plan};
+use roseshore_core::gateway::plan::orders::{
+    OrderReason, ReportAction, check_report, may_order, may_plan,
+};
 use roseshore_core::gateway::plan::pressure::Pressure;
 use roseshore_core::gateway::plan::{
-    Layers, Member, Placement, common, firm, missing, next_step, plan,
+    EngineState, LayerRange, Placement, assured_layers, first_gap, intersect, next_improvement,
+    plan,
 };
 use roseshore_core::gateway::targets::Target;
 use roseshore_core::prelude::*;
@@ -60,7 +63,7 @@
     /// What was learned that way, and when.
     learned: Vec<(HoldNote, Instant)>,
     /// The first layers that no engine of the data centre holds, for each service.
-    missing: HashMap<ServiceId, Option<Layers>>,
+    missing: HashMap<ServiceId, Option<LayerRange>>,
     /// How full the engines of each service are.
     pressure: HashMap<ServiceId, Pressure>,
     /// The last plan of each service.
@@ -70,9 +73,9 @@
 /// What a target was ordered to hold, by this host or another.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    layers: Layers,
+    layers: LayerRange,
     /// Those that can be counted on soon.
-    firm: Option<Layers>,
+    firm: Option<LayerRange>,
     /// Believed until then; the list says it by that time.
     until: Instant,
 }
@@ -80,7 +83,7 @@
 /// A plan and what it was made from.
 #[derive(Debug)]
 struct Planned {
-    members: Vec<Member>,
+    members: Vec<EngineState>,
     /// Whether it may hold a step.
     step: bool,
     placements: Vec<Placement>,
@@ -90,15 +93,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     /// The range meant for the target.
-    layers: Layers,
+    layers: LayerRange,
     /// What it was taken to hold when that was planned.
-    assumed: Option<Layers>,
+    assumed: Option<LayerRange>,
 }
 
 /// An order that was begun.
 #[derive(Clone, Copy, Debug)]
 struct Begun {
-    layers: Layers,
+    layers: LayerRange,
     ask: Instant,
     asked: u32,
 }
@@ -116,7 +119,7 @@
         self.placing.learned.retain(|(_, at)| now.saturating_duration_since(*at) < LEARNED);
         self.ask_begun();
         let Some(snapshot) = self.snapshot.clone() else { return };
-        let services: Vec<_> = snapshot.engines().cloned().collect();
+        let services: Vec<_> = snapshot.engine_services().cloned().collect();
         let mut differs = false;
         for service in services {
             let Some(spec) = &service.engine else { continue };
@@ -149,7 +152,7 @@
     /// Tells when the engines of the own data centre stop holding, or hold again, all layers.
     fn judge_layers(&mut self, service: &str, spec: &EngineSpec) {
         let held = self.live(service).filter_map(|t| Some(t.holding()?.layers));
-        let gap = missing(spec, held);
+        let gap = first_gap(spec, held);
         if self.placing.missing.get(service) == Some(&gap) {
             return;
         }
@@ -174,21 +177,21 @@
         &mut self,
         service: &str,
         spec: &EngineSpec,
-        members: Vec<Member>,
+        members: Vec<EngineState>,
     ) -> Vec<Placement> {
         let full = self.targets.fullest(service, spec, &self.settings.data_centre);
         let pressure = self.placing.pressure.entry(service.to_owned()).or_default();
-        pressure.measured(full);
+        pressure.record(full);
         let unsettled = members.iter().filter(|m| m.layers != m.ready).count();
-        let step = pressure.wants_step(unsettled)
-            && may_order(Need::Step, self.peers.place(self.now), Duration::ZERO);
+        let step = pressure.allows_step(unsettled)
+            && may_order(OrderReason::Improve, self.peers.place(self.now), Duration::ZERO);
         let known = self.placing.planned.get(service);
         if let Some(last) = known.filter(|p| p.members == members && p.step == step) {
             return last.placements.clone();
         }
         let mut placements = plan(spec, &members);
         if placements.is_empty() && step {
-            placements.extend(next_step(spec, &members));
+            placements.extend(next_improvement(spec, &members));
         }
         let planned = Planned { members, step, placements: placements.clone() };
         self.placing.planned.insert(service.to_owned(), planned);
@@ -196,26 +199,26 @@
     }
 
     /// The engines of the own data centre, with what they hold or have begun to load.
-    fn members(&self, service: &str) -> Vec<Member> {
+    fn members(&self, service: &str) -> Vec<EngineState> {
         let member = |t: &Target| {
             let held = t.holding().map(|h| h.layers);
             let pending = self.placing.pending.get(&t.record.id);
-            Some(Member {
+            Some(EngineState {
                 id: t.record.id.clone(),
                 kind: t.record.kind.clone()?,
                 layers: pending.map(|p| p.layers).or(held),
-                firm: pending.map_or(held, |p| p.firm),
-                ready: pending.map_or(held, |p| held.and_then(|h| common(h, p.layers))),
+                assured: pending.map_or(held, |p| p.firm),
+                ready: pending.map_or(held, |p| held.and_then(|h| intersect(h, p.layers))),
             })
         };
         self.live(service).filter_map(member).collect()
     }
 
-    fn want(&mut self, id: &str, layers: Layers) {
+    fn want(&mut self, id: &str, layers: LayerRange) {
         let now = self.now;
         let since = *self.placing.wanted.get_or_insert(now);
         let waited = now.saturating_duration_since(since);
-        let due = may_order(Need::Repair, self.peers.place(now), waited);
+        let due = may_order(OrderReason::Repair, self.peers.place(now), waited);
         let asked = &self.placing.asked;
         if !due || asked.contains_key(id) || asked.len() >= MOST_ASKED {
             return;
@@ -230,14 +233,14 @@
     }
 
     /// How long a target needs to load what it does not hold yet.
-    fn load_time(&self, id: &str, layers: Layers) -> Duration {
+    fn load_time(&self, id: &str, layers: LayerRange) -> Duration {
         let target = self.targets.get(id);
         let service = target.and_then(|t| self.snapshot.as_ref()?.service(&t.record.service));
         let Some(spec) = service.and_then(|s| s.engine.as_ref()) else { return BEGUN };
         let held = target.and_then(Target::holding).map(|h| h.layers);
-        let kept = held.and_then(|h| common(h, layers)).map_or(0, |(from, to)| to - from);
+        let kept = held.and_then(|h| intersect(h, layers)).map_or(0, |(from, to)| to - from);
         let fresh = f64::from(layers.1 - layers.0 - kept) / f64::from(spec.layers);
-        spec.load.mul_f64(fresh) + REPORT_LAG
+        spec.load_time.mul_f64(fresh) + REPORT_LAG
     }
 
     /// Asks targets whose load should be done: the list says so a second or two later.
@@ -265,7 +268,7 @@
         }
     }
 
-    fn check_begun(&mut self, id: &str, layers: Layers, busy: bool, held: Option<Layers>) {
+    fn check_begun(&mut self, id: &str, layers: LayerRange, busy: bool, held: Option<LayerRange>) {
         if busy || held != Some(layers) {
             return;
         }
@@ -276,11 +279,11 @@
 
     /// Holds a target for one that is to hold these layers, for a time. What it held when that was
     /// first believed decides how much of it can be counted on.
-    fn believe(&mut self, id: &str, layers: Layers, time: Duration) {
+    fn believe(&mut self, id: &str, layers: LayerRange, time: Duration) {
         let until = self.now + time;
         let known = self.placing.pending.get(id).filter(|p| p.layers == layers);
         let held = self.targets.get(id).and_then(Target::holding).map(|h| h.layers);
-        let firm = known.map_or_else(|| firm(held, layers), |p| p.firm);
+        let firm = known.map_or_else(|| assured_layers(held, layers), |p| p.firm);
         self.placing.pending.insert(id.to_owned(), Pending { layers, firm, until });
     }
 
@@ -303,10 +306,10 @@
         let Some(Asked { assumed, .. }) = asked else {
             return self.check_begun(id, layers, report.busy, held);
         };
-        match judge(report.busy, held, layers, assumed) {
-            Reported::Order => {}
-            Reported::Underway => return self.believe(id, layers, AGAIN),
-            Reported::Other(held) => return self.learn_held(id, held),
+        match check_report(report.busy, held, layers, assumed) {
+            ReportAction::Send => {}
+            ReportAction::Skip => return self.believe(id, layers, AGAIN),
+            ReportAction::Replan(held) => return self.learn_held(id, held),
         }
         let Some(addr) = self.callable(id) else { return };
         let request = self.platform.place(layers, report.orders);
@@ -330,7 +333,7 @@
     pub(super) fn place_came(
         &mut self,
         id: &str,
-        layers: Layers,
+        layers: LayerRange,
         reply: Result<CallReply, CallFault>,
     ) {
         let begun = matches!(&reply, Ok(r) if r.status == 202 || r.status == 200);
--- a/crates/roseshore_relay/src/entry/placing/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placing/holdings.rs
@@ -3,7 +3,7 @@
 use super::super::{Entry, note};
 use super::LEARNED;
 use roseshore_core::gateway::peers::HoldNote;
-use roseshore_core::gateway::plan::{Layers, common};
+use roseshore_core::gateway::plan::{LayerRange, intersect};
 use roseshore_core::gateway::targets::{Target, Word};
 use roseshore_core::prelude::*;
 
@@ -12,11 +12,11 @@
 /// What another host ordered, or learned, is believed for so long after each word of it.
 const ORDERED: Duration = Duration::from_millis(1200);
 /// Layers of a target that was shown not to hold what the list says.
-const NOTHING: Layers = (0, 0);
+const NOTHING: LayerRange = (0, 0);
 
 impl Entry {
     /// Takes what a target said of its layers, and tells the data centre at once.
-    pub(super) fn learn_held(&mut self, id: &str, layers: Layers) {
+    pub(super) fn learn_held(&mut self, id: &str, layers: LayerRange) {
         let Some(target) = self.targets.mark(id) else { return };
         let word = self.targets.next_word(target, layers);
         self.targets.learned(target, word, self.now + LEARNED);
@@ -32,9 +32,9 @@
     /// A target turned a request away since it does not hold its part: it started again, or gave layers
     /// up, and the list does not say so yet. Every host hears of it at once; found out by each of
     /// 64 hosts on its own, one engine that came back empty turned 172 sends away in six seconds.
-    pub(in crate::entry) fn disprove_held(&mut self, id: &str, part: Layers) {
+    pub(in crate::entry) fn disprove_held(&mut self, id: &str, part: LayerRange) {
         let held = self.targets.get(id).and_then(Target::holding).map(|h| h.layers);
-        let Some((from, to)) = held.filter(|held| common(*held, part) == Some(part)) else {
+        let Some((from, to)) = held.filter(|held| intersect(*held, part) == Some(part)) else {
             // It is held to hold other layers by now.
             return;
         };
--- a/crates/roseshore_relay/src/entry/probes.rs
+++ b/crates/roseshore_relay/src/entry/probes.rs
@@ -67,7 +67,7 @@
 
     /// Whether the configuration may be taken for the newest.
     pub(super) fn current(&self) -> bool {
-        self.currency.current(self.now) && !self.outdated()
+        self.currency.is_valid(self.now) && !self.outdated()
     }
 
     /// Decides whether callers should come here.
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -23,8 +23,8 @@
         }
         // A host that has just begun knows only what the older copy of the store holds.
         let older = known.is_some_and(|known| known.era < copy.next.era);
-        self.following.outage.told(Duration::from_millis(copy.lapse), self.now);
-        self.following.outage.copied(self.now);
+        self.following.outage.receive_grace(Duration::from_millis(copy.lapse), self.now);
+        self.following.outage.receive_copy(self.now);
         let absence = self.following.outage.absence(self.now);
         self.targets.reach(copy.next);
         let Changes { records, dropped } = copy.changes;
@@ -91,7 +91,7 @@
     /// The own list of targets, for a host that has read it so far.
     pub(super) fn list_copy(&self, known: Position) -> Option<ListCopy> {
         let next = self.following.list_next()?;
-        let lapse = self.following.outage.lapse_left(self.now).as_millis() as u64;
+        let lapse = self.following.outage.grace_left(self.now).as_millis() as u64;
         let digest = self.targets.list_mark(next).digest;
         Some(ListCopy { next, changes: self.targets.since(known), digest, lapse })
     }
--- a/crates/roseshore_relay/src/entry/sends.rs
+++ b/crates/roseshore_relay/src/entry/sends.rs
@@ -7,10 +7,10 @@
 use super::{Entry, Role, Timer, note};
 use crate::http;
 use crate::slab::Key;
-use roseshore_core::gateway::failure::{self, Blame, Fault, Next};
-use roseshore_core::gateway::path::{self, PathNeed};
+use roseshore_core::gateway::failure::{self, Blame, Fault, NextStep};
+use roseshore_core::gateway::path::{self, PathRequest};
 use roseshore_core::gateway::targets::Claim;
-use roseshore_core::gateway::{Hindrance, Hop};
+use roseshore_core::gateway::{Hop, Unavailable};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Carried;
 use std::net::SocketAddr;
@@ -192,7 +192,7 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key).filter(|e| e.arrived) else { return true };
         let service = exchange.service.name.clone();
-        self.allowance(&service).repeat(now)
+        self.allowance(&service).try_retry(now)
     }
 
     /// Keeps a request until a target has room; a stream that has begun for longer, since breaking
@@ -208,11 +208,11 @@
         let left = (since + most).saturating_duration_since(now);
         if best.is_none() && !begun {
             match self.hindrance(key) {
-                Hindrance::Rest(rest) if !engine || rest >= left => {
+                Unavailable::BackingOff(rest) if !engine || rest >= left => {
                     return self.end_by_rest(key, rest);
                 }
-                Hindrance::Limit => return self.end_by_limit(key),
-                Hindrance::Rest(_) | Hindrance::Other => {}
+                Unavailable::RateLimited => return self.end_by_limit(key),
+                Unavailable::BackingOff(_) | Unavailable::Other => {}
             }
         }
         if !engine || left.is_zero() {
@@ -226,12 +226,12 @@
     }
 
     /// Why nothing can be chosen for a request.
-    fn hindrance(&mut self, key: Key) -> Hindrance {
-        let Some(exchange) = self.exchanges.get(key) else { return Hindrance::Other };
+    fn hindrance(&mut self, key: Key) -> Unavailable {
+        let Some(exchange) = self.exchanges.get(key) else { return Unavailable::Other };
         let rests = self.targets.rest_ends(&exchange.service.name, self.now);
         let shut = self.shut(&exchange.service.name);
-        Hindrance::of(rests, !shut.is_empty(), self.now, |wish| {
-            let heeded = if wish.limits { shut.as_slice() } else { &[] };
+        Unavailable::of(rests, !shut.is_empty(), self.now, |wish| {
+            let heeded = if wish.enforce_limits { shut.as_slice() } else { &[] };
             self.choose_at(key, wish.at, heeded).is_some()
         })
     }
@@ -244,43 +244,43 @@
     }
 
     /// The same by what is known now of a moment, and without the targets that take no more.
-    fn choose_at(&mut self, key: Key, at: Instant, shut: &[TargetId]) -> Option<Choice> {
+    fn choose_at(&mut self, key: Key, at: Instant, excluded_first: &[TargetId]) -> Option<Choice> {
         let exchange = self.exchanges.get(key)?;
-        let near = self.settings.data_centre.as_str();
+        let data_centre = self.settings.data_centre.as_str();
         let bound = exchange.at_bound();
-        let starts = bound.then_some(exchange.sent_to.as_slice());
+        let allowed_first = bound.then_some(exchange.sent_to.as_slice());
         let avoid = exchange.avoid.list(at);
         let Some(spec) = exchange.service.engine.as_ref() else {
             if bound {
                 return None;
             }
-            let avoid = [&avoid, shut].concat();
-            let target = self.targets.plain(&exchange.service.name, near, &avoid, at);
+            let avoid = [&avoid, excluded_first].concat();
+            let target = self.targets.plain(&exchange.service.name, data_centre, &avoid, at);
             let record = &target?.record;
             return Some(Choice::plain(record.id.clone(), record.addr));
         };
-        let written = f64::from(exchange.out.events) * spec.stride;
-        let expected = expected_tokens(exchange, spec.answer);
-        let need = PathNeed {
+        let written = f64::from(exchange.out.events) * spec.event_tokens;
+        let expected = expected_tokens(exchange, spec.mean_answer);
+        let need = PathRequest {
             layers: spec.layers,
-            prompt: f64::from(exchange.asked.prompt) + written,
-            answer: (expected - written).max(spec.stride),
-            near,
-            avoid: &avoid,
-            shut,
-            starts,
+            prompt_tokens: f64::from(exchange.asked.prompt) + written,
+            answer_tokens: (expected - written).max(spec.event_tokens),
+            data_centre,
+            avoided: &avoid,
+            excluded_first,
+            allowed_first,
         };
         let parts = self.targets.parts(&exchange.service.name, spec, &need, at);
         let path = path::choose(&parts, &need, &mut self.random)?;
-        let tokens = need.tokens();
+        let tokens = need.kv_tokens();
         let claim = |(id, _, hop): &(TargetId, SocketAddr, Hop)| {
             let held = tokens * f64::from(hop.layers.1 - hop.layers.0);
             Claim { target: id.clone(), held }
         };
         let claims = path.hops.iter().map(claim).collect();
         let (target, addr, _) = path.hops.first().cloned()?;
-        let (first_ms, token_ms, roomy) = (path.first_ms, path.token_ms, path.roomy);
-        let (fill, expected) = ((path.fill, path.fullest), need.answer);
+        let (first_ms, token_ms, roomy) = (path.ttft_ms, path.token_ms, path.suitable);
+        let (fill, expected) = ((path.utilisation, path.bottleneck), need.answer_tokens);
         let path = path.hops;
         Some(Choice { target, addr, path, claims, first_ms, token_ms, roomy, expected, fill })
     }
@@ -330,7 +330,7 @@
         self.look_into(key, fault, &culprits);
         for culprit in &culprits {
             // What the first target says of a later one does not show that that one lives.
-            if !(fault.shows_life() && *culprit == first) {
+            if !(fault.proves_alive() && *culprit == first) {
                 self.check_alive(culprit);
             }
             let until = self.record_fault(culprit, blame, fault);
@@ -360,7 +360,7 @@
     fn follow_fault(&mut self, key: Key, fault: Fault) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key) else { return };
-        if failure::next(&exchange.standing(now)) == Next::Again {
+        if failure::next_step(&exchange.standing(now)) == NextStep::Retry {
             return self.dispatch(key);
         }
         let (code, why) = match fault {
--- a/crates/roseshore_relay/src/entry/silence.rs
+++ b/crates/roseshore_relay/src/entry/silence.rs
@@ -92,13 +92,13 @@
 fn silence_limits(exchange: &Exchange) -> Option<(Duration, Duration)> {
     let send = exchange.send.as_ref()?;
     match exchange.route.kind {
-        CallKind::Unrepeatable | CallKind::Stream { resumable: false } => None,
+        CallKind::NonIdempotent | CallKind::Stream { resumable: false } => None,
         CallKind::Idempotent => Some((PLAIN_SILENT / 2, PLAIN_SILENT)),
         CallKind::Stream { resumable: true } if send.latest == send.sent => Some(FIRST_SILENT),
         CallKind::Stream { resumable: true } => {
-            let stride = exchange.service.engine.as_ref().map_or(1.0, |e| e.stride);
+            let stride = exchange.service.engine.as_ref().map_or(1.0, |e| e.event_tokens);
             let step = Duration::from_secs_f64(send.token_ms * stride / 1000.0);
-            let borne = exchange.route.pause.map_or(USUAL_DOUBT, |pause| pause.mul_f64(DOUBT));
+            let borne = exchange.route.max_gap.map_or(USUAL_DOUBT, |pause| pause.mul_f64(DOUBT));
             let doubt = borne.max(NEXT_SILENT.0).max(step.mul_f64(NEXT_SILENT_STEPS.0));
             Some((doubt, NEXT_SILENT.1.max(step.mul_f64(NEXT_SILENT_STEPS.1))))
         }
--- a/crates/roseshore_relay/src/entry/stopping.rs
+++ b/crates/roseshore_relay/src/entry/stopping.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, Role, note};
 use crate::slab::Key;
-use roseshore_core::gateway::{Allowance, Currency};
+use roseshore_core::gateway::{ConfigLease, RetryBudget};
 use roseshore_core::prelude::*;
 use std::sync::atomic::Ordering;
 
@@ -42,9 +42,9 @@
         }
         if fresh.bounds != self.settings.bounds {
             let age = self.currency.age(self.now);
-            self.currency = Currency::new(fresh.bounds.revoke);
+            self.currency = ConfigLease::new(fresh.bounds.revoke);
             if let Some(proven) = age.and_then(|age| self.now.checked_sub(age)) {
-                self.currency.prove(proven);
+                self.currency.renew(proven);
             }
             self.allowances.clear();
         }
@@ -53,9 +53,10 @@
     }
 
     /// The allowance of a service.
-    pub(super) fn allowance(&mut self, service: &str) -> &mut Allowance {
+    pub(super) fn allowance(&mut self, service: &str) -> &mut RetryBudget {
         let bounds = &self.settings.bounds;
-        let fresh = || Allowance::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
+        let fresh =
+            || RetryBudget::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
         self.allowances.entry(service.to_owned()).or_insert_with(fresh)
     }
 
