--- a/crates/roseshore_core/src/admit.rs
+++ b/crates/roseshore_core/src/admit.rs
@@ -9,12 +9,12 @@
 pub mod bucket;
 pub mod fair;
 pub mod limit;
-pub mod line;
+pub mod queue;
 pub mod share;
 
 use crate::prelude::*;
 use bucket::Bucket;
-use line::{Joined, Line};
+use queue::{Joined, Line};
 use rustc_hash::FxHashMap;
 use share::{Demand, DemandMeter, Demands, PeerDemand};
 
--- a/crates/roseshore_core/src/answer.rs
+++ b/crates/roseshore_core/src/answer.rs
@@ -12,16 +12,16 @@
 //!   next position. Attempts are bounded by count and by the deadline.
 //! - A refusal says "not run" only when every attempt was proved not to have begun.
 //!
-//! [`pace`] bounds silence, [`window`] puts early tokens in order, [`avoid`] remembers what failed,
+//! [`timeout`] bounds silence, [`reorder`] puts early tokens in order, [`avoid`] remembers what failed,
 //! and [`crate::cost`] decides between moving KV caches and a new prefill.
 
 pub mod avoid;
+pub mod interval;
 pub mod lineage;
 pub mod machine;
 pub mod message;
-pub mod meter;
-pub mod pace;
-pub mod window;
+pub mod reorder;
+pub mod timeout;
 
 pub use machine::{Answer, Rules, Tally};
 pub use message::{Action, Cause, Failure, Finish, Health, Input, Job, Line, Move, Route};
--- a/crates/roseshore_core/src/answer/machine.rs
+++ b/crates/roseshore_core/src/answer/machine.rs
@@ -7,8 +7,8 @@
 use crate::answer::avoid::Avoid;
 use crate::answer::lineage::Stage;
 use crate::answer::message::{Action, Cause, Finish, Input, Job};
-use crate::answer::pace::{Pace, PaceRules};
-use crate::answer::window::Window;
+use crate::answer::reorder::Window;
+use crate::answer::timeout::{Pace, PaceRules};
 use crate::cost::{Held, Rates};
 use crate::prelude::*;
 
--- a/crates/roseshore_core/src/answer/machine/stream.rs
+++ b/crates/roseshore_core/src/answer/machine/stream.rs
@@ -3,7 +3,7 @@
 use super::{Answer, Blame, PROBE_PART, Phase};
 use crate::answer::lineage::{self, Broken, Stamp, Wanted};
 use crate::answer::message::{Action, Cause, Failure, Finish, Health, Line};
-use crate::answer::window::Placed;
+use crate::answer::reorder::Placed;
 use crate::prelude::*;
 
 impl Answer {
--- a/crates/roseshore_core/src/gateway/targets/target.rs
+++ b/crates/roseshore_core/src/gateway/targets/target.rs
@@ -4,7 +4,7 @@
 use super::super::peers::{LoadNote, TargetMark, target_mark};
 use super::super::position::Position;
 use super::Intake;
-use crate::load::health::Health;
+use crate::load::breaker::Health;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/roseshore_core/src/load.rs
+++ b/crates/roseshore_core/src/load.rs
@@ -5,20 +5,20 @@
 //! long steps really took. [`Loads`] keeps one row per target and hands out [`Ticket`]s that count
 //! as in flight until they are given back.
 
-pub mod health;
-pub mod history;
-pub mod pace;
+pub mod breaker;
+pub mod in_flight;
 mod report;
+pub mod slowdown;
 
 pub use report::{Change, Content, EngineState, Figures, ServiceState};
 
 use crate::fleet::TargetKind;
 use crate::prelude::*;
-use health::Health;
-use history::History;
-use pace::Pace;
+use breaker::Health;
+use in_flight::History;
 use report::{take_engine, take_service};
 use rustc_hash::FxHashMap;
+use slowdown::Pace;
 use std::net::SocketAddr;
 
 /// The place of a target's row.
--- a/crates/roseshore_core/src/load/report.rs
+++ b/crates/roseshore_core/src/load/report.rs
@@ -1,8 +1,8 @@
 //! What a target reports, and how a report changes what is known of it.
 
 use super::Row;
-use super::health::Health;
-use super::pace::Pace;
+use super::breaker::Health;
+use super::slowdown::Pace;
 use crate::prelude::*;
 use std::collections::BTreeSet;
 
--- a/crates/roseshore_core/tests/answer.rs
+++ b/crates/roseshore_core/tests/answer.rs
@@ -13,7 +13,7 @@
 use proptest::test_runner::RngSeed;
 use roseshore_core::answer::Input;
 use roseshore_core::answer::lineage::{self, Broken, Stage, Stamp, Wanted};
-use roseshore_core::answer::pace::{Pace, PaceRules};
+use roseshore_core::answer::timeout::{Pace, PaceRules};
 use roseshore_core::prelude::*;
 use world::{RANGES, REPLICAS, State, World};
 
--- a/crates/roseshore_core/tests/load.rs
+++ b/crates/roseshore_core/tests/load.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use roseshore_core::fleet::TargetKind;
-use roseshore_core::load::health::Health;
-use roseshore_core::load::history::History;
+use roseshore_core::load::breaker::Health;
+use roseshore_core::load::in_flight::History;
 use roseshore_core::load::{Change, Content, Index, Loads, ServiceState};
 use roseshore_core::prelude::*;
 
--- a/crates/roseshore_core/tests/meter.rs
+++ b/crates/roseshore_core/tests/meter.rs
@@ -1,6 +1,6 @@
 //! The pace of a chain: averaged over gaps, without the wait for the first token.
 
-use roseshore_core::answer::meter::PaceMeter;
+use roseshore_core::answer::interval::PaceMeter;
 use roseshore_core::prelude::*;
 
 struct Case {
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -6,7 +6,7 @@
 use super::{AnswerAsk, CallerLeft, Parts, Sink, Whole};
 use crate::event;
 use flume::{Receiver, RecvError, Selector};
-use roseshore_core::answer::meter::PaceMeter;
+use roseshore_core::answer::interval::PaceMeter;
 use roseshore_core::answer::{Action, Answer, Finish, Input, Job, Line, Route, Rules};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Ask, Need, Permit};
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -3,7 +3,7 @@
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::answer::Rules;
-use roseshore_core::answer::pace::PaceRules;
+use roseshore_core::answer::timeout::PaceRules;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
