--- a/crates/roseshore_adapters/src/call.rs
+++ b/crates/roseshore_adapters/src/call.rs
@@ -76,7 +76,7 @@
 }
 
 fn retry_after(reply: &minreq::Response) -> Option<Duration> {
-    retry::asked(header(reply, "retry-after")?)
+    retry::parse_retry_after(header(reply, "retry-after")?)
 }
 
 fn failure(error: &minreq::Error) -> CallError {
--- a/crates/roseshore_adapters/src/engine/status.rs
+++ b/crates/roseshore_adapters/src/engine/status.rs
@@ -30,7 +30,7 @@
     }
 
     fn refused(self) -> CallError {
-        let after = self.after.and_then(|text| retry::asked(&text));
+        let after = self.after.and_then(|text| retry::parse_retry_after(&text));
         let body = String::from_utf8_lossy(&self.body).into_owned();
         CallError::Refused(self.status, after, body)
     }
--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_core::answer::Rules;
+use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings};
 use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
@@ -223,9 +223,9 @@
             }
         };
         let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-        let mut rules = Rules::default();
+        let mut rules = AnswerSettings::default();
         if warm.is_some() {
-            rules.pace.prefill = Duration::from_secs(20);
+            rules.timeouts.prefill = Duration::from_secs(20);
         }
         let engine = Arc::new(EngineClient::new());
         let parts = Parts { router: router.clone(), engine, budgets: Arc::default(), rules };
@@ -295,8 +295,12 @@
     let rows = RANGES.into_iter().enumerate().map(|s| vec![stage(s)]).collect();
     let first = Duration::from_secs(1);
     let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-    let parts =
-        Parts { router, engine: Arc::new(Flood), budgets: Arc::default(), rules: Rules::default() };
+    let parts = Parts {
+        router,
+        engine: Arc::new(Flood),
+        budgets: Arc::default(),
+        rules: AnswerSettings::default(),
+    };
     let mut listener = Listener::default();
     let whole = run_over(&parts, &ask(count), question(1, count), &mut listener);
     assert_eq!(whole.expect("a whole answer").count, count);
--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -7,19 +7,19 @@
 use super::{ACCELERATORS, CENTRES, DAEMONS, ORGANISATIONS, REPLICAS, Series, usage};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use roseshore_core::admit::{Admission, Arrival, Capacity, Entry};
+use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity};
 use roseshore_core::config::{
     Change, Command, FORMAT, Judged, Object, ObjectKey, Outcome as Folding, State,
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
 use roseshore_core::ledger::account::{Counts, Fold, Part, Row, RowKey};
 use roseshore_core::ledger::book::{Book, Ended, Whose};
-use roseshore_core::load::{Content, EngineState, Index};
+use roseshore_core::load::{EngineState, PollResult, TargetIndex};
 use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
 use roseshore_core::once::keys::Keys;
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::prelude::*;
-use roseshore_core::route::{ChainNeed, Router, Tuning};
+use roseshore_core::route::{ChainRequest, Router, SampleSizes};
 use roseshore_ports::inside::Outcome;
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -233,9 +233,9 @@
         version: Some("2028-11".into()),
         layers: (piece * 20, piece * 20 + 20),
         adapters: ["notes".to_owned(), "review".to_owned()].into(),
-        whole: true,
+        both_phases: true,
         loading: false,
-        leaving: false,
+        draining: false,
         queue: 0,
         running: (n % 7) as u32,
         slots: 8,
@@ -246,10 +246,10 @@
 }
 
 fn router(fleet: &Fleet, now: Instant) -> Router {
-    let mut router = Router::new("z0", Tuning::default(), SmallRng::seed_from_u64(1));
-    router.declare(fleet);
+    let mut router = Router::new("z0", SampleSizes::default(), SmallRng::seed_from_u64(1));
+    router.apply_fleet(fleet);
     for (n, id) in fleet.targets.keys().enumerate() {
-        router.report(id, now, Content::Engine(engine(n)));
+        router.report(id, now, PollResult::Engine(engine(n)));
     }
     router
 }
@@ -272,7 +272,7 @@
         let mut router = router(&fleet(n), now);
         let models: Vec<String> = (0..MODELS).map(|m| format!("m{m}")).collect();
         micros(|round| {
-            let need = ChainNeed {
+            let need = ChainRequest {
                 model: &models[round % MODELS],
                 version: "2028-11",
                 layers: 60,
@@ -282,8 +282,8 @@
                 expected: 100,
                 avoid: &[],
             };
-            let choice = router.chain(&need, now).expect("a chain");
-            let rows: Vec<Index> = choice.stages.iter().map(|stage| stage.row).collect();
+            let choice = router.choose_chain(&need, now).expect("a chain");
+            let rows: Vec<TargetIndex> = choice.stages.iter().map(|stage| stage.row).collect();
             let ticket = router.begin(&rows, now);
             router.end(&ticket, now);
         })
@@ -293,7 +293,7 @@
         let ids: Vec<TargetId> = (0..n).map(|i| target(i).0).collect();
         micros(|round| {
             let seen = now + Duration::from_micros(1 + round as u64);
-            router.report(&ids[round % n], seen, Content::Engine(engine(round % n)));
+            router.report(&ids[round % n], seen, PollResult::Engine(engine(round % n)));
         })
     });
     let goals = vec![REPLICAS, ACCELERATORS];
@@ -471,7 +471,7 @@
     }
     let door = |n: usize| {
         let mut door = Admission::default();
-        door.fit("chat", Capacity { slots: 1e6, busy: 0.0 });
+        door.update_limit("chat", Capacity { slots: 1e6, busy: 0.0 });
         for id in &ids[..n] {
             arrive(&mut door, &fleet, id, now);
         }
@@ -509,7 +509,7 @@
         priority: 4,
         cost: 1,
     };
-    if let Entry::In(pass) = door.arrive(fleet, &who, now, 0.5) {
-        door.leave(pass, now, 0.5);
+    if let AdmitResult::Admitted(pass) = door.arrive(fleet, &who, now, 0.5) {
+        door.release(pass, now, 0.5);
     }
 }
--- a/crates/roseshore_core/examples/route_compare.rs
+++ b/crates/roseshore_core/examples/route_compare.rs
@@ -6,11 +6,11 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use roseshore_core::admit::{Admission, Arrival, Decision, Entry, Pass};
+use roseshore_core::admit::{Admission, AdmitResult, Arrival, Slot, WaitOutcome};
 use roseshore_core::fleet::{DataCentre, ServiceKind, TargetKind};
-use roseshore_core::load::{Content, EngineState, Index, Ticket};
+use roseshore_core::load::{EngineState, PollResult, TargetIndex, Ticket};
 use roseshore_core::prelude::*;
-use roseshore_core::route::{ChainNeed, Router, Tuning};
+use roseshore_core::route::{ChainRequest, Router, SampleSizes};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -68,12 +68,12 @@
     arrived: Instant,
     prompt: u32,
     tokens: u32,
-    chain: Vec<Index>,
+    chain: Vec<TargetIndex>,
     at: usize,
     done: u32,
     first: Option<Duration>,
     last: Instant,
-    hold: Option<(Ticket, Pass)>,
+    hold: Option<(Ticket, Slot)>,
 }
 
 struct World {
@@ -143,11 +143,11 @@
         // One more than daemons: the oracle sees every request and knows the true speeds.
         let routers = (0..=DAEMONS)
             .map(|d| {
-                let all = Tuning { near: ENGINES, far: ENGINES };
-                let tuning = if d == DAEMONS { all } else { Tuning::default() };
+                let all = SampleSizes { near: ENGINES, far: ENGINES };
+                let tuning = if d == DAEMONS { all } else { SampleSizes::default() };
                 let mut router =
                     Router::new(zones[d % 3], tuning, SmallRng::seed_from_u64(d as u64));
-                router.declare(&fleet);
+                router.apply_fleet(&fleet);
                 router
             })
             .collect();
@@ -193,9 +193,9 @@
                 version: Some("v".into()),
                 layers: engine.layers,
                 adapters: [].into(),
-                whole: true,
+                both_phases: true,
                 loading: false,
-                leaving: false,
+                draining: false,
                 queue: 0,
                 running: depths[i],
                 slots: SLOTS as u32,
@@ -204,7 +204,7 @@
                 kv_free: 1 << 30,
             };
             for router in &mut self.routers[..DAEMONS] {
-                router.report(&format!("e{i:02}"), seen, Content::Engine(state.clone()));
+                router.report(&format!("e{i:02}"), seen, PollResult::Engine(state.clone()));
             }
             let truth = EngineState {
                 running: 0,
@@ -212,7 +212,7 @@
                 prefill: state.prefill / engine.slow,
                 ..state
             };
-            self.routers[DAEMONS].report(&format!("e{i:02}"), seen, Content::Engine(truth));
+            self.routers[DAEMONS].report(&format!("e{i:02}"), seen, PollResult::Engine(truth));
         }
     }
 
@@ -220,10 +220,10 @@
         if self.setup.way == Way::Oracle { DAEMONS } else { daemon }
     }
 
-    fn pick(&mut self, job: usize) -> Vec<Index> {
+    fn pick(&mut self, job: usize) -> Vec<TargetIndex> {
         let (daemon, prompt, expected) =
             (self.jobs[job].daemon, self.jobs[job].prompt, self.jobs[job].tokens);
-        let need = ChainNeed {
+        let need = ChainRequest {
             model: "m",
             version: "v",
             layers: 12,
@@ -235,14 +235,14 @@
         };
         if matches!(self.setup.way, Way::Ours | Way::Oracle) {
             let router = self.router(daemon);
-            let choice = self.routers[router].chain(&need, self.now).unwrap();
+            let choice = self.routers[router].choose_chain(&need, self.now).unwrap();
             return choice.stages.iter().map(|s| s.row).collect();
         }
         self.robin += 1;
         (0..3)
             .map(|piece| {
                 let all: Vec<usize> = (piece..ENGINES).step_by(3).collect();
-                let row = |i: usize| self.routers[daemon].loads().row(i as Index);
+                let row = |i: usize| self.routers[daemon].loads().row(i as TargetIndex);
                 let chosen = match self.setup.way {
                     Way::Random => all[self.random.random_range(0..all.len())],
                     Way::Robin => all[(self.robin / DAEMONS + daemon) % all.len()],
@@ -251,12 +251,12 @@
                         .min_by(|&a, &b| row(a).figures.depth.total_cmp(&row(b).figures.depth))
                         .unwrap(),
                 };
-                chosen as Index
+                chosen as TargetIndex
             })
             .collect()
     }
 
-    fn begin(&mut self, job: usize, pass: Pass) {
+    fn begin(&mut self, job: usize, pass: Slot) {
         let chain = self.pick(job);
         let router = self.router(self.jobs[job].daemon);
         let ticket = self.routers[router].begin(&chain, self.now);
@@ -297,9 +297,13 @@
         if own.at == 0 {
             let (chain, gap) = (own.chain.clone(), self.now - own.last);
             match self.setup.way {
-                Way::Ours if own.done > 0 => self.routers[own.daemon].paced(&chain, gap, self.now),
+                Way::Ours if own.done > 0 => {
+                    self.routers[own.daemon].record_chain_step(&chain, gap, self.now)
+                }
                 // The oracle knows the speeds; it is only told that there is progress.
-                Way::Oracle => self.routers[DAEMONS].paced(&chain, Duration::ZERO, self.now),
+                Way::Oracle => {
+                    self.routers[DAEMONS].record_chain_step(&chain, Duration::ZERO, self.now)
+                }
                 _ => {}
             }
             own.done += 1;
@@ -322,14 +326,14 @@
         }
         let router = self.router(daemon);
         self.routers[router].end(&ticket, self.now);
-        let turns = self.admissions[daemon].leave(pass, self.now, 0.5);
+        let turns = self.admissions[daemon].release(pass, self.now, 0.5);
         self.turns(daemon, turns);
     }
 
-    fn turns(&mut self, daemon: usize, turns: Vec<Decision>) {
+    fn turns(&mut self, daemon: usize, turns: Vec<WaitOutcome>) {
         for turn in turns {
             let job = self.waits[daemon].remove(&turn.waiter).unwrap();
-            if let Ok(pass) = turn.end {
+            if let Ok(pass) = turn.result {
                 self.begin(job, pass);
             }
         }
@@ -364,9 +368,9 @@
             cost: tokens,
         };
         match self.admissions[daemon].arrive(&self.fleet, &who, self.now, 0.5) {
-            Entry::In(pass) => self.begin(job, pass),
-            Entry::Out(_) => {}
-            Entry::Wait(waits) => {
+            AdmitResult::Admitted(pass) => self.begin(job, pass),
+            AdmitResult::Refused(_) => {}
+            AdmitResult::Queued(waits) => {
                 self.waits[daemon].insert(waits.waiter, job);
                 self.at(waits.until, Event::GiveUp(daemon, waits.waiter));
                 self.turns(daemon, waits.displaced.into_iter().collect());
@@ -378,7 +382,7 @@
         let depths = self.engines.iter().map(|e| e.inside).collect();
         self.at(self.now + self.setup.lag, Event::Deliver(depths));
         self.at(self.now + POLL, Event::Poll);
-        let need = ChainNeed {
+        let need = ChainRequest {
             model: "m",
             version: "v",
             layers: 12,
@@ -392,9 +396,9 @@
             self.admissions[daemon].tick(DAEMONS, self.now);
             let router = self.router(daemon);
             if let Some(room) = self.routers[router].chain_capacity(&need, self.now) {
-                self.admissions[daemon].fit("s", room);
+                self.admissions[daemon].update_limit("s", room);
             }
-            let turns = self.admissions[daemon].advance("s", self.now, 0.5);
+            let turns = self.admissions[daemon].admit_waiting("s", self.now, 0.5);
             self.turns(daemon, turns);
         }
     }
--- a/crates/roseshore_core/examples/route_cost.rs
+++ b/crates/roseshore_core/examples/route_cost.rs
@@ -5,11 +5,11 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use roseshore_core::admit::{Admission, Arrival, Capacity, Entry};
+use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity};
 use roseshore_core::fleet::{DataCentre, ServiceKind, TargetKind};
-use roseshore_core::load::{Content, EngineState, Index};
+use roseshore_core::load::{EngineState, PollResult, TargetIndex};
 use roseshore_core::prelude::*;
-use roseshore_core::route::{ChainNeed, Router, Tuning};
+use roseshore_core::route::{ChainRequest, Router, SampleSizes};
 use std::net::{Ipv4Addr, SocketAddr};
 
 const MODELS: usize = 24;
@@ -62,9 +62,9 @@
         version: Some("v".into()),
         layers: (piece * 20, piece * 20 + 20),
         adapters: [].into(),
-        whole: true,
+        both_phases: true,
         loading: false,
-        leaving: false,
+        draining: false,
         queue: 0,
         running: (i % 7) as u32,
         slots: 8,
@@ -91,7 +91,7 @@
     let models: Vec<String> = (0..MODELS).map(|m| format!("m{m}")).collect();
     let prefixes: Vec<(u32, u64)> = (1..9).map(|n| (n * 64, u64::from(n))).collect();
     time(ROUNDS, |round| {
-        let need = ChainNeed {
+        let need = ChainRequest {
             model: &models[round % MODELS],
             version: "v",
             layers: 60,
@@ -101,10 +101,10 @@
             expected: 100,
             avoid: &[],
         };
-        let choice = router.chain(&need, now).expect("a chain");
-        let rows: Vec<Index> = choice.stages.iter().map(|stage| stage.row).collect();
+        let choice = router.choose_chain(&need, now).expect("a chain");
+        let rows: Vec<TargetIndex> = choice.stages.iter().map(|stage| stage.row).collect();
         let ticket = router.begin(&rows, now);
-        router.paced(&rows, Duration::from_millis(10), now);
+        router.record_chain_step(&rows, Duration::from_millis(10), now);
         router.end(&ticket, now);
     })
 }
@@ -114,7 +114,7 @@
     let mut random = SmallRng::seed_from_u64(3);
     let ids: Vec<String> =
         (0..2000).map(|_| format!("o{}", random.random_range(0..33_000))).collect();
-    door.fit("lookup", Capacity { slots: 64.0, busy: 0.0 });
+    door.update_limit("lookup", Capacity { slots: 64.0, busy: 0.0 });
     time(ROUNDS, |round| {
         let who = Arrival {
             organisation: &ids[round % ids.len()],
@@ -123,8 +123,10 @@
             priority: 4,
             cost: 1,
         };
-        let Entry::In(pass) = door.arrive(fleet, &who, now, 0.5) else { panic!("let in") };
-        door.leave(pass, now, 0.5);
+        let AdmitResult::Admitted(pass) = door.arrive(fleet, &who, now, 0.5) else {
+            panic!("let in")
+        };
+        door.release(pass, now, 0.5);
     })
 }
 
@@ -134,16 +136,16 @@
     for targets in [250, 500, 1000, 2000] {
         let fleet = fleet(targets);
         let mut now = Instant::now();
-        let mut router = Router::new("z0", Tuning::default(), SmallRng::seed_from_u64(1));
-        router.declare(&fleet);
+        let mut router = Router::new("z0", SampleSizes::default(), SmallRng::seed_from_u64(1));
+        router.apply_fleet(&fleet);
         let ids: Vec<String> = (0..targets).map(|i| format!("t{i}")).collect();
         let engines = (0..targets).filter(|i| i % 20 != 0);
         for i in engines.clone() {
-            router.report(&ids[i], now, Content::Engine(engine(i)));
+            router.report(&ids[i], now, PollResult::Engine(engine(i)));
         }
         let chain = chains(&mut router, now);
         let replica = time(ROUNDS, |_| {
-            let row = router.replica("lookup", &[], now).expect("a replica");
+            let row = router.choose_replica("lookup", &[], now).expect("a replica");
             let ticket = router.begin(&[row], now);
             router.end(&ticket, now);
         });
@@ -151,7 +153,7 @@
         let report = time(ROUNDS, |round| {
             now += Duration::from_micros(10);
             let (i, state) = &states[round % states.len()];
-            router.report(&ids[*i], now, Content::Engine(state.clone()));
+            router.report(&ids[*i], now, PollResult::Engine(state.clone()));
         });
         let admission = admissions(&fleet, now);
         println!("| {targets} | {chain} | {replica} | {report} | {admission} |");
--- a/crates/roseshore_core/src/admit/fair.rs
+++ b/crates/roseshore_core/src/admit/fair.rs
@@ -5,19 +5,19 @@
 //! of priority is worth one second of waiting, which also bounds how long a low one can be passed.
 //! Priorities do not count between organisations: a flood could simply be marked urgent.
 
-use super::{OrgIndex, Waiter};
+use super::{OrgIndex, WaiterId};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 /// The head start of each level of priority.
-const LEVEL: Duration = Duration::from_secs(1);
+const PRIORITY_HEAD_START: Duration = Duration::from_secs(1);
 /// The highest priority.
-const TOP: u8 = 9;
+const MAX_PRIORITY: u8 = 9;
 /// Virtual time units of one unit of cost at share 1; whole numbers keep the order exact.
-const UNIT: f64 = 1e6;
+const TAG_SCALE: f64 = 1e6;
 /// The least share that counts.
-const LEAST: f64 = 1e-3;
+const MIN_SHARE: f64 = 1e-3;
 
 type Tag = u64;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Item {
     /// Who waits.
-    pub waiter: Waiter,
+    pub waiter: WaiterId,
     /// Whose it is.
     pub org: OrgIndex,
     /// The organisation's share.
@@ -43,7 +43,7 @@
     tag: Tag,
     share: f64,
     cost: f64,
-    items: BTreeMap<(Instant, Waiter), Item>,
+    items: BTreeMap<(Instant, WaiterId), Item>,
 }
 
 /// The queue of one service.
@@ -51,35 +51,35 @@
 pub struct FairQueue {
     flows: FxHashMap<OrgIndex, Flow>,
     ready: BTreeSet<(Tag, OrgIndex)>,
-    places: FxHashMap<Waiter, (OrgIndex, Instant)>,
-    clock: Tag,
+    positions: FxHashMap<WaiterId, (OrgIndex, Instant)>,
+    virtual_time: Tag,
     shares: f64,
 }
 
 impl FairQueue {
     /// Requests waiting.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Adds a request that came at `now`.
     pub fn push(&mut self, item: Item, now: Instant) {
         let flow = self.flows.entry(item.org).or_default();
         if flow.items.is_empty() {
-            flow.tag = flow.tag.max(self.clock);
-            flow.share = item.share.max(LEAST);
+            flow.tag = flow.tag.max(self.virtual_time);
+            flow.share = item.share.max(MIN_SHARE);
             self.shares += flow.share;
             self.ready.insert((flow.tag, item.org));
         }
-        let key = place(&item, now);
+        let key = sort_time(&item, now);
         flow.items.insert((key, item.waiter), item);
         flow.cost += item.cost;
-        self.places.insert(item.waiter, (item.org, key));
+        self.positions.insert(item.waiter, (item.org, key));
     }
 
     /// Takes the request whose turn it is among the organisations that `may` go.
@@ -88,10 +88,10 @@
         let &(tag, org) = self.ready.iter().find(goes)?;
         let (key, _) = self.flows.get(&org)?.items.first_key_value()?;
         let waiter = key.1;
-        self.clock = self.clock.max(tag);
+        self.virtual_time = self.virtual_time.max(tag);
         let item = self.remove(waiter)?;
         let flow = self.flows.get_mut(&org)?;
-        let step = (item.cost / flow.share * UNIT) as Tag;
+        let step = (item.cost / flow.share * TAG_SCALE) as Tag;
         if !flow.items.is_empty() {
             self.ready.remove(&(flow.tag, org));
             self.ready.insert((flow.tag + step, org));
@@ -111,8 +111,8 @@
     }
 
     /// Takes a request out of turn.
-    pub fn remove(&mut self, waiter: Waiter) -> Option<Item> {
-        let (org, key) = self.places.remove(&waiter)?;
+    pub fn remove(&mut self, waiter: WaiterId) -> Option<Item> {
+        let (org, key) = self.positions.remove(&waiter)?;
         let flow = self.flows.get_mut(&org)?;
         let item = flow.items.remove(&(key, waiter))?;
         flow.cost -= item.cost;
@@ -124,25 +124,25 @@
     }
 
     /// The work that has to be done, by shares, before a request that comes now has its turn.
-    pub fn ahead(&self, item: &Item, now: Instant) -> f64 {
-        let before = (place(item, now), Waiter::MAX);
+    pub fn work_ahead(&self, item: &Item, now: Instant) -> f64 {
+        let before = (sort_time(item, now), WaiterId::MAX);
         let cost = |flow: &Flow| flow.items.range(..before).map(|(_, other)| other.cost).sum();
-        self.by_share(item, self.flows.get(&item.org).map_or(0.0, cost))
+        self.scale_by_share(item, self.flows.get(&item.org).map_or(0.0, cost))
     }
 
     /// The work that has to be done, by shares, for all that wait of an item's organisation.
-    pub fn all(&self, item: &Item) -> f64 {
-        self.by_share(item, self.flows.get(&item.org).map_or(0.0, |flow| flow.cost))
+    pub fn org_work(&self, item: &Item) -> f64 {
+        self.scale_by_share(item, self.flows.get(&item.org).map_or(0.0, |flow| flow.cost))
     }
 
     /// The last request of an organisation.
-    pub fn last(&self, org: OrgIndex) -> Option<Waiter> {
+    pub fn last(&self, org: OrgIndex) -> Option<WaiterId> {
         self.flows.get(&org)?.items.last_key_value().map(|(key, _)| key.1)
     }
 
     /// What all do until one organisation has done `cost`.
-    fn by_share(&self, item: &Item, cost: f64) -> f64 {
-        let share = item.share.max(LEAST);
+    fn scale_by_share(&self, item: &Item, cost: f64) -> f64 {
+        let share = item.share.max(MIN_SHARE);
         let waits = self.flows.get(&item.org).is_some_and(|flow| !flow.items.is_empty());
         let shares = if waits { self.shares } else { self.shares + share };
         cost * shares.max(share) / share
@@ -150,7 +150,7 @@
 
     /// The last request of the organisation that waits with the most work for its share, if that is
     /// more than `org` would have.
-    pub fn longest(&self, org: OrgIndex) -> Option<Waiter> {
+    pub fn largest_backlog(&self, org: OrgIndex) -> Option<WaiterId> {
         let load = |flow: &Flow| flow.cost / flow.share;
         let busiest = self.flows.iter().filter(|(_, f)| !f.items.is_empty());
         let (&most, flow) = busiest.max_by(|a, b| load(a.1).total_cmp(&load(b.1)))?;
@@ -163,6 +163,6 @@
 }
 
 /// Where a request stands that comes at `now`: a level of priority is worth some waiting.
-fn place(item: &Item, now: Instant) -> Instant {
-    now + LEVEL * u32::from(TOP - item.priority.min(TOP))
+fn sort_time(item: &Item, now: Instant) -> Instant {
+    now + PRIORITY_HEAD_START * u32::from(MAX_PRIORITY - item.priority.min(MAX_PRIORITY))
 }
--- a/crates/roseshore_core/src/admit/limit.rs
+++ b/crates/roseshore_core/src/admit/limit.rs
@@ -8,15 +8,15 @@
 use super::Capacity;
 
 /// The limit before any target has reported.
-const UNKNOWN: f64 = 256.0;
+const INITIAL_LIMIT: f64 = 256.0;
 /// Requests per slot that keep a target from idling between a report and the next.
-const SLACK: f64 = 1.5;
+const SLOT_FACTOR: f64 = 1.5;
 /// Targets are full from this many requests per slot on.
 const FULL: f64 = 3.5;
 /// Part of the equal share by which a limit grows at once.
 const GROWTH: f64 = 0.1;
 /// What is left of a limit when the targets are full.
-const BACK: f64 = 0.95;
+const BACKOFF: f64 = 0.95;
 
 /// A concurrency limit.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +27,7 @@
 
 impl Default for Limit {
     fn default() -> Limit {
-        Limit { value: UNKNOWN, known: false }
+        Limit { value: INITIAL_LIMIT, known: false }
     }
 }
 
@@ -38,17 +38,17 @@
     }
 
     /// Fits it to the capacity reported, divided among `daemons`; `waiters` says whether any wait here.
-    pub fn fit(&mut self, capacity: Capacity, daemons: f64, waiters: bool) {
+    pub fn update(&mut self, capacity: Capacity, daemons: f64, waiters: bool) {
         if capacity.slots <= 0.0 {
             return;
         }
-        let equal = (capacity.slots * SLACK / daemons).max(1.0);
+        let equal = (capacity.slots * SLOT_FACTOR / daemons).max(1.0);
         if !self.known {
             self.known = true;
             self.value = equal;
         }
         if capacity.busy > capacity.slots * FULL {
-            self.value *= BACK;
+            self.value *= BACKOFF;
         } else if waiters {
             self.value += (equal * GROWTH).max(1.0);
         }
--- a/crates/roseshore_core/src/admit/share.rs
+++ b/crates/roseshore_core/src/admit/share.rs
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 
 /// How long another daemon's demand counts.
-const FRESH: Duration = Duration::from_secs(5);
+const PEER_DEMAND_TTL: Duration = Duration::from_secs(5);
 /// Time constant of the measured demand.
-const MEMORY: Duration = Duration::from_secs(5);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
 /// Without a request for so long, an organisation is no longer active.
 const IDLE: Duration = Duration::from_secs(10);
 /// Requests a second that each daemon counts as having at least, so that a first request finds a part.
-const FLOOR: f64 = 0.05;
+const MIN_DEMAND: f64 = 0.05;
 
 /// The demand of the most active organisations at one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -53,8 +53,8 @@
     }
 
     /// Whether it still counts.
-    pub fn fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < FRESH
+    pub fn is_fresh(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < PEER_DEMAND_TTL
     }
 }
 
@@ -73,14 +73,14 @@
 
     /// One more request.
     pub fn count(&mut self, now: Instant) {
-        self.rate = self.rate(now) + 1.0 / MEMORY.as_secs_f64();
+        self.rate = self.rate(now) + 1.0 / DEMAND_TIME_CONSTANT.as_secs_f64();
         self.last = self.last.max(now);
     }
 
     /// Requests a second.
     pub fn rate(&self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.last).as_secs_f64();
-        self.rate * (-passed / MEMORY.as_secs_f64()).exp()
+        self.rate * (-passed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
     /// Whether there was no request for long.
@@ -90,10 +90,11 @@
 }
 
 /// The part of an organisation's limits that this daemon may give out.
-pub fn part(own: f64, id: &str, heard: &PeerDemands, daemons: usize) -> f64 {
-    let own = own + FLOOR;
-    let known = heard.len().min(daemons.saturating_sub(1));
-    let others: f64 = heard.values().map(|h| FLOOR + h.rates.get(id).copied().unwrap_or(0.0)).sum();
-    let silent = daemons.saturating_sub(1 + known) as f64;
-    own / (own * (1.0 + silent) + others)
+pub fn limit_part(own: f64, id: &str, peers: &PeerDemands, daemons: usize) -> f64 {
+    let own = own + MIN_DEMAND;
+    let known = peers.len().min(daemons.saturating_sub(1));
+    let others: f64 =
+        peers.values().map(|peer| MIN_DEMAND + peer.rates.get(id).copied().unwrap_or(0.0)).sum();
+    let unknown = daemons.saturating_sub(1 + known) as f64;
+    own / (own * (1.0 + unknown) + others)
 }
--- a/crates/roseshore_core/src/answer.rs
+++ b/crates/roseshore_core/src/answer.rs
@@ -23,5 +23,7 @@
 pub mod reorder;
 pub mod timeout;
 
-pub use machine::{Answer, Rules, Tally};
-pub use message::{Action, Cause, Failure, Finish, Health, Input, Job, Line, Move, Route};
+pub use machine::{Answer, AnswerCounters, AnswerSettings};
+pub use message::{
+    Action, CacheMove, Cause, Finish, Input, Job, ProbeResult, Route, StreamFailure, StreamLine,
+};
--- a/crates/roseshore_core/src/answer/avoid.rs
+++ b/crates/roseshore_core/src/answer/avoid.rs
@@ -1,7 +1,7 @@
 //! What an answer's next chain should do without.
 //!
 //! A target that is known to have failed is avoided; when it is not known which stage failed, all
-//! stages of the chain are suspects. When the router finds no chain, suspects are forgiven first,
+//! stages of the chain are suspects. When the router finds no chain, suspects are relaxed first,
 //! then, once per answer, the failed ones too: a target refused for an old incarnation or a full
 //! queue may well serve now, and the alternative is to give the answer up.
 
@@ -9,20 +9,20 @@
 
 /// Targets to avoid.
 #[derive(Clone, Debug, Default)]
-pub struct Avoid {
+pub struct AvoidList {
     failed: Vec<TargetId>,
     suspects: Vec<TargetId>,
-    forgiven: bool,
+    relaxed: bool,
 }
 
-impl Avoid {
+impl AvoidList {
     /// A target failed.
-    pub fn fail(&mut self, target: &TargetId) {
+    pub fn add_failed(&mut self, target: &TargetId) {
         add(&mut self.failed, target);
     }
 
     /// A target may have failed.
-    pub fn suspect(&mut self, target: &TargetId) {
+    pub fn add_suspect(&mut self, target: &TargetId) {
         add(&mut self.suspects, target);
     }
 
@@ -35,22 +35,22 @@
         all
     }
 
-    /// Removes all targets. Unlike [`Avoid::forgive`], this is not limited to once per answer.
+    /// Removes all targets. Unlike [`AvoidList::relax`], this is not limited to once per answer.
     pub fn clear(&mut self) {
         self.failed.clear();
         self.suspects.clear();
     }
 
-    /// Forgives some; false when there is nothing left to forgive.
-    pub fn forgive(&mut self) -> bool {
+    /// Forgives some; false when there is nothing left to relax.
+    pub fn relax(&mut self) -> bool {
         if !self.suspects.is_empty() {
             self.suspects.clear();
             return true;
         }
-        if self.forgiven || self.failed.is_empty() {
+        if self.relaxed || self.failed.is_empty() {
             return false;
         }
-        self.forgiven = true;
+        self.relaxed = true;
         self.failed.clear();
         true
     }
--- a/crates/roseshore_core/src/answer/interval.rs
+++ b/crates/roseshore_core/src/answer/interval.rs
@@ -7,19 +7,19 @@
 
 /// The gaps between tokens of one route.
 #[derive(Debug, Default)]
-pub struct PaceMeter {
+pub struct IntervalMeter {
     since: Option<Instant>,
     gaps: u32,
 }
 
-impl PaceMeter {
+impl IntervalMeter {
     /// Begins anew: another route, or a wait that was not the chain's.
     pub fn reset(&mut self) {
-        *self = PaceMeter::default();
+        *self = IntervalMeter::default();
     }
 
     /// Counts a token that came at `now`; the pace, once enough of them have come.
-    pub fn token(&mut self, now: Instant) -> Option<Duration> {
+    pub fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let Some(since) = self.since else {
             self.since = Some(now);
             return None;
@@ -29,7 +29,7 @@
             return None;
         }
         let pace = now.saturating_duration_since(since) / self.gaps;
-        *self = PaceMeter { since: Some(now), gaps: 0 };
+        *self = IntervalMeter { since: Some(now), gaps: 0 };
         Some(pace)
     }
 }
--- a/crates/roseshore_core/src/answer/lineage.rs
+++ b/crates/roseshore_core/src/answer/lineage.rs
@@ -39,7 +39,7 @@
 
 /// What the stamps of a token must equal.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ExpectedLineage<'a> {
     /// The route.
     pub stages: &'a [Stage],
     /// The number of layers of the model.
@@ -53,7 +53,7 @@
 quick_error! {
     /// How a lineage or a route breaks the rule.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-    pub enum Broken {
+    pub enum LineageError {
         /// Another number of stamps than stages.
         Count(got: usize, want: usize) {
             display("{got} stamps for {want} stages")
@@ -85,17 +85,17 @@
     }
 }
 
-impl Broken {
+impl LineageError {
     /// The index of the stage at fault, where one can be named.
     pub fn stage(self) -> Option<usize> {
         match self {
-            Broken::Count(..) => None,
-            Broken::Tiling(at)
-            | Broken::Target(at)
-            | Broken::Incarnation(at)
-            | Broken::Layers(at)
-            | Broken::Epoch(at)
-            | Broken::Version(at) => Some(at),
+            LineageError::Count(..) => None,
+            LineageError::Tiling(at)
+            | LineageError::Target(at)
+            | LineageError::Incarnation(at)
+            | LineageError::Layers(at)
+            | LineageError::Epoch(at)
+            | LineageError::Version(at) => Some(at),
         }
     }
 }
@@ -103,50 +103,58 @@
 /// Whether ranges tile `0..layers`: no hole, no overlap, none empty.
 ///
 /// # Errors
-/// [`Broken::Tiling`] with the first range that does not fit; the number of ranges when the last
+/// [`LineageError::Tiling`] with the first range that does not fit; the number of ranges when the last
 /// layers are missing.
-pub fn tiles(ranges: impl Iterator<Item = (Layer, Layer)>, layers: Layer) -> Result<(), Broken> {
+pub fn check_tiling(
+    ranges: impl Iterator<Item = (Layer, Layer)>,
+    layers: Layer,
+) -> Result<(), LineageError> {
     let mut next = 0;
     let mut count = 0;
     for (first, end) in ranges {
         if first != next || end <= first || end > layers {
-            return Err(Broken::Tiling(count));
+            return Err(LineageError::Tiling(count));
         }
         next = end;
         count += 1;
     }
-    if next == layers && count > 0 { Ok(()) } else { Err(Broken::Tiling(count)) }
+    if next == layers && count > 0 { Ok(()) } else { Err(LineageError::Tiling(count)) }
 }
 
 /// Whether the stamps of one token are those that its route wants.
 ///
 /// # Errors
 /// The first difference.
-pub fn check(stamps: &[Stamp], want: &Wanted<'_>) -> Result<(), Broken> {
+pub fn check(stamps: &[Stamp], want: &ExpectedLineage<'_>) -> Result<(), LineageError> {
     if stamps.len() != want.stages.len() {
-        return Err(Broken::Count(stamps.len(), want.stages.len()));
+        return Err(LineageError::Count(stamps.len(), want.stages.len()));
     }
     for (at, (stamp, stage)) in stamps.iter().zip(want.stages).enumerate() {
         check_stage(at, stamp, stage, want)?;
     }
-    tiles(stamps.iter().map(|s| s.layers), want.layers)
+    check_tiling(stamps.iter().map(|s| s.layers), want.layers)
 }
 
-fn check_stage(at: usize, stamp: &Stamp, stage: &Stage, want: &Wanted<'_>) -> Result<(), Broken> {
+fn check_stage(
+    at: usize,
+    stamp: &Stamp,
+    stage: &Stage,
+    want: &ExpectedLineage<'_>,
+) -> Result<(), LineageError> {
     if stamp.target != stage.target {
-        return Err(Broken::Target(at));
+        return Err(LineageError::Target(at));
     }
     if stamp.layers != stage.layers {
-        return Err(Broken::Layers(at));
+        return Err(LineageError::Layers(at));
     }
     if stamp.incarnation != stage.incarnation {
-        return Err(Broken::Incarnation(at));
+        return Err(LineageError::Incarnation(at));
     }
     if stamp.epoch != want.epoch {
-        return Err(Broken::Epoch(at));
+        return Err(LineageError::Epoch(at));
     }
     if stamp.version != want.version {
-        return Err(Broken::Version(at));
+        return Err(LineageError::Version(at));
     }
     Ok(())
 }
--- a/crates/roseshore_core/src/answer/machine.rs
+++ b/crates/roseshore_core/src/answer/machine.rs
@@ -4,12 +4,12 @@
 mod route;
 mod stream;
 
-use crate::answer::avoid::Avoid;
+use crate::answer::avoid::AvoidList;
 use crate::answer::lineage::Stage;
 use crate::answer::message::{Action, Cause, Finish, Input, Job};
-use crate::answer::reorder::Window;
-use crate::answer::timeout::{Pace, PaceRules};
-use crate::cost::{Held, Rates};
+use crate::answer::reorder::ReorderBuffer;
+use crate::answer::timeout::{SilenceTimeout, TimeoutSettings};
+use crate::cost::{CachedStage, MoveCostModel};
 use crate::prelude::*;
 
 /// A probe is sent when this part of the silence bound has passed.
@@ -27,32 +27,32 @@
 
 /// Bounds of one answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct AnswerSettings {
     /// Bounds of silence.
-    pub pace: PaceRules,
+    pub timeouts: TimeoutSettings,
     /// Early tokens held at most.
     pub window: usize,
     /// Routes tried without a new token before giving up.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Routes tried in all.
-    pub routes: u32,
+    pub max_routes: u32,
     /// What moving KV caches takes.
-    pub rates: Rates,
+    pub move_cost: MoveCostModel,
     /// When to come back after a refusal without a time of its own.
-    pub after: Duration,
+    pub retry_after: Duration,
     /// How long an answer that may have run waits for a chain at most; a failed target is out of use only for a time.
     pub chain_wait: Duration,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
-            pace: PaceRules::default(),
+impl Default for AnswerSettings {
+    fn default() -> AnswerSettings {
+        AnswerSettings {
+            timeouts: TimeoutSettings::default(),
             window: 64,
-            attempts: 4,
-            routes: 16,
-            rates: Rates::default(),
-            after: Duration::from_secs(1),
+            max_attempts: 4,
+            max_routes: 16,
+            move_cost: MoveCostModel::default(),
+            retry_after: Duration::from_secs(1),
             chain_wait: Duration::from_secs(3),
         }
     }
@@ -60,17 +60,17 @@
 
 /// What was dropped, and what was tried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct AnswerCounters {
     /// Events of an older epoch, or after the end.
     pub stale: u64,
     /// Lines of another answer.
-    pub crossed: u64,
+    pub misrouted: u64,
     /// Tokens that were delivered or held already.
     pub duplicates: u64,
     /// Routes opened.
     pub routes: u32,
     /// Routes given up.
-    pub resumed: u32,
+    pub rerouted: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
     Opening,
     Prefill,
     Decode,
-    Over,
+    Finished,
 }
 
 /// Which stage a failure is put down to.
@@ -98,64 +98,69 @@
 /// One answer.
 pub struct Answer {
     job: Job,
-    rules: Rules,
+    settings: AnswerSettings,
     phase: Phase,
     epoch: Epoch,
     stages: Vec<Stage>,
     /// For each stage, whether the last probe found it silent; `None` without a result.
     silent: Vec<Option<bool>>,
-    old: Vec<Held>,
+    cached: Vec<CachedStage>,
     tokens: Vec<String>,
-    window: Window,
+    window: ReorderBuffer,
     ending: Option<(u32, Finish)>,
-    pace: Pace,
-    avoid: Avoid,
-    tally: Tally,
+    timeout: SilenceTimeout,
+    avoid: AvoidList,
+    counters: AnswerCounters,
     began: bool,
     warm: bool,
     attempts: u32,
     cuts: u32,
-    last: Instant,
-    quiet: Instant,
-    probe: Option<Instant>,
-    handing: Option<TargetId>,
-    handed: Option<Instant>,
-    after: Option<Duration>,
+    last_progress: Instant,
+    timeout_at: Instant,
+    probe_at: Option<Instant>,
+    handover: Option<TargetId>,
+    handover_failed: Option<Instant>,
+    retry_after: Option<Duration>,
     /// End of the wait for a chain; set when the router finds none, until the next token.
     chain_deadline: Option<Instant>,
 }
 
 impl Answer {
     /// Begins an answer.
-    pub fn start(job: Job, rules: Rules, now: Instant, out: &mut Vec<Action>) -> Answer {
-        out.push(Action::Route { avoid: Vec::new(), retry: false, paid: false });
-        let window = Window::new(rules.window);
-        let pace = Pace::new(rules.pace.clone());
-        let quiet = job.deadline;
+    pub fn start(
+        job: Job,
+        settings: AnswerSettings,
+        now: Instant,
+        out: &mut Vec<Action>,
+    ) -> Answer {
+        out.push(Action::Route { avoid: Vec::new(), retry: false, charge_budget: false });
+        let window = ReorderBuffer::new(settings.window);
+        let timeout = SilenceTimeout::new(settings.timeouts.clone());
+        let timeout_at = job.deadline;
         Answer {
             job,
-            rules,
+            settings,
             phase: Phase::Routing,
             epoch: 1,
             stages: Vec::new(),
             silent: Vec::new(),
-            old: Vec::new(),
+            cached: Vec::new(),
             tokens: Vec::new(),
             window,
             ending: None,
-            pace,
-            avoid: Avoid::default(),
-            tally: Tally::default(),
+            timeout,
+            avoid: AvoidList::default(),
+            counters: AnswerCounters::default(),
             began: false,
             warm: false,
             attempts: 0,
             cuts: 0,
-            last: now,
-            quiet,
-            probe: None,
-            handing: None,
-            handed: None,
-            after: None,
+            last_progress: now,
+            timeout_at,
+            probe_at: None,
+            handover: None,
+            handover_failed: None,
+            retry_after: None,
             chain_deadline: None,
         }
     }
@@ -171,33 +176,33 @@
     }
 
     /// What was dropped and tried.
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn counters(&self) -> AnswerCounters {
+        self.counters
     }
 
     /// Whether the last action was [`Action::Finish`] or [`Action::Refuse`].
-    pub fn over(&self) -> bool {
-        self.phase == Phase::Over
+    pub fn finished(&self) -> bool {
+        self.phase == Phase::Finished
     }
 
     /// When [`Input::Tick`] is due, if nothing happens before.
-    pub fn wake(&self) -> Instant {
-        let wake = self.job.deadline.min(self.quiet);
-        self.probe.map_or(wake, |p| p.min(wake))
+    pub fn next_tick(&self) -> Instant {
+        let wake = self.job.deadline.min(self.timeout_at);
+        self.probe_at.map_or(wake, |p| p.min(wake))
     }
 
     /// The driver was held up by the caller; what came meanwhile counts from now.
-    pub fn rearm(&mut self, now: Instant) {
+    pub fn restart_timeout(&mut self, now: Instant) {
         if matches!(self.phase, Phase::Prefill | Phase::Decode) {
-            self.last = now;
+            self.last_progress = now;
             self.arm(now);
         }
     }
 
     /// Takes one event.
-    pub fn on(&mut self, now: Instant, input: Input, out: &mut Vec<Action>) {
-        if self.over() {
-            self.tally.stale += 1;
+    pub fn handle(&mut self, now: Instant, input: Input, out: &mut Vec<Action>) {
+        if self.finished() {
+            self.counters.stale += 1;
             return;
         }
         if now >= self.job.deadline {
@@ -207,7 +212,7 @@
         match input {
             Input::Chosen(route) => self.chosen(now, route, out),
             Input::NoChain(refusal) => self.no_chain(now, refusal, out),
-            Input::Denied(refusal) => self.refuse(refusal, out),
+            Input::RetryDenied(refusal) => self.refuse(refusal, out),
             Input::CallerLeft => {
                 let why = "the caller left before the answer was whole";
                 self.refuse(Refusal::not_run(Code::TargetLost, why), out);
@@ -216,13 +221,13 @@
             Input::Tick => self.tick(now, out),
             Input::Line(answer, epoch, line) => {
                 if answer != self.job.answer {
-                    self.tally.crossed += 1;
+                    self.counters.misrouted += 1;
                 } else if self.current(epoch) {
                     self.line(now, line, out);
                 }
             }
             Input::Opened(epoch) if self.current(epoch) => self.opened(now),
-            Input::Unopened(epoch, failure) if self.current(epoch) => {
+            Input::OpenFailed(epoch, failure) if self.current(epoch) => {
                 self.unopened(now, failure, out);
             }
             Input::Ended(epoch, failure) if self.current(epoch) => self.ended(now, failure, out),
@@ -236,7 +241,7 @@
 
     fn current(&mut self, epoch: Epoch) -> bool {
         let current = epoch == self.epoch;
-        self.tally.stale += u64::from(!current);
+        self.counters.stale += u64::from(!current);
         current
     }
 
@@ -245,13 +250,13 @@
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.streaming() && now < self.quiet && self.probe.is_some_and(|at| now >= at) {
-            self.probe = None;
+        if self.streaming() && now < self.timeout_at && self.probe_at.is_some_and(|at| now >= at) {
+            self.probe_at = None;
             self.silent.fill(None);
-            let limit = self.quiet.saturating_duration_since(now).mul_f64(PROBE_LIMIT);
+            let limit = self.timeout_at.saturating_duration_since(now).mul_f64(PROBE_LIMIT);
             out.push(Action::Probe { epoch: self.epoch, limit });
         }
-        if now < self.quiet {
+        if now < self.timeout_at {
             return;
         }
         match self.phase {
@@ -268,7 +273,7 @@
                 self.avoid.clear();
                 self.ask_route(false, out);
             }
-            Phase::Over => {}
+            Phase::Finished => {}
         }
     }
 }
--- a/crates/roseshore_core/src/answer/machine/recover.rs
+++ b/crates/roseshore_core/src/answer/machine/recover.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Blame, Phase};
 use crate::answer::message::{Action, Cause, Finish};
-use crate::cost::Held;
+use crate::cost::CachedStage;
 use crate::prelude::*;
 
 impl Answer {
@@ -13,40 +13,42 @@
         blame: Blame,
         out: &mut Vec<Action>,
     ) {
-        let guilty = self.blame(cause, &blame, out);
+        let blamed = self.blame(cause, &blame, out);
         if cause == Cause::Silent {
-            self.pace.slow_down();
+            self.timeout.back_off();
         }
         // Only a cut leaves every stage's cache intact; a warm route that brought nothing had none.
         let usable = cause == Cause::Cut && self.phase == Phase::Decode && self.cuts == 1;
         self.retire(usable, out);
-        self.last = now;
-        self.tally.resumed += 1;
+        self.last_progress = now;
+        self.counters.rerouted += 1;
         if self.window.next() > 0 && self.window.next() == self.job.limit {
             let finish = Finish { reason: "length".to_owned(), cached: 0 };
             return self.complete(finish, out);
         }
-        if self.attempts >= self.rules.attempts || self.tally.routes >= self.rules.routes {
-            let why = format!("given up after {} routes: {cause}", self.tally.routes);
+        if self.attempts >= self.settings.max_attempts
+            || self.counters.routes >= self.settings.max_routes
+        {
+            let why = format!("given up after {} routes: {cause}", self.counters.routes);
             return self.refuse(Refusal::not_run(cause.code(), why), out);
         }
-        let paid = cause == Cause::Silent && guilty == 0;
-        self.ask_route(paid, out);
+        let charge_budget = cause == Cause::Silent && blamed == 0;
+        self.ask_route(charge_budget, out);
     }
 
     /// Puts a failure down to stages; the number of those that are known to have failed.
     pub(super) fn blame(&mut self, cause: Cause, blame: &Blame, out: &mut Vec<Action>) -> usize {
-        let guilty = self.guilty(blame);
-        let names = if guilty.is_empty() { "unknown".to_owned() } else { guilty.join(",") };
+        let blamed = self.blamed(blame);
+        let names = if blamed.is_empty() { "unknown".to_owned() } else { blamed.join(",") };
         let text = format!("target={names} epoch={} cause={cause}", self.epoch);
-        out.push(Action::Note(Event::StageLost, text));
+        out.push(Action::Log(Event::StageLost, text));
         let counts = !matches!(cause, Cause::Busy | Cause::Mismatch | Cause::Refused);
-        if guilty.is_empty() && !matches!(blame, Blame::None) {
-            self.stages.iter().for_each(|s| self.avoid.suspect(&s.target));
+        if blamed.is_empty() && !matches!(blame, Blame::None) {
+            self.stages.iter().for_each(|s| self.avoid.add_suspect(&s.target));
         }
-        let count = guilty.len();
-        for target in guilty {
-            self.avoid.fail(&target);
+        let count = blamed.len();
+        for target in blamed {
+            self.avoid.add_failed(&target);
             if counts {
                 out.push(Action::Failed(target));
             }
@@ -54,7 +56,7 @@
         count
     }
 
-    pub(super) fn guilty(&self, blame: &Blame) -> Vec<TargetId> {
+    pub(super) fn blamed(&self, blame: &Blame) -> Vec<TargetId> {
         let name = |at: usize| self.stages[at].target.clone();
         match blame {
             Blame::None | Blame::Any => Vec::new(),
@@ -72,17 +74,17 @@
         self.release(false, out);
         for stage in std::mem::take(&mut self.stages) {
             if usable {
-                self.old.push(Held { usable: true, stage });
+                self.cached.push(CachedStage { usable: true, stage });
             } else {
-                out.push(Action::Cancel { stage, epoch: self.epoch, keep: false });
+                out.push(Action::Cancel { stage, epoch: self.epoch, keep_cache: false });
             }
         }
         self.epoch += 1;
         self.phase = Phase::Routing;
         self.window.clear();
         self.ending = None;
-        self.probe = None;
-        self.handing = None;
+        self.probe_at = None;
+        self.handover = None;
     }
 
     /// Gives the answer up; the verdict follows from what was opened.
@@ -91,7 +93,7 @@
         out.push(Action::Close(self.epoch));
         self.release(false, out);
         for stage in std::mem::take(&mut self.stages) {
-            out.push(Action::Cancel { stage, epoch: self.epoch, keep: false });
+            out.push(Action::Cancel { stage, epoch: self.epoch, keep_cache: false });
         }
         if began {
             refusal.verdict = refusal.verdict.join(Verdict::MayHaveRun);
@@ -99,9 +101,9 @@
                 refusal.code = Code::TargetLost;
             }
         } else if refusal.retry_after.is_none() {
-            refusal.retry_after = self.after.or(Some(self.rules.after));
+            refusal.retry_after = self.retry_after.or(Some(self.settings.retry_after));
         }
-        self.phase = Phase::Over;
+        self.phase = Phase::Finished;
         out.push(Action::Refuse(refusal));
     }
 }
--- a/crates/roseshore_core/src/answer/machine/route.rs
+++ b/crates/roseshore_core/src/answer/machine/route.rs
@@ -8,11 +8,11 @@
 
 impl Answer {
     pub(super) fn chosen(&mut self, now: Instant, route: Route, out: &mut Vec<Action>) {
-        if lineage::tiles(route.stages.iter().map(|s| s.layers), self.job.layers).is_err() {
+        if lineage::check_tiling(route.stages.iter().map(|s| s.layers), self.job.layers).is_err() {
             let why = "the chosen chain does not cover every layer once";
             return self.no_chain(now, Refusal::not_run(Code::NoRoute, why), out);
         }
-        match self.handing.take() {
+        match self.handover.take() {
             Some(target) if route.stages.iter().any(|s| s.target == target) => return,
             Some(_) if self.streaming() => self.hand_over(out),
             Some(_) => return,
@@ -25,16 +25,22 @@
     /// Leaves a route that still works; its KV caches are all there.
     pub(super) fn hand_over(&mut self, out: &mut Vec<Action>) {
         let usable = self.phase == Phase::Decode;
-        self.tally.resumed += 1;
+        self.counters.rerouted += 1;
         self.retire(usable, out);
     }
 
     pub(super) fn adopt(&mut self, now: Instant, route: Route, out: &mut Vec<Action>) {
         let held = self.job.prompt + self.window.next();
-        let plan = cost::plan(&self.old, &route.stages, held, route.first, &self.rules.rates);
+        let plan = cost::plan(
+            &self.cached,
+            &route.stages,
+            held,
+            route.first_token,
+            &self.settings.move_cost,
+        );
         let targets = route.stages.iter().map(|s| s.target.as_str()).collect::<Vec<_>>();
-        out.push(Action::Note(Event::RouteChosen, targets.join(" > ")));
-        self.pace.predict(route.first, route.between);
+        out.push(Action::Log(Event::RouteChosen, targets.join(" > ")));
+        self.timeout.set_prediction(route.first_token, route.token_interval);
         // An answer waits for a chain once between two tokens.
         self.chain_deadline = self.chain_deadline.map(|_| now);
         self.stages = route.stages;
@@ -45,7 +51,7 @@
             Plan::Warm(moves, time) => {
                 let limit = (time * MOVE_FACTOR).max(MOVE_FLOOR);
                 self.phase = Phase::Moving;
-                self.quiet = now + limit * 2;
+                self.timeout_at = now + limit * 2;
                 out.push(Action::Move { epoch: self.epoch, moves, limit });
             }
         }
@@ -56,39 +62,39 @@
         self.phase = Phase::Opening;
         self.warm = warm;
         self.attempts += 1;
-        self.tally.routes += 1;
-        let open = self.pace.open();
+        self.counters.routes += 1;
+        let open = self.timeout.open();
         // A stage that keeps a cache has just been heard of; if it died since, that shows soon.
-        let bound = if warm { open.min(self.pace.decode()) } else { open };
-        self.quiet = now + bound;
+        let bound = if warm { open.min(self.timeout.decode()) } else { open };
+        self.timeout_at = now + bound;
         out.push(Action::Open { epoch: self.epoch, warm });
     }
 
     /// Ends the work of the route before; with `warm`, stages that go on keep their KV cache.
     pub(super) fn release(&mut self, warm: bool, out: &mut Vec<Action>) {
         let epoch = self.epoch - 1;
-        for held in std::mem::take(&mut self.old) {
+        for held in std::mem::take(&mut self.cached) {
             let stays = self.stages.iter().any(|s| s.target == held.stage.target);
-            out.push(Action::Cancel { stage: held.stage, epoch, keep: warm && stays });
+            out.push(Action::Cancel { stage: held.stage, epoch, keep_cache: warm && stays });
         }
     }
 
     pub(super) fn no_chain(&mut self, now: Instant, refusal: Refusal, out: &mut Vec<Action>) {
-        if self.handing.take().is_some() {
-            self.handed = Some(now);
+        if self.handover.take().is_some() {
+            self.handover_failed = Some(now);
             return;
         }
         if self.phase != Phase::Routing {
             return;
         }
-        if self.avoid.forgive() {
+        if self.avoid.relax() {
             self.ask_route(false, out);
             return;
         }
-        let deadline = *self.chain_deadline.get_or_insert(now + self.rules.chain_wait);
+        let deadline = *self.chain_deadline.get_or_insert(now + self.settings.chain_wait);
         // An answer that has not begun is refused at once, since the caller can retry it safely.
         if self.began && now < deadline {
-            self.quiet = now + CHAIN_RETRY_INTERVAL;
+            self.timeout_at = now + CHAIN_RETRY_INTERVAL;
             return;
         }
         self.refuse(refusal, out);
@@ -101,28 +107,28 @@
             return false;
         }
         self.job.version = version;
-        for held in &mut self.old {
+        for held in &mut self.cached {
             held.usable = false;
         }
         true
     }
 
-    pub(super) fn ask_route(&mut self, paid: bool, out: &mut Vec<Action>) {
+    pub(super) fn ask_route(&mut self, charge_budget: bool, out: &mut Vec<Action>) {
         self.phase = Phase::Routing;
-        self.quiet = self.job.deadline;
-        out.push(Action::Route { avoid: self.avoid.list(), retry: true, paid });
+        self.timeout_at = self.job.deadline;
+        out.push(Action::Route { avoid: self.avoid.list(), retry: true, charge_budget });
     }
 
     pub(super) fn leaving(&mut self, now: Instant, target: TargetId, out: &mut Vec<Action>) {
-        let paused = self.handed.is_some_and(|at| now < at + HANDOVER_PAUSE);
+        let paused = self.handover_failed.is_some_and(|at| now < at + HANDOVER_PAUSE);
         let ours = self.stages.iter().any(|s| s.target == target);
-        if !ours || paused || !self.streaming() || self.handing.is_some() {
+        if !ours || paused || !self.streaming() || self.handover.is_some() {
             return;
         }
         let mut avoid = self.avoid.list();
         avoid.push(target.clone());
-        self.handing = Some(target);
-        out.push(Action::Route { avoid, retry: false, paid: false });
+        self.handover = Some(target);
+        out.push(Action::Route { avoid, retry: false, charge_budget: false });
     }
 
     pub(super) fn moved(&mut self, now: Instant, done: bool, out: &mut Vec<Action>) {
--- a/crates/roseshore_core/src/answer/machine/stream.rs
+++ b/crates/roseshore_core/src/answer/machine/stream.rs
@@ -1,9 +1,9 @@
 //! What comes over the open stream, and what probes of its stages say.
 
 use super::{Answer, Blame, PROBE_PART, Phase};
-use crate::answer::lineage::{self, Broken, Stamp, Wanted};
-use crate::answer::message::{Action, Cause, Failure, Finish, Health, Line};
-use crate::answer::reorder::Placed;
+use crate::answer::lineage::{self, ExpectedLineage, LineageError, Stamp};
+use crate::answer::message::{Action, Cause, Finish, ProbeResult, StreamFailure, StreamLine};
+use crate::answer::reorder::Insertion;
 use crate::prelude::*;
 
 impl Answer {
@@ -13,54 +13,57 @@
         }
         self.began = true;
         self.phase = Phase::Prefill;
-        self.last = now;
+        self.last_progress = now;
         self.arm(now);
     }
 
     pub(super) fn arm(&mut self, now: Instant) {
-        let bound =
-            if self.phase == Phase::Decode { self.pace.decode() } else { self.pace.prefill() };
-        self.quiet = now + bound;
-        self.probe = Some(now + bound.mul_f64(PROBE_PART));
+        let bound = if self.phase == Phase::Decode {
+            self.timeout.decode()
+        } else {
+            self.timeout.prefill()
+        };
+        self.timeout_at = now + bound;
+        self.probe_at = Some(now + bound.mul_f64(PROBE_PART));
     }
 
-    pub(super) fn unopened(&mut self, now: Instant, failure: Failure, out: &mut Vec<Action>) {
+    pub(super) fn unopened(&mut self, now: Instant, failure: StreamFailure, out: &mut Vec<Action>) {
         if self.phase != Phase::Opening {
             return;
         }
         let cause = match failure {
-            Failure::Unreached => Cause::Unreached,
-            Failure::Refused { status: 409, .. } => Cause::Mismatch,
-            Failure::Refused { status: 503, after } => {
-                self.after = after.or(self.after);
+            StreamFailure::Unreachable => Cause::Unreachable,
+            StreamFailure::Refused { status: 409, .. } => Cause::Mismatch,
+            StreamFailure::Refused { status: 503, after } => {
+                self.retry_after = after.or(self.retry_after);
                 Cause::Busy
             }
-            Failure::Refused { .. } => Cause::Refused,
-            Failure::Lost => Cause::Cut,
-            Failure::Garbled => Cause::Garbled,
+            StreamFailure::Refused { .. } => Cause::Refused,
+            StreamFailure::Lost => Cause::Cut,
+            StreamFailure::Malformed => Cause::Malformed,
         };
-        self.began |= matches!(failure, Failure::Lost | Failure::Garbled);
+        self.began |= matches!(failure, StreamFailure::Lost | StreamFailure::Malformed);
         self.give_up(now, cause, Blame::At(0), out);
     }
 
-    pub(super) fn line(&mut self, now: Instant, line: Line, out: &mut Vec<Action>) {
+    pub(super) fn line(&mut self, now: Instant, line: StreamLine, out: &mut Vec<Action>) {
         if !self.streaming() {
-            self.tally.stale += 1;
+            self.counters.stale += 1;
             return;
         }
         match line {
-            Line::Token { position, text, lineage } => {
+            StreamLine::Token { position, text, lineage } => {
                 self.token(now, position, text, &lineage, out);
             }
-            Line::Done { count, reason, cached } => {
+            StreamLine::Done { count, reason, cached } => {
                 let next = self.window.next();
                 if count < next || count > self.job.limit {
-                    return self.give_up(now, Cause::Garbled, Blame::At(0), out);
+                    return self.give_up(now, Cause::Malformed, Blame::At(0), out);
                 }
                 self.ending = Some((count, Finish { reason, cached }));
                 self.finish(out);
             }
-            Line::Lost { stage } => {
+            StreamLine::Lost { stage } => {
                 self.lost(now, stage, out);
             }
         }
@@ -74,7 +77,7 @@
             Some(at) => Blame::At(at),
             None => Blame::Any,
         };
-        self.give_up(now, Cause::Lost, blame, out);
+        self.give_up(now, Cause::StageLost, blame, out);
     }
 
     pub(super) fn token(
@@ -87,23 +90,23 @@
     ) {
         if let Err(broken) = self.check(stamps) {
             let text = format!("position {position}: {broken}");
-            out.push(Action::Note(Event::LineageBroken, text));
+            out.push(Action::Log(Event::LineageBroken, text));
             let blame = broken.stage().map_or(Blame::Any, Blame::At);
             return self.give_up(now, Cause::Lineage(broken), blame, out);
         }
         let end = self.ending.as_ref().map_or(self.job.limit, |e| e.0);
         if position >= end {
-            return self.give_up(now, Cause::Garbled, Blame::At(0), out);
+            return self.give_up(now, Cause::Malformed, Blame::At(0), out);
         }
-        match self.window.put(position, text) {
-            Placed::Held => self.deliver(now, out),
-            Placed::Duplicate => self.tally.duplicates += 1,
-            Placed::Overflow => self.give_up(now, Cause::Overflow, Blame::At(0), out),
+        match self.window.insert(position, text) {
+            Insertion::Held => self.deliver(now, out),
+            Insertion::Duplicate => self.counters.duplicates += 1,
+            Insertion::Overflow => self.give_up(now, Cause::Overflow, Blame::At(0), out),
         }
     }
 
-    pub(super) fn check(&self, stamps: &[Stamp]) -> Result<(), Broken> {
-        let want = Wanted {
+    pub(super) fn check(&self, stamps: &[Stamp]) -> Result<(), LineageError> {
+        let want = ExpectedLineage {
             stages: &self.stages,
             layers: self.job.layers,
             epoch: self.epoch,
@@ -127,16 +130,16 @@
 
     pub(super) fn progress(&mut self, now: Instant, before: usize, out: &mut Vec<Action>) {
         if self.phase == Phase::Decode {
-            self.pace.observe(now.saturating_duration_since(self.last));
+            self.timeout.observe(now.saturating_duration_since(self.last_progress));
         } else if self.epoch > 1 {
             let text = format!("epoch={} position={before}", self.epoch);
-            out.push(Action::Note(Event::AnswerResumed, text));
+            out.push(Action::Log(Event::AnswerResumed, text));
         }
         self.phase = Phase::Decode;
         self.attempts = 0;
         self.cuts = 0;
         self.chain_deadline = None;
-        self.last = now;
+        self.last_progress = now;
         self.silent.fill(None);
         self.arm(now);
     }
@@ -152,15 +155,20 @@
     pub(super) fn complete(&mut self, finish: Finish, out: &mut Vec<Action>) {
         out.push(Action::Close(self.epoch));
         out.push(Action::Finish(finish));
-        self.phase = Phase::Over;
+        self.phase = Phase::Finished;
     }
 
-    pub(super) fn ended(&mut self, now: Instant, failure: Option<Failure>, out: &mut Vec<Action>) {
+    pub(super) fn ended(
+        &mut self,
+        now: Instant,
+        failure: Option<StreamFailure>,
+        out: &mut Vec<Action>,
+    ) {
         if !self.streaming() {
             return;
         }
-        if failure == Some(Failure::Garbled) || self.ending.is_some() {
-            return self.give_up(now, Cause::Garbled, Blame::At(0), out);
+        if failure == Some(StreamFailure::Malformed) || self.ending.is_some() {
+            return self.give_up(now, Cause::Malformed, Blame::At(0), out);
         }
         self.cuts += 1;
         let blame = if self.cuts > 1 { Blame::At(0) } else { Blame::None };
@@ -168,9 +176,9 @@
     }
 
     /// Once every stage was heard of, one that is silent need not be waited for any longer.
-    fn heard_of(&mut self, now: Instant, at: usize, silent: bool, out: &mut Vec<Action>) {
+    fn record_probe(&mut self, now: Instant, at: usize, silent: bool, out: &mut Vec<Action>) {
         // A token has come since the probe was sent.
-        if self.probe.is_some() {
+        if self.probe_at.is_some() {
             return;
         }
         self.silent[at] = Some(silent);
@@ -184,7 +192,7 @@
         &mut self,
         now: Instant,
         target: &TargetId,
-        health: Health,
+        health: ProbeResult,
         out: &mut Vec<Action>,
     ) {
         let Some(at) = self.stages.iter().position(|s| s.target == *target) else {
@@ -194,12 +202,12 @@
             return;
         }
         match health {
-            Health::Dead => self.give_up(now, Cause::Dead, Blame::At(at), out),
-            Health::Alive(life) if life != self.stages[at].incarnation => {
+            ProbeResult::Dead => self.give_up(now, Cause::Dead, Blame::At(at), out),
+            ProbeResult::Alive(life) if life != self.stages[at].incarnation => {
                 self.give_up(now, Cause::Restarted, Blame::At(at), out);
             }
-            Health::Alive(_) => self.heard_of(now, at, false, out),
-            Health::Silent => self.heard_of(now, at, true, out),
+            ProbeResult::Alive(_) => self.record_probe(now, at, false, out),
+            ProbeResult::Silent => self.record_probe(now, at, true, out),
         }
     }
 }
--- a/crates/roseshore_core/src/answer/message.rs
+++ b/crates/roseshore_core/src/answer/message.rs
@@ -1,6 +1,6 @@
 //! What goes into an answer's machine and what comes out.
 
-use crate::answer::lineage::{Broken, Stage, Stamp};
+use crate::answer::lineage::{LineageError, Stage, Stamp};
 use crate::code::Code;
 use crate::event::Event;
 use crate::ids::*;
@@ -31,16 +31,16 @@
     /// In order of layers.
     pub stages: Vec<Stage>,
     /// Predicted time to the next token, by a new prefill.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Predicted time between tokens.
-    pub between: Duration,
+    pub token_interval: Duration,
 }
 
 /// Why opening or reading a stream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum StreamFailure {
     /// Nothing was sent.
-    Unreached,
+    Unreachable,
     /// It was sent, and no whole reply came.
     Lost,
     /// The engine said that nothing ran.
@@ -51,12 +51,12 @@
         after: Option<Duration>,
     },
     /// The reply broke the protocol.
-    Garbled,
+    Malformed,
 }
 
 /// What a probe of a target showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
+pub enum ProbeResult {
     /// It answered, in this life.
     Alive(Incarnation),
     /// It refused the connection.
@@ -67,7 +67,7 @@
 
 /// One line of a stream.
 #[derive(Clone, Debug)]
-pub enum Line {
+pub enum StreamLine {
     /// One token.
     Token {
         /// Which place.
@@ -101,17 +101,17 @@
     /// The router has no chain.
     NoChain(Refusal),
     /// No further attempt is allowed, whatever the router has.
-    Denied(Refusal),
+    RetryDenied(Refusal),
     /// A stream's head has come.
     Opened(Epoch),
     /// A stream could not be opened.
-    Unopened(Epoch, Failure),
+    OpenFailed(Epoch, StreamFailure),
     /// A line came, with the answer and epoch that it names.
-    Line(RequestId, Epoch, Line),
+    Line(RequestId, Epoch, StreamLine),
     /// A stream ended; without a failure, the engine closed it in order.
-    Ended(Epoch, Option<Failure>),
+    Ended(Epoch, Option<StreamFailure>),
     /// A probe of a stage came back.
-    Probed(Epoch, TargetId, Health),
+    Probed(Epoch, TargetId, ProbeResult),
     /// A move of KV cache ended.
     Moved(Epoch, bool),
     /// A target is being taken away.
@@ -124,7 +124,7 @@
 
 /// One stage's KV cache to bring to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
+pub struct CacheMove {
     /// Where it is.
     pub from: Stage,
     /// Where it is to go.
@@ -151,7 +151,7 @@
         retry: bool,
         /// Whether the retry must be paid for from the service's retry budget: nothing was proved
         /// to have failed, so that going on elsewhere may only add load to what is slow.
-        paid: bool,
+        charge_budget: bool,
     },
     /// Open a stream over [`crate::answer::Answer::stages`].
     Open {
@@ -171,7 +171,7 @@
         /// This epoch and older ones.
         epoch: Epoch,
         /// Whether the KV cache is still wanted.
-        keep: bool,
+        keep_cache: bool,
     },
     /// Ask the stages of the route whether they live.
     Probe {
@@ -185,14 +185,14 @@
         /// The number of the new route.
         epoch: Epoch,
         /// The caches.
-        moves: Vec<Move>,
+        moves: Vec<CacheMove>,
         /// How long all may take.
         limit: Duration,
     },
     /// Tell the router that a target failed.
     Failed(TargetId),
     /// Log a line of the catalogue.
-    Note(Event, String),
+    Log(Event, String),
     /// The answer is whole.
     Finish(Finish),
     /// The answer is given up.
@@ -203,7 +203,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// The first stage was not reached.
-    Unreached,
+    Unreachable,
     /// The first stage refused.
     Refused,
     /// A stage holds something else than the route says.
@@ -219,13 +219,13 @@
     /// A probe found a stage in another life.
     Restarted,
     /// The engine lost a stage.
-    Lost,
+    StageLost,
     /// A token did not pass every layer once and in order.
-    Lineage(Broken),
+    Lineage(LineageError),
     /// Tokens came further ahead than the window reaches.
     Overflow,
     /// The stream's lines contradict each other or the protocol.
-    Garbled,
+    Malformed,
     /// A target is being taken away.
     Leaving,
 }
@@ -234,11 +234,11 @@
     /// The code of a refusal for this cause, when nothing ran.
     pub fn code(self) -> Code {
         match self {
-            Cause::Unreached => Code::TargetUnreachable,
+            Cause::Unreachable => Code::TargetUnreachable,
             Cause::Refused => Code::TargetRefused,
             Cause::Mismatch => Code::TargetMismatch,
             Cause::Busy => Code::QueueFull,
-            Cause::Lineage(_) | Cause::Overflow | Cause::Garbled => Code::TargetGarbled,
+            Cause::Lineage(_) | Cause::Overflow | Cause::Malformed => Code::TargetGarbled,
             _ => Code::TargetLost,
         }
     }
@@ -247,7 +247,7 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::Unreached => f.write_str("not reached"),
+            Cause::Unreachable => f.write_str("not reached"),
             Cause::Refused => f.write_str("refused"),
             Cause::Mismatch => f.write_str("holds another version, adapter or layer range"),
             Cause::Busy => f.write_str("full"),
@@ -255,10 +255,10 @@
             Cause::Silent => f.write_str("silent"),
             Cause::Dead => f.write_str("dead"),
             Cause::Restarted => f.write_str("restarted"),
-            Cause::Lost => f.write_str("lost by the engine"),
+            Cause::StageLost => f.write_str("lost by the engine"),
             Cause::Lineage(broken) => write!(f, "lineage: {broken}"),
             Cause::Overflow => f.write_str("tokens too far ahead"),
-            Cause::Garbled => f.write_str("broke the protocol"),
+            Cause::Malformed => f.write_str("broke the protocol"),
             Cause::Leaving => f.write_str("leaving"),
         }
     }
--- a/crates/roseshore_core/src/answer/reorder.rs
+++ b/crates/roseshore_core/src/answer/reorder.rs
@@ -5,8 +5,8 @@
 
 /// What became of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Placed {
-    /// It is held; [`Window::pop`] gives it out when its turn comes.
+pub enum Insertion {
+    /// It is held; [`ReorderBuffer::pop`] gives it out when its turn comes.
     Held,
     /// Its position was delivered or is held already.
     Duplicate,
@@ -16,16 +16,16 @@
 
 /// Tokens from the next position on.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct ReorderBuffer {
     next: Position,
-    reach: usize,
+    capacity: usize,
     held: VecDeque<Option<String>>,
 }
 
-impl Window {
-    /// An empty window that holds at most `reach` positions.
-    pub fn new(reach: usize) -> Window {
-        Window { next: 0, reach, held: VecDeque::with_capacity(reach) }
+impl ReorderBuffer {
+    /// An empty window that holds at most `capacity` positions.
+    pub fn new(capacity: usize) -> ReorderBuffer {
+        ReorderBuffer { next: 0, capacity, held: VecDeque::with_capacity(capacity) }
     }
 
     /// The next position to deliver.
@@ -34,22 +34,22 @@
     }
 
     /// Takes one token.
-    pub fn put(&mut self, position: Position, text: String) -> Placed {
+    pub fn insert(&mut self, position: Position, text: String) -> Insertion {
         let Some(ahead) = position.checked_sub(self.next) else {
-            return Placed::Duplicate;
+            return Insertion::Duplicate;
         };
         let ahead = ahead as usize;
-        if ahead >= self.reach {
-            return Placed::Overflow;
+        if ahead >= self.capacity {
+            return Insertion::Overflow;
         }
         if self.held.len() <= ahead {
             self.held.resize(ahead + 1, None);
         }
         if self.held[ahead].is_some() {
-            return Placed::Duplicate;
+            return Insertion::Duplicate;
         }
         self.held[ahead] = Some(text);
-        Placed::Held
+        Insertion::Held
     }
 
     /// Gives out the token whose turn it is.
--- a/crates/roseshore_core/src/answer/timeout.rs
+++ b/crates/roseshore_core/src/answer/timeout.rs
@@ -18,7 +18,7 @@
 
 /// Bounds of silence.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PaceRules {
+pub struct TimeoutSettings {
     /// Time for a stream's head to come.
     pub open: Duration,
     /// Least time to the first token of a route.
@@ -31,9 +31,9 @@
     pub ceiling: Duration,
 }
 
-impl Default for PaceRules {
-    fn default() -> PaceRules {
-        PaceRules {
+impl Default for TimeoutSettings {
+    fn default() -> TimeoutSettings {
+        TimeoutSettings {
             open: Duration::from_millis(500),
             prefill: Duration::from_millis(500),
             decode: Duration::from_millis(200),
@@ -45,8 +45,8 @@
 
 /// The bound for one answer, over all its routes.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    rules: PaceRules,
+pub struct SilenceTimeout {
+    rules: TimeoutSettings,
     first: Duration,
     between: Duration,
     mean: f64,
@@ -54,15 +54,22 @@
     doublings: u32,
 }
 
-impl Pace {
+impl SilenceTimeout {
     /// A pace without predictions.
-    pub fn new(rules: PaceRules) -> Pace {
+    pub fn new(rules: TimeoutSettings) -> SilenceTimeout {
         let zero = Duration::ZERO;
-        Pace { rules, first: zero, between: zero, mean: 0.0, deviation: 0.0, doublings: 0 }
+        SilenceTimeout {
+            rules,
+            first: zero,
+            between: zero,
+            mean: 0.0,
+            deviation: 0.0,
+            doublings: 0,
+        }
     }
 
     /// Takes the predictions of a new route; what was seen on the old one no longer counts.
-    pub fn predict(&mut self, first: Duration, between: Duration) {
+    pub fn set_prediction(&mut self, first: Duration, between: Duration) {
         self.first = first;
         self.between = between;
         self.mean = between.as_secs_f64();
@@ -78,29 +85,29 @@
     }
 
     /// A route was given up for silence.
-    pub fn slow_down(&mut self) {
+    pub fn back_off(&mut self) {
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
     }
 
     /// Time for a stream's head to come.
     pub fn open(&self) -> Duration {
-        self.stretch(self.rules.open)
+        self.scale(self.rules.open)
     }
 
     /// Time to the first token after the head.
     pub fn prefill(&self) -> Duration {
         let predicted = self.first.mul_f64(self.rules.factor);
-        self.stretch(predicted.max(self.rules.prefill))
+        self.scale(predicted.max(self.rules.prefill))
     }
 
     /// Time between tokens.
     pub fn decode(&self) -> Duration {
         let predicted = self.between.mul_f64(self.rules.factor);
         let seen = Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation);
-        self.stretch(predicted.max(seen).max(self.rules.decode))
+        self.scale(predicted.max(seen).max(self.rules.decode))
     }
 
-    fn stretch(&self, bound: Duration) -> Duration {
+    fn scale(&self, bound: Duration) -> Duration {
         let stretched = bound * 2_u32.pow(self.doublings);
         stretched.min(self.rules.ceiling.max(bound))
     }
--- a/crates/roseshore_core/src/cost.rs
+++ b/crates/roseshore_core/src/cost.rs
@@ -5,7 +5,7 @@
 //! prefills anew. [`plan`] says which is sooner. Caches are moved one after another.
 
 use crate::answer::lineage::Stage;
-use crate::answer::message::Move;
+use crate::answer::message::CacheMove;
 use std::time::Duration;
 
 /// Weight of a new move among those seen.
@@ -23,7 +23,7 @@
 /// What moving KV caches takes, learned from moves: a line through time over size, fitted by least
 /// squares in which older moves count less and less.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rates {
+pub struct MoveCostModel {
     fixed: f64,
     unit: f64,
     size: f64,
@@ -32,11 +32,11 @@
     product: f64,
 }
 
-impl Default for Rates {
-    fn default() -> Rates {
+impl Default for MoveCostModel {
+    fn default() -> MoveCostModel {
         let half = ASSUMED / 2.0;
         let square = ASSUMED * half;
-        Rates {
+        MoveCostModel {
             fixed: FIXED,
             unit: UNIT,
             size: half,
@@ -47,7 +47,7 @@
     }
 }
 
-impl Rates {
+impl MoveCostModel {
     /// The time of moving `tokens` tokens of `layers` layers.
     pub fn predict(&self, tokens: u32, layers: u16) -> Duration {
         Duration::from_secs_f64(self.fixed + size(tokens, layers) * self.unit)
@@ -79,7 +79,7 @@
 
 /// A stage that worked on the answer.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct CachedStage {
     /// The stage.
     pub stage: Stage,
     /// Whether its KV cache can be had and trusted.
@@ -92,11 +92,17 @@
     /// By a new prefill.
     Cold,
     /// With the KV cache, after these moves; none are needed when every stage has it.
-    Warm(Vec<Move>, Duration),
+    Warm(Vec<CacheMove>, Duration),
 }
 
 /// The sooner way to go on with `tokens` tokens over `new`, when a prefill there takes `cold`.
-pub fn plan(old: &[Held], new: &[Stage], tokens: u32, cold: Duration, rates: &Rates) -> Plan {
+pub fn plan(
+    old: &[CachedStage],
+    new: &[Stage],
+    tokens: u32,
+    cold: Duration,
+    rates: &MoveCostModel,
+) -> Plan {
     let mut moves = Vec::new();
     let mut total = Duration::ZERO;
     for to in new {
@@ -107,13 +113,13 @@
             continue;
         }
         total += rates.predict(tokens, to.layers.1 - to.layers.0);
-        moves.push(Move { from: held.stage.clone(), to: to.clone() });
+        moves.push(CacheMove { from: held.stage.clone(), to: to.clone() });
     }
     if total < cold { Plan::Warm(moves, total) } else { Plan::Cold }
 }
 
 /// The cache for a new stage: of exactly its layers, its own first.
-fn source<'a>(old: &'a [Held], to: &Stage) -> Option<&'a Held> {
+fn source<'a>(old: &'a [CachedStage], to: &Stage) -> Option<&'a CachedStage> {
     let held = old.iter().find(|h| h.usable && h.stage.layers == to.layers)?;
     let same = held.stage.target == to.target;
     let reborn = same && held.stage.incarnation != to.incarnation;
--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -94,23 +94,23 @@
     /// A send failed there; returns whether that put it out of use just now.
     pub fn failed(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let before = target.health.suspect();
-        target.health.failed(now);
+        let before = target.health.tripped();
+        target.health.record_failure(now);
         !before
     }
 
     /// Until when a target is out of use; none where it is not.
     pub fn quarantine(&self, id: &str) -> Option<Instant> {
-        self.all.get(id)?.health.quarantine()
+        self.all.get(id)?.health.open_until()
     }
 
     /// A whole answer came; returns whether that put it into use again.
     pub fn worked(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let before = target.health.suspect();
-        target.health.worked(now);
-        target.health.forgive();
-        before && !target.health.suspect()
+        let before = target.health.tripped();
+        target.health.record_success(now);
+        target.health.forgive_failure();
+        before && !target.health.tripped()
     }
 
     /// Something came through these targets.
--- a/crates/roseshore_core/src/gateway/targets/target.rs
+++ b/crates/roseshore_core/src/gateway/targets/target.rs
@@ -4,7 +4,7 @@
 use super::super::peers::{LoadNote, TargetMark, target_mark};
 use super::super::position::Position;
 use super::Intake;
-use crate::load::breaker::Health;
+use crate::load::breaker::CircuitBreaker;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -139,7 +139,7 @@
     pub(super) changed: Position,
     /// What other hosts have there.
     pub(super) others: LoadNote,
-    pub(super) health: Health,
+    pub(super) health: CircuitBreaker,
     pub(super) load: Option<(f64, Instant)>,
     /// How fast it runs.
     pub(super) pace: Option<Pace>,
@@ -170,7 +170,7 @@
             held: 0.0,
             missing: None,
             replaced: false,
-            health: Health::default(),
+            health: CircuitBreaker::default(),
             load: None,
             pace: None,
             learned: None,
--- a/crates/roseshore_core/src/ids.rs
+++ b/crates/roseshore_core/src/ids.rs
@@ -43,6 +43,6 @@
 pub type Position = u32;
 
 /// Whether `id` is a request's whole id, or the part of it that its caller gave.
-pub fn is_request(request: &str, id: &str) -> bool {
+pub fn request_id_matches(request: &str, id: &str) -> bool {
     request.strip_prefix(id).is_some_and(|rest| rest.is_empty() || rest.starts_with('~'))
 }
--- a/crates/roseshore_core/src/ledger/book.rs
+++ b/crates/roseshore_core/src/ledger/book.rs
@@ -123,7 +123,7 @@
 
     /// What became of a request, by its whole id or its caller's part; `None` when this daemon never had it or has forgotten it.
     pub fn fate(&self, request: &str) -> Option<Fate> {
-        let known = |it: &&Running| is_request(&it.whose.request, request);
+        let known = |it: &&Running| request_id_matches(&it.whose.request, request);
         if let Some(running) = self.running.values().find(known) {
             return Some(Fate::Running(running.clone()));
         }
@@ -135,5 +135,5 @@
 }
 
 fn newest<'a>(rows: &'a VecDeque<Ended>, request: &str) -> Option<&'a Ended> {
-    rows.iter().rev().find(|e| is_request(&e.whose.request, request))
+    rows.iter().rev().find(|e| request_id_matches(&e.whose.request, request))
 }
--- a/crates/roseshore_core/src/load/breaker.rs
+++ b/crates/roseshore_core/src/load/breaker.rs
@@ -15,13 +15,13 @@
 
 /// The failures of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    row: u32,
+pub struct CircuitBreaker {
+    failures: u32,
     last: Option<Instant>,
     until: Option<Instant>,
 }
 
-impl Health {
+impl CircuitBreaker {
     /// Whether new work may go there, when `own` requests are in flight.
     pub fn usable(&self, now: Instant, own: u32) -> bool {
         match self.until {
@@ -31,42 +31,42 @@
     }
 
     /// Whether it is out of use at all, half open included.
-    pub fn suspect(&self) -> bool {
+    pub fn tripped(&self) -> bool {
         self.until.is_some()
     }
 
     /// Until when nothing at all may go there; none where it is in use.
-    pub fn quarantine(&self) -> Option<Instant> {
+    pub fn open_until(&self) -> Option<Instant> {
         self.until
     }
 
     /// It failed.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         let inside = self.until.is_some_and(|until| now < until);
         if inside {
             return;
         }
         let old = self.last.is_some_and(|last| now.saturating_duration_since(last) > FORGET);
-        self.row = if old { 1 } else { self.row.saturating_add(1) };
+        self.failures = if old { 1 } else { self.failures.saturating_add(1) };
         self.last = Some(now);
-        let length = FIRST.saturating_mul(1 << (self.row - 1).min(16));
+        let length = FIRST.saturating_mul(1 << (self.failures - 1).min(16));
         self.until = Some(now + length.min(LONGEST));
     }
 
     /// A step or call worked.
-    pub fn worked(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         if self.until.is_some_and(|until| now >= until) {
             self.until = None;
         }
     }
 
     /// A whole answer makes up for one failure of the row.
-    pub fn forgive(&mut self) {
-        self.row = self.row.saturating_sub(1);
+    pub fn forgive_failure(&mut self) {
+        self.failures = self.failures.saturating_sub(1);
     }
 
     /// It answered a poll at `seen`.
-    pub fn reported(&mut self, seen: Instant) {
+    pub fn record_report(&mut self, seen: Instant) {
         if self.until.is_some_and(|until| seen >= until) {
             self.until = None;
         }
--- a/crates/roseshore_core/src/load/in_flight.rs
+++ b/crates/roseshore_core/src/load/in_flight.rs
@@ -10,29 +10,29 @@
 
 /// A count with its recent past.
 #[derive(Clone, Debug, Default)]
-pub struct History {
-    level: u32,
+pub struct InFlightHistory {
+    current: u32,
     past: [u32; STEPS],
     newest: Option<Instant>,
 }
 
-impl History {
+impl InFlightHistory {
     /// The count now.
-    pub fn level(&self) -> u32 {
-        self.level
+    pub fn current(&self) -> u32 {
+        self.current
     }
 
     /// Changes the count at `now`.
     pub fn change(&mut self, now: Instant, by: i32) {
         self.advance(now);
-        self.level = self.level.saturating_add_signed(by);
+        self.current = self.current.saturating_add_signed(by);
     }
 
     /// The count at an earlier time, or the oldest that is known.
-    pub fn at(&mut self, time: Instant) -> u32 {
-        let Some(newest) = self.newest else { return self.level };
+    pub fn at_time(&mut self, time: Instant) -> u32 {
+        let Some(newest) = self.newest else { return self.current };
         if time >= newest {
-            return self.level;
+            return self.current;
         }
         let back = (newest - time).as_nanos() / STEP.as_nanos();
         self.past[(back as usize).min(STEPS - 1)]
@@ -50,7 +50,7 @@
             return;
         }
         self.past.copy_within(..STEPS - shift, shift);
-        self.past[..shift].fill(self.level);
+        self.past[..shift].fill(self.current);
         self.newest = Some(newest + STEP * (steps as u32));
     }
 }
--- a/crates/roseshore_core/src/load/report.rs
+++ b/crates/roseshore_core/src/load/report.rs
@@ -1,8 +1,8 @@
 //! What a target reports, and how a report changes what is known of it.
 
 use super::Row;
-use super::breaker::Health;
-use super::slowdown::Pace;
+use super::breaker::CircuitBreaker;
+use super::slowdown::Slowdown;
 use crate::prelude::*;
 use std::collections::BTreeSet;
 
@@ -20,11 +20,11 @@
     /// The adapters loaded.
     pub adapters: BTreeSet<AdapterId>,
     /// Whether it runs prefill and decode alike.
-    pub whole: bool,
+    pub both_phases: bool,
     /// Whether a load is under way.
     pub loading: bool,
     /// Whether it asks for no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Requests waiting.
     pub queue: u32,
     /// Answers being worked on.
@@ -53,12 +53,12 @@
     /// Time of one call.
     pub call: Duration,
     /// Whether it asks for no new work.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// What a poll of a target gave.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Content {
+pub enum PollResult {
     /// An engine's report.
     Engine(EngineState),
     /// A service replica's report.
@@ -69,18 +69,18 @@
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ReportChange {
     /// The report was older than the known one, or of an unknown target.
     Ignored,
     /// Only load figures.
-    Figures,
+    LoadOnly,
     /// What the target holds, its life or whether it takes work.
-    Holding,
+    Capabilities,
 }
 
 /// What a target is asked to do in a unit of work, and how fast.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct LoadFigures {
     /// Requests waiting or running there, as reported.
     pub depth: f64,
     /// Requests waiting there, as reported.
@@ -95,14 +95,20 @@
     pub kv_free: f64,
 }
 
-impl Figures {
+impl LoadFigures {
     /// What is assumed before the first report.
-    pub(super) const UNKNOWN: Figures =
-        Figures { depth: 0.0, queue: 0.0, slots: 1.0, step: 0.001, prefill: 1000.0, kv_free: 1e9 };
+    pub(super) const UNKNOWN: LoadFigures = LoadFigures {
+        depth: 0.0,
+        queue: 0.0,
+        slots: 1.0,
+        step: 0.001,
+        prefill: 1000.0,
+        kv_free: 1e9,
+    };
 }
 
-pub(super) fn take_engine(row: &mut Row, seen: Instant, state: EngineState) -> Change {
-    let figures = Figures {
+pub(super) fn apply_engine(row: &mut Row, seen: Instant, state: EngineState) -> ReportChange {
+    let figures = LoadFigures {
         depth: f64::from(state.queue + state.running),
         queue: f64::from(state.queue),
         slots: f64::from(state.slots.max(1)),
@@ -110,50 +116,50 @@
         prefill: state.prefill.max(1.0),
         kv_free: state.kv_free as f64,
     };
-    take_figures(row, figures);
+    apply_figures(row, figures);
     let renewed = state.incarnation != row.incarnation;
-    take_life(row, seen, state.incarnation);
+    apply_incarnation(row, seen, state.incarnation);
     let same = row.engine.as_ref().is_some_and(|old| {
         old.model == state.model
             && old.version == state.version
             && old.layers == state.layers
             && old.adapters == state.adapters
-            && old.whole == state.whole
+            && old.both_phases == state.both_phases
             && old.loading == state.loading
     });
-    let same = same && !renewed && row.closing == state.leaving;
-    row.closing = state.leaving;
+    let same = same && !renewed && row.draining == state.draining;
+    row.draining = state.draining;
     row.engine = Some(state);
-    if same { Change::Figures } else { Change::Holding }
+    if same { ReportChange::LoadOnly } else { ReportChange::Capabilities }
 }
 
-pub(super) fn take_service(row: &mut Row, seen: Instant, state: ServiceState) -> Change {
-    let figures = Figures {
+pub(super) fn apply_service(row: &mut Row, seen: Instant, state: ServiceState) -> ReportChange {
+    let figures = LoadFigures {
         depth: f64::from(state.queue + state.running),
         queue: f64::from(state.queue),
         slots: f64::from(state.slots.max(1)),
         step: state.call.as_secs_f64().max(1e-6),
-        ..Figures::UNKNOWN
+        ..LoadFigures::UNKNOWN
     };
-    take_figures(row, figures);
-    take_life(row, seen, state.incarnation);
-    let same = row.closing == state.leaving;
-    row.closing = state.leaving;
-    if same { Change::Figures } else { Change::Holding }
+    apply_figures(row, figures);
+    apply_incarnation(row, seen, state.incarnation);
+    let same = row.draining == state.draining;
+    row.draining = state.draining;
+    if same { ReportChange::LoadOnly } else { ReportChange::Capabilities }
 }
 
-fn take_figures(row: &mut Row, figures: Figures) {
+fn apply_figures(row: &mut Row, figures: LoadFigures) {
     if row.incarnation != 0 {
-        row.pace.rescale(row.figures.step / figures.step);
+        row.slowdown.rescale(row.figures.step / figures.step);
     }
     row.figures = figures;
 }
 
-fn take_life(row: &mut Row, seen: Instant, incarnation: Incarnation) {
+fn apply_incarnation(row: &mut Row, seen: Instant, incarnation: Incarnation) {
     if row.incarnation != 0 && row.incarnation != incarnation {
-        row.health = Health::default();
-        row.pace = Pace::default();
+        row.breaker = CircuitBreaker::default();
+        row.slowdown = Slowdown::default();
     }
     row.incarnation = incarnation;
-    row.health.reported(seen);
+    row.breaker.record_report(seen);
 }
--- a/crates/roseshore_core/src/load/slowdown.rs
+++ b/crates/roseshore_core/src/load/slowdown.rs
@@ -11,7 +11,7 @@
 /// The bounds of the factor; a target that is faster than it says is simply believed.
 const BOUNDS: (f64, f64) = (1.0, 100.0);
 /// Without an observation, the factor is back at 1 after this time.
-const FORGIVE: Duration = Duration::from_mins(3);
+const DECAY_TIME: Duration = Duration::from_mins(3);
 /// Variance of a factor of which nothing is known.
 const UNKNOWN: f64 = 16.0;
 /// Variance that a factor gains in a second.
@@ -19,22 +19,22 @@
 
 /// A factor on reported times.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct Slowdown {
     factor: f64,
     variance: f64,
     last: Option<Instant>,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace { factor: 1.0, variance: UNKNOWN, last: None }
+impl Default for Slowdown {
+    fn default() -> Slowdown {
+        Slowdown { factor: 1.0, variance: UNKNOWN, last: None }
     }
 }
 
-impl Pace {
+impl Slowdown {
     /// How many times longer it takes than it reports.
     pub fn factor(&self, now: Instant) -> f64 {
-        let kept = (1.0 - self.idle(now) / FORGIVE.as_secs_f64()).max(0.0);
+        let kept = (1.0 - self.idle(now) / DECAY_TIME.as_secs_f64()).max(0.0);
         1.0 + (self.factor - 1.0) * kept
     }
 
--- a/crates/roseshore_core/src/lookup.rs
+++ b/crates/roseshore_core/src/lookup.rs
@@ -174,8 +174,8 @@
 
     fn earn(&mut self, budgets: &mut Budgets) {
         self.verdict = self.verdict.join(Verdict::MayHaveRun);
-        budgets.retries.earn();
-        budgets.hedges.earn();
+        budgets.retries.record_success();
+        budgets.hedges.record_success();
     }
 
     fn outcome(&self) -> Option<Outcome<T>> {
@@ -205,7 +205,7 @@
         let again = known.asked < self.policy.attempts
             && due < self.deadline
             && !self.done
-            && budgets.retries.spend(now);
+            && budgets.retries.try_spend(now);
         known.state = if again { State::Waiting(due) } else { State::Silent };
     }
 
@@ -245,7 +245,7 @@
         for index in 0..self.sources.len() {
             if matches!(self.sources[index].state, State::Unasked) {
                 let free = passed || self.policy.compare;
-                let due = free || (self.slow(index - 1, now) && budgets.hedges.spend(now));
+                let due = free || (self.slow(index - 1, now) && budgets.hedges.try_spend(now));
                 if !due {
                     return;
                 }
@@ -279,7 +279,7 @@
             let source = known.source;
             let asking = matches!(self.sources[source].state, State::Asking);
             let left = self.sources[source].asked < self.policy.attempts;
-            if asking && left && budgets.hedges.spend(now) {
+            if asking && left && budgets.hedges.try_spend(now) {
                 self.ask(source, Reason::Hedge, now, actions);
             }
         }
--- a/crates/roseshore_core/src/lookup/terms.rs
+++ b/crates/roseshore_core/src/lookup/terms.rs
@@ -1,7 +1,7 @@
 //! What goes into a lookup and what comes out.
 
 use crate::prelude::*;
-use crate::retry::Budget;
+use crate::retry::RetryBudget;
 
 /// The index of a source in the declared order.
 pub type SourceIndex = usize;
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     /// For attempts after a failure.
-    pub retries: Budget,
+    pub retries: RetryBudget,
     /// For attempts beside a slow one.
-    pub hedges: Budget,
+    pub hedges: RetryBudget,
 }
 
 /// What one attempt at a source brought.
--- a/crates/roseshore_core/src/retry.rs
+++ b/crates/roseshore_core/src/retry.rs
@@ -1,9 +1,9 @@
 //! When another attempt is allowed, and after what wait.
 //!
-//! A fault must not multiply the load. A [`Budget`] therefore lets extra attempts grow only with
+//! A fault must not multiply the load. A [`RetryBudget`] therefore lets extra attempts grow only with
 //! successes: over any time, the extra attempts are at most the burst, plus the ratio of the
-//! successes, plus a trickle that keeps a quiet service able to retry at all. [`backoff`] spreads
-//! the attempts out, so that callers that failed together do not come back together. [`asked`] reads the wait
+//! successes, plus a min_rate that keeps a quiet service able to retry at all. [`backoff`] spreads
+//! the attempts out, so that callers that failed together do not come back together. [`parse_retry_after`] reads the wait
 //! that a refusal asks for.
 
 use crate::prelude::*;
@@ -13,7 +13,7 @@
 /// Extra attempts that may be saved up.
 pub const BURST: f64 = 10.0;
 /// Extra attempts a second that are allowed without any success.
-pub const TRICKLE: f64 = 1.0;
+pub const MIN_RATE: f64 = 1.0;
 /// The wait before the first retry, at most.
 pub const FIRST_WAIT: Duration = Duration::from_millis(10);
 /// The wait before any retry, at most.
@@ -25,36 +25,36 @@
 
 /// A token bucket of extra attempts, filled by successes.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: u64,
     ratio: u64,
     burst: u64,
-    trickle: f64,
+    min_rate: f64,
     seen: Option<Instant>,
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget::new(RATIO, BURST, TRICKLE)
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget::new(RATIO, BURST, MIN_RATE)
     }
 }
 
-impl Budget {
-    /// A full bucket of `burst` tokens that earns `ratio` a success and `trickle` a second.
-    pub fn new(ratio: f64, burst: f64, trickle: f64) -> Budget {
+impl RetryBudget {
+    /// A full bucket of `burst` tokens that earns `ratio` a success and `min_rate` a second.
+    pub fn new(ratio: f64, burst: f64, min_rate: f64) -> RetryBudget {
         let (ratio, burst) = ((ratio * UNIT) as u64, (burst * UNIT) as u64);
-        Budget { tokens: burst, ratio, burst, trickle: trickle * UNIT, seen: None }
+        RetryBudget { tokens: burst, ratio, burst, min_rate: min_rate * UNIT, seen: None }
     }
 
     /// Takes note of a success.
-    pub fn earn(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = self.burst.min(self.tokens + self.ratio);
     }
 
     /// Whether one extra attempt may be made now; if so, it is paid for.
-    pub fn spend(&mut self, now: Instant) -> bool {
+    pub fn try_spend(&mut self, now: Instant) -> bool {
         let seen = self.seen.unwrap_or(now);
-        let earned = self.trickle * now.saturating_duration_since(seen).as_secs_f64();
+        let earned = self.min_rate * now.saturating_duration_since(seen).as_secs_f64();
         self.seen = Some(seen.max(now));
         self.tokens = self.burst.min(self.tokens.saturating_add(earned as u64));
         let allowed = self.tokens >= ONE;
@@ -76,6 +76,6 @@
 
 /// The wait that the text of a `Retry-After` field asks for: seconds, fractions included. A date, or what is
 /// no time, asks for none.
-pub fn asked(text: &str) -> Option<Duration> {
+pub fn parse_retry_after(text: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(text.trim().parse().ok()?).ok()
 }
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -17,20 +17,20 @@
 
 use crate::admit::Capacity;
 use crate::fleet::TargetKind;
-use crate::load::{Change, Content, Index, Loads, Ticket, Zone};
+use crate::load::{DataCentreIndex, LoadTable, PollResult, ReportChange, TargetIndex, Ticket};
 use crate::order::rollout::{Piece, Pieces};
 use crate::prelude::*;
-use chain::{Scratch, Step};
+use chain::{ChainSearch, Scratch};
 use cost::Work;
-use links::Links;
-use pool::{Place, Pools};
-use prefix::{CacheChange, Hit, Prefixes};
+use links::LinkDelays;
+use pool::{PoolContext, Pools};
+use prefix::{CacheChange, PrefixHit, PrefixIndex};
 use rand::rngs::SmallRng;
 use replica::Replicas;
 
 /// What an answer needs of its chain.
 #[derive(Clone, Debug)]
-pub struct ChainNeed<'a> {
+pub struct ChainRequest<'a> {
     /// The model.
     pub model: &'a str,
     /// The version.
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageChoice {
     /// The target's row.
-    pub row: Index,
+    pub row: TargetIndex,
     /// First layer and one past the last that it is to run.
     pub layers: (Layer, Layer),
 }
@@ -64,56 +64,56 @@
     /// In order of layers.
     pub stages: Vec<StageChoice>,
     /// Predicted time to the next token.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Predicted time between tokens.
-    pub between: Duration,
+    pub token_interval: Duration,
     /// Seconds for the whole answer if the chain were idle.
-    pub idle: f64,
+    pub idle_secs: f64,
 }
 
 /// How a choice is made; the defaults are those measured best.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct SampleSizes {
     /// Candidates drawn for each piece in the own data centre.
     pub near: usize,
     /// Candidates drawn for each piece elsewhere.
     pub far: usize,
 }
 
-impl Default for Tuning {
-    fn default() -> Tuning {
-        Tuning { near: 3, far: 1 }
+impl Default for SampleSizes {
+    fn default() -> SampleSizes {
+        SampleSizes { near: 3, far: 1 }
     }
 }
 
 /// Everything that choices are made from.
 pub struct Router {
-    loads: Loads,
-    links: Links,
+    loads: LoadTable,
+    links: LinkDelays,
     pools: Pools,
     replicas: Replicas,
-    prefixes: Prefixes,
-    own: Zone,
-    tuning: Tuning,
+    prefixes: PrefixIndex,
+    own: DataCentreIndex,
+    sample_sizes: SampleSizes,
     random: SmallRng,
     scratch: Scratch,
-    avoid: Vec<Index>,
-    hits: Vec<Hit>,
+    avoid: Vec<TargetIndex>,
+    hits: Vec<PrefixHit>,
 }
 
 impl Router {
     /// A router of a daemon in the data centre `own`.
-    pub fn new(own: &str, tuning: Tuning, random: SmallRng) -> Router {
-        let mut loads = Loads::default();
-        let own = loads.zone(own);
+    pub fn new(own: &str, sample_sizes: SampleSizes, random: SmallRng) -> Router {
+        let mut loads = LoadTable::default();
+        let own = loads.data_centre_index(own);
         Router {
             loads,
-            links: Links::default(),
+            links: LinkDelays::default(),
             pools: Pools::default(),
             replicas: Replicas::default(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixIndex::default(),
             own,
-            tuning,
+            sample_sizes,
             random,
             scratch: Scratch::default(),
             avoid: Vec::new(),
@@ -122,23 +122,23 @@
     }
 
     /// Takes over a configuration.
-    pub fn declare(&mut self, fleet: &Fleet) {
-        self.loads.declare(fleet);
-        self.links = Links::declared(&mut self.loads, fleet);
+    pub fn apply_fleet(&mut self, fleet: &Fleet) {
+        self.loads.apply_fleet(fleet);
+        self.links = LinkDelays::from_fleet(&mut self.loads, fleet);
         self.pools.clear();
         self.replicas.clear();
     }
 
     /// What is known of the targets.
-    pub fn loads(&self) -> &Loads {
+    pub fn loads(&self) -> &LoadTable {
         &self.loads
     }
 
     /// Takes a report.
-    pub fn report(&mut self, id: &str, seen: Instant, content: Content) -> Change {
+    pub fn report(&mut self, id: &str, seen: Instant, content: PollResult) -> ReportChange {
         let life = self.loads.find(id).map(|i| self.loads.row(i).incarnation);
         let change = self.loads.report(id, seen, content);
-        if change == Change::Holding {
+        if change == ReportChange::Capabilities {
             self.pools.clear();
             self.replicas.clear();
             self.forget_cache(id, life);
@@ -147,36 +147,36 @@
     }
 
     /// Takes cache events of a target.
-    pub fn cached(&mut self, id: &str, changes: &[CacheChange]) {
+    pub fn apply_cache_changes(&mut self, id: &str, changes: &[CacheChange]) {
         let Some(row) = self.loads.find(id) else { return };
         for change in changes {
-            self.prefixes.take(row, *change);
+            self.prefixes.apply(row, *change);
         }
     }
 
     /// A target failed just now.
-    pub fn failed(&mut self, id: &str, now: Instant) {
-        self.loads.failed(id, now);
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
+        self.loads.record_failure(id, now);
     }
 
     /// One step or call of a target took this long.
-    pub fn observed(&mut self, id: &str, took: Duration, now: Instant) {
-        self.loads.observed(id, took, now);
+    pub fn record_step(&mut self, id: &str, took: Duration, now: Instant) {
+        self.loads.record_step(id, took, now);
     }
 
     /// One step over a chain of targets took this long.
-    pub fn paced(&mut self, chain: &[Index], took: Duration, now: Instant) {
-        let links = self.links.round(chain.iter().map(|&i| self.loads.row(i).zone));
-        self.loads.paced(chain, links, took, now);
+    pub fn record_chain_step(&mut self, chain: &[TargetIndex], took: Duration, now: Instant) {
+        let links = self.links.round_trip(chain.iter().map(|&i| self.loads.row(i).data_centre));
+        self.loads.record_chain_step(chain, links, took, now);
     }
 
     /// Notes whether a target's host is being taken away.
-    pub fn set_leaving(&mut self, row: Index, leaving: bool) {
+    pub fn set_leaving(&mut self, row: TargetIndex, leaving: bool) {
         self.loads.set_leaving(row, leaving);
     }
 
     /// Counts chosen rows as in flight.
-    pub fn begin(&mut self, rows: &[Index], now: Instant) -> Ticket {
+    pub fn begin(&mut self, rows: &[TargetIndex], now: Instant) -> Ticket {
         self.loads.begin(rows, now)
     }
 
@@ -186,41 +186,55 @@
     }
 
     /// Chooses a chain, or `None` when the usable targets leave a hole.
-    pub fn chain(&mut self, need: &ChainNeed<'_>, now: Instant) -> Option<ChainChoice> {
-        let place = Place { loads: &self.loads, links: &self.links, own: self.own, now };
-        let tiers = self.pools.get(&place, need);
+    pub fn choose_chain(
+        &mut self,
+        request: &ChainRequest<'_>,
+        now: Instant,
+    ) -> Option<ChainChoice> {
+        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
+        let tiers = self.pools.get(&place, request);
         let loads = &self.loads;
         self.avoid.clear();
-        self.avoid.extend(need.avoid.iter().filter_map(|id| loads.find(id)));
+        self.avoid.extend(request.avoid.iter().filter_map(|id| loads.find(id)));
         self.hits.clear();
-        self.prefixes.find(need.prefixes, &mut self.hits);
-        let work = Work { prompt: need.prompt, expected: need.expected };
-        let step = Step {
+        self.prefixes.find(request.prefixes, &mut self.hits);
+        let work = Work { prompt: request.prompt, expected: request.expected };
+        let step = ChainSearch {
             loads,
             links: &self.links,
             own: self.own,
             avoid: &self.avoid,
             work,
             hits: &self.hits,
-            life: tiers.life.predict(work),
+            idle_time: tiers.idle_time.predict(work),
             now,
         };
-        let choice = step.choose(tiers, self.tuning, &mut self.random, &mut self.scratch)?;
-        tiers.life.learn(work, choice.idle);
-        self.note_prefixes(need, &choice);
+        let choice = step.choose(tiers, self.sample_sizes, &mut self.random, &mut self.scratch)?;
+        tiers.idle_time.learn(work, choice.idle_secs);
+        self.note_prefixes(request, &choice);
         Some(choice)
     }
 
     /// Chooses a replica of a service source, or `None` when none is usable.
-    pub fn replica(&mut self, serves: &str, avoid: &[TargetId], now: Instant) -> Option<Index> {
+    pub fn choose_replica(
+        &mut self,
+        serves: &str,
+        avoid: &[TargetId],
+        now: Instant,
+    ) -> Option<TargetIndex> {
         let loads = &self.loads;
         self.avoid.clear();
         self.avoid.extend(avoid.iter().filter_map(|id| loads.find(id)));
-        let place = Place { loads, links: &self.links, own: self.own, now };
+        let place = PoolContext { loads, links: &self.links, own: self.own, now };
         let list = self.replicas.get(&place, serves);
-        let pick =
-            replica::Pick { loads, links: &self.links, own: self.own, avoid: &self.avoid, now };
-        pick.choose(list, self.tuning, &mut self.random)
+        let pick = replica::ReplicaSearch {
+            loads,
+            links: &self.links,
+            own: self.own,
+            avoid: &self.avoid,
+            now,
+        };
+        pick.choose(list, self.sample_sizes, &mut self.random)
     }
 
     /// What the usable engines hold of a model.
@@ -230,10 +244,10 @@
             if row.kind != TargetKind::Engine {
                 continue;
             }
-            let near = row.zone == self.own;
+            let near = row.data_centre == self.own;
             pieces.heard &= !near || row.reported() || !row.usable(now);
             let Some(engine) = row.engine.as_ref().filter(|_| row.usable(now)) else { continue };
-            let serves = engine.whole && !engine.loading && !engine.leaving;
+            let serves = engine.both_phases && !engine.loading && !engine.draining;
             let Some(version) = engine.version.clone().filter(|_| serves) else { continue };
             if engine.model.as_deref() == Some(model) {
                 pieces.held.push(Piece { version, layers: engine.layers, near });
@@ -243,25 +257,25 @@
     }
 
     /// The capacity of the narrowest layer of a model's engines.
-    pub fn chain_capacity(&mut self, need: &ChainNeed<'_>, now: Instant) -> Option<Capacity> {
-        let place = Place { loads: &self.loads, links: &self.links, own: self.own, now };
-        let tiers = self.pools.get(&place, need);
-        let work = Work { prompt: need.prompt, expected: need.expected };
-        capacity::of_chains(&self.loads, need, tiers.life.predict(work), now)
+    pub fn chain_capacity(&mut self, request: &ChainRequest<'_>, now: Instant) -> Option<Capacity> {
+        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
+        let tiers = self.pools.get(&place, request);
+        let work = Work { prompt: request.prompt, expected: request.expected };
+        capacity::chain_capacity(&self.loads, request, tiers.idle_time.predict(work), now)
     }
 
     /// The capacity of the replicas of a service source.
     pub fn replica_capacity(&mut self, serves: &str, now: Instant) -> Option<Capacity> {
-        let place = Place { loads: &self.loads, links: &self.links, own: self.own, now };
+        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
         let list = self.replicas.get(&place, serves);
-        capacity::of_replicas(&self.loads, list, now)
+        capacity::replica_capacity(&self.loads, list, now)
     }
 
     /// The prompt will be cached along the chain; not waiting for the event keeps it there.
-    fn note_prefixes(&mut self, need: &ChainNeed<'_>, choice: &ChainChoice) {
+    fn note_prefixes(&mut self, request: &ChainRequest<'_>, choice: &ChainChoice) {
         for stage in &choice.stages {
-            for &(tokens, hash) in need.prefixes {
-                self.prefixes.take(stage.row, CacheChange::Stored { hash, tokens });
+            for &(tokens, hash) in request.prefixes {
+                self.prefixes.apply(stage.row, CacheChange::Stored { hash, tokens });
             }
         }
     }
@@ -269,7 +283,7 @@
     fn forget_cache(&mut self, id: &str, life: Option<Incarnation>) {
         let Some(row) = self.loads.find(id) else { return };
         if life != Some(self.loads.row(row).incarnation) {
-            self.prefixes.take(row, CacheChange::Cleared);
+            self.prefixes.apply(row, CacheChange::Cleared);
         }
     }
 }
--- a/crates/roseshore_core/src/route/links.rs
+++ b/crates/roseshore_core/src/route/links.rs
@@ -1,6 +1,6 @@
 //! What a hop between data centres costs.
 
-use crate::load::{Loads, Zone};
+use crate::load::{DataCentreIndex, LoadTable};
 use crate::prelude::*;
 
 /// One-way delay inside a data centre, seconds.
@@ -10,18 +10,18 @@
 
 /// One-way delays between data centres, seconds.
 #[derive(Clone, Debug, Default)]
-pub struct Links {
+pub struct LinkDelays {
     width: usize,
     delays: Vec<f64>,
 }
 
-impl Links {
+impl LinkDelays {
     /// The declared delays; one direction stands for both when only one is declared.
-    pub fn declared(loads: &mut Loads, fleet: &Fleet) -> Links {
+    pub fn from_fleet(loads: &mut LoadTable, fleet: &Fleet) -> LinkDelays {
         for id in fleet.data_centres.keys() {
-            loads.zone(id);
+            loads.data_centre_index(id);
         }
-        let zones = loads.zones();
+        let zones = loads.data_centres();
         let width = zones.len();
         let mut delays = vec![DEFAULT; width * width];
         let declared = |a: &str, b: &str| fleet.data_centres.get(a)?.links.get(b).copied();
@@ -32,17 +32,17 @@
                 delays[i * width + j] = if i == j { INSIDE } else { delay.max(0.0) };
             }
         }
-        Links { width, delays }
+        LinkDelays { width, delays }
     }
 
     /// Seconds one way.
-    pub fn delay(&self, a: Zone, b: Zone) -> f64 {
+    pub fn delay(&self, a: DataCentreIndex, b: DataCentreIndex) -> f64 {
         let place = usize::from(a) * self.width + usize::from(b);
         self.delays.get(place).copied().unwrap_or(DEFAULT)
     }
 
     /// Seconds of a token's way over stages and back to the first one.
-    pub fn round(&self, mut chain: impl Iterator<Item = Zone>) -> f64 {
+    pub fn round_trip(&self, mut chain: impl Iterator<Item = DataCentreIndex>) -> f64 {
         let Some(first) = chain.next() else { return 0.0 };
         let mut last = first;
         let mut total = 0.0;
--- a/crates/roseshore_core/src/route/pool.rs
+++ b/crates/roseshore_core/src/route/pool.rs
@@ -1,75 +1,78 @@
 //! The engines that hold one model version, as a graph over layer borders.
 
-use super::ChainNeed;
+use super::ChainRequest;
 use super::cost::Work;
-use super::links::Links;
-use super::weighted::Weighted;
-use crate::load::{Index, Loads, Row, Zone};
+use super::links::LinkDelays;
+use super::weighted::WeightedSampler;
+use crate::load::{DataCentreIndex, LoadTable, Row, TargetIndex};
 use crate::prelude::*;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
 /// Pools kept; more than any fleet's models and adapters in use at a time.
-const POOLS: usize = 256;
+const MAX_POOLS: usize = 256;
 /// Tokens that are prefilled in about the time of one generated.
 const PREFILL_TOKENS: f64 = 10.0;
-/// How often targets are weighed anew for draws.
-pub(super) const WEIGH: Duration = Duration::from_millis(500);
+/// How often targets are weights_updated anew for draws.
+pub(super) const REWEIGH_INTERVAL: Duration = Duration::from_millis(500);
 /// Part of a sample that is learned at once.
 const LEARN: f64 = 0.05;
 
 /// Engines that can run the same piece.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct PieceGroup {
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
     /// Those of the own data centre.
-    pub near: Weighted,
+    pub near: WeightedSampler,
     /// All others, the nearest first.
-    pub far: Weighted,
+    pub far: WeightedSampler,
 }
 
 /// A graph of pieces from layer 0 to the last.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     /// Pieces that lie on some whole path, the last ones first.
-    pub groups: Vec<Group>,
+    pub groups: Vec<PieceGroup>,
     /// The number of layers.
     pub layers: Layer,
 }
 
-/// The pools of one need.
+/// The pools of one request.
 #[derive(Clone, Debug, Default)]
-pub struct Tiers {
+pub struct ChainPools {
     /// Engines run all the layers they hold.
     pub exact: Pool,
     /// Engines may begin in the middle of their range; used only when the other leaves a hole.
     pub trimmed: Pool,
     /// How long answers take on idle chains.
-    pub life: Life,
-    weighed: Option<Instant>,
+    pub idle_time: IdleTimeModel,
+    weights_updated: Option<Instant>,
 }
 
-impl Tiers {
-    fn weigh(&mut self, loads: &Loads, now: Instant) {
-        if self.weighed.is_some_and(|at| now.saturating_duration_since(at) < WEIGH) {
+impl ChainPools {
+    fn update_weights(&mut self, loads: &LoadTable, now: Instant) {
+        if self
+            .weights_updated
+            .is_some_and(|at| now.saturating_duration_since(at) < REWEIGH_INTERVAL)
+        {
             return;
         }
-        self.weighed = Some(now);
+        self.weights_updated = Some(now);
         for group in self.exact.groups.iter_mut().chain(&mut self.trimmed.groups) {
-            group.near.weigh(loads, now);
-            group.far.weigh(loads, now);
+            group.near.update_weights(loads, now);
+            group.far.update_weights(loads, now);
         }
     }
 }
 
 /// How long answers take on idle chains, learned from those chosen.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Life {
+pub struct IdleTimeModel {
     ratio: Option<f64>,
 }
 
-impl Life {
+impl IdleTimeModel {
     /// Seconds for an answer; 0 when unknown.
     pub fn predict(&self, work: Work) -> f64 {
         self.ratio.map_or(0.0, |ratio| ratio * units(work))
@@ -99,7 +102,7 @@
 /// The pools in use, built when first asked for.
 #[derive(Debug, Default)]
 pub struct Pools {
-    tiers: FxHashMap<PoolKey, Tiers>,
+    tiers: FxHashMap<PoolKey, ChainPools>,
 }
 
 impl Pools {
@@ -108,28 +111,33 @@
         self.tiers.clear();
     }
 
-    /// The pools for a need.
-    pub fn get(&mut self, place: &Place<'_>, need: &ChainNeed<'_>) -> &mut Tiers {
+    /// The pools for a request.
+    pub fn get(
+        &mut self,
+        context: &PoolContext<'_>,
+        request: &ChainRequest<'_>,
+    ) -> &mut ChainPools {
         let key = PoolKey {
-            model: need.model.to_owned(),
-            version: need.version.to_owned(),
-            adapter: need.adapter.map(str::to_owned),
-            layers: need.layers,
+            model: request.model.to_owned(),
+            version: request.version.to_owned(),
+            adapter: request.adapter.map(str::to_owned),
+            layers: request.layers,
         };
-        if self.tiers.len() >= POOLS && !self.tiers.contains_key(&key) {
+        if self.tiers.len() >= MAX_POOLS && !self.tiers.contains_key(&key) {
             self.tiers.clear();
         }
-        let tiers = self.tiers.entry(key).or_insert_with(|| build(place, need));
-        tiers.weigh(place.loads, place.now);
+        let tiers = self.tiers.entry(key).or_insert_with(|| build(context, request));
+        tiers.update_weights(context.loads, context.now);
         tiers
     }
 }
 
-fn build(place: &Place<'_>, need: &ChainNeed<'_>) -> Tiers {
-    let loads = place.loads;
-    let mut holders: Vec<Index> = loads.declared().filter(|&i| holds(loads.row(i), need)).collect();
+fn build(context: &PoolContext<'_>, request: &ChainRequest<'_>) -> ChainPools {
+    let loads = context.loads;
+    let mut holders: Vec<TargetIndex> =
+        loads.declared().filter(|&i| can_serve(loads.row(i), request)).collect();
     holders.sort_by(|&a, &b| loads.row(a).id.cmp(&loads.row(b).id));
-    let range = |i: Index| loads.row(i).engine.as_ref().map(|e| e.layers);
+    let range = |i: TargetIndex| loads.row(i).engine.as_ref().map(|e| e.layers);
     let exact = holders.iter().filter_map(|&i| Some((range(i)?, i)));
     let mut borders: Vec<Layer> = vec![0];
     borders.extend(holders.iter().filter_map(|&i| Some(range(i)?.1)));
@@ -138,42 +146,46 @@
     let trimmed = holders.iter().filter_map(|&i| Some((range(i)?, i))).flat_map(|((a, b), i)| {
         borders.iter().filter(move |&&u| a <= u && u < b).map(move |&u| ((u, b), i))
     });
-    Tiers {
-        exact: place.graph(need.layers, exact),
-        trimmed: place.graph(need.layers, trimmed),
-        life: Life::default(),
-        weighed: None,
+    ChainPools {
+        exact: context.graph(request.layers, exact),
+        trimmed: context.graph(request.layers, trimmed),
+        idle_time: IdleTimeModel::default(),
+        weights_updated: None,
     }
 }
 
-/// Whether an engine can run its layers for a need.
-pub fn holds(row: &Row, need: &ChainNeed<'_>) -> bool {
+/// Whether an engine can run its layers for a request.
+pub fn can_serve(row: &Row, request: &ChainRequest<'_>) -> bool {
     let Some(engine) = &row.engine else { return false };
-    engine.model.as_deref() == Some(need.model)
-        && engine.version.as_deref() == Some(need.version)
-        && need.adapter.is_none_or(|adapter| engine.adapters.contains(adapter))
-        && engine.whole
+    engine.model.as_deref() == Some(request.model)
+        && engine.version.as_deref() == Some(request.version)
+        && request.adapter.is_none_or(|adapter| engine.adapters.contains(adapter))
+        && engine.both_phases
         && !engine.loading
-        && !engine.leaving
+        && !engine.draining
         && engine.layers.0 < engine.layers.1
-        && engine.layers.1 <= need.layers
+        && engine.layers.1 <= request.layers
 }
 
 /// From where, and by what, pools are built.
-pub struct Place<'a> {
+pub struct PoolContext<'a> {
     /// The targets.
-    pub loads: &'a Loads,
+    pub loads: &'a LoadTable,
     /// The delays.
-    pub links: &'a Links,
+    pub links: &'a LinkDelays,
     /// The own data centre.
-    pub own: Zone,
+    pub own: DataCentreIndex,
     /// The time.
     pub now: Instant,
 }
 
-impl Place<'_> {
-    fn graph(&self, layers: Layer, pieces: impl Iterator<Item = ((Layer, Layer), Index)>) -> Pool {
-        let mut groups: BTreeMap<(Layer, Layer), Vec<Index>> = BTreeMap::new();
+impl PoolContext<'_> {
+    fn graph(
+        &self,
+        layers: Layer,
+        pieces: impl Iterator<Item = ((Layer, Layer), TargetIndex)>,
+    ) -> Pool {
+        let mut groups: BTreeMap<(Layer, Layer), Vec<TargetIndex>> = BTreeMap::new();
         for (piece, row) in pieces {
             groups.entry(piece).or_default().push(row);
         }
@@ -183,17 +195,21 @@
         Pool { groups, layers }
     }
 
-    fn group(&self, layers: (Layer, Layer), rows: Vec<Index>) -> Group {
-        let zone = |i: &Index| self.loads.row(*i).zone;
-        let (near, mut far): (Vec<_>, Vec<_>) = rows.into_iter().partition(|i| zone(i) == self.own);
-        let delay = |i: &Index| self.links.delay(self.own, zone(i));
+    fn group(&self, layers: (Layer, Layer), rows: Vec<TargetIndex>) -> PieceGroup {
+        let data_centre = |i: &TargetIndex| self.loads.row(*i).data_centre;
+        let (near, mut far): (Vec<_>, Vec<_>) =
+            rows.into_iter().partition(|i| data_centre(i) == self.own);
+        let delay = |i: &TargetIndex| self.links.delay(self.own, data_centre(i));
         far.sort_by(|a, b| delay(a).total_cmp(&delay(b)));
-        Group { layers, near: Weighted::new(near), far: Weighted::new(far) }
+        PieceGroup { layers, near: WeightedSampler::new(near), far: WeightedSampler::new(far) }
     }
 }
 
 /// The pieces that can be reached from layer 0 and lead to the last one.
-fn on_path(layers: Layer, groups: &BTreeMap<(Layer, Layer), Vec<Index>>) -> Vec<(Layer, Layer)> {
+fn on_path(
+    layers: Layer,
+    groups: &BTreeMap<(Layer, Layer), Vec<TargetIndex>>,
+) -> Vec<(Layer, Layer)> {
     let mut ahead = vec![false; usize::from(layers) + 1];
     ahead[0] = true;
     for &(from, to) in groups.keys() {
--- a/crates/roseshore_core/src/route/prefix.rs
+++ b/crates/roseshore_core/src/route/prefix.rs
@@ -3,11 +3,11 @@
 //! Built from cache events that come late and with gaps, and from own choices. It is a hint: a
 //! wrong guess costs time and never correctness. The size is bounded; the oldest prefixes go first.
 
-use crate::load::Index;
+use crate::load::TargetIndex;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Prefixes kept.
+/// PrefixIndex kept.
 const PREFIXES: usize = 32_768;
 /// Targets kept per prefix.
 const HOLDERS: usize = 6;
@@ -35,17 +35,17 @@
 
 /// A target that seems to hold a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hit {
+pub struct PrefixHit {
     /// The target.
-    pub row: Index,
+    pub row: TargetIndex,
     /// Tokens of the prompt it holds.
     pub tokens: u32,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Holder {
-    row: Index,
-    round: u32,
+    row: TargetIndex,
+    generation: u32,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -56,15 +56,15 @@
 
 /// The index.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixIndex {
     entries: FxHashMap<u64, Entry>,
     order: VecDeque<u64>,
-    rounds: FxHashMap<Index, u32>,
+    generations: FxHashMap<TargetIndex, u32>,
 }
 
-impl Prefixes {
+impl PrefixIndex {
     /// Takes one change.
-    pub fn take(&mut self, row: Index, change: CacheChange) {
+    pub fn apply(&mut self, row: TargetIndex, change: CacheChange) {
         match change {
             CacheChange::Stored { hash, .. } => self.store(row, hash),
             CacheChange::Evicted { hash } => {
@@ -72,25 +72,25 @@
                     entry.remove(row);
                 }
             }
-            // Entries of an earlier round are void; they need not be looked for.
-            CacheChange::Cleared => *self.rounds.entry(row).or_default() += 1,
+            // Entries of an earlier generation are void; they need not be looked for.
+            CacheChange::Cleared => *self.generations.entry(row).or_default() += 1,
         }
     }
 
     /// Adds the targets that seem to hold the longest of the growing `prefixes`.
-    pub fn find(&self, prefixes: &[(u32, u64)], hits: &mut Vec<Hit>) {
+    pub fn find(&self, prefixes: &[(u32, u64)], hits: &mut Vec<PrefixHit>) {
         for &(tokens, hash) in prefixes.iter().rev() {
             let Some(entry) = self.entries.get(&hash) else { continue };
             for holder in &entry.holders[..entry.count] {
                 let known = hits.iter().any(|hit| hit.row == holder.row);
-                if !known && hits.len() < HITS && holder.round == self.round(holder.row) {
-                    hits.push(Hit { row: holder.row, tokens });
+                if !known && hits.len() < HITS && holder.generation == self.generation(holder.row) {
+                    hits.push(PrefixHit { row: holder.row, tokens });
                 }
             }
         }
     }
 
-    /// Prefixes kept now.
+    /// PrefixIndex kept now.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -100,17 +100,17 @@
         self.entries.is_empty()
     }
 
-    fn round(&self, row: Index) -> u32 {
-        self.rounds.get(&row).copied().unwrap_or_default()
+    fn generation(&self, row: TargetIndex) -> u32 {
+        self.generations.get(&row).copied().unwrap_or_default()
     }
 
-    fn store(&mut self, row: Index, hash: u64) {
-        let round = self.round(row);
+    fn store(&mut self, row: TargetIndex, hash: u64) {
+        let generation = self.generation(row);
         if !self.entries.contains_key(&hash) {
             self.make_room();
             self.order.push_back(hash);
         }
-        self.entries.entry(hash).or_default().add(Holder { row, round });
+        self.entries.entry(hash).or_default().add(Holder { row, generation });
     }
 
     fn make_room(&mut self) {
@@ -133,7 +133,7 @@
         self.count += 1;
     }
 
-    fn remove(&mut self, row: Index) {
+    fn remove(&mut self, row: TargetIndex) {
         if let Some(at) = self.holders[..self.count].iter().position(|h| h.row == row) {
             self.holders.copy_within(at + 1..self.count, at);
             self.count -= 1;
--- a/crates/roseshore_core/src/route/replica.rs
+++ b/crates/roseshore_core/src/route/replica.rs
@@ -1,26 +1,26 @@
 //! The choice of a replica of a plain or lookup service.
 
-use super::Tuning;
+use super::SampleSizes;
 use super::cost;
-use super::links::Links;
-use super::pool::{Place, WEIGH};
-use super::weighted::Weighted;
+use super::links::LinkDelays;
+use super::pool::{PoolContext, REWEIGH_INTERVAL};
+use super::weighted::WeightedSampler;
 use crate::fleet::TargetKind;
-use crate::load::{Index, Loads, Zone};
+use crate::load::{DataCentreIndex, LoadTable, TargetIndex};
 use crate::prelude::*;
 use rand::rngs::SmallRng;
 use rustc_hash::FxHashMap;
 
 /// Replicas of one service source.
 #[derive(Clone, Debug, Default)]
-pub struct Group {
-    near: Weighted,
-    far: Weighted,
+pub struct ReplicaGroup {
+    near: WeightedSampler,
+    far: WeightedSampler,
 }
 
-impl Group {
+impl ReplicaGroup {
     /// All of them.
-    pub fn rows(&self) -> impl Iterator<Item = Index> + '_ {
+    pub fn rows(&self) -> impl Iterator<Item = TargetIndex> + '_ {
         self.near.rows().iter().chain(self.far.rows()).copied()
     }
 }
@@ -28,8 +28,8 @@
 /// The replicas of each service source.
 #[derive(Debug, Default)]
 pub struct Replicas {
-    groups: Option<FxHashMap<String, Group>>,
-    none: Group,
+    groups: Option<FxHashMap<String, ReplicaGroup>>,
+    none: ReplicaGroup,
     weighed: Option<Instant>,
 }
 
@@ -41,86 +41,95 @@
     }
 
     /// The replicas that serve a source.
-    pub fn get(&mut self, place: &Place<'_>, serves: &str) -> &Group {
-        let groups = self.groups.get_or_insert_with(|| build(place));
-        let due = |at: Instant| place.now.saturating_duration_since(at) >= WEIGH;
+    pub fn get(&mut self, context: &PoolContext<'_>, serves: &str) -> &ReplicaGroup {
+        let groups = self.groups.get_or_insert_with(|| build(context));
+        let due = |at: Instant| context.now.saturating_duration_since(at) >= REWEIGH_INTERVAL;
         if self.weighed.is_none_or(due) {
-            self.weighed = Some(place.now);
+            self.weighed = Some(context.now);
             for group in groups.values_mut() {
-                group.near.weigh(place.loads, place.now);
-                group.far.weigh(place.loads, place.now);
+                group.near.update_weights(context.loads, context.now);
+                group.far.update_weights(context.loads, context.now);
             }
         }
         groups.get(serves).unwrap_or(&self.none)
     }
 }
 
-fn build(place: &Place<'_>) -> FxHashMap<String, Group> {
-    let mut sides: FxHashMap<String, (Vec<Index>, Vec<Index>)> = FxHashMap::default();
-    for index in place.loads.declared() {
-        let row = place.loads.row(index);
+fn build(context: &PoolContext<'_>) -> FxHashMap<String, ReplicaGroup> {
+    let mut sides: FxHashMap<String, (Vec<TargetIndex>, Vec<TargetIndex>)> = FxHashMap::default();
+    for index in context.loads.declared() {
+        let row = context.loads.row(index);
         let Some(serves) = row.serves.clone().filter(|_| row.kind == TargetKind::Service) else {
             continue;
         };
         let (near, far) = sides.entry(serves).or_default();
-        let list = if row.zone == place.own { near } else { far };
+        let list = if row.data_centre == context.own { near } else { far };
         list.push(index);
     }
-    let group = |(near, far)| Group { near: Weighted::new(near), far: Weighted::new(far) };
+    let group = |(near, far)| ReplicaGroup {
+        near: WeightedSampler::new(near),
+        far: WeightedSampler::new(far),
+    };
     sides.into_iter().map(|(serves, lists)| (serves, group(lists))).collect()
 }
 
 /// One choice.
-pub struct Pick<'a> {
+pub struct ReplicaSearch<'a> {
     /// The targets.
-    pub loads: &'a Loads,
+    pub loads: &'a LoadTable,
     /// The delays.
-    pub links: &'a Links,
+    pub links: &'a LinkDelays,
     /// The own data centre.
-    pub own: Zone,
+    pub own: DataCentreIndex,
     /// Targets not to use.
-    pub avoid: &'a [Index],
+    pub avoid: &'a [TargetIndex],
     /// The time.
     pub now: Instant,
 }
 
-impl Pick<'_> {
+impl ReplicaSearch<'_> {
     /// The best of a few drawn replicas, or of all when none of them can be used.
-    pub fn choose(&self, group: &Group, tuning: Tuning, random: &mut SmallRng) -> Option<Index> {
+    pub fn choose(
+        &self,
+        group: &ReplicaGroup,
+        sizes: SampleSizes,
+        random: &mut SmallRng,
+    ) -> Option<TargetIndex> {
         let mut best = (f64::INFINITY, None);
-        self.draw(&group.near, tuning.near, random, &mut best);
-        self.draw(&group.far, tuning.far, random, &mut best);
+        self.draw(&group.near, sizes.near, random, &mut best);
+        self.draw(&group.far, sizes.far, random, &mut best);
         if best.1.is_none() {
-            group.rows().for_each(|row| self.weigh(row, &mut best));
+            group.rows().for_each(|row| self.consider(row, &mut best));
         }
         best.1
     }
 
     fn draw(
         &self,
-        from: &Weighted,
+        from: &WeightedSampler,
         count: usize,
         random: &mut SmallRng,
-        best: &mut (f64, Option<Index>),
+        best: &mut (f64, Option<TargetIndex>),
     ) {
         if from.rows().len() <= count {
             for &row in from.rows() {
-                self.weigh(row, best);
+                self.consider(row, best);
             }
             return;
         }
         for _ in 0..count {
             let Some(row) = from.draw(random) else { return };
-            self.weigh(row, best);
+            self.consider(row, best);
         }
     }
 
-    fn weigh(&self, row: Index, best: &mut (f64, Option<Index>)) {
+    fn consider(&self, row: TargetIndex, best: &mut (f64, Option<TargetIndex>)) {
         let target = self.loads.row(row);
         if !target.usable(self.now) || self.avoid.contains(&row) {
             return;
         }
-        let time = cost::call(target, self.now) + 2.0 * self.links.delay(self.own, target.zone);
+        let time = cost::predict_call(target, self.now)
+            + 2.0 * self.links.delay(self.own, target.data_centre);
         if time < best.0 {
             *best = (time, Some(row));
         }
--- a/crates/roseshore_core/src/route/weighted.rs
+++ b/crates/roseshore_core/src/route/weighted.rs
@@ -4,7 +4,7 @@
 //! So the first decides how often a target is looked at, and the second only which of the few drawn
 //! ones is taken: a late report can then mislead a few choices and never all of them.
 
-use crate::load::{Index, Loads};
+use crate::load::{LoadTable, TargetIndex};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use std::time::Instant;
@@ -14,26 +14,26 @@
 
 /// Targets with the weights at which they are drawn.
 #[derive(Clone, Debug, Default)]
-pub struct Weighted {
-    rows: Vec<Index>,
+pub struct WeightedSampler {
+    rows: Vec<TargetIndex>,
     sums: Vec<f64>,
 }
 
-impl Weighted {
+impl WeightedSampler {
     /// Targets that are drawn alike until they are weighed.
-    pub fn new(rows: Vec<Index>) -> Weighted {
+    pub fn new(rows: Vec<TargetIndex>) -> WeightedSampler {
         let sums = (1..=rows.len()).map(|n| n as f64).collect();
-        Weighted { rows, sums }
+        WeightedSampler { rows, sums }
     }
 
     /// All of them.
-    pub fn rows(&self) -> &[Index] {
+    pub fn rows(&self) -> &[TargetIndex] {
         &self.rows
     }
 
     /// Weighs anew: units a second, by reports and own observation; none for an unusable one.
-    pub fn weigh(&mut self, loads: &Loads, now: Instant) {
-        let weight = |&index: &Index| {
+    pub fn update_weights(&mut self, loads: &LoadTable, now: Instant) {
+        let weight = |&index: &TargetIndex| {
             let row = loads.row(index);
             if row.usable(now) { row.figures.slots / row.step(now) } else { 0.0 }
         };
@@ -47,7 +47,7 @@
     }
 
     /// One of them; `None` when there is none.
-    pub fn draw(&self, random: &mut SmallRng) -> Option<Index> {
+    pub fn draw(&self, random: &mut SmallRng) -> Option<TargetIndex> {
         let total = *self.sums.last()?;
         let point = random.random::<f64>() * total;
         let place = self.sums.partition_point(|&sum| sum <= point);
--- a/crates/roseshore_core/tests/admit.rs
+++ b/crates/roseshore_core/tests/admit.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use roseshore_core::admit::share::{self, Demand, Demands};
-use roseshore_core::admit::{Admission, Arrival, Capacity, Entry, Pass, Waiter};
+use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity, Slot, WaiterId};
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::prelude::*;
 use std::cmp::Reverse;
@@ -35,11 +35,12 @@
     door.tick(1, now);
     let id = fleet.organisations.keys().next().unwrap();
     let start = now.checked_sub(Duration::from_millis(100)).unwrap();
-    let Entry::In(pass) = door.arrive(fleet, &arrival(id, 4, now + LONG), start, 0.0) else {
+    let AdmitResult::Admitted(pass) = door.arrive(fleet, &arrival(id, 4, now + LONG), start, 0.0)
+    else {
         panic!("the first is let in")
     };
-    door.leave(pass, now, 0.0);
-    door.fit("s", Capacity { slots: slots / 1.25, busy: 0.0 });
+    door.release(pass, now, 0.0);
+    door.update_limit("s", Capacity { slots: slots / 1.25, busy: 0.0 });
     door
 }
 
@@ -85,7 +86,7 @@
         let who =
             Arrival { service: case.service, ..arrival(case.organisation, 4, now + case.left) };
         for spread in [0.0, 0.9] {
-            let Entry::Out(refusal) = door.arrive(&fleet, &who, now, spread) else {
+            let AdmitResult::Refused(refusal) = door.arrive(&fleet, &who, now, spread) else {
                 panic!("{}: let in", case.name)
             };
             assert_eq!(refusal.code, case.code, "{}", case.name);
@@ -128,8 +129,8 @@
         let start = Instant::now();
         let mut now = start;
         let mut door = door(&fleet, 3.0, now);
-        let mut inside: Vec<Pass> = Vec::new();
-        let mut waiting: HashMap<Waiter, usize> = HashMap::new();
+        let mut inside: Vec<Slot> = Vec::new();
+        let mut waiting: HashMap<WaiterId, usize> = HashMap::new();
         let mut taken = [1.0, 0.0, 0.0];
         for step in steps {
             let mut turns = Vec::new();
@@ -137,22 +138,22 @@
                 Do::Arrive { org, priority, left } => {
                     let deadline = now + Duration::from_millis(left);
                     match door.arrive(&fleet, &arrival(ORGS[org].0, priority, deadline), now, 0.5) {
-                        Entry::In(pass) => {
+                        AdmitResult::Admitted(pass) => {
                             taken[org] += 1.0;
                             inside.push(pass);
                         }
-                        Entry::Wait(waits) => {
+                        AdmitResult::Queued(waits) => {
                             taken[org] += 1.0;
                             prop_assert!(waits.until <= deadline);
                             prop_assert!(waiting.insert(waits.waiter, org).is_none());
                             turns.extend(waits.displaced);
                         }
-                        Entry::Out(refusal) => prop_assert_eq!(refusal.verdict, Verdict::NotRun),
+                        AdmitResult::Refused(refusal) => prop_assert_eq!(refusal.verdict, Verdict::NotRun),
                     }
                 }
                 Do::Leave { which } if !inside.is_empty() => {
                     let pass = inside.swap_remove(which % inside.len());
-                    turns = door.leave(pass, now, 0.5);
+                    turns = door.release(pass, now, 0.5);
                 }
                 Do::GiveUp { which } if !waiting.is_empty() => {
                     let waiter = *waiting.keys().nth(which % waiting.len()).unwrap();
@@ -165,7 +166,7 @@
             }
             for turn in turns {
                 prop_assert!(waiting.remove(&turn.waiter).is_some(), "one end for each");
-                inside.extend(turn.end.ok());
+                inside.extend(turn.result.ok());
             }
             prop_assert_eq!(door.counts("s"), (inside.len(), waiting.len()));
             prop_assert!(waiting.is_empty() || inside.len() >= 3, "nobody waits for nothing");
@@ -215,8 +216,8 @@
     for (i, _) in sources.iter().enumerate() {
         queue.push(Reverse((start + Duration::from_millis(i as u64), Next::Comes(i))));
     }
-    let mut asks: Vec<(usize, Instant, Option<Pass>)> = Vec::new();
-    let mut waiting: HashMap<Waiter, usize> = HashMap::new();
+    let mut asks: Vec<(usize, Instant, Option<Slot>)> = Vec::new();
+    let mut waiting: HashMap<WaiterId, usize> = HashMap::new();
     while let Some(Reverse((now, next))) = queue.pop() {
         let mut turns = Vec::new();
         match next {
@@ -224,29 +225,29 @@
                 let Source { org, rate, priority } = sources[i];
                 queue.push(Reverse((now + Duration::from_secs_f64(1.0 / rate), next)));
                 match door.arrive(fleet, &arrival(org, priority, now + LONG), now, 0.0) {
-                    Entry::In(pass) => {
+                    AdmitResult::Admitted(pass) => {
                         asks.push((i, now, Some(pass)));
                         let ends = now + length_of(asks.len() - 1);
                         queue.push(Reverse((ends, Next::Ends(asks.len() - 1))));
                     }
-                    Entry::Wait(waits) => {
+                    AdmitResult::Queued(waits) => {
                         asks.push((i, now, None));
                         waiting.insert(waits.waiter, asks.len() - 1);
                         turns.extend(waits.displaced);
                     }
-                    Entry::Out(_) => fates[i].refused += 1,
+                    AdmitResult::Refused(_) => fates[i].refused += 1,
                 }
             }
             Next::Comes(_) => {}
             Next::Ends(ask) => {
                 let (i, came, pass) = &mut asks[ask];
                 fates[*i].took.push(now - *came);
-                turns = door.leave(pass.take().unwrap(), now, 0.0);
+                turns = door.release(pass.take().unwrap(), now, 0.0);
             }
         }
         for turn in turns {
             let ask = waiting.remove(&turn.waiter).unwrap();
-            match turn.end {
+            match turn.result {
                 Ok(pass) => {
                     asks[ask].2 = Some(pass);
                     queue.push(Reverse((now + length_of(ask), Next::Ends(ask))));
@@ -356,7 +357,7 @@
                 )
             })
             .collect();
-        let part = share::part(10.0, "a", &peers, case.daemons);
+        let part = share::limit_part(10.0, "a", &peers, case.daemons);
         assert!((part - case.part).abs() < 0.02, "{}: {part}", case.name);
     }
 }
@@ -370,8 +371,10 @@
     let mut now = Instant::now();
     for id in &ids {
         now += Duration::from_millis(10);
-        if let Entry::In(pass) = door.arrive(&fleet, &arrival(id, 4, now + LONG), now, 0.0) {
-            door.leave(pass, now, 0.0);
+        if let AdmitResult::Admitted(pass) =
+            door.arrive(&fleet, &arrival(id, 4, now + LONG), now, 0.0)
+        {
+            door.release(pass, now, 0.0);
         }
         door.tick(1, now);
         assert!(door.active() <= 1002, "{}", door.active());
--- a/crates/roseshore_core/tests/answer.rs
+++ b/crates/roseshore_core/tests/answer.rs
@@ -12,8 +12,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseshore_core::answer::Input;
-use roseshore_core::answer::lineage::{self, Broken, Stage, Stamp, Wanted};
-use roseshore_core::answer::timeout::{Pace, PaceRules};
+use roseshore_core::answer::lineage::{self, ExpectedLineage, LineageError, Stage, Stamp};
+use roseshore_core::answer::timeout::{SilenceTimeout, TimeoutSettings};
 use roseshore_core::prelude::*;
 use world::{RANGES, REPLICAS, State, World};
 
@@ -306,7 +306,7 @@
     set(&mut world, 0, State::Frozen);
     assert!(run_until(&mut world, &Step { name: "third route", reached: |w| w.epoch == 3 }));
     let took = world.now - before;
-    assert!(took < PaceRules::default().open, "{took:?}");
+    assert!(took < TimeoutSettings::default().open, "{took:?}");
     world.run_to_end();
     assert_whole(&world, "frozen after the cut");
 }
@@ -318,44 +318,44 @@
         apply: Change,
         route: [&'static str; 3],
         /// Whether going on is paid for from the retry budget.
-        paid: bool,
+        charged: bool,
     }
     let cases = [
         Case {
             name: "frozen, found by a probe",
             apply: |w| set(w, 1, State::Frozen),
             route: ["e00", "e11", "e20"],
-            paid: false,
+            charged: false,
         },
         Case {
             name: "two frozen at once",
             apply: |w| [1, 2].into_iter().for_each(|range| set(w, range, State::Frozen)),
             route: ["e00", "e11", "e21"],
-            paid: false,
+            charged: false,
         },
         Case {
             name: "named by the engine",
             apply: |w| set(w, 2, State::Dead),
             route: ["e00", "e10", "e21"],
-            paid: false,
+            charged: false,
         },
         Case {
             name: "restarted, found by a probe",
             apply: |w| restart(w, 1),
             route: ["e00", "e11", "e20"],
-            paid: false,
+            charged: false,
         },
         Case {
             name: "ran another version",
             apply: |w| forge(w, |l| l[2].version.push('x')),
             route: ["e00", "e10", "e21"],
-            paid: false,
+            charged: false,
         },
         Case {
             name: "silent though all answer probes",
             apply: |w| w.mute(),
             route: ["e01", "e11", "e21"],
-            paid: true,
+            charged: true,
         },
     ];
     for case in cases {
@@ -367,7 +367,7 @@
         assert_whole(&world, case.name);
         let route = world.route.iter().map(|s| s.target.as_str()).collect::<Vec<_>>();
         assert_eq!(route, case.route, "{}", case.name);
-        assert_eq!(world.paid, case.paid, "{}", case.name);
+        assert_eq!(world.charged, case.charged, "{}", case.name);
     }
 }
 
@@ -387,7 +387,7 @@
         world.act();
         assert!(run_until(&mut world, &STEPS[4]));
         set(&mut world, 1, State::Frozen);
-        world.now = world.answer.wake();
+        world.now = world.answer.next_tick();
         world.feed(Input::Tick);
         let results = std::mem::take(&mut world.queue);
         assert_eq!(results.len(), RANGES.len(), "{}: every stage is probed", case.name);
@@ -411,7 +411,7 @@
     world.act();
     assert!(run_until(&mut world, &STEPS[4]));
     world.now += Duration::from_secs(30);
-    world.answer.rearm(world.now);
+    world.answer.restart_timeout(world.now);
     world.feed(Input::Tick);
     world.run_to_end();
     assert_whole(&world, "held up");
@@ -448,10 +448,10 @@
         Case { name: "ceiling", between: 5, gaps: &[], doublings: 9, bound: 6400..=6400 },
     ];
     for case in cases {
-        let mut pace = Pace::new(PaceRules::default());
-        pace.predict(Duration::ZERO, Duration::from_millis(case.between));
+        let mut pace = SilenceTimeout::new(TimeoutSettings::default());
+        pace.set_prediction(Duration::ZERO, Duration::from_millis(case.between));
         case.gaps.iter().for_each(|g| pace.observe(Duration::from_millis(*g)));
-        (0..case.doublings).for_each(|_| pace.slow_down());
+        (0..case.doublings).for_each(|_| pace.back_off());
         let bound = pace.decode().as_millis() as u64;
         assert!(case.bound.contains(&bound), "{}: {bound} ms", case.name);
     }
@@ -485,7 +485,7 @@
             target: format!("e{at}0"), addr: ([127, 0, 0, 1], 1).into(), layers, incarnation: 1,
         };
         let stages = RANGES.into_iter().enumerate().map(stage).collect::<Vec<_>>();
-        let want = Wanted { stages: &stages, layers: 12, epoch: 2, version: "v1" };
+        let want = ExpectedLineage { stages: &stages, layers: 12, epoch: 2, version: "v1" };
         let right = stages.iter().map(|s| Stamp {
             target: s.target.clone(), incarnation: 1, layers: s.layers, epoch: 2,
             version: "v1".to_owned(),
@@ -497,7 +497,7 @@
             mixed[at] = stamp.clone();
         }
         mixed.swap(swap, at);
-        let verdict: Result<(), Broken> = lineage::check(&mixed, &want);
+        let verdict: Result<(), LineageError> = lineage::check(&mixed, &want);
         prop_assert_eq!(verdict.is_ok(), mixed == right);
     }
 
--- a/crates/roseshore_core/tests/answer/faults.rs
+++ b/crates/roseshore_core/tests/answer/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{State, TOTAL, World};
 use roseshore_core::answer::lineage::Stamp;
-use roseshore_core::answer::{Input, Line, Rules};
+use roseshore_core::answer::{AnswerSettings, Input, StreamLine};
 use roseshore_core::prelude::*;
 
 pub(crate) type Change = fn(&mut World);
@@ -34,7 +34,7 @@
 /// A token of the current route, changed.
 pub(crate) fn forge(world: &mut World, change: fn(&mut Vec<Stamp>)) {
     let position = world.delivered.len() as u32;
-    let Line::Token { mut lineage, .. } = world.token(world.epoch, position) else {
+    let StreamLine::Token { mut lineage, .. } = world.token(world.epoch, position) else {
         return;
     };
     if lineage.is_empty() {
@@ -42,15 +42,15 @@
     }
     change(&mut lineage);
     let text = "forged".to_owned();
-    world.push_line(world.epoch, Line::Token { position, text, lineage });
+    world.push_line(world.epoch, StreamLine::Token { position, text, lineage });
 }
 
-pub(crate) fn line(world: &mut World, answer: &str, epoch: Epoch, line: Line) {
+pub(crate) fn line(world: &mut World, answer: &str, epoch: Epoch, line: StreamLine) {
     world.queue.push_back(Input::Line(answer.to_owned(), epoch, line));
 }
 
-pub(crate) fn done(count: u32) -> Line {
-    Line::Done { count, reason: "stop".to_owned(), cached: 0 }
+pub(crate) fn done(count: u32) -> StreamLine {
+    StreamLine::Done { count, reason: "stop".to_owned(), cached: 0 }
 }
 
 pub(crate) const FAULTS: &[Fault] = &[
@@ -67,7 +67,7 @@
     Fault { name: "stream cut", apply: World::cut },
     Fault {
         name: "lost, stage unknown",
-        apply: |w| w.push_line(w.epoch, Line::Lost { stage: None }),
+        apply: |w| w.push_line(w.epoch, StreamLine::Lost { stage: None }),
     },
     Fault { name: "layer skipped", apply: |w| forge(w, |l| drop(l.pop())) },
     Fault { name: "layer run twice", apply: |w| forge(w, |l| l[1].layers.0 -= 1) },
@@ -104,7 +104,7 @@
         apply: |w| {
             if let Some(position) = w.delivered.len().checked_sub(1) {
                 let mut token = w.token(w.epoch, position as u32);
-                if let Line::Token { text, .. } = &mut token {
+                if let StreamLine::Token { text, .. } = &mut token {
                     "again".clone_into(text);
                 }
                 w.push_line(w.epoch, token);
@@ -123,7 +123,7 @@
 pub(crate) fn forge_line(world: &mut World, answer: &str, epoch: Epoch) {
     let position = world.delivered.len() as u32;
     let mut token = world.token(world.epoch, position);
-    if let Line::Token { text, .. } = &mut token {
+    if let StreamLine::Token { text, .. } = &mut token {
         "forged".clone_into(text);
     }
     line(world, answer, epoch, token);
@@ -148,8 +148,8 @@
     },
 ];
 
-pub(crate) fn rules() -> Rules {
-    Rules { window: 16, attempts: 6, ..Rules::default() }
+pub(crate) fn rules() -> AnswerSettings {
+    AnswerSettings { window: 16, max_attempts: 6, ..AnswerSettings::default() }
 }
 
 /// Runs until a step is reached; false when the answer ended before.
--- a/crates/roseshore_core/tests/answer/ops.rs
+++ b/crates/roseshore_core/tests/answer/ops.rs
@@ -3,7 +3,7 @@
 use crate::faults::{FAULTS, current};
 use crate::world::{REPLICAS, State, World};
 use proptest::prelude::*;
-use roseshore_core::answer::{Failure, Health, Input};
+use roseshore_core::answer::{Input, ProbeResult, StreamFailure};
 use roseshore_core::prelude::*;
 
 /// Something that the world does to an answer.
@@ -71,14 +71,14 @@
             Op::Drop(at) if at < len => drop(world.queue.remove(at)),
             Op::Opened(epoch) => world.feed(Input::Opened(epoch)),
             // An engine that has begun never says that it was not reached.
-            Op::Unopened(epoch) => world.feed(Input::Unopened(epoch, Failure::Lost)),
+            Op::Unopened(epoch) => world.feed(Input::OpenFailed(epoch, StreamFailure::Lost)),
             Op::Moved(epoch, done) => world.feed(Input::Moved(epoch, done)),
             Op::Probed(epoch, range, health) => {
                 let target = current(world, range);
                 let health = match health {
-                    0 => Health::Dead,
-                    1 => Health::Silent,
-                    life => Health::Alive(u64::from(life)),
+                    0 => ProbeResult::Dead,
+                    1 => ProbeResult::Silent,
+                    life => ProbeResult::Alive(u64::from(life)),
                 };
                 world.feed(Input::Probed(epoch, target, health));
             }
--- a/crates/roseshore_core/tests/answer/world.rs
+++ b/crates/roseshore_core/tests/answer/world.rs
@@ -3,7 +3,8 @@
 
 use roseshore_core::answer::lineage::{Stage, Stamp};
 use roseshore_core::answer::{
-    Action, Answer, Failure, Finish, Health, Input, Job, Line, Route, Rules,
+    Action, Answer, AnswerSettings, Finish, Input, Job, ProbeResult, Route, StreamFailure,
+    StreamLine,
 };
 use roseshore_core::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -49,7 +50,7 @@
     pub(crate) warm: Vec<bool>,
     pub(crate) end: Option<Result<Finish, Refusal>>,
     /// Whether an attempt had to be paid for from the retry budget.
-    pub(crate) paid: bool,
+    pub(crate) charged: bool,
     /// Whether further attempts are denied.
     pub(crate) deny: bool,
     stream: Option<Stream>,
@@ -59,7 +60,7 @@
 }
 
 impl World {
-    pub(crate) fn new(rules: Rules) -> World {
+    pub(crate) fn new(rules: AnswerSettings) -> World {
         let now = Instant::now();
         let job = Job {
             answer: "own".to_owned(),
@@ -87,7 +88,7 @@
             began: false,
             warm: Vec::new(),
             end: None,
-            paid: false,
+            charged: false,
             deny: false,
             stream: None,
             failed: BTreeSet::new(),
@@ -97,7 +98,7 @@
 
     /// Feeds one event and carries out what comes of it.
     pub(crate) fn feed(&mut self, input: Input) {
-        self.answer.on(self.now, input, &mut self.actions);
+        self.answer.handle(self.now, input, &mut self.actions);
         self.act();
     }
 
@@ -117,7 +118,7 @@
             self.pump();
         }
         let input = self.queue.pop_front().unwrap_or_else(|| {
-            self.now = self.now.max(self.answer.wake());
+            self.now = self.now.max(self.answer.next_tick());
             Input::Tick
         });
         self.feed(input);
@@ -142,11 +143,11 @@
         let reborn = |at: usize| self.engine(&self.route[at].target).life;
         if states[0] == State::Dead || reborn(0) != self.route[0].incarnation {
             stream.ended = true;
-            self.queue.push_back(Input::Ended(stream.epoch, Some(Failure::Lost)));
+            self.queue.push_back(Input::Ended(stream.epoch, Some(StreamFailure::Lost)));
         } else if let Some(at) = states.iter().position(|s| *s == State::Dead) {
             stream.ended = true;
             let stage = Some(self.route[at].target.clone());
-            self.push_line(stream.epoch, Line::Lost { stage });
+            self.push_line(stream.epoch, StreamLine::Lost { stage });
         } else if states.contains(&State::Frozen)
             || (0..states.len()).any(|at| reborn(at) != self.route[at].incarnation)
         {
@@ -157,7 +158,7 @@
             stream.next += 1;
         } else {
             stream.ended = true;
-            let done = Line::Done { count: TOTAL, reason: "stop".to_owned(), cached: 0 };
+            let done = StreamLine::Done { count: TOTAL, reason: "stop".to_owned(), cached: 0 };
             self.push_line(stream.epoch, done);
             self.queue.push_back(Input::Ended(stream.epoch, None));
         }
@@ -168,7 +169,7 @@
     pub(crate) fn cut(&mut self) {
         if let Some(stream) = self.stream.as_mut().filter(|s| !s.ended) {
             stream.ended = true;
-            self.queue.push_back(Input::Ended(stream.epoch, Some(Failure::Lost)));
+            self.queue.push_back(Input::Ended(stream.epoch, Some(StreamFailure::Lost)));
         }
     }
 
@@ -180,7 +181,7 @@
     }
 
     /// A right token of the current route.
-    pub(crate) fn token(&self, epoch: Epoch, position: Position) -> Line {
+    pub(crate) fn token(&self, epoch: Epoch, position: Position) -> StreamLine {
         let stamp = |s: &Stage| Stamp {
             target: s.target.clone(),
             incarnation: s.incarnation,
@@ -189,10 +190,10 @@
             version: VERSION.to_owned(),
         };
         let lineage = self.route.iter().map(stamp).collect();
-        Line::Token { position, text: format!("t{position}/{epoch}"), lineage }
+        StreamLine::Token { position, text: format!("t{position}/{epoch}"), lineage }
     }
 
-    pub(crate) fn push_line(&mut self, epoch: Epoch, line: Line) {
+    pub(crate) fn push_line(&mut self, epoch: Epoch, line: StreamLine) {
         self.queue.push_back(Input::Line("own".to_owned(), epoch, line));
     }
 
@@ -213,10 +214,10 @@
         match action {
             Action::Route { retry: true, .. } if self.deny => {
                 let refusal = Refusal::not_run(Code::RetryBudget, "spent");
-                self.answer.on(self.now, Input::Denied(refusal), &mut self.actions);
+                self.answer.handle(self.now, Input::RetryDenied(refusal), &mut self.actions);
             }
-            Action::Route { avoid, paid, .. } => {
-                self.paid |= paid;
+            Action::Route { avoid, charge_budget, .. } => {
+                self.charged |= charge_budget;
                 self.choose(&avoid);
             }
             Action::Open { epoch, warm } => self.open(epoch, warm),
@@ -225,7 +226,7 @@
             }
             Action::Deliver(position) => self.deliver(position),
             Action::Probe { epoch, limit } => {
-                let bound = self.answer.wake();
+                let bound = self.answer.next_tick();
                 assert!(self.now + limit < bound, "a probe says in time who is silent");
                 self.probe(epoch);
             }
@@ -239,7 +240,7 @@
             }
             Action::Finish(finish) => self.finish(finish),
             Action::Refuse(refusal) => self.refuse(refusal),
-            Action::Cancel { .. } | Action::Note(..) => {}
+            Action::Cancel { .. } | Action::Log(..) => {}
         }
     }
 
@@ -250,7 +251,7 @@
             let free = |e: &&Engine| !avoid.contains(&e.name) && !self.failed.contains(&e.name);
             let Some(engine) = row.iter().find(free) else {
                 let refusal = Refusal::not_run(Code::NoRoute, "no chain");
-                return self.answer.on(self.now, Input::NoChain(refusal), &mut self.actions);
+                return self.answer.handle(self.now, Input::NoChain(refusal), &mut self.actions);
             };
             stages.push(Stage {
                 target: engine.name.clone(),
@@ -259,9 +260,9 @@
                 incarnation: engine.life,
             });
         }
-        let first = Duration::from_millis(200);
-        let route = Route { stages, first, between: Duration::from_millis(5) };
-        self.answer.on(self.now, Input::Chosen(route), &mut self.actions);
+        let first_token = Duration::from_millis(200);
+        let route = Route { stages, first_token, token_interval: Duration::from_millis(5) };
+        self.answer.handle(self.now, Input::Chosen(route), &mut self.actions);
     }
 
     fn open(&mut self, epoch: Epoch, warm: bool) {
@@ -269,9 +270,9 @@
         self.epoch = epoch;
         self.route = self.answer.stages().to_vec();
         self.warm.push(warm);
-        let refused = |status| Failure::Refused { status, after: None };
+        let refused = |status| StreamFailure::Refused { status, after: None };
         let failure = match self.look(&self.route[0]) {
-            State::Dead => Some(Failure::Unreached),
+            State::Dead => Some(StreamFailure::Unreachable),
             State::Busy => Some(refused(503)),
             State::Other => Some(refused(409)),
             State::Frozen => {
@@ -281,7 +282,7 @@
             State::Live => None,
         };
         if let Some(failure) = failure {
-            return self.queue.push_back(Input::Unopened(epoch, failure));
+            return self.queue.push_back(Input::OpenFailed(epoch, failure));
         }
         self.began = true;
         let next = self.delivered.len() as u32;
@@ -293,9 +294,9 @@
         for stage in self.answer.stages() {
             let engine = self.engine(&stage.target);
             let health = match engine.state {
-                State::Dead => Health::Dead,
-                State::Frozen => Health::Silent,
-                _ => Health::Alive(engine.life),
+                State::Dead => ProbeResult::Dead,
+                State::Frozen => ProbeResult::Silent,
+                _ => ProbeResult::Alive(engine.life),
             };
             self.queue.push_back(Input::Probed(epoch, stage.target.clone(), health));
         }
--- a/crates/roseshore_core/tests/cost.rs
+++ b/crates/roseshore_core/tests/cost.rs
@@ -2,24 +2,24 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use roseshore_core::answer::Move;
+use roseshore_core::answer::CacheMove;
 use roseshore_core::answer::lineage::Stage;
-use roseshore_core::cost::{Held, Plan, Rates, plan};
+use roseshore_core::cost::{CachedStage, MoveCostModel, Plan, plan};
 use roseshore_core::prelude::*;
 
 fn stage(target: &str, layers: (Layer, Layer), incarnation: Incarnation) -> Stage {
     Stage { target: target.to_owned(), addr: ([127, 0, 0, 1], 1).into(), layers, incarnation }
 }
 
-fn held(target: &str, layers: (Layer, Layer), usable: bool) -> Held {
-    Held { stage: stage(target, layers, 1), usable }
+fn held(target: &str, layers: (Layer, Layer), usable: bool) -> CachedStage {
+    CachedStage { stage: stage(target, layers, 1), usable }
 }
 
 #[test]
 fn the_sooner_way_is_taken() {
     struct Case {
         name: &'static str,
-        old: [Held; 2],
+        old: [CachedStage; 2],
         new: [Stage; 2],
         tokens: u32,
         cold: u64,
@@ -88,7 +88,7 @@
     ];
     for case in cases {
         let cold = Duration::from_millis(case.cold);
-        let got = match plan(&case.old, &case.new, case.tokens, cold, &Rates::default()) {
+        let got = match plan(&case.old, &case.new, case.tokens, cold, &MoveCostModel::default()) {
             Plan::Warm(moves, _) => Some(moves.len()),
             Plan::Cold => None,
         };
@@ -114,7 +114,7 @@
         Case { name: "size is no matter", seen: &[(100, 40), (5000, 40)], predicted: &[(900, 40)] },
     ];
     for case in cases {
-        let mut rates = Rates::default();
+        let mut rates = MoveCostModel::default();
         for (tokens, took) in case.seen.iter().cycle().take(100) {
             rates.observe(*tokens, 10, Duration::from_millis(*took));
         }
@@ -146,11 +146,11 @@
             .map(|i| stage(&format!("e{i}{}", picks[i]), layers(i), lives[i]))
             .collect::<Vec<_>>();
         let cold = Duration::from_millis(cold);
-        if let Plan::Warm(moves, time) = plan(&old, &new, tokens, cold, &Rates::default()) {
+        if let Plan::Warm(moves, time) = plan(&old, &new, tokens, cold, &MoveCostModel::default()) {
             prop_assert!(time < cold);
             for (i, to) in new.iter().enumerate() {
                 prop_assert!(usable[i]);
-                let moved = moves.contains(&Move { from: old[i].stage.clone(), to: to.clone() });
+                let moved = moves.contains(&CacheMove { from: old[i].stage.clone(), to: to.clone() });
                 let stays = picks[i] == 0 && lives[i] == 1;
                 prop_assert!(moved != stays);
             }
--- a/crates/roseshore_core/tests/load.rs
+++ b/crates/roseshore_core/tests/load.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use roseshore_core::fleet::TargetKind;
-use roseshore_core::load::breaker::Health;
-use roseshore_core::load::in_flight::History;
-use roseshore_core::load::{Change, Content, Index, Loads, ServiceState};
+use roseshore_core::load::breaker::CircuitBreaker;
+use roseshore_core::load::in_flight::InFlightHistory;
+use roseshore_core::load::{LoadTable, PollResult, ReportChange, ServiceState, TargetIndex};
 use roseshore_core::prelude::*;
 
 fn target() -> Target {
@@ -21,16 +21,16 @@
     }
 }
 
-fn loads(ids: &[&str]) -> Loads {
+fn loads(ids: &[&str]) -> LoadTable {
     let targets = ids.iter().map(|id| ((*id).to_owned(), target())).collect();
-    let mut loads = Loads::default();
-    loads.declare(&Fleet { targets, ..Fleet::default() });
+    let mut loads = LoadTable::default();
+    loads.apply_fleet(&Fleet { targets, ..Fleet::default() });
     loads
 }
 
-fn state(incarnation: Incarnation, running: u32, leaving: bool) -> Content {
+fn state(incarnation: Incarnation, running: u32, draining: bool) -> PollResult {
     let call = Duration::from_millis(2);
-    Content::Service(ServiceState { incarnation, queue: 0, running, slots: 4, call, leaving })
+    PollResult::Service(ServiceState { incarnation, queue: 0, running, slots: 4, call, draining })
 }
 
 fn ms(millis: u64) -> Duration {
@@ -79,16 +79,16 @@
     struct Case {
         name: &'static str,
         reports: [(u64, bool); 2],
-        last: Change,
+        last: ReportChange,
         usable: bool,
     }
     let case = |name, reports, last, usable| Case { name, reports, last, usable };
     let cases = [
-        case("leaving", [(0, false), (9, true)], Change::Holding, false),
-        case("no longer leaving", [(0, true), (9, false)], Change::Holding, true),
-        case("figures only", [(0, false), (9, false)], Change::Figures, true),
-        case("an older one", [(9, false), (0, true)], Change::Ignored, true),
-        case("a repeat", [(9, false), (9, true)], Change::Ignored, true),
+        case("leaving", [(0, false), (9, true)], ReportChange::Capabilities, false),
+        case("no longer leaving", [(0, true), (9, false)], ReportChange::Capabilities, true),
+        case("figures only", [(0, false), (9, false)], ReportChange::LoadOnly, true),
+        case("an older one", [(9, false), (0, true)], ReportChange::Ignored, true),
+        case("a repeat", [(9, false), (9, true)], ReportChange::Ignored, true),
     ];
     for case in cases {
         let start = Instant::now();
@@ -132,12 +132,12 @@
     ];
     for case in cases {
         let start = Instant::now();
-        let mut health = Health::default();
+        let mut health = CircuitBreaker::default();
         for step in case.steps {
             match *step {
-                Fail(at) => health.failed(start + ms(at)),
-                Work(at) => health.worked(start + ms(at)),
-                Report(at) => health.reported(start + ms(at)),
+                Fail(at) => health.record_failure(start + ms(at)),
+                Work(at) => health.record_success(start + ms(at)),
+                Report(at) => health.record_report(start + ms(at)),
             }
         }
         assert_eq!(health.usable(start + ms(case.at), case.own), case.usable, "{}", case.name);
@@ -150,7 +150,7 @@
     let mut loads = loads(&["t"]);
     let row = loads.find("t").unwrap();
     loads.report("t", start, state(1, 0, false));
-    loads.failed("t", start + ms(1));
+    loads.record_failure("t", start + ms(1));
     loads.report("t", start + ms(2), state(1, 0, false));
     assert!(!loads.row(row).usable(start + ms(3)));
     loads.report("t", start + ms(4), state(2, 0, false));
@@ -162,7 +162,7 @@
     let start = Instant::now();
     let ids = ["a", "b", "c", "d", "e", "f"];
     let mut loads = loads(&ids);
-    let rows: Vec<Index> = ids.iter().map(|id| loads.find(id).unwrap()).collect();
+    let rows: Vec<TargetIndex> = ids.iter().map(|id| loads.find(id).unwrap()).collect();
     for id in ids {
         loads.report(id, start, state(1, 0, false));
     }
@@ -170,15 +170,15 @@
         let now = start + ms(round as u64 * 10);
         let chain = [rows[round % 2], rows[2 + round / 2 % 2], rows[4 + round / 4 % 2]];
         let slow = chain.contains(&rows[2]);
-        loads.paced(&chain, 0.0, ms(if slow { 24 } else { 6 }), now);
+        loads.record_chain_step(&chain, 0.0, ms(if slow { 24 } else { 6 }), now);
     }
-    let factor = |row: Index| loads.row(row).factor(start + ms(4000));
+    let factor = |row: TargetIndex| loads.row(row).slowdown(start + ms(4000));
     assert!(factor(rows[2]) > 7.0, "{}", factor(rows[2]));
     for &row in rows.iter().filter(|&&row| row != rows[2]) {
         assert!(factor(row) < 2.5, "{}", factor(row));
     }
     let later = start + Duration::from_mins(5);
-    assert!((loads.row(rows[2]).factor(later) - 1.0).abs() < 1e-9, "it is tried again");
+    assert!((loads.row(rows[2]).slowdown(later) - 1.0).abs() < 1e-9, "it is tried again");
 }
 
 #[test]
@@ -187,10 +187,10 @@
     let mut loads = loads(&["t"]);
     let row = loads.find("t").unwrap();
     loads.report("t", start, state(1, 0, false));
-    let factor = |loads: &Loads, at: u64| loads.row(row).factor(start + ms(at));
+    let factor = |loads: &LoadTable, at: u64| loads.row(row).slowdown(start + ms(at));
     let ticket = loads.begin(&[row], start);
     assert!(factor(&loads, 200) <= 1.0 && factor(&loads, 2500) >= 10.0);
-    loads.observed("t", ms(2), start + ms(2500));
+    loads.record_step("t", ms(2), start + ms(2500));
     assert!(factor(&loads, 2600) < 1.5, "progress");
     loads.end(&ticket, start + ms(2600));
     assert!(factor(&loads, 9000) < 1.5, "nothing in flight");
@@ -201,15 +201,15 @@
     let now = Instant::now();
     let mut loads = loads(&["t"]);
     let ticket = loads.begin(&[loads.find("t").unwrap()], now);
-    loads.declare(&Fleet::default());
+    loads.apply_fleet(&Fleet::default());
     let targets = [("u".to_owned(), target())].into();
-    loads.declare(&Fleet { targets, ..Fleet::default() });
+    loads.apply_fleet(&Fleet { targets, ..Fleet::default() });
     let row = loads.find("u").unwrap();
     let other = loads.begin(&[row], now);
     loads.end(&ticket, now);
-    assert_eq!(loads.row(row).own(), 1);
+    assert_eq!(loads.row(row).own_requests(), 1);
     loads.end(&other, now);
-    assert_eq!(loads.row(row).own(), 0);
+    assert_eq!(loads.row(row).own_requests(), 0);
 }
 
 proptest! {
@@ -217,7 +217,7 @@
     #[test]
     fn history_is_right(steps in prop::collection::vec((0..300_u64, any::<bool>()), 1..60)) {
         let start = Instant::now();
-        let (mut history, mut record, mut now, mut level) = (History::default(), vec![], 0, 0_u32);
+        let (mut history, mut record, mut now, mut level) = (InFlightHistory::default(), vec![], 0, 0_u32);
         for (gap, up) in steps {
             now += gap;
             level = if up { level + 1 } else { level.saturating_sub(1) };
@@ -228,7 +228,7 @@
         for back in (0..1800.min(now)).step_by(25) {
             let time = now - back;
             let near: Vec<u32> = (time.saturating_sub(126)..=time + 126).map(at).collect();
-            let got = history.at(start + ms(time));
+            let got = history.at_time(start + ms(time));
             prop_assert!(near.contains(&got), "{back} ms back: {got} not in {near:?}");
         }
     }
--- a/crates/roseshore_core/tests/lookup.rs
+++ b/crates/roseshore_core/tests/lookup.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use roseshore_core::lookup::{Action, Budgets, Lookup, Outcome, Pace, Policy, Reason, Said};
 use roseshore_core::prelude::*;
-use roseshore_core::retry::Budget;
+use roseshore_core::retry::RetryBudget;
 
 const DEADLINE: u64 = 5000;
 
@@ -18,7 +18,10 @@
 }
 
 fn budgets(burst: f64) -> Budgets {
-    Budgets { retries: Budget::new(0.1, burst, 0.0), hedges: Budget::new(0.1, burst, 0.0) }
+    Budgets {
+        retries: RetryBudget::new(0.1, burst, 0.0),
+        hedges: RetryBudget::new(0.1, burst, 0.0),
+    }
 }
 
 /// An event, at a time in milliseconds from the start.
--- a/crates/roseshore_core/tests/meter.rs
+++ b/crates/roseshore_core/tests/meter.rs
@@ -1,6 +1,6 @@
 //! The pace of a chain: averaged over gaps, without the wait for the first token.
 
-use roseshore_core::answer::interval::PaceMeter;
+use roseshore_core::answer::interval::IntervalMeter;
 use roseshore_core::prelude::*;
 
 struct Case {
@@ -33,11 +33,11 @@
     ];
     for case in cases {
         let start = Instant::now();
-        let mut meter = PaceMeter::default();
+        let mut meter = IntervalMeter::default();
         let mut paces = Vec::new();
         for token in case.tokens {
             match token {
-                Some(at) => paces.extend(meter.token(start + Duration::from_millis(at))),
+                Some(at) => paces.extend(meter.record_token(start + Duration::from_millis(at))),
                 None => meter.reset(),
             }
         }
--- a/crates/roseshore_core/tests/retry.rs
+++ b/crates/roseshore_core/tests/retry.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseshore_core::prelude::*;
-use roseshore_core::retry::{Budget, FIRST_WAIT, LONGEST_WAIT, backoff};
+use roseshore_core::retry::{FIRST_WAIT, LONGEST_WAIT, RetryBudget, backoff};
 
 /// The same cases in every run.
 fn config(cases: u32) -> ProptestConfig {
@@ -38,20 +38,20 @@
         burst in 0.0_f64..10.0,
         trickle in 0.0_f64..2.0,
     ) {
-        let mut budget = Budget::new(ratio, burst, trickle);
+        let mut budget = RetryBudget::new(ratio, burst, trickle);
         let t0 = Instant::now() + Duration::from_secs(1000);
         let (mut now, mut spent, mut earned) = (t0, 0.0, 0.0);
         for step in moves {
             match step {
                 Move::Earn => {
                     earned += 1.0;
-                    budget.earn();
+                    budget.record_success();
                 }
-                Move::Spend => spent += f64::from(u8::from(budget.spend(now))),
+                Move::Spend => spent += f64::from(u8::from(budget.try_spend(now))),
                 Move::Pass(ms) => now += Duration::from_millis(ms),
                 Move::Back(ms) => {
                     let past = t0.max(now.checked_sub(Duration::from_millis(ms)).unwrap());
-                    spent += f64::from(u8::from(budget.spend(past)));
+                    spent += f64::from(u8::from(budget.try_spend(past)));
                 }
             }
             let passed = (now - t0).as_secs_f64();
@@ -69,18 +69,18 @@
 
 #[test]
 fn an_outage_ends_the_retries() {
-    let mut budget = Budget::new(0.1, 10.0, 0.0);
+    let mut budget = RetryBudget::new(0.1, 10.0, 0.0);
     let now = Instant::now();
-    let allowed = (0..1000).filter(|_| budget.spend(now)).count();
+    let allowed = (0..1000).filter(|_| budget.try_spend(now)).count();
     assert_eq!(allowed, 10);
-    (0..10).for_each(|_| budget.earn());
-    assert!(budget.spend(now) && !budget.spend(now));
+    (0..10).for_each(|_| budget.record_success());
+    assert!(budget.try_spend(now) && !budget.try_spend(now));
 }
 
 #[test]
 fn a_quiet_service_may_retry_again() {
-    let mut budget = Budget::new(0.1, 1.0, 1.0);
+    let mut budget = RetryBudget::new(0.1, 1.0, 1.0);
     let now = Instant::now();
-    assert!(budget.spend(now) && !budget.spend(now));
-    assert!(budget.spend(now + Duration::from_secs(1)));
+    assert!(budget.try_spend(now) && !budget.try_spend(now));
+    assert!(budget.try_spend(now + Duration::from_secs(1)));
 }
--- a/crates/roseshore_core/tests/route.rs
+++ b/crates/roseshore_core/tests/route.rs
@@ -4,10 +4,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use roseshore_core::fleet::{DataCentre, TargetKind};
-use roseshore_core::load::{Content, EngineState, ServiceState};
+use roseshore_core::load::{EngineState, PollResult, ServiceState};
 use roseshore_core::prelude::*;
 use roseshore_core::route::prefix::CacheChange;
-use roseshore_core::route::{ChainNeed, Router, Tuning};
+use roseshore_core::route::{ChainRequest, Router, SampleSizes};
 
 const LAYERS: Layer = 12;
 
@@ -50,9 +50,9 @@
         version: Some(if engine.state == OldVersion { "v1" } else { "v2" }.into()),
         layers: engine.layers,
         adapters: (engine.state != NoAdapter).then(|| "a".to_owned()).into_iter().collect(),
-        whole: engine.state != Prefill,
+        both_phases: engine.state != Prefill,
         loading: engine.state == Loading,
-        leaving: engine.state == Closing,
+        draining: engine.state == Closing,
         queue,
         running: queue,
         slots: 4,
@@ -88,24 +88,25 @@
 }
 
 fn router(engines: &[Engine], seed: u64, now: Instant) -> Router {
-    let mut router = Router::new("near", Tuning::default(), SmallRng::seed_from_u64(seed));
+    let mut router = Router::new("near", SampleSizes::default(), SmallRng::seed_from_u64(seed));
     let declared = |e: &Engine| (e.id.to_owned(), target(TargetKind::Engine, e.zone, None));
-    router.declare(&fleet(engines.iter().map(declared)));
+    router.apply_fleet(&fleet(engines.iter().map(declared)));
     for engine in engines {
         if engine.state != Unheard {
-            router.report(engine.id, now, Content::Engine(report(engine)));
+            router.report(engine.id, now, PollResult::Engine(report(engine)));
         }
         match engine.state {
-            Failed => router.failed(engine.id, now),
+            Failed => router.record_failure(engine.id, now),
             HostLeaving => {
                 let row = router.loads().find(engine.id).unwrap();
                 router.set_leaving(row, true);
             }
             Silent => {
                 let later = now + Duration::from_millis(1);
-                router.report(engine.id, later, Content::Silent);
+                router.report(engine.id, later, PollResult::Silent);
             }
-            Cached => router.cached(engine.id, &[CacheChange::Stored { hash: 9, tokens: 900 }]),
+            Cached => router
+                .apply_cache_changes(engine.id, &[CacheChange::Stored { hash: 9, tokens: 900 }]),
             _ => {}
         }
     }
@@ -113,7 +114,7 @@
 }
 
 fn choose(router: &mut Router, avoid: &[TargetId], now: Instant) -> Option<Vec<String>> {
-    let need = ChainNeed {
+    let need = ChainRequest {
         model: "m",
         version: "v2",
         layers: LAYERS,
@@ -123,7 +124,7 @@
         expected: 100,
         avoid,
     };
-    let chain = router.chain(&need, now)?;
+    let chain = router.choose_chain(&need, now)?;
     let tiles = chain.stages.windows(2).all(|w| w[0].layers.1 == w[1].layers.0);
     let (first, last) = (chain.stages.first()?, chain.stages.last()?);
     assert!(tiles && first.layers.0 == 0 && last.layers.1 == LAYERS, "{chain:?}");
@@ -305,23 +306,23 @@
     ];
     for case in cases {
         let now = Instant::now();
-        let mut router = Router::new("near", Tuning::default(), SmallRng::seed_from_u64(1));
+        let mut router = Router::new("near", SampleSizes::default(), SmallRng::seed_from_u64(1));
         let all = [("idle", "near", 0), ("busy", "near", 90), ("away", "far", 0)];
         let declared = all
             .map(|(id, zone, _)| (id.to_owned(), target(TargetKind::Service, zone, Some("s/one"))));
-        router.declare(&fleet(declared.into_iter()));
+        router.apply_fleet(&fleet(declared.into_iter()));
         for (id, _, queue) in all {
             let call = Duration::from_millis(1);
             let state =
-                ServiceState { incarnation: 1, queue, running: 0, slots: 4, call, leaving: false };
-            router.report(id, now, Content::Service(state));
+                ServiceState { incarnation: 1, queue, running: 0, slots: 4, call, draining: false };
+            router.report(id, now, PollResult::Service(state));
         }
-        case.failed.iter().for_each(|id| router.failed(id, now));
+        case.failed.iter().for_each(|id| router.record_failure(id, now));
         let avoid: Vec<TargetId> = case.avoid.iter().map(|id| (*id).to_owned()).collect();
-        let chosen = router.replica("s/one", &avoid, now);
+        let chosen = router.choose_replica("s/one", &avoid, now);
         let chosen = chosen.map(|row| router.loads().row(row).id.clone());
         assert_eq!(chosen.as_deref(), case.chosen, "{}", case.name);
-        assert_eq!(router.replica("s/two", &[], now), None, "{}", case.name);
+        assert_eq!(router.choose_replica("s/two", &[], now), None, "{}", case.name);
     }
 }
 
@@ -358,11 +359,11 @@
             // Reports come once a second, as polls do.
             if step % 100 == 0 {
                 for engine in [stay, back] {
-                    router.report(engine.id, now, Content::Engine(report(&engine)));
+                    router.report(engine.id, now, PollResult::Engine(report(&engine)));
                 }
             }
             let hash = if case.distinct { step } else { 0 };
-            let need = ChainNeed {
+            let need = ChainRequest {
                 model: "m",
                 version: "v2",
                 layers: LAYERS,
@@ -372,7 +373,7 @@
                 expected: 2,
                 avoid: &[],
             };
-            let chain = router.chain(&need, now).expect("one stays");
+            let chain = router.choose_chain(&need, now).expect("one stays");
             let rows: Vec<_> = chain.stages.iter().map(|s| s.row).collect();
             used |= step >= 100 && rows.contains(&row);
             tickets.push_back(router.begin(&rows, now));
--- a/crates/roseshored/src/answer.rs
+++ b/crates/roseshored/src/answer.rs
@@ -12,7 +12,7 @@
 
 use crate::app::App;
 use crate::budgets::Budgets;
-use roseshore_core::answer::Rules;
+use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Ask, Router};
 use roseshore_ports::outside::Engine;
@@ -80,7 +80,8 @@
 /// [`Verdict::NotRun`] only when no target took the answer.
 pub fn run(app: &App, ask: &Ask, prompt: AnswerAsk, sink: &mut dyn Sink) -> Result<Whole, Refusal> {
     let (router, engine) = (app.router.clone(), app.engine.clone());
-    let parts = Parts { router, engine, budgets: app.budgets.clone(), rules: Rules::default() };
+    let parts =
+        Parts { router, engine, budgets: app.budgets.clone(), rules: AnswerSettings::default() };
     run_over(&parts, ask, prompt, sink)
 }
 
@@ -94,7 +95,7 @@
     /// What services may spend on retries.
     pub budgets: Arc<Budgets>,
     /// Bounds.
-    pub rules: Rules,
+    pub rules: AnswerSettings,
 }
 
 /// [`run`] over given parts.
--- a/crates/roseshored/src/answer/calls.rs
+++ b/crates/roseshored/src/answer/calls.rs
@@ -2,8 +2,8 @@
 
 use super::pool::{Job, Pool};
 use parking_lot::Mutex;
-use roseshore_core::answer::{Failure, Health, Input, Move};
-use roseshore_core::cost::Rates;
+use roseshore_core::answer::{CacheMove, Input, ProbeResult, StreamFailure};
+use roseshore_core::cost::MoveCostModel;
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
 use roseshore_wire::engine::{Cancel, Generate, KvExport, Stage};
@@ -22,13 +22,13 @@
 static SHARED: LazyLock<Shared> = LazyLock::new(|| Shared {
     opens: Pool::new("answer-open", OPENS),
     controls: Pool::new("answer-control", CONTROLS),
-    rates: Mutex::new(Rates::default()),
+    rates: Mutex::new(MoveCostModel::default()),
 });
 
 struct Shared {
     opens: Pool,
     controls: Pool,
-    rates: Mutex<Rates>,
+    rates: Mutex<MoveCostModel>,
 }
 
 /// What a call reports to the answer's driver.
@@ -43,13 +43,13 @@
 pub(super) struct Moves {
     pub(super) answer: RequestId,
     pub(super) epoch: Epoch,
-    pub(super) list: Vec<Move>,
+    pub(super) list: Vec<CacheMove>,
     pub(super) limit: Duration,
     pub(super) tokens: u32,
 }
 
 /// What moving KV caches was seen to take.
-pub(super) fn rates() -> Rates {
+pub(super) fn rates() -> MoveCostModel {
     SHARED.rates.lock().clone()
 }
 
@@ -72,15 +72,15 @@
         let job: Job = Box::new(move || {
             let report = match engine.generate(addr, &ask, deadline) {
                 Ok(items) => Report::Opened(epoch, items),
-                Err(err) => Report::Input(Input::Unopened(epoch, failure(&err))),
+                Err(err) => Report::Input(Input::OpenFailed(epoch, failure(&err))),
             };
             // A driver that has ended drops the stream, and with it the connection.
             let _ = post.send(report);
         });
         if SHARED.opens.run(job).is_err() {
             // This daemon is full, not the target: nothing was sent, and the target is not blamed.
-            let full = Failure::Refused { status: 503, after: None };
-            let input = Input::Unopened(epoch, full);
+            let full = StreamFailure::Refused { status: 503, after: None };
+            let input = Input::OpenFailed(epoch, full);
             let _ = self.post.send(Report::Input(input));
         }
     }
@@ -107,9 +107,9 @@
             let addr = stage.addr;
             let job: Job = Box::new(move || {
                 let health = match engine.load(addr, limit) {
-                    Ok(load) => Health::Alive(load.holding.incarnation),
-                    Err(CallError::Unreached(_)) => Health::Dead,
-                    Err(_) => Health::Silent,
+                    Ok(load) => ProbeResult::Alive(load.holding.incarnation),
+                    Err(CallError::Unreached(_)) => ProbeResult::Dead,
+                    Err(_) => ProbeResult::Silent,
                 };
                 let _ = post.send(Report::Input(Input::Probed(epoch, target, health)));
             });
@@ -148,11 +148,13 @@
 }
 
 /// What a failed call means to the machine.
-pub(super) fn failure(err: &CallError) -> Failure {
+pub(super) fn failure(err: &CallError) -> StreamFailure {
     match err {
-        CallError::Unreached(_) => Failure::Unreached,
-        CallError::Refused(status, after, _) => Failure::Refused { status: *status, after: *after },
-        CallError::Garbled(_) => Failure::Garbled,
-        CallError::Lost(_) | CallError::Trimmed(..) => Failure::Lost,
+        CallError::Unreached(_) => StreamFailure::Unreachable,
+        CallError::Refused(status, after, _) => {
+            StreamFailure::Refused { status: *status, after: *after }
+        }
+        CallError::Garbled(_) => StreamFailure::Malformed,
+        CallError::Lost(_) | CallError::Trimmed(..) => StreamFailure::Lost,
     }
 }
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -6,8 +6,10 @@
 use super::{AnswerAsk, CallerLeft, Parts, Sink, Whole};
 use crate::event;
 use flume::{Receiver, RecvError, Selector};
-use roseshore_core::answer::interval::PaceMeter;
-use roseshore_core::answer::{Action, Answer, Finish, Input, Job, Line, Route, Rules};
+use roseshore_core::answer::interval::IntervalMeter;
+use roseshore_core::answer::{
+    Action, Answer, AnswerSettings, Finish, Input, Job, Route, StreamLine,
+};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Ask, Need, Permit};
 use roseshore_ports::outside::StreamItem;
@@ -36,7 +38,7 @@
     stream: Option<(Epoch, Receiver<StreamItem>)>,
     permit: Option<Permit>,
     prefixes: Vec<(u32, u64)>,
-    meter: PaceMeter,
+    meter: IntervalMeter,
     look: Instant,
     left: bool,
     end: Option<Result<Finish, Refusal>>,
@@ -61,7 +63,7 @@
         let now = Instant::now();
         let (post, reports) = flume::unbounded();
         let mut actions = Vec::with_capacity(8);
-        let rules = Rules { rates: calls::rates(), ..parts.rules.clone() };
+        let rules = AnswerSettings { move_cost: calls::rates(), ..parts.rules.clone() };
         let machine = Answer::start(job(ask, &prompt), rules, now, &mut actions);
         let span = tracing::info_span!("answer", request = %ask.request);
         Driver {
@@ -76,7 +78,7 @@
             stream: None,
             permit: None,
             prefixes: prefixes(&prompt.prompt),
-            meter: PaceMeter::default(),
+            meter: IntervalMeter::default(),
             prompt,
             look: now + LEAVE_CHECK,
             left: false,
@@ -106,14 +108,14 @@
     }
 
     fn feed(&mut self, input: Input) {
-        self.machine.on(Instant::now(), input, &mut self.actions);
+        self.machine.handle(Instant::now(), input, &mut self.actions);
     }
 
     fn hear(&self) -> Heard {
         if let Ok(report) = self.reports.try_recv() {
             return Heard::Report(report);
         }
-        let until = self.machine.wake().min(self.look);
+        let until = self.machine.next_tick().min(self.look);
         let Some((epoch, items)) = &self.stream else {
             let report = self.reports.recv_deadline(until);
             return report.map_or(Heard::Nothing, Heard::Report);
@@ -183,9 +185,11 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Route { paid: true, .. } if !self.parts.budgets.spend(&self.ask.service) => {
+            Action::Route { charge_budget: true, .. }
+                if !self.parts.budgets.spend(&self.ask.service) =>
+            {
                 let why = "the retry budget is spent; come back later";
-                self.feed(Input::Denied(Refusal::not_run(Code::RetryBudget, why)));
+                self.feed(Input::RetryDenied(Refusal::not_run(Code::RetryBudget, why)));
             }
             Action::Route { avoid, retry, .. } => self.route(avoid, retry),
             Action::Open { epoch, warm } => self.open(epoch, warm),
@@ -195,8 +199,9 @@
                 }
             }
             Action::Deliver(position) => self.deliver(position),
-            Action::Cancel { stage, epoch, keep } => {
-                let cancel = Cancel { answer: self.ask.request.clone(), epoch, keep_kv: keep };
+            Action::Cancel { stage, epoch, keep_cache } => {
+                let cancel =
+                    Cancel { answer: self.ask.request.clone(), epoch, keep_kv: keep_cache };
                 self.calls.cancel(stage.addr, cancel);
             }
             Action::Probe { epoch, limit } => {
@@ -208,7 +213,7 @@
                 self.calls.bring(Moves { answer, epoch, list: moves, limit, tokens });
             }
             Action::Failed(target) => self.parts.router.failed(&target),
-            Action::Note(what, text) => event!(what, "request={} {text}", self.ask.request),
+            Action::Log(what, text) => event!(what, "request={} {text}", self.ask.request),
             Action::Finish(finish) => {
                 self.parts.budgets.earn(&self.ask.service);
                 self.end = Some(Ok(finish));
@@ -235,10 +240,11 @@
             Err(refusal) => return self.feed(Input::NoChain(refusal)),
         };
         if let Err(refusal) = self.sink.dispatch() {
-            return self.feed(Input::Denied(refusal));
+            return self.feed(Input::RetryDenied(refusal));
         }
         self.permit = Some(permit);
-        let route = Route { stages: chain.stages, first: chain.first, between: chain.between };
+        let route =
+            Route { stages: chain.stages, first_token: chain.first, token_interval: chain.between };
         self.feed(Input::Chosen(route));
     }
 
@@ -307,9 +313,9 @@
         let now = Instant::now();
         if now - began > HELD_UP {
             // Tokens piled up behind the caller say nothing of the chain.
-            self.machine.rearm(now);
+            self.machine.restart_timeout(now);
             self.meter.reset();
-        } else if let Some(pace) = self.meter.token(now) {
+        } else if let Some(pace) = self.meter.record_token(now) {
             self.parts.router.paced(self.machine.stages(), pace);
         }
     }
@@ -321,19 +327,19 @@
             count: tokens.len() as u32,
             reason: finish.reason,
             cached: finish.cached,
-            resumed: self.machine.tally().resumed,
+            resumed: self.machine.counters().rerouted,
         }
     }
 
     fn count(&self) {
-        let tally = self.machine.tally();
+        let tally = self.machine.counters();
         let dropped =
-            [("stale", tally.stale), ("crossed", tally.crossed), ("duplicate", tally.duplicates)];
+            [("stale", tally.stale), ("crossed", tally.misrouted), ("duplicate", tally.duplicates)];
         for (why, count) in dropped.into_iter().filter(|d| d.1 > 0) {
             metrics::counter!("roseshore_answer_dropped_total", "why" => why).increment(count);
         }
-        if tally.resumed > 0 {
-            let resumed = u64::from(tally.resumed);
+        if tally.rerouted > 0 {
+            let resumed = u64::from(tally.rerouted);
             metrics::counter!("roseshore_answer_resumed_total").increment(resumed);
         }
     }
@@ -357,13 +363,13 @@
 fn input(output: Output) -> Input {
     match output {
         Output::Token { answer, epoch, position, text, lineage } => {
-            Input::Line(answer, epoch, Line::Token { position, text, lineage })
+            Input::Line(answer, epoch, StreamLine::Token { position, text, lineage })
         }
         Output::Done { answer, epoch, count, reason, cached } => {
-            Input::Line(answer, epoch, Line::Done { count, reason, cached })
+            Input::Line(answer, epoch, StreamLine::Done { count, reason, cached })
         }
         Output::Lost { answer, epoch, stage, .. } => {
-            Input::Line(answer, epoch, Line::Lost { stage })
+            Input::Line(answer, epoch, StreamLine::Lost { stage })
         }
     }
 }
