--- a/crates/roseshored/src/gate.rs
+++ b/crates/roseshored/src/gate.rs
@@ -8,7 +8,9 @@
 use flume::{Receiver, Sender};
 use parking_lot::Mutex;
 use roseshore_core::admit::share::Demands;
-use roseshore_core::admit::{Admission, Arrival, Capacity, Decision, Entry, Pass, Waiter};
+use roseshore_core::admit::{
+    Admission, AdmitResult, Arrival, Capacity, Slot, WaitOutcome, WaiterId,
+};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Ask, Fleets, Gate, Members, Permit};
 use rustc_hash::FxHashMap;
@@ -36,7 +38,7 @@
 #[derive(Debug)]
 struct State {
     admission: Admission,
-    waiters: FxHashMap<Waiter, Sender<Result<Pass, Refusal>>>,
+    waiters: FxHashMap<WaiterId, Sender<Result<Slot, Refusal>>>,
     offset: Option<Offset>,
     ticked: Instant,
 }
@@ -67,7 +69,7 @@
 
     /// Takes another daemon's demand.
     pub fn heard(&self, host: &HostId, demands: &Demands) {
-        self.state.lock().admission.heard(host, demands, Instant::now());
+        self.state.lock().admission.record_peer_demand(host, demands, Instant::now());
     }
 
     /// Renews limits, when it is time; other parts are asked without the lock.
@@ -98,18 +100,18 @@
         for service in services {
             let Some(capacity) = self.capacities.capacity(&service) else { continue };
             let mut state = self.state.lock();
-            state.admission.fit(&service, capacity);
-            let turns = state.admission.advance(&service, now, rand::random());
+            state.admission.update_limit(&service, capacity);
+            let turns = state.admission.admit_waiting(&service, now, rand::random());
             state.tell(turns);
             report(&service, state.admission.counts(&service));
         }
     }
 
-    fn permit(&self, pass: Pass) -> Permit {
+    fn permit(&self, pass: Slot) -> Permit {
         let shared = Arc::clone(&self.state);
         Permit::new(move || {
             let mut state = shared.lock();
-            let turns = state.admission.leave(pass, Instant::now(), rand::random());
+            let turns = state.admission.release(pass, Instant::now(), rand::random());
             state.tell(turns);
         })
     }
@@ -124,13 +126,13 @@
         };
         let mut state = self.state.lock();
         if state.offset != Some(offset) {
-            state.admission.declare(fleet);
+            state.admission.apply_fleet(fleet);
             state.offset = Some(offset);
         }
         match state.admission.arrive(fleet, &who, Instant::now(), rand::random()) {
-            Entry::In(pass) => Arrived::Ended(Ok(pass)),
-            Entry::Out(refusal) => Arrived::Ended(Err(refusal)),
-            Entry::Wait(waits) => {
+            AdmitResult::Admitted(pass) => Arrived::Ended(Ok(pass)),
+            AdmitResult::Refused(refusal) => Arrived::Ended(Err(refusal)),
+            AdmitResult::Queued(waits) => {
                 let (turn, waiting) = flume::bounded(1);
                 state.waiters.insert(waits.waiter, turn);
                 state.tell(waits.displaced);
@@ -139,7 +141,7 @@
         }
     }
 
-    fn wait(&self, waiting: Waiting) -> Result<Pass, Refusal> {
+    fn wait(&self, waiting: Waiting) -> Result<Slot, Refusal> {
         if let Ok(end) = waiting.turn.recv_deadline(waiting.until) {
             return end;
         }
@@ -155,22 +157,22 @@
 }
 
 enum Arrived {
-    Ended(Result<Pass, Refusal>),
+    Ended(Result<Slot, Refusal>),
     Waits(Waiting),
 }
 
 struct Waiting {
-    waiter: Waiter,
+    waiter: WaiterId,
     until: Instant,
-    turn: Receiver<Result<Pass, Refusal>>,
+    turn: Receiver<Result<Slot, Refusal>>,
 }
 
 impl State {
-    fn tell(&mut self, turns: impl IntoIterator<Item = Decision>) {
+    fn tell(&mut self, turns: impl IntoIterator<Item = WaitOutcome>) {
         for turn in turns {
             if let Some(waiter) = self.waiters.remove(&turn.waiter) {
                 // The receiver lives until it has its turn or has given up under the lock.
-                let _ = waiter.send(turn.end);
+                let _ = waiter.send(turn.result);
             }
         }
     }
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -8,11 +8,11 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use roseshore_core::admit::Capacity;
-use roseshore_core::load::{Content, EngineState, Index, ServiceState};
+use roseshore_core::load::{EngineState, PollResult, ServiceState, TargetIndex};
 use roseshore_core::order::rollout::Rollout;
 use roseshore_core::prelude::*;
 use roseshore_core::route::prefix::CacheChange;
-use roseshore_core::route::{self, ChainChoice, ChainNeed, StageChoice, Tuning};
+use roseshore_core::route::{self, ChainChoice, ChainRequest, SampleSizes, StageChoice};
 use roseshore_ports::inside::{
     Caches, Chain, Fleets, Members, Need, Permit, Replica, Report, ReportContent, Reports, Router,
 };
@@ -41,7 +41,7 @@
     fleet: Arc<Fleet>,
     offset: Option<Offset>,
     newest: FxHashMap<TargetId, Report>,
-    leaving: Vec<Index>,
+    leaving: Vec<TargetIndex>,
     checked: Instant,
 }
 
@@ -51,7 +51,7 @@
         let own = members.own().data_centre;
         let random = SmallRng::from_rng(&mut rand::rng());
         let state = State {
-            router: route::Router::new(&own, Tuning::default(), random),
+            router: route::Router::new(&own, SampleSizes::default(), random),
             rollout: Rollout::default(),
             fleet: Arc::default(),
             offset: None,
@@ -118,18 +118,18 @@
 /// A choice that was not yet checked for leaving hosts.
 struct Chosen<T> {
     value: T,
-    rows: Vec<Index>,
+    rows: Vec<TargetIndex>,
     hosts: Vec<HostId>,
 }
 
 impl State {
     fn declare(&mut self, fleet: &Arc<Fleet>, offset: Offset) {
         self.fleet = Arc::clone(fleet);
-        self.router.declare(fleet);
+        self.router.apply_fleet(fleet);
         self.rollout.declare(fleet);
         self.newest.retain(|id, _| fleet.targets.contains_key(id));
         self.count_answering();
-        self.leaving.retain(|&row| self.router.loads().row(row).leaving);
+        self.leaving.retain(|&row| self.router.loads().row(row).host_leaving);
         self.offset = Some(offset);
     }
 
@@ -138,19 +138,19 @@
         metrics::gauge!("roseshore_targets_answering").set(count as f64);
     }
 
-    fn leaving_hosts(&self) -> Vec<(Index, HostId)> {
-        let host = |&row: &Index| (row, self.router.loads().row(row).host.clone());
+    fn leaving_hosts(&self) -> Vec<(TargetIndex, HostId)> {
+        let host = |&row: &TargetIndex| (row, self.router.loads().row(row).host.clone());
         self.leaving.iter().map(host).collect()
     }
 
-    fn leaves(&mut self, row: Index, host: &HostId) {
+    fn leaves(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host && !self.leaving.contains(&row) {
             self.router.set_leaving(row, true);
             self.leaving.push(row);
         }
     }
 
-    fn stays(&mut self, row: Index, host: &HostId) {
+    fn stays(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host {
             self.router.set_leaving(row, false);
             self.leaving.retain(|&known| known != row);
@@ -160,7 +160,7 @@
 
 impl Router for Routing {
     fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
-        let wants = ChainNeed {
+        let wants = ChainRequest {
             model: &need.model,
             version: &need.version,
             layers: need.layers,
@@ -171,7 +171,7 @@
             avoid: &need.avoid,
         };
         let chosen = self.choose(|router, now| {
-            let choice = router.chain(&wants, now)?;
+            let choice = router.choose_chain(&wants, now)?;
             Some(chosen_chain(router, choice))
         });
         chosen.ok_or_else(|| no_chain(need))
@@ -194,7 +194,7 @@
 
     fn replica(&self, serves: &str, avoid: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
         let chosen = self.choose(|router, now| {
-            let row = router.replica(serves, avoid, now)?;
+            let row = router.choose_replica(serves, avoid, now)?;
             let target = router.loads().row(row);
             let value = Replica { target: target.id.clone(), addr: target.addr };
             Some(Chosen { value, rows: vec![row], hosts: vec![target.host.clone()] })
@@ -203,7 +203,7 @@
     }
 
     fn failed(&self, target: &TargetId) {
-        self.state.lock().router.failed(target, Instant::now());
+        self.state.lock().router.record_failure(target, Instant::now());
         metrics::counter!("roseshore_target_failures_total", "target" => target.clone())
             .increment(1);
         crate::event!(Event::TargetLost, "target=`{target}` out of use for a while");
@@ -212,14 +212,14 @@
     fn paced(&self, stages: &[Stage], took: Duration) {
         let mut state = self.state.lock();
         let rows = stages.iter().filter_map(|s| state.router.loads().find(&s.target));
-        let rows: Vec<Index> = rows.collect();
+        let rows: Vec<TargetIndex> = rows.collect();
         if rows.len() == stages.len() {
-            state.router.paced(&rows, took, Instant::now());
+            state.router.record_chain_step(&rows, took, Instant::now());
         }
     }
 
     fn observed(&self, target: &TargetId, took: Duration) {
-        self.state.lock().router.observed(target, took, Instant::now());
+        self.state.lock().router.record_step(target, took, Instant::now());
     }
 
     fn leaving(&self, target: &TargetId) -> bool {
@@ -228,7 +228,7 @@
         let Some(row) = loads.find(target).map(|index| loads.row(index)) else {
             return false;
         };
-        let known = row.leaving || row.closing;
+        let known = row.host_leaving || row.draining;
         let host = row.host.clone();
         // Other parts are asked without the lock.
         drop(state);
@@ -262,7 +262,7 @@
 impl Caches for Routing {
     fn take_cache(&self, target: &TargetId, events: &[CacheEvent]) {
         let changes: Vec<CacheChange> = events.iter().map(cache_change).collect();
-        self.state.lock().router.cached(target, &changes);
+        self.state.lock().router.apply_cache_changes(target, &changes);
     }
 }
 
@@ -283,7 +283,7 @@
         };
         let model = force.fleet.models.get(id)?;
         let version = self.version(id)?;
-        let need = ChainNeed {
+        let need = ChainRequest {
             model: id,
             version: &version,
             layers: model.layers,
@@ -311,7 +311,11 @@
         incarnation: row(choice).incarnation,
     });
     Chosen {
-        value: Chain { stages: stages.collect(), first: choice.first, between: choice.between },
+        value: Chain {
+            stages: stages.collect(),
+            first: choice.first_token,
+            between: choice.token_interval,
+        },
         rows: choice.stages.iter().map(|stage| stage.row).collect(),
         hosts: choice.stages.iter().map(|stage| row(stage).host.clone()).collect(),
     }
@@ -342,11 +346,11 @@
     }
 }
 
-fn content(content: &ReportContent) -> Content {
+fn content(content: &ReportContent) -> PollResult {
     match content {
-        ReportContent::Engine(load) => Content::Engine(engine_state(load)),
-        ReportContent::Service(load) => Content::Service(service_state(load)),
-        ReportContent::Silent => Content::Silent,
+        ReportContent::Engine(load) => PollResult::Engine(engine_state(load)),
+        ReportContent::Service(load) => PollResult::Service(service_state(load)),
+        ReportContent::Silent => PollResult::Silent,
     }
 }
 
@@ -358,9 +362,9 @@
         version: holding.version.clone(),
         layers: holding.layers,
         adapters: holding.adapters.clone(),
-        whole: holding.role == Role::Both,
+        both_phases: holding.role == Role::Both,
         loading: holding.loading,
-        leaving: load.leaving,
+        draining: load.leaving,
         queue: load.queue,
         running: load.running,
         slots: load.slots,
@@ -377,6 +381,6 @@
         running: load.running,
         slots: load.slots,
         call: Duration::from_micros(load.call_us),
-        leaving: load.leaving,
+        draining: load.leaving,
     }
 }
--- a/crates/roseshored/src/spans.rs
+++ b/crates/roseshored/src/spans.rs
@@ -136,7 +136,7 @@
     /// The spans of a request, by its id or the id that its caller gave it.
     pub fn find(&self, id: &str) -> Option<SpanRow> {
         let kept = self.kept.lock();
-        let full = kept.order.iter().rev().find(|it| is_request(it, id))?;
+        let full = kept.order.iter().rev().find(|it| request_id_matches(it, id))?;
         let tree = kept.trees.get(full)?.clone();
         drop(kept);
         let tree = tree.lock();
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -2,8 +2,8 @@
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_core::answer::Rules;
-use roseshore_core::answer::timeout::PaceRules;
+use roseshore_core::answer::AnswerSettings;
+use roseshore_core::answer::timeout::TimeoutSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
@@ -91,8 +91,9 @@
             (0..3).map(|row| (0..3).map(|at| start(row, at)).collect()).collect();
         let rows = engines.iter().map(|r| r.iter().map(EngineFake::stage).collect()).collect();
         let router = Arc::new(FirstFree { rows, seen: Mutex::default() });
-        let pace = PaceRules { open: Duration::from_millis(800), ..PaceRules::default() };
-        let rules = Rules { pace, attempts: 6, ..Rules::default() };
+        let timeouts =
+            TimeoutSettings { open: Duration::from_millis(800), ..TimeoutSettings::default() };
+        let rules = AnswerSettings { timeouts, max_attempts: 6, ..AnswerSettings::default() };
         let engine = Arc::new(EngineClient::new());
         let parts = Parts { router: router.clone(), engine, budgets: Arc::default(), rules };
         let service = engines[0][0].addr().to_string();
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -5,7 +5,7 @@
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::lookup::Said;
 use roseshore_core::prelude::*;
-use roseshore_core::retry::{BURST, TRICKLE};
+use roseshore_core::retry::{BURST, MIN_RATE};
 use roseshore_fakes::closed::Closed;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
@@ -325,7 +325,7 @@
     }
     let extra = site.fakes[0].ran().lookups - count;
     // Without successes: the burst of retries and of hedges, and a trickle of each.
-    let bound = 2.0 * (BURST + TRICKLE * began.elapsed().as_secs_f64());
+    let bound = 2.0 * (BURST + MIN_RATE * began.elapsed().as_secs_f64());
     assert!(extra as f64 <= bound, "{extra} extra attempts over {count} lookups");
 }
 
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_core::answer::Rules;
+use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
@@ -105,7 +105,7 @@
             router: Arc::new(router),
             engine,
             budgets: Arc::default(),
-            rules: Rules::default(),
+            rules: AnswerSettings::default(),
         };
         let prompt = vec!["review".to_owned(), "plate".to_owned()];
         let work = AnswerAsk {
