--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -62,11 +62,11 @@
 const USUAL_DESCRIPTORS: usize = 1024;
 
 /// What the process is started with.
-pub struct Start {
+pub struct EntryOptions {
     /// The settings.
     pub settings: EntrySettings,
     /// Reads the settings again.
-    pub reread: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
+    pub read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
     /// How the platform spells.
     pub platform: Box<dyn EntryPlatform>,
     /// The time; it counts what the machine was suspended for.
@@ -107,9 +107,9 @@
 }
 
 /// An entry host.
-pub struct Entry {
+pub struct EntryHost {
     settings: EntrySettings,
-    reread: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
+    read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
     platform: Box<dyn EntryPlatform>,
     clock: Box<dyn Clock>,
     rendered: Option<PrometheusHandle>,
@@ -171,13 +171,22 @@
 }
 use note;
 
-impl Entry {
+impl EntryHost {
     /// Listens and is ready to run.
     ///
     /// # Errors
     /// When an address cannot be had.
-    pub fn new(start: Start) -> io::Result<Entry> {
-        let Start { mut settings, reread, platform, clock, metrics, stop, reload, quiet } = start;
+    pub fn new(options: EntryOptions) -> io::Result<EntryHost> {
+        let EntryOptions {
+            mut settings,
+            read_settings,
+            platform,
+            clock,
+            metrics,
+            stop,
+            reload,
+            quiet,
+        } = options;
         let now = clock.now();
         let sockets = settings.sockets.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
@@ -199,10 +208,10 @@
         let centre = &settings.data_centre;
         let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
             .with_capacity(settings.capacity);
-        let mut entry = Entry {
+        let mut entry = EntryHost {
             currency: Currency::new(settings.bounds.revoke),
             settings,
-            reread,
+            read_settings,
             platform,
             clock,
             rendered,
--- a/crates/roseshore_relay/src/entry/answers.rs
+++ b/crates/roseshore_relay/src/entry/answers.rs
@@ -6,9 +6,9 @@
 use super::heeding::MISDIRECTED;
 use super::probes::millis;
 use super::send::Phase;
-use super::{Entry, Timer, note, orderly};
+use super::{EntryHost, Timer, note, orderly};
 use crate::events;
-use crate::http::{self, AnswerHead, Decoder, LAST_CHUNK, Sent};
+use crate::http::{self, BodyDecoder, BodyFraming, LAST_CHUNK, ResponseHead};
 use crate::slab::Key;
 use roseshore_core::gateway::Fault;
 use roseshore_core::prelude::*;
@@ -28,7 +28,7 @@
     Over,
 }
 
-impl Entry {
+impl EntryHost {
     /// A target sent something, or its connection ended.
     pub(super) fn pump_target(&mut self, key: Key) {
         loop {
@@ -38,7 +38,7 @@
                 Phase::Head => self.take_head(key),
                 Phase::Surplus(_) => self.take_surplus(key),
                 Phase::Body(..) if exchange.out.begun || exchange.route.kind.stream() => {
-                    self.take_events(key)
+                    self.pump_events(key)
                 }
                 Phase::Body(..) => self.take_body(key),
             };
@@ -54,7 +54,7 @@
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Over };
         let Some(send) = exchange.send.as_mut() else { return Step::Over };
         let Some(socket) = self.net.get(send.socket) else { return Step::Over };
-        let head = match http::take_answer(&mut socket.input, MAX_HEAD) {
+        let head = match http::parse_response(&mut socket.input, MAX_HEAD) {
             Ok(Some(head)) => head,
             Ok(None) if socket.ended.is_none() => return Step::Wait,
             Ok(None) => {
@@ -77,7 +77,7 @@
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Over };
         let Some(send) = exchange.send.as_mut() else { return Step::Over };
         if said.attempt.as_ref().is_some_and(|a| *a != exchange.asked.attempt) {
-            send.phase = Phase::Surplus(Decoder::new(head.framing));
+            send.phase = Phase::Surplus(BodyDecoder::new(head.framing));
             return Step::Go;
         }
         if head.status == MISDIRECTED || (said.not_run && head.status >= 400) {
@@ -101,13 +101,13 @@
         if !exchange.route.kind.stream() || !success {
             send.latest = now;
         }
-        let decoder = Decoder::new(head.framing);
+        let decoder = BodyDecoder::new(head.framing);
         send.phase = Phase::Body(head, decoder);
         Step::Go
     }
 
     /// A target says that it did not run the request.
-    fn refused_by_target(&mut self, key: Key, head: &AnswerHead, said: &Answered) {
+    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, said: &Answered) {
         let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
         if head.status == MISDIRECTED {
             let named = said.faulty.and_then(|addr| send.at(addr));
@@ -129,7 +129,7 @@
         let Some(socket) = self.net.get(send.socket) else { return Step::Over };
         let Phase::Surplus(decoder) = &mut send.phase else { return Step::Go };
         let mut passed_over = Vec::new();
-        let taken = decoder.take(&mut socket.input, &mut passed_over);
+        let taken = decoder.decode(&mut socket.input, &mut passed_over);
         if decoder.done() {
             send.phase = Phase::Head;
             return Step::Go;
@@ -146,7 +146,7 @@
         let send = self.exchanges.get_mut(key)?.send.as_mut()?;
         let socket = self.net.get(send.socket)?;
         let Phase::Body(_, decoder) = &mut send.phase else { return None };
-        let taken = decoder.take(&mut socket.input, &mut send.body);
+        let taken = decoder.decode(&mut socket.input, &mut send.body);
         let ends = decoder.ends_with_connection();
         let whole = decoder.done() || (ends && orderly(socket.ended));
         if taken.is_err() || send.body.len() > MAX_BODY {
@@ -197,23 +197,23 @@
     }
 
     /// Passes a whole answer on.
-    fn pass_whole(&mut self, key: Key, head: &AnswerHead) {
+    fn pass_whole(&mut self, key: Key, head: &ResponseHead) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = exchange.send.as_mut() else { return };
         let body = std::mem::take(&mut send.body);
         let target = send.target.clone();
-        let (caller, keep) = (exchange.caller, exchange.head.keep);
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         exchange.verdict = Verdict::Answered;
         exchange.out.first.get_or_insert(self.now);
         let fields = self.platform.returned(&head.fields);
         let mut out = Vec::with_capacity(512 + body.len());
         let close = !keep || self.stopping.is_some();
-        http::put_answer(
+        http::write_response(
             &mut out,
             head.status,
             &head.reason,
             &fields,
-            Sent::Whole(body.len()),
+            BodyFraming::Length(body.len()),
             close,
         );
         if exchange.head.method != "HEAD" {
@@ -223,7 +223,7 @@
         let fingerprint = exchange.fingerprint;
         self.worked(&target, key);
         self.ended_whole(fingerprint);
-        self.finish(key, head.keep, head.status, "whole");
+        self.finish(key, head.keep_alive, head.status, "whole");
     }
 
     /// A whole answer came from a target; `key` is the request's.
@@ -241,7 +241,7 @@
     /// Ends an exchange whose answer has been passed on.
     fn finish(&mut self, key: Key, keep_target: bool, status: u16, why: &str) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let (caller, keep) = (exchange.caller, exchange.head.keep);
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         self.drop_send(key, keep_target);
         self.close_exchange(key, status, why);
         self.after_answer(caller, keep);
@@ -249,7 +249,7 @@
     }
 
     /// Sends the head of a stream to the caller, if it has none yet.
-    fn begin_stream(&mut self, key: Key, head: &AnswerHead) {
+    fn begin_stream(&mut self, key: Key, head: &ResponseHead) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         if exchange.out.begun {
             let attempt = exchange.asked.attempt.clone();
@@ -258,15 +258,22 @@
             return;
         }
         exchange.out.begun = true;
-        let (caller, keep) = (exchange.caller, exchange.head.keep);
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         let fields = self.platform.returned(&head.fields);
         let mut out = Vec::with_capacity(512);
         let close = !keep || self.stopping.is_some();
-        http::put_answer(&mut out, head.status, &head.reason, &fields, Sent::Chunks, close);
+        http::write_response(
+            &mut out,
+            head.status,
+            &head.reason,
+            &fields,
+            BodyFraming::Chunked,
+            close,
+        );
         self.net.send(caller, &out);
     }
 
-    fn take_events(&mut self, key: Key) -> Step {
+    fn pump_events(&mut self, key: Key) -> Step {
         let Some(came) = self.take_bytes(key) else { return Step::Over };
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Over };
@@ -276,8 +283,8 @@
             // A stream's route with an answer that is no success: passed on whole.
             return self.take_failure(key, came);
         }
-        let (keep, caller) = (head.keep, exchange.caller);
-        let taken = events::take_whole(&mut send.body, exchange.out.last);
+        let (keep, caller) = (head.keep_alive, exchange.caller);
+        let taken = events::take_events(&mut send.body, exchange.out.last);
         if taken.gap {
             self.failed(key, Fault::Garbled, None);
             return Step::Over;
@@ -296,7 +303,7 @@
             send.latest = now;
             self.targets.progressed(send.path.iter().map(|(id, ..)| id), now);
             let mut out = Vec::with_capacity(taken.bytes.len() + 16);
-            http::put_chunk(&mut out, &taken.bytes);
+            http::write_chunk(&mut out, &taken.bytes);
             self.net.send(caller, &out);
             // From the notice that bytes are there to the socket that they leave by.
             let passed = self.clock.now().saturating_duration_since(now);
--- a/crates/roseshore_relay/src/entry/blocked.rs
+++ b/crates/roseshore_relay/src/entry/blocked.rs
@@ -3,7 +3,7 @@
 //! The host that reads the store for the others reads these, too, and writes what they lack.
 
 use super::calls::{CallFault, Purpose, STORE_TIME};
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::Fingerprint;
 use roseshore_core::gateway::fatal::{FatalRecord, Upkeep};
 use roseshore_core::prelude::*;
@@ -25,7 +25,7 @@
     recorded: Vec<Fingerprint>,
 }
 
-impl Entry {
+impl EntryHost {
     /// Reads the records when that is due, if this host reads for the others.
     pub(super) fn follow_blocked(&mut self) {
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -1,7 +1,7 @@
 //! Callers' connections: requests in, final answers out.
 
-use super::{Entry, Role, Timer, note};
-use crate::http::{self, Decoder, Framing, HttpError, RequestHead, Sent};
+use super::{EntryHost, Role, Timer, note};
+use crate::http::{self, BodyDecoder, BodyFraming, Framing, HttpError, RequestHead};
 use crate::slab::Key;
 use roseshore_core::gateway::Limits;
 use roseshore_core::prelude::*;
@@ -30,7 +30,7 @@
 
 struct Reading {
     head: RequestHead,
-    decoder: Decoder,
+    decoder: BodyDecoder,
     body: Vec<u8>,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     fn limits(&self) -> Limits {
         self.snapshot.as_ref().map_or_else(Limits::default, |s| s.limits().clone())
     }
@@ -104,7 +104,7 @@
                         let late = self.now + limits.head_time;
                         self.timers.push(Reverse((late, Timer::Caller(key))));
                     }
-                    match http::take_request(&mut socket.input, limits.head) {
+                    match http::parse_request(&mut socket.input, limits.head) {
                         Ok(Some(head)) => self.begin_body(key, head, &limits),
                         Ok(None) if ended => return self.close(key),
                         Ok(None) => return,
@@ -113,7 +113,7 @@
                 }
                 Phase::Body(reading) => {
                     let Reading { decoder, body, .. } = &mut **reading;
-                    let taken = decoder.take(&mut socket.input, body);
+                    let taken = decoder.decode(&mut socket.input, body);
                     let (done, large) = (decoder.done(), body.len() > limits.body);
                     if let Err(err) = taken {
                         return self.refuse_bytes(key, err);
@@ -149,7 +149,7 @@
         if expects.is_some_and(|e| e.eq_ignore_ascii_case("100-continue")) {
             self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        let decoder = Decoder::new(head.framing);
+        let decoder = BodyDecoder::new(head.framing);
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
             caller.phase = Phase::Body(Box::new(Reading { head, decoder, body: Vec::new() }));
         }
@@ -162,7 +162,7 @@
         let phase = std::mem::replace(&mut caller.phase, Phase::Head);
         let Phase::Body(reading) = phase else { return };
         let Reading { head, body, .. } = *reading;
-        let keep = head.keep;
+        let keep = head.keep_alive;
         match self.begin_exchange(key, head, body) {
             Ok(exchange) => {
                 if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
@@ -196,8 +196,8 @@
     ) {
         let mut out = Vec::with_capacity(256 + body.len());
         let close = !keep || self.stopping.is_some();
-        let (reason, sent) = (http::reason(status), Sent::Whole(body.len()));
-        http::put_answer(&mut out, status, reason, fields, sent, close);
+        let (reason, sent) = (http::reason(status), BodyFraming::Length(body.len()));
+        http::write_response(&mut out, status, reason, fields, sent, close);
         out.extend_from_slice(body);
         self.net.send(key, &out);
     }
--- a/crates/roseshore_relay/src/entry/calls.rs
+++ b/crates/roseshore_relay/src/entry/calls.rs
@@ -1,7 +1,7 @@
 //! Small calls of the daemon's own: to the store, and to targets for reports and orders.
 
-use super::{Entry, Role, Timer};
-use crate::http::{self, AnswerHead, Decoder};
+use super::{EntryHost, Role, Timer};
+use crate::http::{self, BodyDecoder, ResponseHead};
 use crate::slab::Key;
 use roseshore_core::gateway::Position;
 use roseshore_core::prelude::*;
@@ -51,13 +51,13 @@
     pub(super) sent: Instant,
     socket: Key,
     addr: SocketAddr,
-    head: Option<AnswerHead>,
-    decoder: Decoder,
+    head: Option<ResponseHead>,
+    decoder: BodyDecoder,
     body: Vec<u8>,
 }
 
-impl Entry {
-    /// Makes a call; what becomes of it is handed to [`Entry::called`].
+impl EntryHost {
+    /// Makes a call; what becomes of it is handed to [`EntryHost::called`].
     pub(super) fn call(
         &mut self,
         purpose: Purpose,
@@ -73,10 +73,10 @@
         if !request.body.is_empty() {
             fields.push(("Content-Type".to_owned(), b"application/json".to_vec()));
         }
-        http::put_request(&mut out, request.method, &request.path, &fields, request.body.len());
+        http::write_request(&mut out, request.method, &request.path, &fields, request.body.len());
         out.extend_from_slice(&request.body);
         self.net.send(socket, &out);
-        let decoder = Decoder::new(http::Framing::Length(0));
+        let decoder = BodyDecoder::new(http::Framing::Length(0));
         let (head, body) = (None, Vec::new());
         let key =
             self.calls.add(Call { purpose, sent: self.now, socket, addr, head, decoder, body });
@@ -100,16 +100,16 @@
         let Some(call) = self.calls.get_mut(key) else { return };
         let Some(socket) = self.net.get(call.socket) else { return };
         if call.head.is_none() {
-            match http::take_answer(&mut socket.input, MAX_HEAD) {
+            match http::parse_response(&mut socket.input, MAX_HEAD) {
                 Ok(Some(head)) => {
-                    call.decoder = Decoder::new(head.framing);
+                    call.decoder = BodyDecoder::new(head.framing);
                     call.head = Some(head);
                 }
                 Ok(None) if socket.ended.is_none() => return,
                 Ok(None) | Err(_) => return self.end_call(key, Some(CallFault::Broken)),
             }
         }
-        let taken = call.decoder.take(&mut socket.input, &mut call.body);
+        let taken = call.decoder.decode(&mut socket.input, &mut call.body);
         let whole = call.decoder.done()
             || (call.decoder.ends_with_connection() && super::orderly(socket.ended));
         let ended = socket.ended.is_some();
@@ -134,7 +134,7 @@
         let reply = match (fault, call.head) {
             (None, Some(head)) => {
                 let clean = self.net.get(call.socket).is_some_and(|s| s.input.is_empty());
-                if head.keep && clean {
+                if head.keep_alive && clean {
                     self.keep(call.socket, call.addr);
                 } else {
                     self.close(call.socket);
--- a/crates/roseshore_relay/src/entry/copying.rs
+++ b/crates/roseshore_relay/src/entry/copying.rs
@@ -1,13 +1,13 @@
 //! Copies of what other hosts have read of the store: asked for, and given.
 
-use super::{Entry, Role, Timer, note};
+use super::{EntryHost, Role, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::copies::{COPY_TIME, CopyRequest, Extent, Outcome, StoreCopy};
 use roseshore_core::prelude::*;
 use roseshore_wire::frame;
 use std::net::SocketAddr;
 
-impl Entry {
+impl EntryHost {
     /// Asks a host for what it has read beyond this one; whether it was asked.
     pub(super) fn ask_copy(&mut self, from: SocketAddr) -> bool {
         let Some(own) = self.settings.peer else { return false };
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -1,6 +1,6 @@
 //! One request's life, from its last byte in to its last byte out.
 
-use super::{Entry, Timer, note};
+use super::{EntryHost, Timer, note};
 use crate::http::{self, RequestHead};
 use crate::slab::Key;
 use rand::RngExt;
@@ -103,7 +103,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Looks a request up in the configuration.
     pub(super) fn begin_exchange(
         &mut self,
@@ -274,7 +274,7 @@
         self.join_open_send(key);
         let Some(exchange) = self.exchanges.get(key) else { return };
         let end = failure::end(&exchange.standing(now));
-        let (caller, keep) = (exchange.caller, exchange.head.keep);
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         let attempt = exchange.asked.attempt.clone();
         let engine = exchange.service.engine.is_some();
         let fingerprint = exchange.fingerprint;
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -6,7 +6,7 @@
 
 use super::exchange::Exchange;
 use super::send::Send;
-use super::{Entry, note};
+use super::{EntryHost, note};
 use crate::slab::Key;
 use roseshore_core::gateway::fatal::{Change, EARLY, FatalNote};
 use roseshore_core::gateway::peers::TargetMark;
@@ -31,7 +31,7 @@
     at: Instant,
 }
 
-impl Entry {
+impl EntryHost {
     /// A send failed: remembers it until it is known whether a target ended under it.
     pub(super) fn look_into(&mut self, key: Key, fault: Fault, culprits: &[TargetId]) {
         let Some(exchange) = self.exchanges.get(key) else { return };
--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/following.rs
@@ -9,7 +9,7 @@
 
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::probes::millis;
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::outage::Outage;
 use roseshore_core::gateway::peers::ListMark;
 use roseshore_core::gateway::reading::{self, CONFIG_WAIT, TARGETS_EVERY};
@@ -131,7 +131,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Starts the calls that are due.
     pub(super) fn follow(&mut self) {
         for stream in [Stream::Config, Stream::Targets] {
--- a/crates/roseshore_relay/src/entry/following/replies.rs
+++ b/crates/roseshore_relay/src/entry/following/replies.rs
@@ -3,7 +3,7 @@
 
 use super::super::calls::CallFault;
 use super::super::probes::millis;
-use super::super::{Entry, note};
+use super::super::{EntryHost, note};
 use rand::RngExt;
 use roseshore_core::gateway::outage::Return;
 use roseshore_core::gateway::position::ReplyEra;
@@ -11,7 +11,7 @@
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{CallReply, StoreFault, Stream};
 
-impl Entry {
+impl EntryHost {
     pub(super) fn store_replied(
         &mut self,
         stream: Stream,
--- a/crates/roseshore_relay/src/entry/heeding.rs
+++ b/crates/roseshore_relay/src/entry/heeding.rs
@@ -3,7 +3,7 @@
 //! Each answer of a target passes here first: to a request, to one whose caller got another answer, to a
 //! report or an order. What follows is decided in [`Targets`](roseshore_core::gateway::Targets).
 
-use super::{Entry, note};
+use super::{EntryHost, note};
 use crate::slab::Key;
 use roseshore_core::gateway::peers::TargetMark;
 use roseshore_core::prelude::*;
@@ -15,7 +15,7 @@
 /// The status by which another target than the one meant answers.
 pub(super) const MISDIRECTED: u16 = 421;
 
-impl Entry {
+impl EntryHost {
     /// Takes what a target says beside its answer to a request.
     pub(super) fn heed_answer(&mut self, key: Key, status: u16, said: &Answered) {
         if status == MISDIRECTED && said.faulty.is_none() {
--- a/crates/roseshore_relay/src/entry/limiting.rs
+++ b/crates/roseshore_relay/src/entry/limiting.rs
@@ -4,7 +4,7 @@
 //! names a limit waits for the answer of the host that issues permits, and this host answers where it is that one.
 
 use super::sends::Choice;
-use super::{Entry, Timer, note};
+use super::{EntryHost, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::limits::{Change, Issuer, Limits, Naming, Permit};
 use roseshore_core::gateway::peers::{AskNote, Datagram, GrantNote, LimitNote, TargetMark};
@@ -42,7 +42,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Takes what an answer says of its target's limit; `sent` is when its request was sent, where that is known.
     pub(super) fn heed_limit(
         &mut self,
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -5,7 +5,7 @@
 //! well before a stream is given up.
 
 use super::send::Send;
-use super::{Entry, Role, Timer, note};
+use super::{EntryHost, Role, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::Fault;
 use roseshore_core::gateway::targets::Death;
@@ -46,7 +46,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Checks whether a target lives, unless that was done just now.
     pub(super) fn check_alive(&mut self, id: &str) {
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/pacing.rs
+++ b/crates/roseshore_relay/src/entry/pacing.rs
@@ -1,7 +1,7 @@
 //! Asks the engines of the own data centre how fast they run.
 
 use super::calls::{CallFault, Purpose};
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::paces::{ASK_EVERY, MOST_ASKED, Pace};
 use roseshore_core::gateway::targets::Target;
 use roseshore_core::prelude::*;
@@ -25,7 +25,7 @@
     each: usize,
 }
 
-impl Entry {
+impl EntryHost {
     /// Asks the next engines, if this host is the first of its data centre.
     pub(super) fn ask_paces(&mut self) {
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/peering.rs
+++ b/crates/roseshore_relay/src/entry/peering.rs
@@ -1,7 +1,7 @@
 //! Heartbeats between hosts: loads, failures, and what each has read of the store.
 
 use super::fatal::HEARD;
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::Allowance;
 use roseshore_core::gateway::fatal::URGENT_EVERY;
 use roseshore_core::gateway::paces::{Pace, PaceNote};
@@ -21,7 +21,7 @@
 /// Paces that a heartbeat tells of; more do not fit a datagram beside the rest.
 const PACES_TOLD: usize = 12;
 
-impl Entry {
+impl EntryHost {
     /// Takes the datagrams that came.
     pub(super) fn hear(&mut self) {
         let mut joined = false;
--- a/crates/roseshore_relay/src/entry/placing.rs
+++ b/crates/roseshore_relay/src/entry/placing.rs
@@ -8,7 +8,7 @@
 mod holdings;
 
 use super::calls::{CallFault, Purpose};
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::EngineSpec;
 use roseshore_core::gateway::peers::HoldNote;
 use roseshore_core::gateway::plan::giving::{Need, Reported, judge, may_order, may_plan};
@@ -103,7 +103,7 @@
     asked: u32,
 }
 
-impl Entry {
+impl EntryHost {
     /// Compares plan and list, and asks targets that differ for a report.
     pub(super) fn place(&mut self) {
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/placing/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placing/holdings.rs
@@ -1,6 +1,6 @@
 //! What hosts tell each other of the layers that targets hold, or were ordered to hold.
 
-use super::super::{Entry, note};
+use super::super::{EntryHost, note};
 use super::LEARNED;
 use roseshore_core::gateway::peers::HoldNote;
 use roseshore_core::gateway::plan::{Layers, common};
@@ -14,7 +14,7 @@
 /// Layers of a target that was shown not to hold what the list says.
 const NOTHING: Layers = (0, 0);
 
-impl Entry {
+impl EntryHost {
     /// Takes what a target said of its layers, and tells the data centre at once.
     pub(super) fn learn_held(&mut self, id: &str, layers: Layers) {
         let Some(target) = self.targets.mark(id) else { return };
--- a/crates/roseshore_relay/src/entry/probes.rs
+++ b/crates/roseshore_relay/src/entry/probes.rs
@@ -1,7 +1,7 @@
 //! The balancer's question, and metrics.
 
-use super::{Entry, Role, note};
-use crate::http::{self, Sent};
+use super::{EntryHost, Role, note};
+use crate::http::{self, BodyFraming};
 use crate::slab::Key;
 use roseshore_core::prelude::*;
 
@@ -15,7 +15,7 @@
 /// operators' bound is two seconds.
 const OUTDATED: Duration = Duration::from_millis(700);
 
-impl Entry {
+impl EntryHost {
     /// Answers probes and requests for metrics.
     pub(super) fn pump_probe(&mut self, key: Key) {
         let Some(socket) = self.net.get(key) else {
@@ -24,7 +24,7 @@
             return;
         };
         let ended = socket.ended.is_some();
-        let head = match http::take_request(&mut socket.input, MAX_HEAD) {
+        let head = match http::parse_request(&mut socket.input, MAX_HEAD) {
             Ok(Some(head)) => head,
             Ok(None) if !ended => return,
             _ => return self.close(key),
@@ -36,13 +36,13 @@
             _ => (503, String::new()),
         };
         let mut out = Vec::with_capacity(128 + body.len());
-        let keep = head.keep && !metrics;
-        http::put_answer(
+        let keep = head.keep_alive && !metrics;
+        http::write_response(
             &mut out,
             status,
             http::reason(status),
             &[],
-            Sent::Whole(body.len()),
+            BodyFraming::Length(body.len()),
             !keep,
         );
         out.extend_from_slice(body.as_bytes());
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -1,7 +1,7 @@
 //! What was read of the store becomes what this host believes: the configuration in force and the
 //! list of targets, whether it came from the store or as another host's copy.
 
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::copies::ListCopy;
 use roseshore_core::gateway::targets::{Absence, Changes, News, Replaced};
 use roseshore_core::gateway::{Position, TargetRecord};
@@ -9,7 +9,7 @@
 use roseshore_ports::entry::Entry as Record;
 use std::sync::Arc;
 
-impl Entry {
+impl EntryHost {
     /// The version of the configuration in force; 0 for none.
     pub(super) fn config_version(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |s| s.version())
--- a/crates/roseshore_relay/src/entry/send.rs
+++ b/crates/roseshore_relay/src/entry/send.rs
@@ -1,6 +1,6 @@
 //! A request on its way to a target, and how far its answer has come.
 
-use crate::http::{AnswerHead, Decoder};
+use crate::http::{BodyDecoder, ResponseHead};
 use crate::slab::Key;
 use roseshore_core::gateway::Hop;
 use roseshore_core::gateway::peers::TargetMark;
@@ -41,8 +41,8 @@
 pub(super) enum Phase {
     Head,
     /// An answer to something else, to be passed over.
-    Surplus(Decoder),
-    Body(AnswerHead, Decoder),
+    Surplus(BodyDecoder),
+    Body(ResponseHead, BodyDecoder),
 }
 
 impl Send {
--- a/crates/roseshore_relay/src/entry/sends.rs
+++ b/crates/roseshore_relay/src/entry/sends.rs
@@ -4,7 +4,7 @@
 use super::fatal::ENDS_TARGETS;
 use super::probes::millis;
 use super::send::{Phase, Send};
-use super::{Entry, Role, Timer, note};
+use super::{EntryHost, Role, Timer, note};
 use crate::http;
 use crate::slab::Key;
 use roseshore_core::gateway::failure::{self, Blame, Fault, Next};
@@ -81,7 +81,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Sends a request to the best target there is, or ends it.
     pub(super) fn dispatch(&mut self, key: Key) {
         if self.stop_or_wait(key) || self.awaits_permit(key) {
@@ -128,7 +128,7 @@
         let fields = self.platform.carried(&exchange.head.fields, &carried);
         let mut out = Vec::with_capacity(1024 + exchange.body.len());
         let head = &exchange.head;
-        http::put_request(&mut out, &head.method, &head.path, &fields, exchange.body.len());
+        http::write_request(&mut out, &head.method, &head.path, &fields, exchange.body.len());
         out.extend_from_slice(&exchange.body);
         let text = format!(
             "request={} fingerprint={} send={} {} prompt={} left_ms={}",
--- a/crates/roseshore_relay/src/entry/silence.rs
+++ b/crates/roseshore_relay/src/entry/silence.rs
@@ -3,7 +3,7 @@
 use super::exchange::Exchange;
 use super::send::Send;
 use super::sends::CONNECT;
-use super::{Entry, Timer};
+use super::{EntryHost, Timer};
 use crate::slab::Key;
 use roseshore_core::gateway::{CallKind, Fault};
 use roseshore_core::prelude::*;
@@ -24,7 +24,7 @@
 /// Silence of a plain service after which a request that may be repeated goes elsewhere.
 const PLAIN_SILENT: Duration = Duration::from_millis(420);
 
-impl Entry {
+impl EntryHost {
     /// Looks whether a request's time is over or its target has been silent for too long.
     pub(super) fn check_exchange(&mut self, key: Key) {
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/stopping.rs
+++ b/crates/roseshore_relay/src/entry/stopping.rs
@@ -1,6 +1,6 @@
 //! Signals: the stop that cuts nothing off, and the reload.
 
-use super::{Entry, Role, note};
+use super::{EntryHost, Role, note};
 use crate::slab::Key;
 use roseshore_core::gateway::{Allowance, Currency};
 use roseshore_core::prelude::*;
@@ -14,7 +14,7 @@
 /// How often the settings are looked at without a signal.
 const REREAD: Duration = Duration::from_secs(2);
 
-impl Entry {
+impl EntryHost {
     pub(super) fn obey_signals(&mut self) {
         if self.stop.load(Ordering::Relaxed) && self.stopping.is_none() {
             self.stopping = Some(self.now);
@@ -29,7 +29,7 @@
     }
 
     fn reload_settings(&mut self, asked: bool) {
-        let fresh = match (self.reread)() {
+        let fresh = match (self.read_settings)() {
             Ok(fresh) => fresh,
             Err(err) => {
                 note!(self, BadSettings, "kept=old why={err:?}");
--- a/crates/roseshore_relay/src/events.rs
+++ b/crates/roseshore_relay/src/events.rs
@@ -8,7 +8,7 @@
 
 /// Whole events taken off a buffer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Taken {
+pub struct CompleteEvents {
     /// Their bytes, those already seen left out.
     pub bytes: Vec<u8>,
     /// The id of the last one.
@@ -20,8 +20,8 @@
 }
 
 /// Takes the whole events off the front of `buffer`; those up to `after` were seen before.
-pub fn take_whole(buffer: &mut Vec<u8>, after: Option<u64>) -> Taken {
-    let mut taken = Taken { last: after, ..Taken::default() };
+pub fn take_events(buffer: &mut Vec<u8>, after: Option<u64>) -> CompleteEvents {
+    let mut taken = CompleteEvents { last: after, ..CompleteEvents::default() };
     let mut from = 0;
     while let Some(at) = find(&buffer[from..], END) {
         let end = from + at + END.len();
--- a/crates/roseshore_relay/src/http.rs
+++ b/crates/roseshore_relay/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as bytes: heads in and out, and the framing of bodies.
 //!
 //! Nothing here holds a socket. A head is read from the front of a buffer once it is whole; a
-//! [`Decoder`] then takes the body off the same buffer as it comes and says when it is complete.
+//! [`BodyDecoder`] then takes the body off the same buffer as it comes and says when it is complete.
 
 use quick_error::quick_error;
 use roseshore_ports::entry::Field;
@@ -33,7 +33,7 @@
     /// After the last chunk.
     Chunked,
     /// With the connection.
-    Close,
+    UntilClose,
 }
 
 /// The head of a request.
@@ -48,12 +48,12 @@
     /// How the body ends.
     pub framing: Framing,
     /// Whether the connection is to be kept.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// The reason phrase.
@@ -63,7 +63,7 @@
     /// How the body ends.
     pub framing: Framing,
     /// Whether the connection may be used again.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// The first value of a field.
@@ -107,7 +107,7 @@
 ///
 /// # Errors
 /// When the bytes are no head, or more than `most` of them.
-pub fn take_request(buffer: &mut Vec<u8>, most: usize) -> Result<Option<RequestHead>, HttpError> {
+pub fn parse_request(buffer: &mut Vec<u8>, most: usize) -> Result<Option<RequestHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(buffer).map_err(|_| HttpError::Malformed)?;
@@ -119,7 +119,7 @@
     }
     let fields = owned(request.headers);
     let newer = request.version == Some(1);
-    let keep = if newer {
+    let keep_alive = if newer {
         !says(&fields, "connection", "close")
     } else {
         says(&fields, "connection", "keep-alive")
@@ -128,8 +128,13 @@
     let (Some(method), Some(path)) = (request.method, request.path) else {
         return Err(HttpError::Malformed);
     };
-    let head =
-        RequestHead { method: method.to_owned(), path: path.to_owned(), fields, framing, keep };
+    let head = RequestHead {
+        method: method.to_owned(),
+        path: path.to_owned(),
+        fields,
+        framing,
+        keep_alive,
+    };
     buffer.drain(..used);
     Ok(Some(head))
 }
@@ -138,7 +143,10 @@
 ///
 /// # Errors
 /// When the bytes are no head, or more than `most` of them.
-pub fn take_answer(buffer: &mut Vec<u8>, most: usize) -> Result<Option<AnswerHead>, HttpError> {
+pub fn parse_response(
+    buffer: &mut Vec<u8>,
+    most: usize,
+) -> Result<Option<ResponseHead>, HttpError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut answer = httparse::Response::new(&mut headers);
@@ -155,11 +163,11 @@
             continue;
         }
         let none = status == 204 || status == 304;
-        let framing = framing(&fields)?.unwrap_or(Framing::Close);
+        let framing = framing(&fields)?.unwrap_or(Framing::UntilClose);
         let framing = if none { Framing::Length(0) } else { framing };
         let close = says(&fields, "connection", "close");
-        let keep = newer && !close && framing != Framing::Close;
-        return Ok(Some(AnswerHead { status, reason, fields, framing, keep }));
+        let keep_alive = newer && !close && framing != Framing::UntilClose;
+        return Ok(Some(ResponseHead { status, reason, fields, framing, keep_alive }));
     }
 }
 
@@ -167,30 +175,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Length(u64),
-    Size,
-    Chunk(u64),
+    ChunkSize,
+    ChunkData(u64),
     ChunkEnd,
     Trailer,
-    Close,
+    UntilClose,
     Done,
 }
 
 /// Takes a body off a buffer.
 #[derive(Clone, Debug)]
-pub struct Decoder {
+pub struct BodyDecoder {
     state: State,
 }
 
-impl Decoder {
+impl BodyDecoder {
     /// A decoder at the body's start.
-    pub fn new(framing: Framing) -> Decoder {
+    pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size,
-            Framing::Close => State::Close,
+            Framing::Chunked => State::ChunkSize,
+            Framing::UntilClose => State::UntilClose,
         };
-        Decoder { state }
+        BodyDecoder { state }
     }
 
     /// Whether the body is complete.
@@ -200,18 +208,18 @@
 
     /// Whether an orderly end of the connection completes the body.
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::Close
+        self.state == State::UntilClose
     }
 
     /// Moves what belongs to the body from `input` to `body`.
     ///
     /// # Errors
     /// When the framing is broken.
-    pub fn take(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), HttpError> {
+    pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), HttpError> {
         loop {
             match self.state {
                 State::Done => return Ok(()),
-                State::Close => {
+                State::UntilClose => {
                     body.append(input);
                     return Ok(());
                 }
@@ -222,24 +230,24 @@
                         return Ok(());
                     }
                 }
-                State::Chunk(left) => {
+                State::ChunkData(left) => {
                     let left = take_bytes(left, input, body);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
+                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
                     if left > 0 {
                         return Ok(());
                     }
                 }
-                State::Size => {
+                State::ChunkSize => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
                     let size = chunk_size(&line).ok_or(HttpError::Malformed)?;
-                    self.state = if size == 0 { State::Trailer } else { State::Chunk(size) };
+                    self.state = if size == 0 { State::Trailer } else { State::ChunkData(size) };
                 }
                 State::ChunkEnd => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
                     if !line.is_empty() {
                         return Err(HttpError::Malformed);
                     }
-                    self.state = State::Size;
+                    self.state = State::ChunkSize;
                 }
                 State::Trailer => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
@@ -278,7 +286,7 @@
 }
 
 /// Writes the head of a request.
-pub fn put_request(out: &mut Vec<u8>, method: &str, path: &str, fields: &[Field], body: usize) {
+pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, fields: &[Field], body: usize) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "{method} {path} HTTP/1.1\r\n");
     put_fields(out, fields);
@@ -290,28 +298,28 @@
 
 /// How an answer's body is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
+pub enum BodyFraming {
     /// At once, with its length.
-    Whole(usize),
+    Length(usize),
     /// In chunks.
-    Chunks,
+    Chunked,
 }
 
 /// Writes the head of an answer.
-pub fn put_answer(
+pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
     reason: &str,
     fields: &[Field],
-    sent: Sent,
+    sent: BodyFraming,
     close: bool,
 ) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "HTTP/1.1 {status} {reason}\r\n");
     put_fields(out, fields);
     let _ = match sent {
-        Sent::Whole(length) => write!(out, "Content-Length: {length}\r\n"),
-        Sent::Chunks => write!(out, "Transfer-Encoding: chunked\r\n"),
+        BodyFraming::Length(length) => write!(out, "Content-Length: {length}\r\n"),
+        BodyFraming::Chunked => write!(out, "Transfer-Encoding: chunked\r\n"),
     };
     if close {
         out.extend_from_slice(b"Connection: close\r\n");
@@ -329,7 +337,7 @@
 }
 
 /// Writes one chunk of a body.
-pub fn put_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
+pub fn write_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
     }
--- a/crates/roseshore_relay/tests/http.rs
+++ b/crates/roseshore_relay/tests/http.rs
@@ -1,7 +1,7 @@
 //! Heads, framing and events as bytes.
 
-use roseshore_relay::events::take_whole;
-use roseshore_relay::http::{Decoder, Framing, HttpError, take_answer, take_request};
+use roseshore_relay::events::take_events;
+use roseshore_relay::http::{BodyDecoder, Framing, HttpError, parse_request, parse_response};
 
 const MOST: usize = 400;
 
@@ -63,19 +63,19 @@
     ];
     for case in cases {
         let mut buffer = case.bytes.as_bytes().to_vec();
-        let got = take_request(&mut buffer, MOST).map(|head| head.map(|h| h.framing));
+        let got = parse_request(&mut buffer, MOST).map(|head| head.map(|h| h.framing));
         assert_eq!(got, case.framing, "{}", case.name);
     }
     let mut long = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(MOST)).into_bytes();
-    assert_eq!(take_request(&mut long, MOST), Err(HttpError::HeadTooLarge));
+    assert_eq!(parse_request(&mut long, MOST), Err(HttpError::HeadTooLarge));
 }
 
 #[test]
 fn an_interim_answer_is_passed_over() {
     let bytes = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut buffer = bytes.as_bytes().to_vec();
-    let head = take_answer(&mut buffer, MOST).expect("well formed").expect("whole");
-    assert_eq!((head.status, head.framing, head.keep), (200, Framing::Length(2), true));
+    let head = parse_response(&mut buffer, MOST).expect("well formed").expect("whole");
+    assert_eq!((head.status, head.framing, head.keep_alive), (200, Framing::Length(2), true));
     assert_eq!(buffer, b"ok");
 }
 
@@ -89,8 +89,8 @@
         ("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\n", false),
     ] {
         let mut buffer = bytes.as_bytes().to_vec();
-        let head = take_answer(&mut buffer, MOST).expect("well formed").expect("whole");
-        assert_eq!(head.keep, keep, "{bytes:?}");
+        let head = parse_response(&mut buffer, MOST).expect("well formed").expect("whole");
+        assert_eq!(head.keep_alive, keep, "{bytes:?}");
     }
 }
 
@@ -150,7 +150,7 @@
         },
         BodyCase {
             name: "close",
-            framing: Framing::Close,
+            framing: Framing::UntilClose,
             bytes: "abc",
             got: Some(("abc", false, "")),
         },
@@ -159,12 +159,12 @@
         // However the bytes are cut on their way, the result is the same.
         for step in [1, 2, 5, case.bytes.len()] {
             let (mut input, mut body) = (Vec::new(), Vec::new());
-            let mut decoder = Decoder::new(case.framing);
+            let mut decoder = BodyDecoder::new(case.framing);
             let parts = case.bytes.as_bytes().chunks(step);
             let taken: Result<Vec<()>, HttpError> = parts
                 .map(|part| {
                     input.extend_from_slice(part);
-                    decoder.take(&mut input, &mut body)
+                    decoder.decode(&mut input, &mut body)
                 })
                 .collect();
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
@@ -227,7 +227,7 @@
     ];
     for case in cases {
         let mut buffer = case.bytes.as_bytes().to_vec();
-        let taken = take_whole(&mut buffer, case.after);
+        let taken = take_events(&mut buffer, case.after);
         assert_eq!(String::from_utf8_lossy(&taken.bytes), case.passed, "{}", case.name);
         assert_eq!((taken.last, taken.gap), (case.last, case.gap), "{}", case.name);
         assert_eq!(String::from_utf8_lossy(&buffer), case.left, "{}", case.name);
--- a/crates/roseshored/src/entry.rs
+++ b/crates/roseshored/src/entry.rs
@@ -9,7 +9,7 @@
 use roseshore_adapters::clock::BootClock;
 use roseshore_platform::{BOOT_VARIABLE, Platform, read_boot};
 use roseshore_ports::entry::WireError;
-use roseshore_relay::entry::{Entry, Start};
+use roseshore_relay::entry::{EntryHost, EntryOptions};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -108,11 +108,12 @@
     let handle = recorder()?;
     let port = matches.get_one::<u16>("metrics-port").copied();
     let metrics = port.map(|port| (SocketAddr::new(settings.callers.ip(), port), handle));
-    let reread = Box::new(move || read_boot(&path));
+    let read_settings = Box::new(move || read_boot(&path));
     let platform = Box::new(Platform);
     let (clock, quiet) = (Box::new(BootClock::new()), false);
-    let start = Start { settings, reread, platform, clock, metrics, stop, reload, quiet };
-    let mut entry = Entry::new(start)?;
+    let options =
+        EntryOptions { settings, read_settings, platform, clock, metrics, stop, reload, quiet };
+    let mut entry = EntryHost::new(options)?;
     Ok(entry.run()?)
 }
 
