--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -1,42 +1,41 @@
 //! An entry host's process: its state, its loop and its timers.
 
-mod answers;
-mod blocked;
+mod blocked_requests;
 mod callers;
 mod calls;
-mod copying;
+mod copies;
+mod dispatch;
 mod exchange;
 mod fatal;
-mod following;
-mod heeding;
-mod limiting;
+mod heartbeats;
+mod in_flight;
 mod liveness;
-mod pacing;
-mod peering;
-mod placing;
+mod pace_polling;
+mod placement;
 mod probes;
+mod rate_limits;
 mod records;
-mod send;
-mod sends;
-mod silence;
-mod stopping;
+mod responses;
+mod signals;
+mod store_sync;
+mod target_feedback;
+mod timeouts;
 
-use crate::journal::Journal;
+use crate::log_writer::Journal;
 use crate::net::{Door, Ended, Net, Notice};
 use crate::slab::{Key, Slab};
-use blocked::Blocked;
+use blocked_requests::Blocked;
 use callers::Caller;
 use calls::Call;
 use exchange::Exchange;
 use fatal::Broken;
-use following::Following;
-use limiting::Limiting;
 use liveness::Liveness;
 use metrics_exporter_prometheus::PrometheusHandle;
-use pacing::Pacing;
-use placing::Placing;
+use pace_polling::Pacing;
+use placement::Placing;
 use rand::RngExt;
 use rand::rngs::SmallRng;
+use rate_limits::Limiting;
 use roseshore_core::gateway::copies::COPY_TIME;
 use roseshore_core::gateway::leaving::Pace;
 use roseshore_core::gateway::look::Look;
@@ -53,6 +52,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
+use store_sync::Following;
 
 /// How often duties without a timer of their own are looked after.
 const TICK: Duration = Duration::from_millis(100);
--- a/crates/roseshore_relay/src/entry/sends.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -2,8 +2,8 @@
 
 use super::exchange::Exchange;
 use super::fatal::ENDS_TARGETS;
+use super::in_flight::{Phase, Send};
 use super::probes::millis;
-use super::send::{Phase, Send};
 use super::{EntryHost, Role, Timer, note};
 use crate::http;
 use crate::slab::Key;
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 
 use super::callers::refusal_fields;
-use super::limiting::Awaited;
+use super::in_flight::Send;
 use super::probes::millis;
-use super::send::Send;
+use super::rate_limits::Awaited;
 
 /// When to come back after a refusal that another host may not give, before it is spread: a caller
 /// comes back on a new connection, which reaches another host.
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -5,7 +5,7 @@
 //! target's port resets a connection, or the list names another life.
 
 use super::exchange::Exchange;
-use super::send::Send;
+use super::in_flight::Send;
 use super::{EntryHost, note};
 use crate::slab::Key;
 use roseshore_core::gateway::fatal::{Change, EARLY, FatalNote};
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -4,7 +4,7 @@
 //! resets it, a dark machine says nothing. That costs no slot and next to nothing, so it is done
 //! well before a stream is given up.
 
-use super::send::Send;
+use super::in_flight::Send;
 use super::{EntryHost, Role, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::Fault;
--- a/crates/roseshore_relay/src/entry/limiting.rs
+++ b/crates/roseshore_relay/src/entry/rate_limits.rs
@@ -3,7 +3,7 @@
 //! What is known and decided stands in [`limits`](roseshore_core::gateway::limits). Here a request whose target
 //! names a limit waits for the answer of the host that issues permits, and this host answers where it is that one.
 
-use super::sends::Choice;
+use super::dispatch::Choice;
 use super::{EntryHost, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::limits::{Change, Issuer, Limits, Naming, Permit};
--- a/crates/roseshore_relay/src/entry/answers.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -3,13 +3,13 @@
 //! A plain answer is passed on once it is whole, so a caller never sees part of one. A stream is
 //! passed on by whole events as they come; if its target dies, another goes on after the last one.
 
-use super::heeding::MISDIRECTED;
+use super::in_flight::Phase;
 use super::probes::millis;
-use super::send::Phase;
+use super::target_feedback::MISDIRECTED;
 use super::{EntryHost, Timer, note, orderly};
-use crate::events;
 use crate::http::{self, BodyDecoder, BodyFraming, LAST_CHUNK, ResponseHead};
 use crate::slab::Key;
+use crate::sse;
 use roseshore_core::gateway::Fault;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Answered;
@@ -284,7 +284,7 @@
             return self.take_failure(key, came);
         }
         let (keep, caller) = (head.keep_alive, exchange.caller);
-        let taken = events::take_events(&mut send.body, exchange.out.last);
+        let taken = sse::take_events(&mut send.body, exchange.out.last);
         if taken.gap {
             self.failed(key, Fault::Garbled, None);
             return Step::Over;
--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -3,7 +3,7 @@
 //! Each stream is read whole once (the newest record of each key) and then followed by offset.
 //! The configuration is waited for, so that a change is in force within a round trip; the list of
 //! targets changes all the time by heartbeats and is read at intervals. One host reads for all:
-//! the others hear how far it has come, and fetch from it what they lack (`copying`).
+//! the others hear how far it has come, and fetch from it what they lack (`copies`).
 
 mod replies;
 
--- a/crates/roseshore_relay/src/entry/silence.rs
+++ b/crates/roseshore_relay/src/entry/timeouts.rs
@@ -1,8 +1,8 @@
 //! Targets that say nothing: when they are doubted, and when a request goes elsewhere.
 
+use super::dispatch::CONNECT;
 use super::exchange::Exchange;
-use super::send::Send;
-use super::sends::CONNECT;
+use super::in_flight::Send;
 use super::{EntryHost, Timer};
 use crate::slab::Key;
 use roseshore_core::gateway::{CallKind, Fault};
--- a/crates/roseshore_relay/src/lib.rs
+++ b/crates/roseshore_relay/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`roseshore_ports::entry::EntryPlatform`]; this crate carries bytes between the two.
 
 pub mod entry;
-pub mod events;
 pub mod http;
-pub mod journal;
+pub mod log_writer;
 pub mod net;
 pub mod slab;
+pub mod sse;
--- a/crates/roseshore_relay/tests/http.rs
+++ b/crates/roseshore_relay/tests/http.rs
@@ -1,7 +1,7 @@
 //! Heads, framing and events as bytes.
 
-use roseshore_relay::events::take_events;
 use roseshore_relay::http::{BodyDecoder, Framing, HttpError, parse_request, parse_response};
+use roseshore_relay::sse::take_events;
 
 const MOST: usize = 400;
 
