--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -3,13 +3,13 @@
 //! Each stream is read whole once (the newest record of each key) and then followed by offset.
 //! The configuration is waited for, so that a change is in force within a round trip; the list of
 //! targets changes all the time by heartbeats and is read at intervals. One host reads for all:
-//! the others hear how far it has come, and fetch from it what they lack (`copying`).
+//! the others hear how far it has come, and fetch from it what they lack (`copies`).
 
 mod replies;
 
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::probes::millis;
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::outage::Outage;
 use roseshore_core::gateway::peers::ListMark;
 use roseshore_core::gateway::reading::{self, CONFIG_WAIT, TARGETS_EVERY};
@@ -131,7 +131,7 @@
     }
 }
 
-impl Entry {
+impl EntryHost {
     /// Starts the calls that are due.
     pub(super) fn follow(&mut self) {
         for stream in [Stream::Config, Stream::Targets] {
