--- a/crates/roseshore_core/src/ledger/history.rs
+++ b/crates/roseshore_core/src/ledger/history.rs
@@ -123,7 +123,7 @@
 
     /// What became of a request, by its whole id or its caller's part; `None` when this daemon never had it or has forgotten it.
     pub fn find(&self, request: &str) -> Option<RequestState> {
-        let known = |it: &&RunningRequest| is_request(&it.meta.request, request);
+        let known = |it: &&RunningRequest| request_id_matches(&it.meta.request, request);
         if let Some(running) = self.running.values().find(known) {
             return Some(RequestState::Running(running.clone()));
         }
@@ -135,5 +135,5 @@
 }
 
 fn newest<'a>(rows: &'a VecDeque<EndedRequest>, request: &str) -> Option<&'a EndedRequest> {
-    rows.iter().rev().find(|e| is_request(&e.meta.request, request))
+    rows.iter().rev().find(|e| request_id_matches(&e.meta.request, request))
 }
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -1,9 +1,9 @@
 //! Callers' connections: requests in, final answers out.
 
-use super::{Entry, Role, Timer, note};
-use crate::http::{self, Decoder, Framing, HttpError, RequestHead, Sent};
+use super::{EntryHost, Role, Timer, note};
+use crate::http::{self, BodyDecoder, BodyFraming, Framing, HttpError, RequestHead};
 use crate::slab::Key;
-use roseshore_core::gateway::Limits;
+use roseshore_core::gateway::RequestLimits;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Field;
 use std::cmp::Reverse;
@@ -30,7 +30,7 @@
 
 struct Reading {
     head: RequestHead,
-    decoder: Decoder,
+    decoder: BodyDecoder,
     body: Vec<u8>,
 }
 
@@ -40,16 +40,18 @@
     }
 }
 
-impl Entry {
-    fn limits(&self) -> Limits {
-        self.snapshot.as_ref().map_or_else(Limits::default, |s| s.limits().clone())
+impl EntryHost {
+    fn limits(&self) -> RequestLimits {
+        self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
 
     /// Sets the timer for a caller that is slow or rests.
     pub(super) fn watch_caller(&mut self, key: Key) {
         let limits = self.limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
-        let at = caller.first.map_or(caller.since + limits.idle, |first| first + limits.head_time);
+        let at = caller
+            .first
+            .map_or(caller.since + limits.idle_timeout, |first| first + limits.receive_timeout);
         self.arm(at, Timer::Caller(key));
     }
 
@@ -61,10 +63,10 @@
             return;
         }
         match caller.first {
-            Some(first) if self.now >= first + limits.head_time => {
+            Some(first) if self.now >= first + limits.receive_timeout => {
                 self.refuse_connection(key, Code::SlowCaller, "the request did not come in time");
             }
-            None if self.now >= caller.since + limits.idle => self.close(key),
+            None if self.now >= caller.since + limits.idle_timeout => self.close(key),
             _ => self.watch_caller(key),
         }
     }
@@ -101,10 +103,10 @@
                     socket.input.drain(..blank);
                     if !socket.input.is_empty() && caller.first.is_none() {
                         caller.first = Some(self.now);
-                        let late = self.now + limits.head_time;
+                        let late = self.now + limits.receive_timeout;
                         self.timers.push(Reverse((late, Timer::Caller(key))));
                     }
-                    match http::take_request(&mut socket.input, limits.head) {
+                    match http::parse_request(&mut socket.input, limits.head_bytes) {
                         Ok(Some(head)) => self.begin_body(key, head, &limits),
                         Ok(None) if ended => return self.close(key),
                         Ok(None) => return,
@@ -113,8 +115,8 @@
                 }
                 Phase::Body(reading) => {
                     let Reading { decoder, body, .. } = &mut **reading;
-                    let taken = decoder.take(&mut socket.input, body);
-                    let (done, large) = (decoder.done(), body.len() > limits.body);
+                    let taken = decoder.decode(&mut socket.input, body);
+                    let (done, large) = (decoder.done(), body.len() > limits.body_bytes);
                     if let Err(err) = taken {
                         return self.refuse_bytes(key, err);
                     }
@@ -139,9 +141,9 @@
         }
     }
 
-    fn begin_body(&mut self, key: Key, head: RequestHead, limits: &Limits) {
+    fn begin_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
         if let Framing::Length(length) = head.framing
-            && length > limits.body as u64
+            && length > limits.body_bytes as u64
         {
             return self.refuse_connection(key, Code::BodyTooLarge, "the body is too large");
         }
@@ -149,7 +151,7 @@
         if expects.is_some_and(|e| e.eq_ignore_ascii_case("100-continue")) {
             self.net.send(key, b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        let decoder = Decoder::new(head.framing);
+        let decoder = BodyDecoder::new(head.framing);
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
             caller.phase = Phase::Body(Box::new(Reading { head, decoder, body: Vec::new() }));
         }
@@ -162,7 +164,7 @@
         let phase = std::mem::replace(&mut caller.phase, Phase::Head);
         let Phase::Body(reading) = phase else { return };
         let Reading { head, body, .. } = *reading;
-        let keep = head.keep;
+        let keep = head.keep_alive;
         match self.begin_exchange(key, head, body) {
             Ok(exchange) => {
                 if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
@@ -196,8 +198,8 @@
     ) {
         let mut out = Vec::with_capacity(256 + body.len());
         let close = !keep || self.stopping.is_some();
-        let (reason, sent) = (http::reason(status), Sent::Whole(body.len()));
-        http::put_answer(&mut out, status, reason, fields, sent, close);
+        let (reason, sent) = (http::reason(status), BodyFraming::Length(body.len()));
+        http::write_response(&mut out, status, reason, fields, sent, close);
         out.extend_from_slice(body);
         self.net.send(key, &out);
     }
--- a/crates/roseshore_relay/src/entry/pacing.rs
+++ b/crates/roseshore_relay/src/entry/pace_polling.rs
@@ -1,7 +1,7 @@
 //! Asks the engines of the own data centre how fast they run.
 
 use super::calls::{CallFault, Purpose};
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::paces::{ASK_EVERY, MOST_ASKED, Pace};
 use roseshore_core::gateway::targets::Target;
 use roseshore_core::prelude::*;
@@ -25,7 +25,7 @@
     each: usize,
 }
 
-impl Entry {
+impl EntryHost {
     /// Asks the next engines, if this host is the first of its data centre.
     pub(super) fn ask_paces(&mut self) {
         let now = self.now;
@@ -55,7 +55,8 @@
     fn used_engines(&self) -> VecDeque<TargetId> {
         let Some(snapshot) = &self.snapshot else { return VecDeque::new() };
         let holds = |t: &&Target| t.holding().is_some();
-        let engines = snapshot.engines().flat_map(|service| self.live(&service.name).filter(holds));
+        let engines =
+            snapshot.engine_services().flat_map(|service| self.live(&service.name).filter(holds));
         engines.map(|t| t.record.id.clone()).collect()
     }
 
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -1,7 +1,7 @@
 //! What was read of the store becomes what this host believes: the configuration in force and the
 //! list of targets, whether it came from the store or as another host's copy.
 
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::copies::ListCopy;
 use roseshore_core::gateway::targets::{Absence, Changes, News, Replaced};
 use roseshore_core::gateway::{Position, TargetRecord};
@@ -9,7 +9,7 @@
 use roseshore_ports::entry::Entry as Record;
 use std::sync::Arc;
 
-impl Entry {
+impl EntryHost {
     /// The version of the configuration in force; 0 for none.
     pub(super) fn config_version(&self) -> u64 {
         self.snapshot.as_ref().map_or(0, |s| s.version())
@@ -23,8 +23,8 @@
         }
         // A host that has just begun knows only what the older copy of the store holds.
         let older = known.is_some_and(|known| known.era < copy.next.era);
-        self.following.outage.told(Duration::from_millis(copy.lapse), self.now);
-        self.following.outage.copied(self.now);
+        self.following.outage.receive_grace(Duration::from_millis(copy.lapse), self.now);
+        self.following.outage.receive_copy(self.now);
         let absence = self.following.outage.absence(self.now);
         self.targets.reach(copy.next);
         let Changes { records, dropped } = copy.changes;
@@ -91,7 +91,7 @@
     /// The own list of targets, for a host that has read it so far.
     pub(super) fn list_copy(&self, known: Position) -> Option<ListCopy> {
         let next = self.following.list_next()?;
-        let lapse = self.following.outage.lapse_left(self.now).as_millis() as u64;
+        let lapse = self.following.outage.grace_left(self.now).as_millis() as u64;
         let digest = self.targets.list_mark(next).digest;
         Some(ListCopy { next, changes: self.targets.since(known), digest, lapse })
     }
--- a/crates/roseshore_relay/src/entry/stopping.rs
+++ b/crates/roseshore_relay/src/entry/signals.rs
@@ -1,8 +1,8 @@
 //! Signals: the stop that cuts nothing off, and the reload.
 
-use super::{Entry, Role, note};
+use super::{EntryHost, Role, note};
 use crate::slab::Key;
-use roseshore_core::gateway::{Allowance, Currency};
+use roseshore_core::gateway::{ConfigLease, RetryBudget};
 use roseshore_core::prelude::*;
 use std::sync::atomic::Ordering;
 
@@ -14,7 +14,7 @@
 /// How often the settings are looked at without a signal.
 const REREAD: Duration = Duration::from_secs(2);
 
-impl Entry {
+impl EntryHost {
     pub(super) fn obey_signals(&mut self) {
         if self.stop.load(Ordering::Relaxed) && self.stopping.is_none() {
             self.stopping = Some(self.now);
@@ -29,7 +29,7 @@
     }
 
     fn reload_settings(&mut self, asked: bool) {
-        let fresh = match (self.reread)() {
+        let fresh = match (self.read_settings)() {
             Ok(fresh) => fresh,
             Err(err) => {
                 note!(self, BadSettings, "kept=old why={err:?}");
@@ -42,9 +42,9 @@
         }
         if fresh.bounds != self.settings.bounds {
             let age = self.currency.age(self.now);
-            self.currency = Currency::new(fresh.bounds.revoke);
+            self.currency = ConfigLease::new(fresh.bounds.revoke);
             if let Some(proven) = age.and_then(|age| self.now.checked_sub(age)) {
-                self.currency.prove(proven);
+                self.currency.renew(proven);
             }
             self.allowances.clear();
         }
@@ -53,9 +53,10 @@
     }
 
     /// The allowance of a service.
-    pub(super) fn allowance(&mut self, service: &str) -> &mut Allowance {
+    pub(super) fn allowance(&mut self, service: &str) -> &mut RetryBudget {
         let bounds = &self.settings.bounds;
-        let fresh = || Allowance::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
+        let fresh =
+            || RetryBudget::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
         self.allowances.entry(service.to_owned()).or_insert_with(fresh)
     }
 
