--- a/crates/roseshore_core/src/gateway/routes.rs
+++ b/crates/roseshore_core/src/gateway/routes.rs
@@ -21,7 +21,7 @@
 
 impl CallKind {
     /// Whether running it again is harmless.
-    pub fn idempotent(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         matches!(self, CallKind::Idempotent | CallKind::Stream { resumable: true })
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Whether its answer is a series of events.
-    pub fn stream(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, CallKind::Stream { .. })
     }
 }
--- a/crates/roseshore_core/src/gateway/settings.rs
+++ b/crates/roseshore_core/src/gateway/settings.rs
@@ -51,21 +51,21 @@
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// Where callers come in.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Where the balancer asks whether this host is ready.
-    pub probes: SocketAddr,
+    pub probe_addr: SocketAddr,
     /// The platform's store.
-    pub store: SocketAddr,
+    pub store_addr: SocketAddr,
     /// The bounds.
     pub bounds: Bounds,
     /// Where this host hears others; without it, it stays alone.
-    pub peer: Option<SocketAddr>,
+    pub peer_addr: Option<SocketAddr>,
     /// Where some others hear.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// Processor share of this host, thousandths of a core; 0 when it is not told.
-    pub capacity: u16,
+    pub millicores: u16,
     /// Descriptors this process may use.
     pub max_descriptors: Option<usize>,
 }
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -190,8 +190,8 @@
         let now = clock.now();
         let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
-        settings.callers = net.listen(Door::Callers, settings.callers)?;
-        settings.probes = net.listen(Door::Probes, settings.probes)?;
+        settings.caller_addr = net.listen(Door::Callers, settings.caller_addr)?;
+        settings.probe_addr = net.listen(Door::Probes, settings.probe_addr)?;
         let rendered = match metrics {
             Some((addr, handle)) => {
                 net.listen(Door::Metrics, addr)?;
@@ -199,15 +199,15 @@
             }
             None => None,
         };
-        if let Some(peer) = settings.peer {
-            settings.peer = Some(net.hear(peer)?);
+        if let Some(peer) = settings.peer_addr {
+            settings.peer_addr = Some(net.hear(peer)?);
             net.listen(Door::Copies, peer)?;
         }
         let mut random: SmallRng = rand::make_rng();
-        let own = settings.peer.unwrap_or(settings.callers);
+        let own = settings.peer_addr.unwrap_or(settings.caller_addr);
         let centre = &settings.data_centre;
         let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
-            .with_capacity(settings.capacity);
+            .with_capacity(settings.millicores);
         let mut entry = EntryHost {
             currency: ConfigLease::new(settings.bounds.revoke),
             settings,
@@ -261,8 +261,8 @@
             entry,
             Started,
             "host={host} data_centre={centre} callers={} store={} wall_ms={}",
-            entry.settings.callers,
-            entry.settings.store,
+            entry.settings.caller_addr,
+            entry.settings.store_addr,
             wall
         );
         Ok(entry)
@@ -270,7 +270,7 @@
 
     /// Where callers come in, and where probes do.
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
-        (self.settings.callers, self.settings.probes)
+        (self.settings.caller_addr, self.settings.probe_addr)
     }
 
     /// Runs until the stop signal has been obeyed; returns how many requests were cut off.
--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -51,7 +51,7 @@
     fn ask_blocked(&mut self) {
         self.blocked.busy = true;
         let request = self.platform.blocked(self.blocked.since.as_deref());
-        self.call(Purpose::Blocked, self.settings.store, &request, STORE_TIME);
+        self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIME);
     }
 
     /// A page of the records came, or did not.
@@ -106,7 +106,7 @@
         note!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
         self.blocked.busy = true;
         let request = self.platform.put_blocked(&records);
-        self.call(Purpose::PutBlocked, self.settings.store, &request, STORE_TIME);
+        self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIME);
     }
 
     /// Records were written, or may not have been; the next round looks again.
--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -10,7 +10,7 @@
 impl EntryHost {
     /// Asks a host for what it has read beyond this one; whether it was asked.
     pub(super) fn ask_copy(&mut self, from: SocketAddr) -> bool {
-        let Some(own) = self.settings.peer else { return false };
+        let Some(own) = self.settings.peer_addr else { return false };
         let Some(until) = self.copies.ask(self.now) else { return false };
         let request = CopyRequest { from: own, known: self.extent() };
         let mut bytes = Vec::new();
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -101,7 +101,7 @@
         if !self.may_repeat(key) {
             return self.end_without(key, Code::RetryBudget, "no more sends may be repeated");
         }
-        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.idempotent());
+        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.is_idempotent());
         let (socket, kept) = match self.connection(choice.addr, fresh) {
             Ok(connection) => connection,
             Err(err) => {
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -80,7 +80,7 @@
 impl Exchange {
     pub(super) fn standing(&self, now: Instant) -> RetryState {
         RetryState {
-            idempotent: self.route.kind.idempotent(),
+            idempotent: self.route.kind.is_idempotent(),
             head_sent: self.out.begun,
             verdict: self.verdict,
             sends: self.sends,
@@ -174,7 +174,7 @@
             let text = format!("route `{}` has no service", route.name);
             return Err(Refusal::not_run(Code::NoTarget, text).after(self.spread(COME_BACK)));
         };
-        if route.kind.stream() && !self.ends_in_time(&asked, &service) {
+        if route.kind.is_stream() && !self.ends_in_time(&asked, &service) {
             let refusal = Refusal::not_run(Code::Draining, "this host is leaving");
             return Err(refusal.after(self.spread(COME_BACK_ELSEWHERE)));
         }
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -37,7 +37,7 @@
             let step = match send.phase {
                 Phase::Head => self.take_head(key),
                 Phase::Surplus(_) => self.take_surplus(key),
-                Phase::Body(..) if exchange.out.begun || exchange.route.kind.stream() => {
+                Phase::Body(..) if exchange.out.begun || exchange.route.kind.is_stream() => {
                     self.pump_events(key)
                 }
                 Phase::Body(..) => self.take_body(key),
@@ -93,12 +93,12 @@
             self.failed(key, Fault::Failed, None);
             return Step::Over;
         }
-        if success && exchange.route.kind.stream() {
+        if success && exchange.route.kind.is_stream() {
             self.begin_stream(key, &head);
         }
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Over };
         let Some(send) = exchange.send.as_mut() else { return Step::Over };
-        if !exchange.route.kind.stream() || !success {
+        if !exchange.route.kind.is_stream() || !success {
             send.latest = now;
         }
         let decoder = BodyDecoder::new(head.framing);
--- a/crates/roseshore_relay/src/entry/signals.rs
+++ b/crates/roseshore_relay/src/entry/signals.rs
@@ -36,7 +36,8 @@
                 return;
             }
         };
-        let changed = fresh.bounds != self.settings.bounds || fresh.store != self.settings.store;
+        let changed =
+            fresh.bounds != self.settings.bounds || fresh.store_addr != self.settings.store_addr;
         if changed || asked {
             note!(self, Reloaded, "signal={asked} changed={changed}");
         }
@@ -49,7 +50,7 @@
             self.allowances.clear();
         }
         self.settings.bounds = fresh.bounds;
-        self.settings.store = fresh.store;
+        self.settings.store_addr = fresh.store_addr;
     }
 
     /// The allowance of a service.
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -172,7 +172,7 @@
 
     fn ask_store(&mut self, stream: Stream, wait: Duration) {
         self.note_asked(stream);
-        let (store, era) = (self.settings.store, self.following.era);
+        let (store, era) = (self.settings.store_addr, self.following.era);
         let follow = self.following.stream(stream);
         follow.busy = true;
         if let Some(next) = follow.next {
--- a/crates/roseshored/src/entry.rs
+++ b/crates/roseshored/src/entry.rs
@@ -107,7 +107,7 @@
     signal_hook::flag::register(SIGHUP, reload.clone())?;
     let handle = recorder()?;
     let port = matches.get_one::<u16>("metrics-port").copied();
-    let metrics = port.map(|port| (SocketAddr::new(settings.callers.ip(), port), handle));
+    let metrics = port.map(|port| (SocketAddr::new(settings.caller_addr.ip(), port), handle));
     let read_settings = Box::new(move || read_boot(&path));
     let platform = Box::new(Platform);
     let (clock, quiet) = (Box::new(BootClock::new()), false);
