--- a/crates/roseshore_core/src/once/partition/settle.rs
+++ b/crates/roseshore_core/src/once/partition/settle.rs
@@ -1,8 +1,8 @@
-//! Operators' questions about keys, and their word on one that nobody else can settle.
+//! Operators' queries about keys, and their settlements of keys that nobody else can resolve.
 //!
-//! A word is a record like any other: the first one in the log's order counts, and its sender knows
-//! how it went once it has read it back. One that is given up is taken back if it certainly never
-//! left; of any other nobody knows yet whether it takes effect.
+//! A settlement is a record like any other: the first one in the log's order counts, and its sender
+//! learns the result by reading it back. A settlement that is given up is withdrawn if it certainly
+//! was never sent. Otherwise it is not known whether it will take effect.
 
 use super::{Action, AttemptId, Partition, Phase};
 use crate::once::key_time::{MAX_SKEW, Millis};
@@ -12,74 +12,75 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is known of a key.
+/// What a daemon knows of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyStatus {
-    /// One past the last record folded.
+    /// One past the last record read.
     pub offset: Offset,
-    /// Whether the log's end was read after the question came.
+    /// Whether the end of the log was read after the query arrived.
     pub current: bool,
-    /// The log's time of the newest record seen.
+    /// The log's time of the newest record read; `None` before the first.
     pub time: Option<Millis>,
-    /// Whether every claim that the key ever had must have been seen.
+    /// Whether every claim that the key ever had is certain to have been read.
     pub covered: bool,
-    /// Where the key stands.
+    /// The state of the key.
     pub state: State,
-    /// The last operator's word that took effect.
+    /// The last settlement that took effect.
     pub settlement: Option<Arc<AppliedSettlement>>,
 }
 
-/// What an operator wants recorded.
+/// A settlement to be recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettleRequest {
-    /// The key.
+    /// The key to settle.
     pub key: Key,
-    /// The word.
+    /// The operator's statement.
     pub settlement: Settlement,
-    /// How long to wait for its place in the log.
+    /// How long to wait until the record is read back.
     pub deadline: Instant,
 }
 
-/// What became of an operator's word.
+/// The result of a settlement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettleResult {
-    /// It took effect, and stands at this offset.
+    /// It took effect, and is recorded at this offset.
     Applied(Offset),
     /// It changed nothing and never will.
     Rejected(Refusal),
-    /// It may take effect, now or later.
+    /// It may have taken effect, or may still do so.
     Unknown,
 }
 
 /// What the claimant says of a key that it holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimantStatus {
-    /// Nobody holds the key, or the claimant is no longer counted among the daemons.
+    /// Nobody holds the key, or the claimant is no longer a member.
     Gone,
-    /// It is there, and neither works on the key nor knows its end.
+    /// The claimant answers; it is not working on the key and does not know its outcome.
     Idle,
-    /// It is there, and works on the key or knows its end.
+    /// The claimant answers; it is working on the key or knows its outcome.
     Working,
-    /// It is counted among the daemons, and does not answer.
+    /// The claimant is a member, and does not answer.
     Unresponsive,
 }
 
-/// Whether an operator's word may be sent, by what a daemon knows before; the claim it is about.
+/// Whether a settlement may be sent, by what the daemon knows beforehand. Returns the claim that it
+/// is about; `None` for a key that nobody holds.
 ///
 /// # Errors
-/// A refusal of the command; nothing was sent.
+/// A refusal of the operator's command; nothing was sent.
 pub fn may_settle(
     key: &Key,
-    known: &KeyStatus,
+    status: &KeyStatus,
     ran: bool,
     claimant: ClaimantStatus,
 ) -> Result<Option<Nonce>, Refusal> {
-    if !known.current {
+    if !status.current {
         let text = "the log cannot be read from here; nothing was sent, ask another host";
         return Err(Refusal::not_run(Code::LogUnreachable, text));
     }
-    match (&known.state, claimant) {
-        (State::Recorded(_) | State::Ran(_), _) => Err(already(key)),
+    match (&status.state, claimant) {
+        (State::Recorded(_) | State::Ran(_), _) => Err(already_settled(key)),
         (State::Free, _) if !ran => {
             let text = format!("nobody holds key `{key}`; there is nothing to settle");
             Err(Refusal::not_run(Code::CommandInvalid, text))
@@ -92,21 +93,21 @@
             );
             Err(Refusal::not_run(Code::KeyInProgress, text))
         }
-        (State::Held(held), _) if held.may_dispatch(known.time.unwrap_or_default()) => {
-            Err(early(key, held.until))
+        (State::Held(held), _) if held.may_dispatch(status.time.unwrap_or_default()) => {
+            Err(may_still_dispatch(key, held.until))
         }
         (State::Held(held) | State::Unknown(held), _) => Ok(Some(held.nonce)),
     }
 }
 
-/// The first end in the log stays.
-fn already(key: &Key) -> Refusal {
+/// The first recorded outcome or settlement stands.
+fn already_settled(key: &Key) -> Refusal {
     let text = format!("key `{key}` is settled already; look with `roseshore key`");
     Refusal::not_run(Code::CommandConflict, text)
 }
 
 /// The claimant may still dispatch.
-fn early(key: &Key, until: Millis) -> Refusal {
+fn may_still_dispatch(key: &Key, until: Millis) -> Refusal {
     let text = format!(
         "the claimant of key `{key}` may dispatch it until {until} ms of the epoch by the log's time, \
          and {} s more are waited out; look at the target again then, and settle it",
@@ -115,96 +116,98 @@
     Refusal::not_run(Code::KeyInProgress, text)
 }
 
-/// The key has moved on since the operator looked.
-fn changed(key: &Key) -> Refusal {
+/// The state of the key has changed since the operator looked.
+fn key_changed(key: &Key) -> Refusal {
     let text = format!("key `{key}` changed before the word landed; look with `roseshore key`");
     Refusal::not_run(Code::CommandConflict, text)
 }
 
-/// What operators wait for.
+/// The pending requests of operators.
 #[derive(Debug, Default)]
-pub(super) struct Desk {
-    looks: BTreeMap<AttemptId, Look>,
-    words: BTreeMap<AttemptId, Sent>,
+pub(super) struct OperatorRequests {
+    queries: BTreeMap<AttemptId, KeyQuery>,
+    settlements: BTreeMap<AttemptId, SentSettlement>,
 }
 
 #[derive(Debug)]
-struct Look {
+struct KeyQuery {
     key: Key,
-    /// Reads that had begun when it came.
-    earlier: u64,
-    /// A mark that must be read back first, so that the log's time is that of the question.
+    /// The number of reads begun before it arrived.
+    reads_before: u64,
+    /// A mark that must be read back first, so that the log's time is that of the query.
     mark: Option<Nonce>,
     deadline: Instant,
 }
 
 #[derive(Debug)]
-struct Sent {
+struct SentSettlement {
     nonce: Nonce,
     deadline: Instant,
 }
 
-impl Desk {
+impl OperatorRequests {
     pub(super) fn is_empty(&self) -> bool {
-        self.looks.is_empty() && self.words.is_empty()
+        self.queries.is_empty() && self.settlements.is_empty()
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        let looks = self.looks.values().map(|look| look.deadline);
-        looks.chain(self.words.values().map(|sent| sent.deadline)).min()
+        let queries = self.queries.values().map(|query| query.deadline);
+        queries.chain(self.settlements.values().map(|sent| sent.deadline)).min()
     }
 
-    pub(super) fn earlier(&self) -> Option<u64> {
-        self.looks.values().map(|look| look.earlier).max()
+    pub(super) fn reads_before(&self) -> Option<u64> {
+        self.queries.values().map(|query| query.reads_before).max()
     }
 }
 
 impl Partition {
-    /// Asks what is known of a key, once the log's end was read or the deadline has come; with
-    /// `mark`, the log's time is learned too.
+    /// Queries the status of a key. The answer comes once the end of the log has been read, or at the
+    /// deadline. With `mark`, a mark is appended and read back first, so that the answer contains the
+    /// log's current time.
     pub fn query_key(&mut self, key: Key, mark: bool, deadline: Instant) -> AttemptId {
-        let id = self.count;
-        let nonce = self.fresh();
+        let id = self.next_id;
+        let nonce = self.next_nonce();
         if mark {
             self.batch.push(&Record::mark(nonce));
         }
-        let look = Look { key, earlier: self.reads, mark: mark.then_some(nonce), deadline };
-        self.desk.looks.insert(id, look);
+        let query =
+            KeyQuery { key, reads_before: self.reads_begun, mark: mark.then_some(nonce), deadline };
+        self.operators.queries.insert(id, query);
         id
     }
 
-    /// Sends an operator's word on a key.
+    /// Sends an operator's settlement of a key.
     pub fn submit_settlement(&mut self, settling: SettleRequest) -> AttemptId {
-        let id = self.count;
-        let nonce = self.fresh();
+        let id = self.next_id;
+        let nonce = self.next_nonce();
         let SettleRequest { key, settlement, deadline } = settling;
         self.batch.push(&Record { key, nonce, act: Act::Settle(settlement) });
-        self.desk.words.insert(id, Sent { nonce, deadline });
+        self.operators.settlements.insert(id, SentSettlement { nonce, deadline });
         id
     }
 
-    /// Answers the questions that the last read was begun after.
-    pub(super) fn show_current(&mut self) {
-        let current = self.current;
-        let answered = |look: &Look| current > look.earlier && look.mark.is_none();
-        let looks = std::mem::take(&mut self.desk.looks);
-        for (id, look) in looks {
-            if answered(&look) {
-                self.show(id, &look.key, true);
+    /// Answers the queries that arrived before the last completed read began.
+    pub(super) fn answer_queries(&mut self) {
+        let current = self.current_read;
+        let is_answered = |query: &KeyQuery| current > query.reads_before && query.mark.is_none();
+        let queries = std::mem::take(&mut self.operators.queries);
+        for (id, query) in queries {
+            if is_answered(&query) {
+                self.report_key(id, &query.key, true);
             } else {
-                self.desk.looks.insert(id, look);
+                self.operators.queries.insert(id, query);
             }
         }
     }
 
     /// A mark was read back.
-    pub(super) fn marked(&mut self, nonce: Nonce) {
-        for look in self.desk.looks.values_mut().filter(|look| look.mark == Some(nonce)) {
-            look.mark = None;
+    pub(super) fn on_mark(&mut self, nonce: Nonce) {
+        for query in self.operators.queries.values_mut().filter(|query| query.mark == Some(nonce)) {
+            query.mark = None;
         }
     }
 
-    fn show(&mut self, id: AttemptId, key: &Key, current: bool) {
+    fn report_key(&mut self, id: AttemptId, key: &Key, current: bool) {
         let keys = &self.keys;
         let (offset, time, covered) = (keys.next(), keys.newest_time(), keys.covers(key));
         let (state, settlement) = (keys.state(key).clone(), keys.settlement(key).cloned());
@@ -214,58 +217,61 @@
         ));
     }
 
-    /// A word was read back: tells its sender, and ends the attempt whose claim it voids.
+    /// A settlement was read back: reports the result to its sender, and ends the attempt whose claim
+    /// it voids.
     pub(super) fn on_settlement(&mut self, record: &Record, at: Offset) {
         self.batch.revoke(record.nonce);
         let key = &record.key;
         let keys = &self.keys;
         let holds = |nonce| matches!(keys.state(key), State::Held(held) if held.nonce == nonce);
         self.running.retain(|_, run| {
-            !(matches!(run.phase, Phase::Won(_)) && run.ask.key == *key && !holds(run.nonce))
+            !(matches!(run.phase, Phase::Won(_)) && run.attempt.key == *key && !holds(run.nonce))
         });
-        let mut words = self.desk.words.iter();
-        let Some(id) = words.find(|(_, sent)| sent.nonce == record.nonce).map(|(id, _)| *id) else {
+        let mut settlements = self.operators.settlements.iter();
+        let Some(id) = settlements.find(|(_, sent)| sent.nonce == record.nonce).map(|(id, _)| *id)
+        else {
             return;
         };
-        self.desk.words.remove(&id);
+        self.operators.settlements.remove(&id);
         let taken = keys.settlement(key).is_some_and(|settled| settled.nonce == record.nonce);
-        let ruling = match keys.state(key) {
+        let result = match keys.state(key) {
             _ if taken => SettleResult::Applied(at),
-            State::Recorded(_) | State::Ran(_) => SettleResult::Rejected(already(key)),
-            State::Held(held) if is_about(&record.act, held.nonce) => {
-                SettleResult::Rejected(early(key, held.until))
+            State::Recorded(_) | State::Ran(_) => SettleResult::Rejected(already_settled(key)),
+            State::Held(held) if concerns(&record.act, held.nonce) => {
+                SettleResult::Rejected(may_still_dispatch(key, held.until))
             }
-            _ => SettleResult::Rejected(changed(key)),
+            _ => SettleResult::Rejected(key_changed(key)),
         };
-        self.actions.push(Action::ReportSettle(id, ruling));
+        self.actions.push(Action::ReportSettle(id, result));
     }
 
-    /// Gives up what is over its time, or all of it while the log is out.
-    pub(super) fn tick_desk(&mut self, out: bool, now: Instant) {
-        let Desk { looks, words } = std::mem::take(&mut self.desk);
-        for (id, look) in looks {
-            if out || now >= look.deadline {
-                self.show(id, &look.key, false);
+    /// Gives up the requests that have reached their deadline, or all of them while the log is
+    /// unavailable.
+    pub(super) fn expire_requests(&mut self, log_down: bool, now: Instant) {
+        let OperatorRequests { queries, settlements } = std::mem::take(&mut self.operators);
+        for (id, query) in queries {
+            if log_down || now >= query.deadline {
+                self.report_key(id, &query.key, false);
             } else {
-                self.desk.looks.insert(id, look);
+                self.operators.queries.insert(id, query);
             }
         }
-        for (id, sent) in words {
-            if !out && now < sent.deadline {
-                self.desk.words.insert(id, sent);
+        for (id, sent) in settlements {
+            if !log_down && now < sent.deadline {
+                self.operators.settlements.insert(id, sent);
                 continue;
             }
-            let ruling = if self.batch.revoke(sent.nonce) {
+            let result = if self.batch.revoke(sent.nonce) {
                 let text = "the log takes no records now; nothing was sent, settle it later";
                 SettleResult::Rejected(Refusal::not_run(Code::LogUnreachable, text))
             } else {
                 SettleResult::Unknown
             };
-            self.actions.push(Action::ReportSettle(id, ruling));
+            self.actions.push(Action::ReportSettle(id, result));
         }
     }
 }
 
-fn is_about(act: &Act, claim: Nonce) -> bool {
+fn concerns(act: &Act, claim: Nonce) -> bool {
     matches!(act, Act::Settle(word) if word.claim == Some(claim))
 }
--- a/crates/roseshore_core/src/once/partition/types.rs
+++ b/crates/roseshore_core/src/once/partition/types.rs
@@ -1,99 +1,99 @@
-//! What goes into a partition's machine and what comes out.
+//! The inputs and outputs of the [`Partition`](super::Partition) state machine.
 
 use super::settle::{KeyStatus, SettleResult};
 use crate::once::record::{Outcome, Owner};
 use crate::prelude::*;
 use std::sync::Arc;
 
-/// The number of an attempt, unique in its partition's machine.
+/// The number of an attempt or of an operator's request, unique within its partition.
 pub type AttemptId = u64;
 
-/// What a caller wants done once.
+/// A caller's request that must run at most once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The key.
+    /// The idempotency key.
     pub key: Key,
     /// A digest of the request's body.
     pub digest: u64,
-    /// When the answer is due.
+    /// By when the request must be answered.
     pub deadline: Instant,
 }
 
-/// What becomes of an attempt.
+/// The decision on an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It holds the key by the claim at this offset, and may ask to be dispatched.
+    /// The attempt holds the key by the claim at this offset, and may ask to be dispatched.
     Won(Offset),
-    /// The key's end is recorded.
+    /// The outcome of the key is recorded, and is to be given again.
     Replay(Arc<Outcome>),
-    /// The key's end is recorded, and its answer is to be read at this offset; this is said if it
-    /// cannot be.
+    /// The outcome of the key is recorded, and is to be read at this offset. The refusal is the reply
+    /// if it cannot be read.
     ReadFromLog(Offset, Refusal),
-    /// The claimant may know the answer; this is said if it does not tell.
+    /// The claimant may know the outcome. The refusal is the reply if it does not tell.
     AskOwner(Owner, Refusal),
-    /// It is given up.
+    /// The attempt is given up.
     Refused(Refusal),
 }
 
-/// What is to be done.
+/// What the driver must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Append these lines to the stream.
     Append(Vec<String>),
     /// Read the stream.
     Read {
-        /// From this offset on.
+        /// The first offset to read.
         from: Offset,
-        /// Waiting so long for the first record.
+        /// How long to wait for a first record.
         wait: Duration,
     },
-    /// Tell an attempt.
+    /// Pass a decision on to the attempt.
     Decide(AttemptId, Decision),
-    /// The outcome of the claim at this offset stands in the log.
+    /// The outcome of the claim at this offset is in the log.
     Recorded(Offset),
-    /// Tell an operator what is known of a key.
+    /// Answer an operator's query with the status of the key.
     ReportKey(AttemptId, KeyStatus),
-    /// Tell an operator what became of a word.
+    /// Tell an operator the result of a settlement.
     ReportSettle(AttemptId, SettleResult),
 }
 
 /// What a daemon knows of its own work on a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalWork {
-    /// It does not work on the key, or does not remember.
+    /// It does not work on the key, or has no record of having done so.
     Unknown,
-    /// It may dispatch the key, or has.
+    /// It may dispatch the request, or has done so.
     InProgress,
-    /// It has ended.
+    /// Its request has ended with this outcome.
     Done(Arc<Outcome>),
 }
 
 /// How a read ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadResult {
-    /// Records came.
+    /// The log answered.
     Records {
-        /// The records in order.
+        /// The records, by offset.
         records: Vec<LogRecord>,
-        /// One past the stream's last record.
+        /// One past the last record of the stream.
         end: Offset,
     },
-    /// The offset is no longer kept.
+    /// The log no longer has the offset.
     Trimmed {
-        /// The oldest offset kept.
+        /// The oldest offset that the log still has.
         oldest: Offset,
     },
     /// The log did not answer.
     Failed,
 }
 
-/// A record as the log gives it.
+/// A record as read from the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogRecord {
-    /// Its place.
+    /// Its offset in the stream.
     pub offset: Offset,
-    /// The log's time.
+    /// The log's time of the append, in milliseconds since the Unix epoch.
     pub time: u64,
-    /// Its content.
+    /// Its content, a line of JSON.
     pub data: String,
 }
--- a/crates/roseshore_core/tests/once.rs
+++ b/crates/roseshore_core/tests/once.rs
@@ -1,6 +1,7 @@
-//! Unrepeatable work: the fold, and any interleaving of daemons, faults of the log and callers.
+//! At-most-once execution: the folded state of a key, and any interleaving of daemons, faults of the
+//! log and callers.
 
-// A part of it is unused in each test program, since both share it.
+// Shared by two test programs, each of which leaves a part of it unused.
 #[allow(dead_code)]
 #[path = "once/simulation.rs"]
 mod simulation;
@@ -8,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseshore_core::once::Outcome;
-use roseshore_core::once::key_time::born;
+use roseshore_core::once::key_time::created_at;
 use roseshore_core::once::keys::{Keys, State};
 use roseshore_core::once::partition::Decision;
 use roseshore_core::once::record::{Act, Nonce, Record, Settlement};
@@ -19,14 +20,14 @@
     0..DAEMONS
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fault() -> impl Strategy<Value = AppendFault> {
     prop_oneof![
-        6 => Just(Fate::Done),
-        1 => Just(Fate::Busy),
-        1 => Just(Fate::Unreached),
-        1 => Just(Fate::LostBefore),
-        2 => Just(Fate::LostAfter),
-        2 => Just(Fate::LostLater),
+        6 => Just(AppendFault::None),
+        1 => Just(AppendFault::RateLimited),
+        1 => Just(AppendFault::Unreachable),
+        1 => Just(AppendFault::LostBefore),
+        2 => Just(AppendFault::LostAfter),
+        2 => Just(AppendFault::LostLater),
     ]
 }
 
@@ -39,13 +40,13 @@
     prop_oneof![
         5 => (daemon(), any::<bool>()).prop_map(|(d, timed)| Step::Begin(d, timed)),
         1 => daemon().prop_map(Step::Reuse),
-        8 => (daemon(), fate()).prop_map(|(d, fate)| Step::Append(d, fate)),
+        8 => (daemon(), fault()).prop_map(|(d, fault)| Step::Append(d, fault)),
         8 => (daemon(), prop::bool::weighted(0.8)).prop_map(|(d, works)| Step::Read(d, works)),
         5 => daemon().prop_map(Step::Dispatch),
         3 => (daemon(), verdict).prop_map(|(d, verdict)| Step::Settle(d, verdict)),
         1 => daemon().prop_map(Step::Abandon),
-        2 => Just(Step::Land),
-        3 => prop_oneof![Just(10), Just(600), Just(6000), Just(70_000)].prop_map(Step::Pass),
+        2 => Just(Step::DeliverLate),
+        3 => prop_oneof![Just(10), Just(600), Just(6000), Just(70_000)].prop_map(Step::Advance),
         1 => prop_oneof![Just(600), Just(6000)].prop_map(Step::Freeze),
         1 => daemon().prop_map(Step::Replace),
         1 => Just(Step::Trim),
@@ -63,41 +64,42 @@
         ..ProptestConfig::default()
     })]
 
-    /// No key runs twice, "not run" is true, and repeats are equal, whatever happens.
+    /// Under any interleaving and any faults, no key runs twice, "not run" is true, and repeated
+    /// answers are equal.
     #[test]
     fn any_interleaving(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
+        let mut sim = Simulation::new();
         for step in steps {
-            world.step(step);
+            sim.step(step);
         }
-        world.calm();
-        world.step(Step::Members);
-        world.step(Step::Pass(11_000));
-        world.calm();
-        for daemon in &world.daemons {
+        sim.run_until_idle();
+        sim.step(Step::Members);
+        sim.step(Step::Advance(11_000));
+        sim.run_until_idle();
+        for daemon in &sim.daemons {
             prop_assert!(daemon.attempts.is_empty(), "an attempt was never answered");
             prop_assert!(daemon.machine.is_idle(), "work is left over");
         }
     }
 
-    /// With the platform up, a key is answered exactly once and every other attempt repeats it.
+    /// Without faults, a key runs exactly once, and every other attempt gets the recorded answer.
     #[test]
     fn exactly_once(begins in prop::collection::vec((daemon(), any::<bool>(), 0..30_u64), 1..20)) {
-        let mut world = World::new();
+        let mut sim = Simulation::new();
         for (d, timed, pause) in begins {
-            world.step(Step::Begin(d, timed));
-            world.step(Step::Pass(pause));
+            sim.step(Step::Begin(d, timed));
+            sim.step(Step::Advance(pause));
             let other = (d + 1) % DAEMONS;
-            world.step(Step::Append(other, Fate::Done));
-            world.step(Step::Read(other, true));
+            sim.step(Step::Append(other, AppendFault::None));
+            sim.step(Step::Read(other, true));
         }
-        world.calm();
-        for (key, decision) in &world.decisions {
-            let fine = matches!(decision, Decision::Won(_) | Decision::Replay(_));
-            prop_assert!(fine, "{}: {:?}", key, decision);
+        sim.run_until_idle();
+        for (key, decision) in &sim.decisions {
+            let allowed = matches!(decision, Decision::Won(_) | Decision::Replay(_));
+            prop_assert!(allowed, "{}: {:?}", key, decision);
         }
-        let once = world.runs.values().all(|runs| runs.len() == 1);
-        prop_assert!(once, "{:?}", world.runs);
+        let once = sim.dispatches.values().all(|dispatches| dispatches.len() == 1);
+        prop_assert!(once, "{:?}", sim.dispatches);
     }
 }
 
@@ -109,7 +111,7 @@
     Act::Outcome { digest: 7, outcome: answer(text), whole: true }
 }
 
-fn ended(verdict: Verdict) -> Act {
+fn unanswered(verdict: Verdict) -> Act {
     Act::Outcome { digest: 7, outcome: Outcome { verdict, ..answer("") }, whole: true }
 }
 
@@ -120,9 +122,9 @@
         records: Vec<(Nonce, Act)>,
         state: &'static str,
     }
-    let word =
+    let settlement =
         Settlement { operator: "op".into(), note: "looked".into(), ran: true, claim: Some(1) };
-    let ran = || Act::Settle(word.clone());
+    let ran = || Act::Settle(settlement.clone());
     let cases = [
         Case {
             name: "first claim holds",
@@ -145,7 +147,7 @@
             state: "free",
         },
         Case {
-            name: "a claim made anew holds",
+            name: "a new claim after the release holds",
             records: vec![(1, claim(1)), (2, claim(2)), (1, Act::Abandon), (3, claim(3))],
             state: "held 3",
         },
@@ -176,21 +178,21 @@
         },
         Case {
             name: "not run frees",
-            records: vec![(1, claim(1)), (1, ended(Verdict::NotRun))],
+            records: vec![(1, claim(1)), (1, unanswered(Verdict::NotRun))],
             state: "free",
         },
         Case {
             name: "may have run is not free",
-            records: vec![(1, claim(1)), (1, ended(Verdict::MayHaveRun)), (2, claim(2))],
+            records: vec![(1, claim(1)), (1, unanswered(Verdict::MayHaveRun)), (2, claim(2))],
             state: "unknown 1",
         },
         Case {
             name: "an operator settles what is unknown",
-            records: vec![(1, claim(1)), (1, ended(Verdict::MayHaveRun)), (9, ran())],
+            records: vec![(1, claim(1)), (1, unanswered(Verdict::MayHaveRun)), (9, ran())],
             state: "ran",
         },
         Case {
-            name: "an operator's word comes before a late outcome",
+            name: "an operator's settlement precedes a late outcome",
             records: vec![(1, claim(1)), (9, ran()), (1, outcome("late"))],
             state: "ran",
         },
@@ -199,8 +201,9 @@
         let mut keys = Keys::new(100);
         for (at, (nonce, act)) in case.records.into_iter().enumerate() {
             let record = Record { key: PLAIN.into(), nonce, act };
-            // A minute apart, so that a claim with no time left can be settled by the next record.
-            keys.apply(at as Offset, EPOCH + at as u64 * 60_000, &record.line());
+            // Records are a minute apart, so that a claim with no time left can be settled by the
+            // next one.
+            keys.apply(at as Offset, LOG_START + at as u64 * 60_000, &record.line());
         }
         let state = match keys.state(&PLAIN.into()) {
             State::Ran(_) => "ran".into(),
@@ -221,24 +224,28 @@
     struct Case {
         name: &'static str,
         key: &'static str,
-        born: Option<u64>,
+        created_at: Option<u64>,
     }
     let cases = [
         Case {
             name: "uuid 7",
             key: "o/s/017f22e2-79b0-7cc3-98c4-dc0c0c07398f",
-            born: Some(0x017f_22e2_79b0),
+            created_at: Some(0x017f_22e2_79b0),
         },
-        Case { name: "uuid 4", key: "o/s/017f22e2-79b0-4cc3-98c4-dc0c0c07398f", born: None },
-        Case { name: "wrong variant", key: "o/s/017f22e2-79b0-7cc3-c8c4-dc0c0c07398f", born: None },
-        Case { name: "not hex", key: "o/s/017f22e2-79b0-7cc3-98c4-dc0c0c07398z", born: None },
-        Case { name: "stamped", key: TIMED, born: Some(EPOCH) },
-        Case { name: "stamp is no number", key: "o/s/a@b", born: None },
-        Case { name: "plain", key: PLAIN, born: None },
-        Case { name: "ulid is no proof", key: "o/s/01ARZ3NDEKTSV4RRFFQ69G5FAV", born: None },
+        Case { name: "uuid 4", key: "o/s/017f22e2-79b0-4cc3-98c4-dc0c0c07398f", created_at: None },
+        Case {
+            name: "wrong variant",
+            key: "o/s/017f22e2-79b0-7cc3-c8c4-dc0c0c07398f",
+            created_at: None,
+        },
+        Case { name: "not hex", key: "o/s/017f22e2-79b0-7cc3-98c4-dc0c0c07398z", created_at: None },
+        Case { name: "stamped", key: TIMED, created_at: Some(LOG_START) },
+        Case { name: "stamp is no number", key: "o/s/a@b", created_at: None },
+        Case { name: "plain", key: PLAIN, created_at: None },
+        Case { name: "ulid is no proof", key: "o/s/01ARZ3NDEKTSV4RRFFQ69G5FAV", created_at: None },
     ];
     for case in cases {
-        assert_eq!(born(case.key), case.born, "{}", case.name);
+        assert_eq!(created_at(case.key), case.created_at, "{}", case.name);
     }
 }
 
@@ -247,62 +254,74 @@
     struct Case {
         name: &'static str,
         oldest: Offset,
-        bound: usize,
+        max_records: usize,
         key: &'static str,
-        reaches: bool,
+        covered: bool,
     }
     let cases = [
-        Case { name: "whole stream, plain key", oldest: 0, bound: 9, key: PLAIN, reaches: true },
-        Case { name: "trimmed, plain key", oldest: 5, bound: 9, key: PLAIN, reaches: false },
-        Case { name: "trimmed, old key", oldest: 5, bound: 9, key: TIMED, reaches: false },
+        Case {
+            name: "whole stream, plain key",
+            oldest: 0,
+            max_records: 9,
+            key: PLAIN,
+            covered: true,
+        },
+        Case { name: "trimmed, plain key", oldest: 5, max_records: 9, key: PLAIN, covered: false },
+        Case { name: "trimmed, old key", oldest: 5, max_records: 9, key: TIMED, covered: false },
         Case {
             name: "trimmed, key inside the skew",
             oldest: 5,
-            bound: 9,
+            max_records: 9,
             key: "k@1800000060000",
-            reaches: false,
+            covered: false,
         },
         Case {
             name: "trimmed, key past the skew",
             oldest: 5,
-            bound: 9,
+            max_records: 9,
             key: "k@1800000060001",
-            reaches: true,
+            covered: true,
+        },
+        Case {
+            name: "memory full, plain key",
+            oldest: 0,
+            max_records: 1,
+            key: PLAIN,
+            covered: false,
         },
-        Case { name: "memory full, plain key", oldest: 0, bound: 1, key: PLAIN, reaches: false },
         Case {
             name: "memory full, key past the skew",
             oldest: 0,
-            bound: 1,
+            max_records: 1,
             key: "k@1800000060001",
-            reaches: true,
+            covered: true,
         },
     ];
     for case in cases {
-        let mut keys = Keys::new(case.bound);
+        let mut keys = Keys::new(case.max_records);
         keys.restart(case.oldest);
         for nonce in 0..2 {
             let record = Record { key: format!("other{nonce}"), nonce, act: claim(nonce) };
-            keys.apply(case.oldest + nonce, EPOCH, &record.line());
+            keys.apply(case.oldest + nonce, LOG_START, &record.line());
         }
-        assert_eq!(keys.covers(&case.key.into()), case.reaches, "{}", case.name);
+        assert_eq!(keys.covers(&case.key.into()), case.covered, "{}", case.name);
     }
 }
 
 #[test]
 fn marks_keep_the_window_open() {
-    let mut world = World::new();
-    let minutes = |minutes: u64| Step::Pass(minutes * 60_000);
-    for step in [minutes(0), minutes(10), Step::Append(0, Fate::Done)] {
-        world.step(step);
+    let mut sim = Simulation::new();
+    let minutes = |minutes: u64| Step::Advance(minutes * 60_000);
+    for step in [minutes(0), minutes(10), Step::Append(0, AppendFault::None)] {
+        sim.step(step);
     }
-    assert_eq!(world.log.len(), 1, "one mark");
-    // The log keeps the mark; a daemon that starts now can judge a key that is made now.
+    assert_eq!(sim.log.len(), 1, "one mark");
+    // The mark is still in the log, so a daemon that starts now can judge a key created now.
     let mut keys = Keys::new(9);
     keys.restart(5);
-    keys.apply(5, world.log[0].0, &world.log[0].1);
+    keys.apply(5, sim.log[0].0, &sim.log[0].1);
     assert!(keys.is_empty());
-    assert!(keys.covers(&format!("k@{}", EPOCH + 12 * 60_000)));
+    assert!(keys.covers(&format!("k@{}", LOG_START + 12 * 60_000)));
 }
 
 #[test]
@@ -310,8 +329,8 @@
     let mut keys = Keys::new(9);
     let key = Key::from("k@1800000060001");
     let first = Record { key: key.clone(), nonce: 1, act: claim(1) };
-    keys.apply(0, EPOCH, &first.line());
+    keys.apply(0, LOG_START, &first.line());
     assert_eq!((keys.state(&key), keys.is_in_future(&key)), (&State::Free, true));
-    keys.apply(1, EPOCH + 1, &Record { nonce: 2, ..first }.line());
+    keys.apply(1, LOG_START + 1, &Record { nonce: 2, ..first }.line());
     assert!(matches!(keys.state(&key), State::Held(held) if held.nonce == 2));
 }
--- a/crates/roseshore_core/tests/once/simulation.rs
+++ b/crates/roseshore_core/tests/once/simulation.rs
@@ -1,4 +1,4 @@
-//! Daemons on one stream of a log with faults, and a judge outside.
+//! Simulates daemons on one stream of a log with faults, and checks every decision from outside.
 
 use roseshore_core::once::Outcome;
 use roseshore_core::once::batch::AppendResult;
@@ -11,8 +11,8 @@
 use std::collections::BTreeMap;
 
 pub(crate) const DAEMONS: usize = 3;
-/// The log's time at the start of each run, milliseconds.
-pub(crate) const EPOCH: u64 = 1_800_000_000_000;
+/// The log's time at the start of each run, in milliseconds since the Unix epoch.
+pub(crate) const LOG_START: u64 = 1_800_000_000_000;
 pub(crate) const TIMED: &str = "o/s/timed@1800000000000";
 pub(crate) const PLAIN: &str = "o/s/plain";
 
@@ -25,55 +25,55 @@
     Owner { host: format!("h{host}"), incarnation }
 }
 
-/// What the log does with one append.
+/// What happens to one append.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Fate {
-    Done,
-    Busy,
-    Unreached,
-    /// The reply is lost; it took no effect.
+pub(crate) enum AppendFault {
+    None,
+    RateLimited,
+    Unreachable,
+    /// It takes no effect, and the reply is lost.
     LostBefore,
-    /// The reply is lost; it took effect.
+    /// It takes effect, and the reply is lost.
     LostAfter,
-    /// The reply is lost; it takes effect later.
+    /// The reply is lost, and it takes effect later, at [`Step::DeliverLate`].
     LostLater,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
     Begin(usize, bool),
-    /// With the key of the others, and another body.
+    /// A daemon gets an attempt with the plain key and another body.
     Reuse(usize),
-    Append(usize, Fate),
+    Append(usize, AppendFault),
     Read(usize, bool),
     Dispatch(usize),
     Settle(usize, Verdict),
     Abandon(usize),
-    Land,
-    Pass(u64),
-    /// Time passes, and no daemon runs meanwhile.
+    DeliverLate,
+    Advance(u64),
+    /// Time passes while no daemon runs.
     Freeze(u64),
     Replace(usize),
     Trim,
-    /// The log service comes back empty.
-    Lose,
+    /// The log service comes back without its records.
+    LoseLog,
     Members,
-    /// An operator asks a daemon about a key, and says what happened.
+    /// An operator queries a key at a daemon, and then settles it truthfully.
     Operator(usize, bool),
 }
 
-/// An attempt, as the judge outside sees it.
+/// An attempt, as the simulation tracks it.
 #[derive(Clone, Debug)]
-pub(crate) struct Asked {
+pub(crate) struct TrackedAttempt {
     pub(crate) key: Key,
     pub(crate) digest: u64,
     pub(crate) at: usize,
     pub(crate) deadline: Instant,
 }
 
-/// A moment at which work of a key may have begun, and whether it ran after all.
+/// A dispatch of a key's request, and whether the request ran.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Run {
+pub(crate) struct Dispatch {
     pub(crate) digest: u64,
     pub(crate) at: usize,
     pub(crate) ran: bool,
@@ -81,76 +81,88 @@
 
 pub(crate) struct Daemon {
     pub(crate) machine: Partition,
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) append: Option<Vec<String>>,
     pub(crate) read: Option<Offset>,
-    pub(crate) attempts: BTreeMap<AttemptId, Asked>,
-    pub(crate) won: Vec<(Asked, Offset)>,
+    pub(crate) attempts: BTreeMap<AttemptId, TrackedAttempt>,
+    pub(crate) won: Vec<(TrackedAttempt, Offset)>,
     pub(crate) sent: Vec<(Key, Offset, usize)>,
     pub(crate) asked: BTreeMap<AttemptId, &'static str>,
 }
 
 impl Daemon {
-    pub(crate) fn new(host: usize, life: u64) -> Daemon {
-        let seed = host as u64 * 1000 + life;
-        let machine = Partition::new(owner(host, life), seed, 1000, 512);
+    pub(crate) fn new(host: usize, incarnation: u64) -> Daemon {
+        let seed = host as u64 * 1000 + incarnation;
+        let machine = Partition::new(owner(host, incarnation), seed, 1000, 512);
         let (attempts, won, sent, asked) = Default::default();
-        Daemon { machine, life, append: None, read: None, attempts, won, sent, asked }
+        Daemon { machine, incarnation, append: None, read: None, attempts, won, sent, asked }
     }
 }
 
-/// Some daemons on one stream, and what a judge outside has seen.
-pub(crate) struct World {
+/// Several daemons on one stream, and what the checks have seen so far.
+pub(crate) struct Simulation {
     pub(crate) start: Instant,
     pub(crate) now: Instant,
     pub(crate) log: Vec<(u64, String)>,
     pub(crate) oldest: usize,
-    pub(crate) late: Vec<Vec<String>>,
+    pub(crate) late_appends: Vec<Vec<String>>,
     pub(crate) daemons: Vec<Daemon>,
-    pub(crate) runs: BTreeMap<Key, Vec<Run>>,
+    pub(crate) dispatches: BTreeMap<Key, Vec<Dispatch>>,
     pub(crate) answers: BTreeMap<Key, Vec<Outcome>>,
     pub(crate) decisions: Vec<(Key, Decision)>,
-    pub(crate) rulings: Vec<SettleResult>,
-    pub(crate) clock: usize,
+    pub(crate) settle_results: Vec<SettleResult>,
+    pub(crate) step_count: usize,
 }
 
-impl World {
-    pub(crate) fn new() -> World {
+impl Simulation {
+    pub(crate) fn new() -> Simulation {
         let start = Instant::now();
         let daemons = (0..DAEMONS).map(|host| Daemon::new(host, 1)).collect();
-        let (runs, answers, decisions, rulings) = Default::default();
-        let (log, late) = Default::default();
-        let (now, oldest, clock) = (start, 0, 0);
-        World { start, now, log, oldest, late, daemons, runs, answers, decisions, rulings, clock }
+        let (dispatches, answers, decisions, settle_results) = Default::default();
+        let (log, late_appends) = Default::default();
+        let (now, oldest, step_count) = (start, 0, 0);
+        Simulation {
+            start,
+            now,
+            log,
+            oldest,
+            late_appends,
+            daemons,
+            dispatches,
+            answers,
+            decisions,
+            settle_results,
+            step_count,
+        }
     }
 
-    pub(crate) fn take_in(&mut self, lines: Vec<String>) {
-        let time = EPOCH + (self.now - self.start).as_millis() as u64;
+    pub(crate) fn append_to_log(&mut self, lines: Vec<String>) {
+        let time = LOG_START + (self.now - self.start).as_millis() as u64;
         self.log.extend(lines.into_iter().map(|line| (time, line)));
     }
 
     pub(crate) fn step(&mut self, step: Step) {
-        self.clock += 1;
+        self.step_count += 1;
         match step {
             Step::Begin(d, timed) => self.begin(d, if timed { TIMED } else { PLAIN }, 7),
             Step::Reuse(d) => self.begin(d, PLAIN, 8),
-            Step::Append(d, fate) => self.append(d, fate),
+            Step::Append(d, fault) => self.append(d, fault),
             Step::Read(d, works) => self.read(d, works),
             Step::Dispatch(d) => self.dispatch(d),
             Step::Settle(d, verdict) => self.settle(d, verdict),
             Step::Abandon(d) => {
-                // A dispatched one must stay what it is.
+                // Abandoning a dispatched attempt must have no effect.
                 let daemon = &mut self.daemons[d];
                 let sent = daemon.sent.last().map(|(_, offset, _)| *offset);
                 let won = daemon.won.pop().map(|(_, offset)| offset);
                 won.or(sent).into_iter().for_each(|offset| daemon.machine.abandon(offset));
             }
-            Step::Land => {
-                if let Some(lines) = self.late.pop() {
-                    self.take_in(lines);
+            Step::DeliverLate => {
+                if let Some(lines) = self.late_appends.pop() {
+                    self.append_to_log(lines);
                 }
             }
-            Step::Pass(millis) => {
+            Step::Advance(millis) => {
                 self.now += Duration::from_millis(millis);
                 let now = self.now;
                 self.daemons.iter_mut().for_each(|daemon| daemon.machine.tick(now));
@@ -158,10 +170,10 @@
             Step::Freeze(millis) => self.now += Duration::from_millis(millis),
             Step::Replace(d) => {
                 let old = std::mem::replace(&mut self.daemons[d], Daemon::new(d, 0));
-                self.daemons[d] = Daemon::new(d, old.life + 1);
+                self.daemons[d] = Daemon::new(d, old.incarnation + 1);
             }
             Step::Trim => self.oldest = self.log.len(),
-            Step::Lose => self.log.clear(),
+            Step::LoseLog => self.log.clear(),
             Step::Operator(d, timed) => {
                 let key = if timed { TIMED } else { PLAIN };
                 let limit = self.now + Duration::from_secs(5);
@@ -169,11 +181,12 @@
                 self.daemons[d].asked.insert(id, key);
             }
             Step::Members => {
-                let lives = self.daemons.iter().enumerate();
-                let alive: Vec<Owner> = lives.map(|(host, d)| owner(host, d.life)).collect();
+                let incarnations = self.daemons.iter().enumerate();
+                let members: Vec<Owner> =
+                    incarnations.map(|(host, d)| owner(host, d.incarnation)).collect();
                 let now = self.now;
                 let all = self.daemons.iter_mut();
-                all.for_each(|daemon| daemon.machine.set_members(alive.clone(), now));
+                all.for_each(|daemon| daemon.machine.set_members(members.clone(), now));
             }
         }
         (0..DAEMONS).for_each(|d| self.act(d));
@@ -183,24 +196,26 @@
         let deadline = self.now + Duration::from_secs(5);
         let ask = Attempt { key: key.into(), digest, deadline };
         let id = self.daemons[d].machine.begin(ask, self.now);
-        let asked = Asked { key: key.into(), digest, at: self.clock, deadline };
+        let asked = TrackedAttempt { key: key.into(), digest, at: self.step_count, deadline };
         self.daemons[d].attempts.insert(id, asked);
     }
 
-    pub(crate) fn append(&mut self, d: usize, fate: Fate) {
+    pub(crate) fn append(&mut self, d: usize, fault: AppendFault) {
         let Some(lines) = self.daemons[d].append.take() else { return };
-        let how = match fate {
-            Fate::Done => AppendResult::Done,
-            Fate::Busy => AppendResult::RateLimited,
-            Fate::Unreached => AppendResult::Unreachable,
-            Fate::LostBefore | Fate::LostAfter | Fate::LostLater => AppendResult::Unconfirmed,
+        let result = match fault {
+            AppendFault::None => AppendResult::Done,
+            AppendFault::RateLimited => AppendResult::RateLimited,
+            AppendFault::Unreachable => AppendResult::Unreachable,
+            AppendFault::LostBefore | AppendFault::LostAfter | AppendFault::LostLater => {
+                AppendResult::Unconfirmed
+            }
         };
-        match fate {
-            Fate::Done | Fate::LostAfter => self.take_in(lines),
-            Fate::LostLater => self.late.push(lines),
-            Fate::Busy | Fate::Unreached | Fate::LostBefore => {}
+        match fault {
+            AppendFault::None | AppendFault::LostAfter => self.append_to_log(lines),
+            AppendFault::LostLater => self.late_appends.push(lines),
+            AppendFault::RateLimited | AppendFault::Unreachable | AppendFault::LostBefore => {}
         }
-        self.daemons[d].machine.on_append(how, self.now);
+        self.daemons[d].machine.on_append(result, self.now);
     }
 
     pub(crate) fn read(&mut self, d: usize, works: bool) {
@@ -228,11 +243,11 @@
             return;
         }
         assert!(self.now < asked.deadline, "{asked:?} was dispatched late");
-        let Asked { key, digest, .. } = asked;
-        let runs = self.runs.entry(key.clone()).or_default();
-        runs.push(Run { digest, at: self.clock, ran: true });
-        let run = runs.len() - 1;
-        let ran = runs.iter().filter(|run| run.ran).count();
+        let TrackedAttempt { key, digest, .. } = asked;
+        let dispatches = self.dispatches.entry(key.clone()).or_default();
+        dispatches.push(Dispatch { digest, at: self.step_count, ran: true });
+        let run = dispatches.len() - 1;
+        let ran = dispatches.iter().filter(|run| run.ran).count();
         assert_eq!(ran, 1, "key {key} ran twice");
         self.daemons[d].sent.push((key, offset, run));
     }
@@ -241,7 +256,7 @@
         let Some((key, offset, run)) = self.daemons[d].sent.pop() else { return };
         let outcome = Outcome { verdict, ..answer(&format!("run {run} of {key}")) };
         if verdict == Verdict::NotRun {
-            self.runs.get_mut(&key).expect("it was dispatched")[run].ran = false;
+            self.dispatches.get_mut(&key).expect("it was dispatched")[run].ran = false;
         }
         self.daemons[d].machine.record_outcome(offset, outcome, self.now);
     }
@@ -259,23 +274,26 @@
                     let outcome = |line: &String| line.contains("outcome") && nonce(line) == of;
                     assert!(lines.clone().any(outcome), "no outcome of the claim at {claim}");
                 }
-                Action::ReportKey(id, known) => self.settle_by(d, id, &known),
-                Action::ReportSettle(_, ruling) => self.rulings.push(ruling),
+                Action::ReportKey(id, status) => self.answer_query(d, id, &status),
+                Action::ReportSettle(_, ruling) => self.settle_results.push(ruling),
                 Action::Decide(id, decision) => {
                     let asked = self.daemons[d].attempts.remove(&id).expect("one decision");
-                    self.judge(d, asked, decision);
+                    self.check_decision(d, asked, decision);
                 }
             }
         }
     }
 
-    /// The operator tells the truth as of now, and believes that the claimant is gone.
-    fn settle_by(&mut self, d: usize, id: AttemptId, known: &KeyStatus) {
+    /// The operator states what is true at this moment, and assumes that the claimant is gone.
+    fn answer_query(&mut self, d: usize, id: AttemptId, status: &KeyStatus) {
         let key = Key::from(self.daemons[d].asked[&id]);
-        let ran = self.runs.get(&key).is_some_and(|runs| runs.iter().any(|run| run.ran));
-        let claim = match may_settle(&key, known, ran, ClaimantStatus::Gone) {
+        let ran = self
+            .dispatches
+            .get(&key)
+            .is_some_and(|dispatches| dispatches.iter().any(|run| run.ran));
+        let claim = match may_settle(&key, status, ran, ClaimantStatus::Gone) {
             Ok(claim) => claim,
-            Err(refusal) => return self.rulings.push(SettleResult::Rejected(refusal)),
+            Err(refusal) => return self.settle_results.push(SettleResult::Rejected(refusal)),
         };
         let (operator, note) = ("op".into(), "looked".into());
         let settlement = Settlement { operator, note, ran, claim };
@@ -283,7 +301,7 @@
         self.daemons[d].machine.submit_settlement(SettleRequest { key, settlement, deadline });
     }
 
-    pub(crate) fn judge(&mut self, d: usize, asked: Asked, decision: Decision) {
+    pub(crate) fn check_decision(&mut self, d: usize, asked: TrackedAttempt, decision: Decision) {
         let key = asked.key.clone();
         match &decision {
             Decision::Won(offset) => self.daemons[d].won.push((asked, *offset)),
@@ -291,13 +309,14 @@
                 let answers = self.answers.entry(key.clone()).or_default();
                 answers.push(Outcome::clone(outcome));
                 assert!(answers.iter().all(|a| *a == answers[0]), "repeats of {key} differ");
-                let own = self.runs[&key].iter().any(|run| run.ran && run.digest == asked.digest);
+                let own =
+                    self.dispatches[&key].iter().any(|run| run.ran && run.digest == asked.digest);
                 assert!(own, "{key} was told the answer to another body");
             }
             Decision::Refused(refusal) if refusal.verdict == Verdict::NotRun => {
-                let runs = self.runs.get(&key).map_or(&[][..], Vec::as_slice);
-                let mine = |run: &Run| run.ran && run.digest == asked.digest;
-                let ran = runs.iter().any(|run| mine(run) && run.at < asked.at);
+                let dispatches = self.dispatches.get(&key).map_or(&[][..], Vec::as_slice);
+                let mine = |run: &Dispatch| run.ran && run.digest == asked.digest;
+                let ran = dispatches.iter().any(|run| mine(run) && run.at < asked.at);
                 assert!(!ran, "{key} had run, and was told {refusal:?}");
             }
             Decision::Refused(_) | Decision::ReadFromLog(..) | Decision::AskOwner(..) => {}
@@ -305,16 +324,16 @@
         self.decisions.push((key, decision));
     }
 
-    /// Lets everything that is under way succeed, until nothing is.
-    pub(crate) fn calm(&mut self) {
+    /// Runs without further faults until nothing is in flight.
+    pub(crate) fn run_until_idle(&mut self) {
         for _ in 0..40 {
             for d in 0..DAEMONS {
-                self.step(Step::Append(d, Fate::Done));
+                self.step(Step::Append(d, AppendFault::None));
                 self.step(Step::Read(d, true));
                 self.step(Step::Dispatch(d));
                 self.step(Step::Settle(d, Verdict::Answered));
             }
-            self.step(Step::Pass(5));
+            self.step(Step::Advance(5));
         }
     }
 }
--- a/crates/roseshore_core/tests/once_batch.rs
+++ b/crates/roseshore_core/tests/once_batch.rs
@@ -1,4 +1,4 @@
-//! When records are appended, after the log was over its rate and after it was out.
+//! The times of appends after rate limiting and after an outage of the log.
 
 use roseshore_core::once::batch::{AppendResult, Batch};
 use roseshore_core::once::record::Record;
@@ -6,36 +6,36 @@
 
 struct Case {
     name: &'static str,
-    how: AppendResult,
-    /// The longest time from one failed append to the next.
-    retry: Duration,
-    /// Whether the next record after the first taken one goes at once.
-    prompt: bool,
+    result: AppendResult,
+    /// The expected longest time from one failed append to the next.
+    max_wait: Duration,
+    /// Whether, after the first successful append, the next record is appended at once.
+    next_at_once: bool,
 }
 
 const CASES: &[Case] = &[
     Case {
         name: "over the rate",
-        how: AppendResult::RateLimited,
-        retry: Duration::from_millis(500),
-        prompt: false,
+        result: AppendResult::RateLimited,
+        max_wait: Duration::from_millis(500),
+        next_at_once: false,
     },
     Case {
         name: "out",
-        how: AppendResult::Unreachable,
-        retry: Duration::from_millis(250),
-        prompt: true,
+        result: AppendResult::Unreachable,
+        max_wait: Duration::from_millis(250),
+        next_at_once: true,
     },
     Case {
         name: "replies lost",
-        how: AppendResult::Unconfirmed,
-        retry: Duration::from_millis(250),
-        prompt: true,
+        result: AppendResult::Unconfirmed,
+        max_wait: Duration::from_millis(250),
+        next_at_once: true,
     },
 ];
 
-/// When records are next taken, from `from` on.
-fn next(batch: &mut Batch, from: Instant) -> Duration {
+/// How long after `from` records are next taken.
+fn next_take(batch: &mut Batch, from: Instant) -> Duration {
     (0..1000)
         .map(Duration::from_millis)
         .find(|&wait| !batch.take(from + wait).is_empty())
@@ -43,23 +43,23 @@
 }
 
 #[test]
-fn an_outage_leaves_no_pace_behind() {
-    for Case { name, how, retry, prompt } in CASES {
+fn an_outage_does_not_slow_later_appends() {
+    for Case { name, result, max_wait, next_at_once } in CASES {
         let mut batch = Batch::new(8);
         let mut now = Instant::now();
         batch.push(&Record::mark(1));
-        let mut longest = Duration::ZERO;
+        let mut longest_wait = Duration::ZERO;
         for _ in 0..12 {
-            let wait = next(&mut batch, now);
-            longest = longest.max(wait);
+            let wait = next_take(&mut batch, now);
+            longest_wait = longest_wait.max(wait);
             now += wait;
-            batch.on_append(*how, now);
+            batch.on_append(*result, now);
         }
-        assert_eq!(longest, *retry, "{name}");
-        now += next(&mut batch, now);
+        assert_eq!(longest_wait, *max_wait, "{name}");
+        now += next_take(&mut batch, now);
         batch.on_append(AppendResult::Done, now);
         batch.push(&Record::mark(2));
-        let wait = next(&mut batch, now);
-        assert_eq!(wait <= Duration::from_millis(5), *prompt, "{name}: {wait:?}");
+        let wait = next_take(&mut batch, now);
+        assert_eq!(wait <= Duration::from_millis(5), *next_at_once, "{name}: {wait:?}");
     }
 }
--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -1,6 +1,6 @@
-//! Unrepeatable work: each fault at each step of a key.
+//! At-most-once execution: each fault at each step of a key.
 
-// A part of it is unused in each test program, since both share it.
+// Shared by two test programs, each of which leaves a part of it unused.
 #[allow(dead_code)]
 #[path = "once/simulation.rs"]
 mod simulation;
@@ -9,9 +9,9 @@
 use roseshore_core::prelude::*;
 use simulation::*;
 
-/// What the last decided attempt was told.
-fn told(world: &World) -> String {
-    match world.decisions.last().map(|(_, decision)| decision) {
+/// The decision on the last decided attempt.
+fn told(sim: &Simulation) -> String {
+    match sim.decisions.last().map(|(_, decision)| decision) {
         None => "nothing".into(),
         Some(Decision::Won(_)) => "won".into(),
         Some(Decision::Replay(_)) => "repeat".into(),
@@ -23,301 +23,330 @@
     }
 }
 
-struct Story {
+struct Case {
     name: &'static str,
-    /// Daemon 0 goes so far with a key first.
+    /// The steps that lead up to the case, mostly of daemon 0.
     before: &'static [&'static [Step]],
     then: &'static [Step],
     told: &'static str,
 }
-const OUT: &[Step] = &[Step::Read(0, false), Step::Pass(600)];
-const CLAIM: &[Step] =
-    &[Step::Begin(0, false), Step::Read(0, true), Step::Append(0, Fate::Done), Step::Read(0, true)];
-const RUN: &[Step] = &[Step::Dispatch(0)];
-const SETTLE: &[Step] =
-    &[Step::Settle(0, Verdict::Answered), Step::Pass(20), Step::Append(0, Fate::Done)];
-const GONE: &[Step] = &[Step::Replace(0), Step::Members];
-/// Daemon 1 does the same, whatever it takes.
-const OTHER: &[Step] = &[
+const LOG_DOWN: &[Step] = &[Step::Read(0, false), Step::Advance(600)];
+const CLAIM: &[Step] = &[
+    Step::Begin(0, false),
+    Step::Read(0, true),
+    Step::Append(0, AppendFault::None),
+    Step::Read(0, true),
+];
+const DISPATCH: &[Step] = &[Step::Dispatch(0)];
+const RECORD: &[Step] =
+    &[Step::Settle(0, Verdict::Answered), Step::Advance(20), Step::Append(0, AppendFault::None)];
+const REPLACE_CLAIMANT: &[Step] = &[Step::Replace(0), Step::Members];
+/// Daemon 1 gets an attempt with the same key, and takes all steps that it may need.
+const OTHER_DAEMON: &[Step] = &[
     Step::Begin(1, false),
     Step::Read(1, true),
-    Step::Append(1, Fate::Done),
+    Step::Append(1, AppendFault::None),
     Step::Read(1, true),
     Step::Read(1, true),
 ];
-/// Daemon 2 marks the log, reads, and sends the word.
-const WORD: &[Step] = &[
+/// An operator at daemon 2 appends a mark, reads it back, and sends the settlement.
+const SETTLE_BY_OPERATOR: &[Step] = &[
     Step::Operator(2, false),
-    Step::Append(2, Fate::Done),
+    Step::Append(2, AppendFault::None),
     Step::Read(2, true),
     Step::Read(2, true),
     Step::Freeze(20),
-    Step::Append(2, Fate::Done),
+    Step::Append(2, AppendFault::None),
     Step::Read(2, true),
 ];
-const STORIES: &[Story] = &[
-    Story { name: "no fault", before: &[CLAIM], then: &[], told: "won" },
-    Story { name: "repeat", before: &[CLAIM, RUN, SETTLE], then: OTHER, told: "repeat" },
-    Story {
+const CASES: &[Case] = &[
+    Case { name: "no fault", before: &[CLAIM], then: &[], told: "won" },
+    Case { name: "repeat", before: &[CLAIM, DISPATCH, RECORD], then: OTHER_DAEMON, told: "repeat" },
+    Case {
         name: "log out before the claim",
         before: &[],
-        then: &[Step::Begin(0, false), Step::Read(0, false), Step::Pass(600)],
+        then: &[Step::Begin(0, false), Step::Read(0, false), Step::Advance(600)],
         told: "RS502 may_have_run",
     },
-    Story {
+    Case {
         name: "log out for a while",
-        before: &[&[Step::Begin(0, false), Step::Read(0, false), Step::Pass(300)]],
-        then: &[Step::Read(0, true), Step::Append(0, Fate::Done), Step::Read(0, true)],
+        before: &[&[Step::Begin(0, false), Step::Read(0, false), Step::Advance(300)]],
+        then: &[Step::Read(0, true), Step::Append(0, AppendFault::None), Step::Read(0, true)],
         told: "won",
     },
-    Story {
+    Case {
         name: "log back after an outage",
-        before: &[&[Step::Begin(0, false)], OUT, &[Step::Pass(300), Step::Read(0, true)]],
+        before: &[&[Step::Begin(0, false)], LOG_DOWN, &[Step::Advance(300), Step::Read(0, true)]],
         then: CLAIM,
         told: "won",
     },
-    Story {
+    Case {
         name: "log out, asked again",
-        before: &[&[Step::Begin(0, false)], OUT],
+        before: &[&[Step::Begin(0, false)], LOG_DOWN],
         then: &[Step::Begin(0, false)],
         told: "RS502 may_have_run",
     },
-    Story {
+    Case {
         name: "appends out, stream read",
         before: &[],
         then: &[
             Step::Begin(0, false),
             Step::Read(0, true),
-            Step::Append(0, Fate::Unreached),
-            Step::Pass(600),
+            Step::Append(0, AppendFault::Unreachable),
+            Step::Advance(600),
         ],
         told: "RS502 not_run",
     },
-    Story {
+    Case {
         name: "log over its rate",
         before: &[&[
             Step::Begin(0, false),
             Step::Read(0, true),
-            Step::Append(0, Fate::Busy),
-            Step::Pass(20),
+            Step::Append(0, AppendFault::RateLimited),
+            Step::Advance(20),
         ]],
-        then: &[Step::Append(0, Fate::Done), Step::Read(0, true)],
+        then: &[Step::Append(0, AppendFault::None), Step::Read(0, true)],
         told: "won",
     },
-    Story {
+    Case {
         name: "append reply lost, claim in the log",
         before: &[],
         then: &[
             Step::Begin(0, false),
             Step::Read(0, true),
-            Step::Append(0, Fate::LostAfter),
+            Step::Append(0, AppendFault::LostAfter),
             Step::Read(0, true),
         ],
         told: "won",
     },
-    Story {
+    Case {
         name: "append reply lost, claim not in the log",
         before: &[&[
             Step::Begin(0, false),
             Step::Read(0, true),
-            Step::Append(0, Fate::LostBefore),
-            Step::Pass(20),
+            Step::Append(0, AppendFault::LostBefore),
+            Step::Advance(20),
         ]],
-        then: &[Step::Append(0, Fate::Done), Step::Read(0, true)],
+        then: &[Step::Append(0, AppendFault::None), Step::Read(0, true)],
         told: "won",
     },
-    Story {
+    Case {
         name: "append reply lost, log then out",
-        before: &[&[Step::Begin(0, false), Step::Append(0, Fate::Done), Step::Read(0, true)]],
-        then: &[Step::Append(0, Fate::LostAfter), Step::Read(0, false), Step::Pass(600)],
+        before: &[&[
+            Step::Begin(0, false),
+            Step::Append(0, AppendFault::None),
+            Step::Read(0, true),
+        ]],
+        then: &[Step::Append(0, AppendFault::LostAfter), Step::Read(0, false), Step::Advance(600)],
         told: "RS502 not_run",
     },
-    Story {
-        name: "claim lost with the log out is given back",
+    Case {
+        name: "claim with a lost reply is released after an outage",
         before: &[
-            &[Step::Begin(0, false), Step::Read(0, true), Step::Append(0, Fate::LostAfter)],
-            OUT,
-            &[Step::Pass(300), Step::Append(0, Fate::Done)],
+            &[Step::Begin(0, false), Step::Read(0, true), Step::Append(0, AppendFault::LostAfter)],
+            LOG_DOWN,
+            &[Step::Advance(300), Step::Append(0, AppendFault::None)],
         ],
-        then: OTHER,
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "claim lands after it was given up",
         before: &[
             &[
                 Step::Begin(0, false),
                 Step::Read(0, true),
-                Step::Append(0, Fate::LostLater),
-                Step::Pass(6000),
+                Step::Append(0, AppendFault::LostLater),
+                Step::Advance(6000),
             ],
-            &[Step::Append(0, Fate::Done), Step::Land],
+            &[Step::Append(0, AppendFault::None), Step::DeliverLate],
         ],
-        then: OTHER,
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "winner paused past its deadline",
-        before: &[CLAIM, &[Step::Freeze(6000), Step::Dispatch(0), Step::Append(0, Fate::Done)]],
-        then: OTHER,
+        before: &[
+            CLAIM,
+            &[Step::Freeze(6000), Step::Dispatch(0), Step::Append(0, AppendFault::None)],
+        ],
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
-        name: "winner gives up",
-        before: &[CLAIM, &[Step::Abandon(0), Step::Pass(20), Step::Append(0, Fate::Done)]],
-        then: OTHER,
+    Case {
+        name: "winner abandons",
+        before: &[
+            CLAIM,
+            &[Step::Abandon(0), Step::Advance(20), Step::Append(0, AppendFault::None)],
+        ],
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "log out at the abandonment",
-        before: &[CLAIM, &[Step::Abandon(0), Step::Pass(20), Step::Append(0, Fate::Unreached)]],
-        then: &[Step::Begin(1, false), Step::Read(1, true), Step::Pass(6000)],
+        before: &[
+            CLAIM,
+            &[Step::Abandon(0), Step::Advance(20), Step::Append(0, AppendFault::Unreachable)],
+        ],
+        then: &[Step::Begin(1, false), Step::Read(1, true), Step::Advance(6000)],
         told: "RS401 may_have_run",
     },
-    Story {
+    Case {
         name: "host replaced after the claim",
-        before: &[CLAIM, GONE],
-        then: OTHER,
+        before: &[CLAIM, REPLACE_CLAIMANT],
+        then: OTHER_DAEMON,
         told: "RS402 may_have_run",
     },
-    Story {
+    Case {
         name: "host replaced after the dispatch",
-        before: &[CLAIM, RUN, GONE],
-        then: OTHER,
+        before: &[CLAIM, DISPATCH, REPLACE_CLAIMANT],
+        then: OTHER_DAEMON,
         told: "RS402 may_have_run",
     },
-    Story {
+    Case {
         name: "host replaced before its outcome was taken",
-        before: &[CLAIM, RUN, &[Step::Settle(0, Verdict::Answered)], GONE],
-        then: OTHER,
+        before: &[CLAIM, DISPATCH, &[Step::Settle(0, Verdict::Answered)], REPLACE_CLAIMANT],
+        then: OTHER_DAEMON,
         told: "RS402 may_have_run",
     },
-    Story {
+    Case {
         name: "host replaced after the outcome",
-        before: &[CLAIM, RUN, SETTLE, GONE],
-        then: OTHER,
+        before: &[CLAIM, DISPATCH, RECORD, REPLACE_CLAIMANT],
+        then: OTHER_DAEMON,
         told: "repeat",
     },
-    Story {
+    Case {
         name: "log out at the outcome, then back",
         before: &[
             CLAIM,
-            RUN,
-            &[Step::Settle(0, Verdict::Answered), Step::Pass(20), Step::Append(0, Fate::Unreached)],
-            &[Step::Pass(300), Step::Append(0, Fate::Done)],
+            DISPATCH,
+            &[
+                Step::Settle(0, Verdict::Answered),
+                Step::Advance(20),
+                Step::Append(0, AppendFault::Unreachable),
+            ],
+            &[Step::Advance(300), Step::Append(0, AppendFault::None)],
         ],
-        then: OTHER,
+        then: OTHER_DAEMON,
         told: "repeat",
     },
-    Story {
+    Case {
         name: "log out at the outcome, asked here",
         before: &[
             CLAIM,
-            RUN,
-            &[Step::Settle(0, Verdict::Answered), Step::Read(0, false), Step::Pass(600)],
+            DISPATCH,
+            &[Step::Settle(0, Verdict::Answered), Step::Read(0, false), Step::Advance(600)],
         ],
         then: &[Step::Begin(0, false)],
         told: "repeat",
     },
-    Story {
+    Case {
         name: "log out at the outcome, asked elsewhere",
         before: &[
             CLAIM,
-            RUN,
+            DISPATCH,
             &[Step::Begin(1, false), Step::Read(1, true), Step::Settle(0, Verdict::Answered)],
         ],
-        then: &[Step::Read(1, false), Step::Pass(600)],
+        then: &[Step::Read(1, false), Step::Advance(600)],
         told: "ask h0 or RS402",
     },
-    Story {
+    Case {
         name: "log out, key known to be settled",
         before: &[
             CLAIM,
-            RUN,
-            SETTLE,
-            OTHER,
-            &[Step::Begin(1, true), Step::Read(1, false), Step::Pass(600)],
+            DISPATCH,
+            RECORD,
+            OTHER_DAEMON,
+            &[Step::Begin(1, true), Step::Read(1, false), Step::Advance(600)],
         ],
         then: &[Step::Begin(1, false)],
         told: "repeat",
     },
-    Story {
+    Case {
         name: "target said that nothing ran",
         before: &[
             CLAIM,
-            RUN,
-            &[Step::Settle(0, Verdict::NotRun), Step::Pass(20), Step::Append(0, Fate::Done)],
+            DISPATCH,
+            &[
+                Step::Settle(0, Verdict::NotRun),
+                Step::Advance(20),
+                Step::Append(0, AppendFault::None),
+            ],
         ],
-        then: OTHER,
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "target's reply lost",
         before: &[
             CLAIM,
-            RUN,
-            &[Step::Settle(0, Verdict::MayHaveRun), Step::Pass(20), Step::Append(0, Fate::Done)],
+            DISPATCH,
+            &[
+                Step::Settle(0, Verdict::MayHaveRun),
+                Step::Advance(20),
+                Step::Append(0, AppendFault::None),
+            ],
         ],
-        then: OTHER,
+        then: OTHER_DAEMON,
         told: "RS402 may_have_run",
     },
-    Story {
+    Case {
         name: "still in progress at the deadline",
-        before: &[CLAIM, RUN],
-        then: &[Step::Begin(1, false), Step::Read(1, true), Step::Pass(6000)],
+        before: &[CLAIM, DISPATCH],
+        then: &[Step::Begin(1, false), Step::Read(1, true), Step::Advance(6000)],
         told: "RS401 may_have_run",
     },
-    Story {
+    Case {
         name: "another body",
-        before: &[CLAIM, RUN, SETTLE],
+        before: &[CLAIM, DISPATCH, RECORD],
         then: &[Step::Reuse(1), Step::Read(1, true)],
         told: "RS405 not_run",
     },
-    Story {
+    Case {
         name: "another body, before the outcome",
-        before: &[CLAIM, RUN],
+        before: &[CLAIM, DISPATCH],
         then: &[Step::Reuse(1), Step::Read(1, true)],
         told: "RS405 not_run",
     },
-    Story {
+    Case {
         name: "another body, log out before the outcome",
-        before: &[CLAIM, RUN, &[Step::Begin(1, true), Step::Read(1, true)]],
-        then: &[Step::Reuse(1), Step::Read(1, false), Step::Pass(600)],
+        before: &[CLAIM, DISPATCH, &[Step::Begin(1, true), Step::Read(1, true)]],
+        then: &[Step::Reuse(1), Step::Read(1, false), Step::Advance(600)],
         told: "RS402 may_have_run",
     },
-    Story {
+    Case {
         name: "log that lost its records",
-        before: &[CLAIM, RUN, SETTLE],
-        then: &[Step::Begin(0, true), Step::Lose, Step::Read(0, true), Step::Pass(600)],
+        before: &[CLAIM, DISPATCH, RECORD],
+        then: &[Step::Begin(0, true), Step::LoseLog, Step::Read(0, true), Step::Advance(600)],
         told: "RS502 may_have_run",
     },
-    Story {
+    Case {
         name: "settled as not run",
-        before: &[CLAIM, GONE, &[Step::Pass(70_000)], WORD],
-        then: OTHER,
+        before: &[CLAIM, REPLACE_CLAIMANT, &[Step::Advance(70_000)], SETTLE_BY_OPERATOR],
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "settled as run",
-        before: &[CLAIM, RUN, GONE, &[Step::Pass(70_000)], WORD],
-        then: OTHER,
+        before: &[CLAIM, DISPATCH, REPLACE_CLAIMANT, &[Step::Advance(70_000)], SETTLE_BY_OPERATOR],
+        then: OTHER_DAEMON,
         told: "RS406 may_have_run",
     },
-    Story {
+    Case {
         name: "settled too early",
-        before: &[CLAIM, GONE, &[Step::Pass(60_000)], WORD],
-        then: OTHER,
+        before: &[CLAIM, REPLACE_CLAIMANT, &[Step::Advance(60_000)], SETTLE_BY_OPERATOR],
+        then: OTHER_DAEMON,
         told: "RS402 may_have_run",
     },
-    Story {
-        name: "paused claimant wakes after the word",
-        before: &[CLAIM, &[Step::Freeze(70_000)], WORD, &[Step::Dispatch(0)]],
-        then: OTHER,
+    Case {
+        name: "paused claimant resumes after the settlement",
+        before: &[CLAIM, &[Step::Freeze(70_000)], SETTLE_BY_OPERATOR, &[Step::Dispatch(0)]],
+        then: OTHER_DAEMON,
         told: "won",
     },
-    Story {
+    Case {
         name: "record trimmed",
-        before: &[CLAIM, RUN, SETTLE, &[Step::Trim]],
+        before: &[CLAIM, DISPATCH, RECORD, &[Step::Trim]],
         then: &[Step::Begin(1, false), Step::Read(1, true), Step::Read(1, true)],
         told: "RS403 may_have_run",
     },
@@ -325,11 +354,11 @@
 
 #[test]
 fn faults_at_each_step() {
-    for case in STORIES {
-        let mut world = World::new();
+    for case in CASES {
+        let mut sim = Simulation::new();
         for step in case.before.iter().copied().flatten().chain(case.then) {
-            world.step(*step);
+            sim.step(*step);
         }
-        assert_eq!(told(&world), case.told, "{}", case.name);
+        assert_eq!(told(&sim), case.told, "{}", case.name);
     }
 }
--- a/crates/roseshore_core/tests/once_reused.rs
+++ b/crates/roseshore_core/tests/once_reused.rs
@@ -1,4 +1,4 @@
-//! A key that comes back with another body, at every step of the first one's work.
+//! A key that is used again with another body, before and after the first outcome is recorded.
 
 use roseshore_core::once::Outcome;
 use roseshore_core::once::batch::AppendResult;
@@ -8,23 +8,24 @@
 use roseshore_core::once::record::Owner;
 use roseshore_core::prelude::*;
 
-const TIME: u64 = 1_800_000_000_000;
+const LOG_TIME: u64 = 1_800_000_000_000;
 
-struct World {
+struct Simulation {
     machine: Partition,
     log: Vec<String>,
     now: Instant,
 }
 
-impl World {
+impl Simulation {
     fn begin(&mut self, digest: u64) {
         let deadline = self.now + Duration::from_secs(5);
-        let key = format!("o/s/k@{TIME}");
+        let key = format!("o/s/k@{LOG_TIME}");
         self.machine.begin(Attempt { key, digest, deadline }, self.now);
     }
 
-    /// Carries actions out until none is left that the log decides; returns the last decision.
-    fn turn(&mut self, append: bool) -> Option<Decision> {
+    /// Carries out actions for several rounds, and returns the last decision. Without `append`, appends
+    /// are not carried out.
+    fn run(&mut self, append: bool) -> Option<Decision> {
         let mut last = None;
         for _ in 0..8 {
             self.now += Duration::from_millis(20);
@@ -50,7 +51,7 @@
     fn read(&mut self, from: Offset) {
         let line = |(at, data): (usize, &String)| LogRecord {
             offset: at as Offset,
-            time: TIME,
+            time: LOG_TIME,
             data: data.clone(),
         };
         let records = self.log.iter().enumerate().skip(from as usize).map(line).collect();
@@ -61,13 +62,13 @@
 
 struct Case {
     name: &'static str,
-    /// Whether the outcome has reached the log.
+    /// Whether the outcome is in the log.
     recorded: bool,
     digest: u64,
     code: Option<Code>,
 }
 
-/// The same body gets the answer, another one is refused, recorded or not yet.
+/// The same body gets the answer and another one is refused, whether or not the outcome is recorded.
 #[test]
 fn reused() {
     let cases = [
@@ -89,16 +90,16 @@
     for case in cases {
         let own = Owner { host: "h".into(), incarnation: 1 };
         let machine = Partition::new(own, 1, 100, 100);
-        let mut world = World { machine, log: Vec::new(), now: Instant::now() };
-        world.begin(1);
-        let Some(Decision::Won(offset)) = world.turn(true) else { panic!("{}", case.name) };
-        assert!(world.machine.dispatch(offset, world.now), "{}", case.name);
+        let mut sim = Simulation { machine, log: Vec::new(), now: Instant::now() };
+        sim.begin(1);
+        let Some(Decision::Won(offset)) = sim.run(true) else { panic!("{}", case.name) };
+        assert!(sim.machine.dispatch(offset, sim.now), "{}", case.name);
         let (content, body) = ("text/plain".to_owned(), b"yes".to_vec());
         let outcome = Outcome { verdict: Verdict::Answered, status: 200, content, body };
-        world.machine.record_outcome(offset, outcome, world.now);
-        world.turn(case.recorded);
-        world.begin(case.digest);
-        let code = match world.turn(case.recorded) {
+        sim.machine.record_outcome(offset, outcome, sim.now);
+        sim.run(case.recorded);
+        sim.begin(case.digest);
+        let code = match sim.run(case.recorded) {
             Some(Decision::Replay(_)) => None,
             Some(Decision::Refused(refusal)) => Some(refusal.code),
             other => panic!("{}: {other:?}", case.name),
