--- a/crates/roseshore_core/src/gateway.rs
+++ b/crates/roseshore_core/src/gateway.rs
@@ -1,21 +1,30 @@
-//! The decisions of an entry host that forwards declared routes.
+//! Decisions of an entry host, which forwards requests of the configured routes to targets.
 //!
-//! What is known:
+//! What a host knows:
 //! - [`routes`]: the operator's configuration as one immutable snapshot;
-//! - [`targets`]: the targets; [`paces`]: how fast engines are; [`limits`]: what targets take from all hosts together;
-//! - [`position`], [`config_lease`]: how far the store was read, and whether the configuration is known to be the newest;
-//! - [`fatal`]: which requests end their targets, by [`fingerprint`].
+//! - [`settings`]: the settings of the process;
+//! - [`targets`]: the targets and their load; [`paces`]: how fast engines run; [`limits`]: how many
+//!   requests targets accept from all hosts together;
+//! - [`position`]: how far the store's logs were read; [`config_lease`]: whether the configuration
+//!   is still known to be the newest;
+//! - [`fatal`]: which requests crash their targets, identified by [`fingerprint`].
 //!
-//! What follows for a request:
-//! - [`path`]: the engines that it runs through; [`avoid`]: the targets that it is kept from;
-//! - [`failure`]: what follows a failed send; [`retry_budget`]: how many sends may be repeated;
-//! - [`unavailable`]: why none can be made; [`shortage`]: when its caller should come back;
-//! - [`leaving`]: what a host that stops still takes; [`poll_timing`]: how late a busy host looks at what came.
+//! What a host decides for a request:
+//! - [`path`]: the engines that it runs through; [`avoid`]: the targets that it is not sent to
+//!   again;
+//! - [`failure`]: the next step after a failed send; [`retry_budget`]: how many sends may be
+//!   retries;
+//! - [`unavailable`]: why no target can be chosen; [`shortage`]: when a refused caller should try
+//!   again;
+//! - [`leaving`]: which requests a stopping host still accepts; [`poll_timing`]: when a request
+//!   arrived that a busy host polled late.
 //!
 //! What hosts do together:
 //! - [`plan`]: the layers that each engine should hold;
-//! - [`peers`]: what hosts tell each other; [`copies`]: what they hand each other of the store;
-//! - [`store_reads`]: which of them ask the store; [`outage`]: what a missing entry means.
+//! - [`peers`]: the heartbeats between hosts; [`copies`]: the store's contents that they hand each
+//!   other;
+//! - [`store_reads`]: which hosts read the store; [`outage`]: whether a missing entry means that
+//!   its target left.
 
 pub mod avoid;
 pub mod config_lease;
--- a/crates/roseshore_core/src/gateway/avoid.rs
+++ b/crates/roseshore_core/src/gateway/avoid.rs
@@ -1,34 +1,35 @@
-//! Which targets a request is not sent to again.
+//! Targets that a request is not sent to again.
 //!
-//! A target that failed a request is avoided for the rest of it. One that only had no room is avoided until its
-//! quarantine ends. The first engine of a path is avoided for a short fixed time when it may have broken off because a
-//! later engine ended. Either may be the only one that holds some layers, so avoiding it for longer would break off
-//! streams that it can serve again.
+//! A target that failed a request is avoided for the rest of that request. One that only had no
+//! capacity is avoided until its quarantine ends. The first engine of a path is avoided for a short
+//! fixed time when a later engine may be the cause of its broken-off answer. In both cases it may
+//! be the only engine that holds some layers, so avoiding it for longer would break off streams
+//! that it can serve again.
 
 use crate::prelude::*;
 
 /// The targets that one request avoids.
 #[derive(Clone, Debug, Default)]
 pub struct AvoidedTargets {
-    all: Vec<Avoided>,
+    entries: Vec<Entry>,
 }
 
 #[derive(Clone, Debug)]
-struct Avoided {
+struct Entry {
     target: TargetId,
-    /// Until when; none for the rest of the request.
+    /// End of the time for which it is avoided; `None` for the rest of the request.
     until: Option<Instant>,
 }
 
 impl AvoidedTargets {
     /// Avoids a target until a moment, or for the rest of the request.
     pub fn add(&mut self, target: TargetId, until: Option<Instant>) {
-        self.all.push(Avoided { target, until });
+        self.entries.push(Entry { target, until });
     }
 
-    /// The targets that are avoided now.
+    /// The targets that are avoided at `now`; a target that was added twice may occur twice.
     pub fn list(&self, now: Instant) -> Vec<TargetId> {
-        let bound = self.all.iter().filter(|it| it.until.is_none_or(|until| now < until));
-        bound.map(|it| it.target.clone()).collect()
+        let active = self.entries.iter().filter(|it| it.until.is_none_or(|until| now < until));
+        active.map(|it| it.target.clone()).collect()
     }
 }
--- a/crates/roseshore_core/src/gateway/config_lease.rs
+++ b/crates/roseshore_core/src/gateway/config_lease.rs
@@ -1,39 +1,40 @@
-//! Whether the configuration at hand is still known to be the newest.
+//! Whether the configuration is still known to be the newest.
 //!
-//! A removed key must not be honoured for long, not even by a host that is cut off from the store.
-//! So each host holds its configuration on a lease: it runs from the *sending* of the last read
-//! that the store answered as current, for the bound that the operators set, less a margin.
+//! A removed key must stop working within a bound that the operators set, even at a host that is
+//! cut off from the store. So each host holds its configuration on a lease: it runs from the
+//! *sending* of the last read that the store answered as current, for that bound less a margin.
 
 use crate::prelude::*;
 
-/// Part of the bound that is kept for requests on their way, clocks' drift and a late wake-up.
+/// Share of the bound that is kept for requests in flight, clock drift and a late wake-up.
 const MARGIN: f64 = 0.15;
 
 /// The lease on the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigLease {
-    bound: Duration,
-    proven: Option<Instant>,
+    duration: Duration,
+    renewed: Option<Instant>,
 }
 
 impl ConfigLease {
-    /// A lease that nothing has proven yet; `bound` is how long a removed key may still work.
+    /// A lease that no read has renewed yet; `bound` is how long a removed key may still work.
     pub fn new(bound: Duration) -> ConfigLease {
-        ConfigLease { bound: bound.mul_f64(1.0 - MARGIN), proven: None }
+        ConfigLease { duration: bound.mul_f64(1.0 - MARGIN), renewed: None }
     }
 
-    /// A read that was sent at `sent` was answered as current.
+    /// Renews the lease after the store answered a read as current; `sent` is when that read was
+    /// sent.
     pub fn renew(&mut self, sent: Instant) {
-        self.proven = self.proven.max(Some(sent));
+        self.renewed = self.renewed.max(Some(sent));
     }
 
-    /// Whether keys may be honoured.
+    /// Whether keys of the configuration may be accepted.
     pub fn is_valid(&self, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age < self.bound)
+        self.age(now).is_some_and(|age| age < self.duration)
     }
 
-    /// Time since the last proof.
+    /// Time since the last read that renewed the lease was sent; `None` before the first.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.proven.map(|at| now.saturating_duration_since(at))
+        self.renewed.map(|at| now.saturating_duration_since(at))
     }
 }
--- a/crates/roseshore_core/src/gateway/failure.rs
+++ b/crates/roseshore_core/src/gateway/failure.rs
@@ -1,7 +1,8 @@
-//! What follows a send that did not bring a whole answer.
+//! The next step after a send that did not return a complete answer.
 //!
-//! A fault proves either that the target did not run the request or nothing at all. From that, from
-//! what may be repeated and from what the caller has already seen follows the next step.
+//! A fault either proves that the target did not run the request, or proves nothing. The next step
+//! depends on that, on whether the request may run twice, and on what the caller has already
+//! received.
 
 use crate::prelude::*;
 
@@ -10,22 +11,22 @@
 pub enum Fault {
     /// No byte of the request left this host.
     NotSent,
-    /// The target said that it did not run the request.
+    /// The target replied that it did not run the request.
     Refused,
-    /// The connection ended before an answer.
+    /// The connection ended before any answer.
     Lost,
-    /// What came is not an answer to this request.
+    /// The bytes received are not an answer to this request.
     Garbled,
-    /// The answer ended before it was whole.
+    /// The answer ended before it was complete.
     Cut,
-    /// Nothing came for longer than a live target takes.
+    /// Nothing was received for longer than a live target takes.
     Silent,
-    /// A whole answer that says that the target failed while running it.
+    /// A complete answer which says that the target failed while running the request.
     Failed,
 }
 
 impl Fault {
-    /// What it proves of this one send.
+    /// What the fault proves about this send.
     pub fn verdict(self) -> Verdict {
         match self {
             Fault::NotSent | Fault::Refused => Verdict::NotRun,
@@ -33,22 +34,24 @@
         }
     }
 
-    /// Whether the target said something, so that it lives.
+    /// Whether the target sent something, which proves that it is alive.
     pub fn proves_alive(self) -> bool {
         matches!(self, Fault::Refused | Fault::Garbled | Fault::Failed)
     }
 
-    /// Attributes the fault, for a send over a path of `hops` engines (0 for a plain service).
+    /// Attributes the fault of a send over a path of `hops` engines; 0 for a service without
+    /// engines.
     pub fn blame(self, hops: usize) -> Blame {
         match self {
             Fault::Refused => Blame::Busy,
-            // The first engine relays the output of the later ones, so its answer is cut when any of them ends.
+            // The first engine relays the output of the later ones, so its answer is cut when any
+            // of them fails.
             Fault::Lost | Fault::Cut if hops > 1 => Blame::Unknown,
             _ => Blame::Failed,
         }
     }
 
-    /// The name in logs and metrics.
+    /// The fault's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Fault::NotSent => "not_sent",
@@ -62,76 +65,77 @@
     }
 }
 
-/// The attribution of a fault to a target.
+/// Which target a fault is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Blame {
     /// The target failed.
     Failed,
-    /// The target temporarily has no room.
+    /// The target has no capacity for the moment.
     Busy,
-    /// The target or a later engine of its path failed.
+    /// Either the target or a later engine of its path failed.
     Unknown,
 }
 
-/// Most sends of one request that may cost their targets work, whatever else allows more.
+/// Sends of one request that may cost targets work; bounds retries even where the retry budget
+/// allows more.
 pub const MAX_SENDS: u32 = 4;
 
-/// Where a request stands when a send fails.
+/// The state of a request when a send fails.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
-    /// Whether running it again is harmless.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether the caller has seen the head of an answer.
+    /// Whether the caller has received the head of an answer.
     pub head_sent: bool,
-    /// What the sends so far prove, this one included.
+    /// What all sends prove, including this one.
     pub verdict: Verdict,
-    /// Sends so far.
+    /// Sends, including this one.
     pub sends: u32,
-    /// Sends so far that a target refused to run.
+    /// Sends that targets refused to run.
     pub refused: u32,
-    /// Time left.
+    /// Time until the request's deadline.
     pub remaining: Duration,
-    /// The shortest time in which another send makes sense.
+    /// The shortest time to the deadline in which another send can succeed.
     pub min_remaining: Duration,
 }
 
-/// The next step.
+/// The next step after a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Send it to another target, if there is one and the allowance permits.
+    /// Send the request to another target, if there is one and the retry budget permits.
     Retry,
-    /// Give the final answer.
+    /// Answer the caller with this failure.
     Fail(FailureReply),
 }
 
-/// A final answer that is no success.
+/// The kind of failure that a caller is told of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureReply {
-    /// It has not run and will not: come back later.
+    /// The request has not run and will not, so the caller may try again later.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The answer that has begun breaks off visibly.
+    /// The answer has begun, so it ends in a way that the caller recognises as incomplete.
     Abort,
 }
 
-/// The end that a request's standing allows.
-pub fn failure_reply(standing: &RetryState) -> FailureReply {
-    if standing.head_sent {
+/// The failure that the state of a request allows to report.
+pub fn failure_reply(state: &RetryState) -> FailureReply {
+    if state.head_sent {
         return FailureReply::Abort;
     }
-    match standing.verdict {
+    match state.verdict {
         Verdict::NotRun => FailureReply::NotRun,
         _ => FailureReply::Unknown,
     }
 }
 
-/// What follows a fault.
-pub fn next_step(standing: &RetryState) -> NextStep {
-    let may = standing.verdict.may_retry(standing.idempotent);
-    // Refused sends cost their targets no work. They count only before the answer has begun, when the request can
-    // still be refused.
-    let counted_sends = standing.sends - if standing.head_sent { standing.refused } else { 0 };
-    let room = counted_sends < MAX_SENDS && standing.remaining >= standing.min_remaining;
-    if may && room { NextStep::Retry } else { NextStep::Fail(failure_reply(standing)) }
+/// Decides between a retry and a failure.
+pub fn next_step(state: &RetryState) -> NextStep {
+    let repeatable = state.verdict.may_retry(state.idempotent);
+    // Refused sends cost their targets no work. They count only before the answer has begun, while
+    // the request itself can still be refused.
+    let counted_sends = state.sends - if state.head_sent { state.refused } else { 0 };
+    let permitted = counted_sends < MAX_SENDS && state.remaining >= state.min_remaining;
+    if repeatable && permitted { NextStep::Retry } else { NextStep::Fail(failure_reply(state)) }
 }
--- a/crates/roseshore_core/src/gateway/outage.rs
+++ b/crates/roseshore_core/src/gateway/outage.rs
@@ -1,104 +1,105 @@
-//! Whether an entry that is missing from the list of targets may be a live target's.
+//! Whether an entry that is missing from the list of targets may be that of a live target.
 //!
-//! Targets keep their entries by heartbeats to the store, so entries lapse while the store is away
-//! and are back soon after it. An outage for this host alone says nothing of that: as long as
-//! other hosts confirm the list, the store serves them, and the targets.
+//! Targets keep their entries alive by heartbeats to the store, so entries lapse during an outage
+//! of the store and are listed again soon after it. An outage that only this host sees is no such
+//! reason: as long as other hosts confirm the list, the store serves them and the targets.
 
 use super::targets::Absence;
 use crate::prelude::*;
 
-/// After the store is back, dropped targets may be live ones whose heartbeats lapsed; those are
-/// listed again within two seconds, as the operators promise. Counted from the return and not from
-/// each drop, it never outlasts the drain bound of a target that really leaves.
-const LAPSE: Duration = Duration::from_millis(1900);
-/// Without a word from any host for so long, the store is away for all: the last of them reads for
-/// itself by then.
+/// How long after an outage a missing entry may still be that of a live target whose heartbeats
+/// lapsed. The operators promise that such targets are listed again within two seconds. Counted
+/// from the end of the outage and not from each removal, it never outlasts the drain bound of a
+/// target that really leaves.
+const RELIST_GRACE: Duration = Duration::from_millis(1900);
+/// Age of the last confirmation by any host from which on the store counts as down for all hosts:
+/// by then even the last of them reads the store itself.
 const UNCONFIRMED: Duration = Duration::from_millis(1800);
 
-/// The store's absences as far as they concern the list of targets.
+/// Outages of the store, as far as they matter to the list of targets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
     /// Since when the store has not answered this host.
-    lost: Option<Instant>,
-    /// Until when entries may still be missing by an outage that is over.
-    lapse: Option<Instant>,
-    /// When the read that last showed the list was sent, by this host or another.
+    down_since: Option<Instant>,
+    /// Until when entries may be missing because of an outage that has ended.
+    grace_until: Option<Instant>,
+    /// When the last read that confirmed the list was sent, by this host or another.
     confirmed: Option<Instant>,
 }
 
-/// The store answers again.
+/// The end of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Recovery {
-    /// Since when it had not answered this host.
+    /// Since when the store had not answered this host.
     pub since: Instant,
-    /// Whether it was away for all.
+    /// Whether the store was down for all hosts.
     pub all_hosts: bool,
 }
 
 impl StoreOutage {
-    /// The store did not answer; returns whether that is news.
+    /// The store did not answer this host; returns whether that begins an outage.
     pub fn record_failure(&mut self, now: Instant) -> bool {
-        let news = self.lost.is_none();
-        self.lost.get_or_insert(now);
-        news
+        let first = self.down_since.is_none();
+        self.down_since.get_or_insert(now);
+        first
     }
 
-    /// The store answered; returns what ends with that, if it had been away.
+    /// The store answered this host; returns the outage that ends with that, if there was one.
     pub fn record_success(&mut self, now: Instant) -> Option<Recovery> {
-        let all_hosts = self.for_all(now);
-        let since = self.lost.take()?;
+        let all_hosts = self.all_hosts(now);
+        let since = self.down_since.take()?;
         if all_hosts {
-            self.lapse = Some(now + LAPSE);
+            self.grace_until = Some(now + RELIST_GRACE);
         }
         Some(Recovery { since, all_hosts })
     }
 
-    /// A read that was sent at `sent` showed the list at hand.
+    /// A read sent at `sent` confirmed the list that this host has.
     pub fn record_confirmation(&mut self, sent: Option<Instant>) {
         self.confirmed = self.confirmed.max(sent);
     }
 
-    /// Another host holds missing entries for lapsed for so long.
-    pub fn receive_grace(&mut self, lapse: Duration, now: Instant) {
-        if lapse > Duration::ZERO {
-            self.lapse = self.lapse.max(Some(now + lapse.min(LAPSE)));
+    /// Another host reports that missing entries may be those of live targets for the time `grace`.
+    pub fn receive_grace(&mut self, grace: Duration, now: Instant) {
+        if grace > Duration::ZERO {
+            self.grace_until = self.grace_until.max(Some(now + grace.min(RELIST_GRACE)));
         }
     }
 
-    /// When the list at hand was last confirmed.
+    /// When the last read that confirmed the list was sent.
     pub fn last_confirmed(&self) -> Option<Instant> {
         self.confirmed
     }
 
     /// Whether the store does not answer this host.
     pub fn is_down(&self) -> bool {
-        self.lost.is_some()
+        self.down_since.is_some()
     }
 
-    /// Another host's copy came, which says that the store answers again. Where nobody had confirmed
-    /// the list here, this host was cut off, and the targets beside it may have been as well.
+    /// Another host sent its copy of the list, so the store answers again. If no host had confirmed
+    /// the list here, this host was cut off, and the targets next to it may have been as well.
     pub fn receive_copy(&mut self, now: Instant) {
-        if self.for_all(now) {
-            self.lapse = Some(now + LAPSE);
+        if self.all_hosts(now) {
+            self.grace_until = Some(now + RELIST_GRACE);
         }
     }
 
-    /// The store came back from an older copy: entries that it lacks may be of live targets that write them
-    /// again.
+    /// The store came back with older contents: the entries that it lacks may be those of live
+    /// targets, which write them again.
     pub fn record_rollback(&mut self, now: Instant) {
-        self.lapse = Some(now + LAPSE);
+        self.grace_until = Some(now + RELIST_GRACE);
     }
 
-    /// What follows from an entry that is missing.
+    /// What a missing entry means.
     pub fn absence(&self, now: Instant) -> Absence {
-        if self.for_all(now) {
-            return Absence::Lapsed(now + LAPSE);
+        if self.all_hosts(now) {
+            return Absence::Lapsed(now + RELIST_GRACE);
         }
-        let lapse = self.lapse.filter(|until| now < *until);
-        lapse.map_or(Absence::Left, Absence::Lapsed)
+        let grace = self.grace_until.filter(|until| now < *until);
+        grace.map_or(Absence::Left, Absence::Lapsed)
     }
 
-    /// How long missing entries are held for lapsed, for other hosts.
+    /// For how long missing entries may still be those of live targets, as reported to other hosts.
     pub fn grace_left(&self, now: Instant) -> Duration {
         match self.absence(now) {
             Absence::Left => Duration::ZERO,
@@ -106,8 +107,9 @@
         }
     }
 
-    fn for_all(&self, now: Instant) -> bool {
+    /// Whether the store is down for all hosts, as far as this one can tell.
+    fn all_hosts(&self, now: Instant) -> bool {
         let old = |at| now.saturating_duration_since(at) >= UNCONFIRMED;
-        self.lost.is_some() && self.confirmed.is_none_or(old)
+        self.down_since.is_some() && self.confirmed.is_none_or(old)
     }
 }
--- a/crates/roseshore_core/src/gateway/path.rs
+++ b/crates/roseshore_core/src/gateway/path.rs
@@ -1,9 +1,9 @@
-//! The path of a request through engines that hold ranges of layers.
+//! Chooses the path of a request through engines that hold ranges of layers.
 //!
-//! Every layer runs exactly once and in order: a path is a row of parts whose ranges join from
-//! layer 0 to the last. A part may be any piece of what an engine holds, so the shortest path is
-//! searched over the borders of all ranges. A path stays inside one data centre: activations are
-//! large, and links between data centres are shared and dear.
+//! Every layer runs exactly once and in order: a path is a sequence of segments whose layer ranges
+//! join from layer 0 to the last. A segment may be any part of the range that an engine holds, so
+//! the cheapest path is searched over the boundaries of all ranges. A path stays inside one data
+//! centre: activations are large, and links between data centres are shared and expensive.
 
 use crate::prelude::*;
 use rand::RngExt;
@@ -11,185 +11,204 @@
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// Handing a token on inside a data centre, ms.
+/// Time to pass a token on to the next engine inside a data centre, ms.
 pub(super) const HOP_MS: f64 = 0.6;
-/// How much dearer a part's time is when its cache is full: what is nearly full is left to those
-/// that have nothing else. The fourth power keeps it small up to half full.
-const CROWD: f64 = 12.0;
-/// The first engine of a path takes so many requests at once, from its first to its last token. Time that it
-/// costs to begin at one whose slots are all taken, ms, falling with the fourth power: where an equal
-/// engine holds the first layers too, that is taken well before.
-const START_MS: f64 = 600.0;
-/// What each request costs that waits there for another one to end, ms: of some hundred answers of a few seconds one
-/// ends about so often.
-const WAIT_MS: f64 = 16.0;
-/// Requests that may wait there: more would make the first events of all late, not predicted so.
-const MOST_WAITING: f64 = 10.0;
-/// Part of an answer that counts as written.
-const WRITTEN: f64 = 0.6;
-/// A path of the own data centre that is less full than this is taken without looking further.
-const SPILL: f64 = 0.6;
-/// Another data centre's path is taken when it is less full by this factor: it costs bytes between
-/// data centres, and a cut would part the caller from it.
-const FAR_FILL: f64 = 1.25;
-/// Time that a part without room for the whole answer costs, ms.
-const FULL_MS: f64 = 4_000.0;
-/// Time that a part costs which failed of late, ms: the last resort.
-const UNSOUND_MS: f64 = 60_000.0;
-/// Costs vary by this part at random, so that hosts that see the same do not all choose the same.
+/// Weight of a full KV cache in an engine's cost, so that nearly full engines are left to requests
+/// that have no other. The fourth power of the occupancy keeps the extra cost small up to half
+/// full.
+const CROWDING_FACTOR: f64 = 12.0;
+/// Cost of starting at an engine whose slots are all taken, ms. The first engine of a path holds a
+/// slot for the request from its first token to its last. The cost falls with the fourth power of
+/// the occupancy, so that an equal engine that holds the first layers too is chosen well before the
+/// slots are taken.
+const FULL_SLOTS_MS: f64 = 600.0;
+/// Cost of each request queued there for a slot, ms: with a few hundred running answers of a few
+/// seconds each, about one ends in this time.
+const QUEUED_MS: f64 = 16.0;
+/// Requests that may queue for a slot. In a longer queue the first events of all requests come late
+/// although their predictions do not show it.
+const MAX_QUEUED: f64 = 10.0;
+/// Share of an answer's tokens that its KV cache is planned for.
+const ANSWER_SHARE: f64 = 0.6;
+/// A path in the own data centre with a utilisation below this is taken without considering others.
+const SPILL_UTILISATION: f64 = 0.6;
+/// A path in another data centre is taken if the utilisation of the local one is higher by this
+/// factor: it costs traffic between data centres, and a network partition would cut it off from the
+/// caller.
+const REMOTE_FACTOR: f64 = 1.25;
+/// Penalty for an engine without room for the whole answer, ms.
+const NO_ROOM_MS: f64 = 4_000.0;
+/// Penalty for an engine that failed recently, ms; such an engine is the last resort.
+const UNHEALTHY_MS: f64 = 60_000.0;
+/// Costs vary at random by up to this share, so that hosts with the same data do not all choose the
+/// same path.
 const JITTER: f64 = 0.1;
 
-/// The piece of a path that one engine runs.
+/// The segment of a path that one engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// First layer and one past the last.
+    /// First layer, and one past the last.
     pub layers: (Layer, Layer),
 }
 
-/// An engine that could run a piece.
+/// An engine that could run a segment.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The target.
+    /// The engine's target.
     pub id: TargetId,
-    /// Where it listens.
+    /// Address that it listens at.
     pub addr: SocketAddr,
-    /// Whether it is in the own data centre.
+    /// Whether it is in the data centre of this host.
     pub local: bool,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// First layer it holds and one past the last.
+    /// First layer that it holds, and one past the last.
     pub layers: (Layer, Layer),
-    /// Time for a token and layer, ms.
+    /// Time to run a token of the answer through one layer, ms.
     pub decode_ms: f64,
-    /// Time to read a token of a prompt through a layer, ms.
+    /// Time to read a token of the prompt through one layer, ms.
     pub prefill_ms: f64,
-    /// Requests in flight there of all hosts.
+    /// Requests of all hosts in flight there.
     pub in_flight: f64,
-    /// Requests that it takes at once as the first of a path.
+    /// Requests that it serves at the same time as the first engine of their paths.
     pub slots: f64,
     /// Free KV cache, tokens times layers.
     pub kv_free: f64,
-    /// All KV cache beside its layers, tokens times layers.
+    /// KV cache beside the weights of its layers, free or not, tokens times layers.
     pub kv_capacity: f64,
-    /// Whether it has not failed of late.
+    /// Whether it has not failed recently.
     pub healthy: bool,
 }
 
 impl Candidate {
-    /// The share of its slots that are taken with one more request.
-    fn started(&self) -> f64 {
+    /// Share of the slots that are taken, counting one more request; above 1 when some have to
+    /// queue.
+    fn slot_utilisation(&self) -> f64 {
         (self.in_flight + 1.0) / self.slots.max(1.0)
     }
 
-    /// Requests that would wait there for another one to end.
-    fn waiting(&self) -> f64 {
+    /// Requests that would queue for a slot, counting one more.
+    fn queued(&self) -> f64 {
         (self.in_flight + 1.0 - self.slots).max(0.0)
     }
 
-    /// What it costs to begin there, ms.
+    /// Cost of starting a path there, ms.
     fn start_ms(&self) -> f64 {
-        let full = if self.waiting() > MOST_WAITING { FULL_MS } else { 0.0 };
-        START_MS * self.started().powi(4) + self.waiting() * WAIT_MS + full
+        let full = if self.queued() > MAX_QUEUED { NO_ROOM_MS } else { 0.0 };
+        FULL_SLOTS_MS * self.slot_utilisation().powi(4) + self.queued() * QUEUED_MS + full
     }
 }
 
-/// What a request needs of its path.
+/// What a request asks of its path.
 #[derive(Clone, Copy, Debug)]
 pub struct PathRequest<'a> {
     /// Layers of the model.
     pub layers: Layer,
-    /// Tokens to read.
+    /// Prompt tokens to read.
     pub prompt_tokens: f64,
-    /// Tokens expected to be written.
+    /// Tokens that the answer is expected to have.
     pub answer_tokens: f64,
-    /// The own data centre.
+    /// The data centre of this host.
     pub data_centre: &'a str,
-    /// Targets not to use.
+    /// Targets that the path must not use.
     pub avoided: &'a [TargetId],
-    /// Targets that a path may not begin at: what they take from all hosts is spent. What comes through another
-    /// target is not counted there.
+    /// Targets that the path must not start at, since their limit for all hosts is used up.
+    /// Requests that reach them through another target do not count towards it.
     pub excluded_first: &'a [TargetId],
-    /// The only targets that a path may begin at, if that is bound.
+    /// The only targets that the path may start at; `None` for any.
     pub allowed_first: Option<&'a [TargetId]>,
 }
 
 impl PathRequest<'_> {
-    fn may_start(&self, part: &Candidate) -> bool {
-        let bound = self.allowed_first.is_none_or(|starts| starts.contains(&part.id));
-        bound && !self.excluded_first.contains(&part.id)
+    fn may_start(&self, candidate: &Candidate) -> bool {
+        let bound = self.allowed_first.is_none_or(|starts| starts.contains(&candidate.id));
+        bound && !self.excluded_first.contains(&candidate.id)
     }
 
-    /// KV cache of the request, tokens: its prompt and as much of its answer as is written on
-    /// average while it runs, with a little to spare.
+    /// KV cache that the request needs, tokens: the prompt, and slightly more of the answer than is
+    /// written on average while it runs.
     pub fn kv_tokens(&self) -> f64 {
-        self.prompt_tokens + WRITTEN * self.answer_tokens
+        self.prompt_tokens + ANSWER_SHARE * self.answer_tokens
     }
 
-    /// Whether a part has room for so many layers of the request.
-    fn fits(&self, part: &Candidate, layers: f64) -> bool {
-        self.kv_tokens() * layers <= part.kv_free
+    /// Whether the engine has free KV cache for so many layers of the request.
+    fn fits(&self, candidate: &Candidate, layers: f64) -> bool {
+        self.kv_tokens() * layers <= candidate.kv_free
     }
 }
 
 /// A chosen path.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Path {
-    /// Targets, addresses and pieces in order.
+    /// Targets, their addresses and their segments, in order.
     pub hops: Vec<(TargetId, SocketAddr, Hop)>,
     /// Predicted time to the first token, ms.
     pub ttft_ms: f64,
     /// Predicted time between tokens, ms.
     pub token_ms: f64,
-    /// Whether every part has room for the whole answer and failed nowhere of late.
+    /// Whether every engine has room for the whole answer and none failed recently.
     pub suitable: bool,
-    /// The fullest part's cache with this request, as a share.
+    /// Highest share in use of any engine's KV cache, or of the first engine's slots, with this
+    /// request counted in.
     pub utilisation: f64,
-    /// The target whose cache that is.
+    /// The target with that share.
     pub bottleneck: TargetId,
-    /// Whether it lies in the own data centre.
+    /// Whether it lies in the data centre of this host.
     pub local: bool,
 }
 
+/// The cheapest way found to run all layers up to some boundary.
 #[derive(Clone, Copy)]
 struct Best {
     cost: f64,
-    part: usize,
+    /// Index of the candidate that runs the last segment.
+    candidate: usize,
+    /// Layer at which that segment begins.
     from: Layer,
 }
 
-/// Chooses the path of least cost: each lies inside one data centre, and another data centre's is
-/// taken when the own has none, has no room, or is that much more crowded.
-pub fn choose(parts: &[Candidate], need: &PathRequest<'_>, random: &mut SmallRng) -> Option<Path> {
-    let jitter: Vec<f64> = parts.iter().map(|_| 1.0 + JITTER * random.random::<f64>()).collect();
-    let near = within(parts, need, &jitter, |p| p.local);
-    if near.as_ref().is_some_and(|path| path.suitable && path.utilisation < SPILL) {
-        return near;
+/// Chooses the cheapest path, each within one data centre. Another data centre's path is taken when
+/// the local one does not exist, is not suitable, or has a utilisation that is higher by
+/// `REMOTE_FACTOR`.
+pub fn choose(
+    candidates: &[Candidate],
+    request: &PathRequest<'_>,
+    random: &mut SmallRng,
+) -> Option<Path> {
+    let jitter: Vec<f64> =
+        candidates.iter().map(|_| 1.0 + JITTER * random.random::<f64>()).collect();
+    let local = path_within(candidates, request, &jitter, |p| p.local);
+    if local.as_ref().is_some_and(|path| path.suitable && path.utilisation < SPILL_UTILISATION) {
+        return local;
     }
     let mut others: Vec<&str> =
-        parts.iter().filter(|p| !p.local).map(|p| p.data_centre.as_str()).collect();
+        candidates.iter().filter(|p| !p.local).map(|p| p.data_centre.as_str()).collect();
     others.sort_unstable();
     others.dedup();
-    let far =
-        others.into_iter().filter_map(|dc| within(parts, need, &jitter, |p| p.data_centre == dc));
+    let remote = others
+        .into_iter()
+        .filter_map(|dc| path_within(candidates, request, &jitter, |p| p.data_centre == dc));
     let order = |p: &Path| {
-        let fill = p.utilisation * if p.local { 1.0 } else { FAR_FILL };
+        let fill = p.utilisation * if p.local { 1.0 } else { REMOTE_FACTOR };
         (!p.suitable, !p.local && !p.suitable, fill)
     };
     let later = |a: &Path, b: &Path| order(a).partial_cmp(&order(b)).unwrap_or(Ordering::Equal);
-    near.into_iter().chain(far).min_by(later)
+    local.into_iter().chain(remote).min_by(later)
 }
 
-fn within(
-    parts: &[Candidate],
-    need: &PathRequest<'_>,
+/// The cheapest path through the candidates that are allowed, by dynamic programming over layer
+/// boundaries.
+fn path_within(
+    candidates: &[Candidate],
+    request: &PathRequest<'_>,
     jitter: &[f64],
     allowed: impl Fn(&Candidate) -> bool,
 ) -> Option<Path> {
-    let end = usize::from(need.layers);
-    let mut border = vec![false; end + 1];
-    for part in parts.iter().filter(|p| allowed(p)) {
-        border[usize::from(part.layers.0).min(end)] = true;
-        border[usize::from(part.layers.1).min(end)] = true;
+    let end = usize::from(request.layers);
+    let mut boundary = vec![false; end + 1];
+    for candidate in candidates.iter().filter(|p| allowed(p)) {
+        boundary[usize::from(candidate.layers.0).min(end)] = true;
+        boundary[usize::from(candidate.layers.1).min(end)] = true;
     }
     let mut best: Vec<Option<Best>> = vec![None; end + 1];
     for from in 0..end {
@@ -198,51 +217,56 @@
             continue;
         }
         let base = reached.map_or(0.0, |b| b.cost);
-        for (index, part) in parts.iter().enumerate().filter(|(_, p)| allowed(p)) {
-            let (first, last) = (usize::from(part.layers.0), usize::from(part.layers.1).min(end));
-            if first > from || last <= from || (from == 0 && !need.may_start(part)) {
+        for (index, candidate) in candidates.iter().enumerate().filter(|(_, p)| allowed(p)) {
+            let (first, last) =
+                (usize::from(candidate.layers.0), usize::from(candidate.layers.1).min(end));
+            if first > from || last <= from || (from == 0 && !request.may_start(candidate)) {
                 continue;
             }
-            let joint = if from == 0 { 0.0 } else { HOP_MS };
+            let hop_ms = if from == 0 { 0.0 } else { HOP_MS };
             for to in from + 1..=last {
-                if !border[to] {
+                if !boundary[to] {
                     continue;
                 }
-                let piece = piece_ms(part, need, to - from) * jitter[index];
-                let start = if from == 0 { part.start_ms() } else { 0.0 };
-                let cost = base + piece + start + joint * need.answer_tokens;
+                let segment = segment_ms(candidate, request, to - from) * jitter[index];
+                let start = if from == 0 { candidate.start_ms() } else { 0.0 };
+                let cost = base + segment + start + hop_ms * request.answer_tokens;
                 if best[to].is_none_or(|b| cost < b.cost) {
-                    best[to] = Some(Best { cost, part: index, from: from as Layer });
+                    best[to] = Some(Best { cost, candidate: index, from: from as Layer });
                 }
             }
         }
     }
     best[end]?;
-    Some(unroll(parts, need, &best))
+    Some(build_path(candidates, request, &best))
 }
 
-fn piece_ms(part: &Candidate, need: &PathRequest<'_>, layers: usize) -> f64 {
+/// Cost of running so many layers of the request at a candidate, ms.
+fn segment_ms(candidate: &Candidate, request: &PathRequest<'_>, layers: usize) -> f64 {
     let layers = layers as f64;
-    let work =
-        layers * (need.prompt_tokens * part.prefill_ms + need.answer_tokens * part.decode_ms);
-    let taken = need.kv_tokens() * layers;
-    let full = !need.fits(part, layers);
-    let share =
-        ((part.kv_capacity - part.kv_free + taken) / part.kv_capacity.max(1.0)).clamp(0.0, 1.0);
-    work * (1.0 + CROWD * share.powi(4))
-        + if full { FULL_MS } else { 0.0 }
-        + if part.healthy { 0.0 } else { UNSOUND_MS }
+    let work = layers
+        * (request.prompt_tokens * candidate.prefill_ms
+            + request.answer_tokens * candidate.decode_ms);
+    let taken = request.kv_tokens() * layers;
+    let full = !request.fits(candidate, layers);
+    let share = ((candidate.kv_capacity - candidate.kv_free + taken)
+        / candidate.kv_capacity.max(1.0))
+    .clamp(0.0, 1.0);
+    work * (1.0 + CROWDING_FACTOR * share.powi(4))
+        + if full { NO_ROOM_MS } else { 0.0 }
+        + if candidate.healthy { 0.0 } else { UNHEALTHY_MS }
 }
 
-fn unroll(parts: &[Candidate], need: &PathRequest<'_>, best: &[Option<Best>]) -> Path {
-    let mut pieces: Vec<(usize, (Layer, Layer))> = Vec::new();
-    let mut to = need.layers;
+/// The path that ends at the last layer, followed back through the cheapest ways.
+fn build_path(candidates: &[Candidate], request: &PathRequest<'_>, best: &[Option<Best>]) -> Path {
+    let mut segments: Vec<(usize, (Layer, Layer))> = Vec::new();
+    let mut to = request.layers;
     while let Some(step) = best[usize::from(to)].filter(|_| to > 0) {
-        pieces.push((step.part, (step.from, to)));
+        segments.push((step.candidate, (step.from, to)));
         to = step.from;
     }
-    pieces.reverse();
-    let pieces = join_repeats(pieces);
+    segments.reverse();
+    let segments = merge_repeats(segments);
     let mut path = Path {
         hops: Vec::new(),
         ttft_ms: 0.0,
@@ -252,40 +276,43 @@
         bottleneck: TargetId::new(),
         local: true,
     };
-    for (index, layers) in pieces {
-        let part = &parts[index];
+    for (index, layers) in segments {
+        let candidate = &candidates[index];
         let width = f64::from(layers.1 - layers.0);
-        let joint = if layers.0 == 0 { 0.0 } else { HOP_MS };
-        path.token_ms += width * part.decode_ms + joint;
-        path.ttft_ms += width * (need.prompt_tokens * part.prefill_ms + part.decode_ms) + joint;
-        let taken = need.kv_tokens() * width;
-        path.suitable &= need.fits(part, width) && part.healthy;
-        let mut fill = (part.kv_capacity - part.kv_free + taken) / part.kv_capacity.max(1.0);
+        let hop_ms = if layers.0 == 0 { 0.0 } else { HOP_MS };
+        path.token_ms += width * candidate.decode_ms + hop_ms;
+        path.ttft_ms +=
+            width * (request.prompt_tokens * candidate.prefill_ms + candidate.decode_ms) + hop_ms;
+        let taken = request.kv_tokens() * width;
+        path.suitable &= request.fits(candidate, width) && candidate.healthy;
+        let mut fill =
+            (candidate.kv_capacity - candidate.kv_free + taken) / candidate.kv_capacity.max(1.0);
         if layers.0 == 0 {
-            path.ttft_ms += part.waiting() * WAIT_MS;
-            path.suitable &= part.waiting() <= MOST_WAITING;
-            fill = fill.max(part.started());
+            path.ttft_ms += candidate.queued() * QUEUED_MS;
+            path.suitable &= candidate.queued() <= MAX_QUEUED;
+            fill = fill.max(candidate.slot_utilisation());
         }
         if fill > path.utilisation {
             path.utilisation = fill;
-            path.bottleneck.clone_from(&part.id);
+            path.bottleneck.clone_from(&candidate.id);
         }
-        path.local &= part.local;
-        path.hops.push((part.id.clone(), part.addr, Hop { layers }));
+        path.local &= candidate.local;
+        path.hops.push((candidate.id.clone(), candidate.addr, Hop { layers }));
     }
     path
 }
 
-/// An engine may stand in a path only once: it runs everything between its first and last piece.
-fn join_repeats(pieces: Vec<(usize, (Layer, Layer))>) -> Vec<(usize, (Layer, Layer))> {
-    let mut joined: Vec<(usize, (Layer, Layer))> = Vec::new();
-    for (part, layers) in pieces {
-        if let Some(at) = joined.iter().position(|(p, _)| *p == part) {
-            joined.truncate(at + 1);
-            joined[at].1.1 = layers.1;
+/// Merges the segments of an engine that occurs more than once: an engine may occur in a path only
+/// once, so it runs everything from its first segment to its last.
+fn merge_repeats(segments: Vec<(usize, (Layer, Layer))>) -> Vec<(usize, (Layer, Layer))> {
+    let mut merged: Vec<(usize, (Layer, Layer))> = Vec::new();
+    for (candidate, layers) in segments {
+        if let Some(at) = merged.iter().position(|(p, _)| *p == candidate) {
+            merged.truncate(at + 1);
+            merged[at].1.1 = layers.1;
         } else {
-            joined.push((part, layers));
+            merged.push((candidate, layers));
         }
     }
-    joined
+    merged
 }
--- a/crates/roseshore_core/src/gateway/plan/improve.rs
+++ b/crates/roseshore_core/src/gateway/plan/improve.rs
@@ -1,65 +1,67 @@
-//! Steps from the placement that is there to one that carries more.
+//! Steps that improve the present placement.
 //!
-//! After a hole was filled its neighbours are narrow, and a data centre carries no more than its
-//! narrowest layer, however much room the others have. Each step changes one engine; a whole copy
-//! stands all the while, since layers are given up only where others hold them already, so a border
-//! moves in two steps. Every state that steps lead to is a start for the next, so that a loss or an
-//! order that went astray on the way costs nothing but a new look.
+//! After a gap was filled its neighbours have little KV capacity left, and a data centre serves no
+//! more requests than its narrowest layer (the one with the least capacity) allows, whatever the
+//! others have. Each step changes one engine. There is a complete copy of the model all the while,
+//! since an engine gives up layers only where others hold them already, so moving a boundary takes
+//! two steps. Every intermediate state is a valid start for the next step, so a lost engine or a
+//! lost order on the way costs no more than a new plan.
 
 use super::value::Layout;
-use super::{EngineState, JOIN_ROOMS, LayerRange, Move, join_width};
+use super::{EngineState, JOIN_CAPACITIES, LayerRange, Move, join_width};
 use crate::gateway::routes::EngineSpec;
 use crate::prelude::*;
 
-/// A step is worth an order and a load if the data centre then carries more by this factor. A load
-/// costs a quarter of a request's worth and a second or two in which the engine has less room.
-const GAIN: f64 = 1.08;
-/// Room that an engine keeps at least, tokens: that of six of the largest requests.
-const LEAST: f64 = 18_000.0;
-/// Steps that are looked at, at most, times the engines: 5 ms on one core. A data centre of 30
-/// engines looks at every second or third step, and at others when its placement has changed.
-const LOOKS: usize = 60_000;
-/// Layers with less than this multiple of the narrowest one's room are narrow. A step that touches
-/// none of them hardly changes what is carried.
-const NARROW: f64 = 2.0;
+/// Factor by which a step must raise the throughput to be worth an order and a load. A load costs a
+/// quarter of a request's work, and a second or two in which the engine has less capacity.
+const MIN_GAIN: f64 = 1.08;
+/// KV capacity that an engine keeps at least, tokens: the cache of six of the largest requests.
+const MIN_CAPACITY: f64 = 18_000.0;
+/// Bound on the steps that are evaluated times the number of engines, which takes 5 ms on one core.
+/// A data centre of 30 engines evaluates every second or third step, and others once its placement
+/// has changed.
+const MAX_EVALUATIONS: usize = 60_000;
+/// Layers with less than this multiple of the narrowest layer's capacity count as narrow. A step
+/// that touches none of them hardly changes the throughput.
+const NARROW_FACTOR: f64 = 2.0;
 
-/// The step that carries most, if one pays.
-pub(super) fn improve(spec: &EngineSpec, members: &[EngineState]) -> Option<Move> {
-    // A configuration with fewer layers may come before the engines' new ranges.
-    let known =
+/// The step with the highest throughput, if its gain is large enough.
+pub(super) fn improve(spec: &EngineSpec, engines: &[EngineState]) -> Option<Move> {
+    // A configuration with fewer layers may arrive before the engines report their new ranges.
+    let valid =
         |m: &EngineState| [m.layers, m.ready].iter().flatten().all(|(_, to)| *to <= spec.layers);
-    if !members.iter().all(known) {
+    if !engines.iter().all(valid) {
         return None;
     }
-    let mut layout = Layout::new(spec, members);
-    let now = layout.carried();
-    if now <= 0.0 {
+    let mut layout = Layout::new(spec, engines);
+    let current = layout.throughput();
+    if current <= 0.0 {
         return None;
     }
-    let steps = steps(spec, members, &layout.narrow(NARROW));
-    let stride = (steps.len() * members.len()).div_ceil(LOOKS).max(1);
+    let steps = steps(spec, engines, &layout.narrow(NARROW_FACTOR));
+    let stride = (steps.len() * engines.len()).div_ceil(MAX_EVALUATIONS).max(1);
     let mut best: Option<(f64, Move)> = None;
-    for &step in steps.iter().skip(turn(members) % stride).step_by(stride) {
-        let value = value_of(&mut layout, members, step);
+    for &step in steps.iter().skip(offset(engines) % stride).step_by(stride) {
+        let value = throughput_after(&mut layout, engines, step);
         if best.is_none_or(|(most, _)| value > most) {
             best = Some((value, step));
         }
     }
-    best.filter(|(then, _)| *then >= now * GAIN).map(|(_, step)| step)
+    best.filter(|(then, _)| *then >= current * MIN_GAIN).map(|(_, step)| step)
 }
 
-/// The steps of engines that are under no order which touch a narrow layer and leave none without
-/// a holder.
-fn steps(spec: &EngineSpec, members: &[EngineState], narrow: &[bool]) -> Vec<Move> {
-    let holders = ready_holders(spec, members);
-    let cuts = cuts(spec, members);
+/// The steps of engines under no order that touch a narrow layer and leave no layer without a
+/// holder.
+fn steps(spec: &EngineSpec, engines: &[EngineState], narrow: &[bool]) -> Vec<Move> {
+    let holders = ready_holders(spec, engines);
+    let boundaries = boundaries(spec, engines);
     let mut all = Vec::new();
-    for (index, member) in members.iter().enumerate() {
-        let Some(held) = member.layers.filter(|_| member.layers == member.ready) else { continue };
-        for range in ranges(spec, member, &cuts) {
+    for (index, engine) in engines.iter().enumerate() {
+        let Some(held) = engine.layers.filter(|_| engine.layers == engine.ready) else { continue };
+        for range in candidate_ranges(spec, engine, &boundaries) {
             let touched = usize::from(range.0.min(held.0))..usize::from(range.1.max(held.1));
             let useful = narrow[touched].iter().any(|narrow| *narrow);
-            if useful && whole_meanwhile(&holders, member, range) {
+            if useful && stays_covered(&holders, engine, range) {
                 all.push((index, range));
             }
         }
@@ -67,63 +69,67 @@
     all
 }
 
-/// What is carried after a step, or after the best step of another that it allows.
-fn value_of(layout: &mut Layout<'_>, members: &[EngineState], (index, range): Move) -> f64 {
+/// The throughput after a step, or after the best further step of another engine that it allows.
+fn throughput_after(layout: &mut Layout<'_>, engines: &[EngineState], (index, range): Move) -> f64 {
     layout.set(index, Some(range));
-    let mut best = layout.carried();
-    for (other, rest) in follow_ups(members, index, range) {
+    let mut best = layout.throughput();
+    for (other, rest) in follow_ups(engines, index, range) {
         layout.set(other, Some(rest));
-        best = best.max(layout.carried());
-        layout.set(other, members[other].layers);
+        best = best.max(layout.throughput());
+        layout.set(other, engines[other].layers);
     }
-    layout.set(index, members[index].layers);
+    layout.set(index, engines[index].layers);
     best
 }
 
-/// A number that differs from placement to placement.
-fn turn(members: &[EngineState]) -> usize {
-    let ends = members.iter().filter_map(|m| m.layers);
-    ends.map(|(from, to)| usize::from(from) + 3 * usize::from(to)).sum()
+/// A number that differs between placements, to select which steps are evaluated.
+fn offset(engines: &[EngineState]) -> usize {
+    let ranges = engines.iter().filter_map(|m| m.layers);
+    ranges.map(|(from, to)| usize::from(from) + 3 * usize::from(to)).sum()
 }
 
 /// How many engines hold each layer already.
-fn ready_holders(spec: &EngineSpec, members: &[EngineState]) -> Vec<u32> {
+fn ready_holders(spec: &EngineSpec, engines: &[EngineState]) -> Vec<u32> {
     let mut holders = vec![0; usize::from(spec.layers)];
-    for (from, to) in members.iter().filter_map(|m| m.ready) {
+    for (from, to) in engines.iter().filter_map(|m| m.ready) {
         let to = usize::from(to).min(holders.len());
         holders[usize::from(from)..to].iter_mut().for_each(|count| *count += 1);
     }
     holders
 }
 
-/// Whether all that an engine gives up has another holder already.
-fn whole_meanwhile(holders: &[u32], member: &EngineState, range: LayerRange) -> bool {
-    let Some((from, to)) = member.ready else { return true };
-    let given = (from..to).filter(|layer| *layer < range.0 || range.1 <= *layer);
-    given.into_iter().all(|layer| holders[usize::from(layer)] > 1)
+/// Whether every layer that an engine would give up has another holder already.
+fn stays_covered(holders: &[u32], engine: &EngineState, range: LayerRange) -> bool {
+    let Some((from, to)) = engine.ready else { return true };
+    let given_up = (from..to).filter(|layer| *layer < range.0 || range.1 <= *layer);
+    given_up.into_iter().all(|layer| holders[usize::from(layer)] > 1)
 }
 
-/// Where ranges begin and end.
-fn cuts(spec: &EngineSpec, members: &[EngineState]) -> Vec<Layer> {
-    let ends = members.iter().filter_map(|m| m.layers).flat_map(|(from, to)| [from, to]);
-    let mut cuts: Vec<Layer> = ends.chain([0, spec.layers]).collect();
-    cuts.sort_unstable();
-    cuts.dedup();
-    cuts
+/// The layers at which ranges begin or end, sorted.
+fn boundaries(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Layer> {
+    let ends = engines.iter().filter_map(|m| m.layers).flat_map(|(from, to)| [from, to]);
+    let mut boundaries: Vec<Layer> = ends.chain([0, spec.layers]).collect();
+    boundaries.sort_unstable();
+    boundaries.dedup();
+    boundaries
 }
 
-/// The ranges that are worth a look for an engine: its own with one end moved, and others that
-/// begin or end where ranges do.
-fn ranges(spec: &EngineSpec, member: &EngineState, cuts: &[Layer]) -> Vec<LayerRange> {
-    let Some(kind) = spec.kind(Some(&member.kind)) else { return Vec::new() };
-    let Some((from, to)) = member.layers else { return Vec::new() };
-    let most = join_width(spec, kind, LEAST);
+/// The ranges to consider for an engine: its own with one end moved, and others that begin or end
+/// at a boundary.
+fn candidate_ranges(
+    spec: &EngineSpec,
+    engine: &EngineState,
+    boundaries: &[Layer],
+) -> Vec<LayerRange> {
+    let Some(kind) = spec.kind(Some(&engine.kind)) else { return Vec::new() };
+    let Some((from, to)) = engine.layers else { return Vec::new() };
+    let most = join_width(spec, kind, MIN_CAPACITY);
     let mut all: Vec<LayerRange> = Vec::new();
     all.extend((0..to).map(|begin| (begin, to)));
     all.extend((from + 1..=spec.layers).map(|end| (from, end)));
-    for width in JOIN_ROOMS.map(|room| join_width(spec, kind, room)) {
-        all.extend(cuts.iter().map(|cut| (*cut, cut + width)));
-        all.extend(cuts.iter().map(|cut| (cut.saturating_sub(width), *cut)));
+    for width in JOIN_CAPACITIES.map(|capacity| join_width(spec, kind, capacity)) {
+        all.extend(boundaries.iter().map(|at| (*at, at + width)));
+        all.extend(boundaries.iter().map(|at| (at.saturating_sub(width), *at)));
     }
     let fits = |&(a, b): &LayerRange| a < b && b <= spec.layers && b - a <= most;
     all.retain(|range| fits(range) && *range != (from, to));
@@ -132,15 +138,16 @@
     all
 }
 
-/// What others could give up once an engine holds its new range.
+/// The layers that each other engine could give up once an engine holds its new range, as the range
+/// that the other one keeps.
 fn follow_ups(
-    members: &[EngineState],
+    engines: &[EngineState],
     index: usize,
     (from, to): LayerRange,
 ) -> impl Iterator<Item = Move> + '_ {
-    let others = members.iter().enumerate().filter(move |(other, _)| *other != index);
-    others.filter_map(move |(other, member)| {
-        let (first, last) = member.layers?;
+    let others = engines.iter().enumerate().filter(move |(other, _)| *other != index);
+    others.filter_map(move |(other, engine)| {
+        let (first, last) = engine.layers?;
         if from <= first && first < to && to < last {
             return Some((other, (to, last)));
         }
--- a/crates/roseshore_core/src/gateway/plan/orders.rs
+++ b/crates/roseshore_core/src/gateway/plan/orders.rs
@@ -1,56 +1,58 @@
-//! Who gives the orders of a data centre, and when an order is sent.
+//! Which host orders the engines of a data centre to load layers, and when an order is sent.
 //!
-//! The first living host gives them. The next few work out the same repairs from the same list, and
-//! wait in case those before them cannot act; what another host is seen to order counts as acting. Two
-//! hosts with views of their own that both take steps undo each other's, and a layer has no holder though nothing was
-//! lost. And were every host to act after a while, all of them would ask all engines for reports while the first is
-//! still giving its orders.
+//! The first living host gives the orders. The next few plan the same repairs from the same list of
+//! targets, and wait in case the hosts before them cannot act; an order of another host counts as
+//! acting. If two hosts with different views both improved the placement they would undo each
+//! other's orders, and a layer would be left without a holder although no engine was lost. If every
+//! host acted after some wait, all of them would ask all engines for reports while the first host
+//! still gives its orders.
 
 use super::LayerRange;
 use crate::prelude::*;
 
-/// Hosts of a data centre repair holes one after the other, so far apart: longer than it takes to
-/// find that the host before is gone.
-const APART: Duration = Duration::from_millis(1500);
-/// Hosts that work out what should be ordered: the rest would wait for 12 s and more, and is spared a plan of
-/// 1,000 engines with each change.
+/// Delay between the hosts of a data centre that repair gaps one after another; longer than it
+/// takes to notice that the host before is gone.
+const REPAIR_STAGGER: Duration = Duration::from_millis(1500);
+/// Hosts that plan repairs. The others would wait for 12 s or more, and are spared planning for
+/// 1,000 engines at each change.
 const PLANNERS: usize = 8;
 
 /// What an order is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderReason {
-    /// Layers without a holder, or an engine without layers.
+    /// Some layers have no holder, or an engine has no layers.
     Repair,
-    /// A placement that carries more; nothing is broken.
+    /// A placement with a higher throughput; nothing is broken.
     Improve,
 }
 
-/// Whether a host gives the orders that it has wanted for so long; `place` is its own among the
-/// living hosts of its data centre, 0 the first.
-pub fn may_order(need: OrderReason, place: usize, waited: Duration) -> bool {
-    match need {
-        OrderReason::Improve => place == 0,
-        OrderReason::Repair => may_plan(place) && waited >= APART * place as u32,
+/// Whether a host may give orders that it has wanted for the time `waited`; `rank` is its position
+/// among the living hosts of its data centre, 0 for the first.
+pub fn may_order(reason: OrderReason, rank: usize, waited: Duration) -> bool {
+    match reason {
+        OrderReason::Improve => rank == 0,
+        OrderReason::Repair => may_plan(rank) && waited >= REPAIR_STAGGER * rank as u32,
     }
 }
 
-/// Whether a host at a place works out what should be ordered.
-pub fn may_plan(place: usize) -> bool {
-    place < PLANNERS
+/// Whether the host of a rank plans repairs.
+pub fn may_plan(rank: usize) -> bool {
+    rank < PLANNERS
 }
 
-/// What a target's report leads to before an order.
+/// What to do about an order after the report of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportAction {
-    /// It is under an order, or holds the range already.
+    /// Send none: the target carries out another order, or already holds the range.
     Skip,
-    /// It holds other layers than the plan was made from, which is made anew.
+    /// Plan anew: the target holds these layers, not those that the plan was made from.
     Replan(LayerRange),
-    /// The order is sent.
+    /// Send the order.
     Send,
 }
 
-/// Judges a report: what the target holds, against what is wanted and what it was taken to hold.
+/// Compares the report of a target with the plan: `busy` if it carries out an order, `held` what it
+/// holds, `wanted` what it is to hold, and `assumed` what the plan took it to hold.
 pub fn check_report(
     busy: bool,
     held: Option<LayerRange>,
--- a/crates/roseshore_core/src/gateway/plan/repair.rs
+++ b/crates/roseshore_core/src/gateway/plan/repair.rs
@@ -1,86 +1,90 @@
-//! Holes in the layers: who fills them, and with the fewest moves.
+//! Gaps in the layers: which engines fill them, with the fewest moves.
 
 use super::copies::{Group, tile};
-use super::{EngineState, JOIN_ROOMS, LayerRange, Move, REPAIR_ROOMS};
-use super::{first_hole, join_width, layers_at, rooms};
+use super::{EngineState, JOIN_CAPACITIES, LayerRange, Move, REPAIR_CAPACITIES};
+use super::{first_uncovered, join_width, layer_capacities, max_layers};
 use crate::gateway::routes::EngineSpec;
 use crate::prelude::*;
 
-/// Moves that fill a hole which only engines that must first give layers up are to fill: an empty
-/// one, and its neighbours, begin to load at once.
-pub(super) fn fill_at_once(spec: &EngineSpec, members: &[EngineState]) -> Vec<Move> {
+/// Moves that fill a gap which so far only engines are ordered to fill that must first give up
+/// other layers. Empty engines and the neighbours of the gap begin to load at once. No moves if
+/// such an engine would be needed after all.
+pub(super) fn fill_at_once(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Move> {
     let clearing = |m: &EngineState| m.layers != m.assured;
-    let counted = |&index: &usize| !clearing(&members[index]) || members[index].assured.is_some();
-    let places: Vec<usize> = (0..members.len()).filter(counted).collect();
-    let sure =
-        |&index: &usize| EngineState { layers: members[index].assured, ..members[index].clone() };
-    let sure: Vec<EngineState> = places.iter().map(sure).collect();
-    let Some(hole) = first_hole(spec, &sure) else { return Vec::new() };
-    let moves = fill(spec, &sure, hole).into_iter();
-    let moves: Vec<Move> = moves.map(|(index, layers)| (places[index], layers)).collect();
-    if moves.iter().any(|(index, _)| clearing(&members[*index])) { Vec::new() } else { moves }
+    let counted = |&index: &usize| !clearing(&engines[index]) || engines[index].assured.is_some();
+    let indices: Vec<usize> = (0..engines.len()).filter(counted).collect();
+    let assured =
+        |&index: &usize| EngineState { layers: engines[index].assured, ..engines[index].clone() };
+    let assured: Vec<EngineState> = indices.iter().map(assured).collect();
+    let Some(gap) = first_uncovered(spec, &assured) else { return Vec::new() };
+    let moves = fill(spec, &assured, gap).into_iter();
+    let moves: Vec<Move> = moves.map(|(index, layers)| (indices[index], layers)).collect();
+    if moves.iter().any(|(index, _)| clearing(&engines[*index])) { Vec::new() } else { moves }
 }
 
-/// One copy over all engines in their present order, for a hole that its neighbours cannot fill:
-/// every border moves a little. Nothing serves while a hole is there, so nothing is lost by it.
-pub(super) fn retile(spec: &EngineSpec, members: &[EngineState]) -> Vec<Move> {
-    let mut order: Vec<&EngineState> = members.iter().collect();
+/// One copy over all engines in their present order, for a gap that its neighbours cannot fill:
+/// every boundary moves a little. No request can be served while there is a gap, so nothing is lost
+/// by it.
+pub(super) fn retile(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Move> {
+    let mut order: Vec<&EngineState> = engines.iter().collect();
     order.sort_by_key(|m| (m.layers.map_or((spec.layers, 0), |l| l), m.id.clone()));
     let group: Group<'_> =
         order.into_iter().filter_map(|m| Some((m, spec.kind(Some(&m.kind))?))).collect();
     let tiles = tile(spec, &group).into_iter();
     let moves = tiles.filter_map(|(id, layers)| {
-        let index = members.iter().position(|m| m.id == id)?;
-        (members[index].layers != Some(layers)).then_some((index, layers))
+        let index = engines.iter().position(|m| m.id == id)?;
+        (engines[index].layers != Some(layers)).then_some((index, layers))
     });
     moves.collect()
 }
 
-/// Who fills a hole, and what each holds then. The time until it is filled counts most, and that
-/// grows with the layers that one engine has to load: so it is dealt out to the neighbours, who
-/// hold on to what they have, and to empty engines, each by what it can take.
-pub(super) fn repair(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Vec<Move> {
-    let moves = fill(spec, members, hole);
-    if moves.is_empty() { move_spare(spec, members, hole).into_iter().collect() } else { moves }
+/// The moves that repair a gap. The time until it is filled matters most, and that grows with the
+/// layers that a single engine has to load. So the gap is shared out among its neighbours, which
+/// keep what they hold, and empty engines, each by the layers that it can take.
+pub(super) fn repair(spec: &EngineSpec, engines: &[EngineState], gap: LayerRange) -> Vec<Move> {
+    let moves = fill(spec, engines, gap);
+    if moves.is_empty() { move_redundant(spec, engines, gap).into_iter().collect() } else { moves }
 }
 
-/// The moves that fill a hole without giving anything up; none where that cannot be done.
-fn fill(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Vec<Move> {
-    let moves = REPAIR_ROOMS.iter().map(|least| repair_with(spec, members, hole, *least));
+/// The moves that fill a gap while no engine gives up layers; empty if that is not possible.
+fn fill(spec: &EngineSpec, engines: &[EngineState], gap: LayerRange) -> Vec<Move> {
+    let moves =
+        REPAIR_CAPACITIES.iter().map(|capacity| fill_keeping(spec, engines, gap, *capacity));
     moves.into_iter().find(|moves| !moves.is_empty()).unwrap_or_default()
 }
 
-fn repair_with(
+/// The same, when each engine that fills the gap keeps this KV capacity, tokens.
+fn fill_keeping(
     spec: &EngineSpec,
-    members: &[EngineState],
-    hole: LayerRange,
-    least: f64,
+    engines: &[EngineState],
+    gap: LayerRange,
+    capacity: f64,
 ) -> Vec<Move> {
-    let more = |index: usize| -> Layer {
-        let Some(kind) = spec.kind(Some(&members[index].kind)) else { return 0 };
-        let held = members[index].layers.map_or(0, |(from, to)| to - from);
-        layers_at(spec, kind, least).saturating_sub(held)
+    let spare = |index: usize| -> Layer {
+        let Some(kind) = spec.kind(Some(&engines[index].kind)) else { return 0 };
+        let held = engines[index].layers.map_or(0, |(from, to)| to - from);
+        max_layers(spec, kind, capacity).saturating_sub(held)
     };
-    let able = |test: &dyn Fn(LayerRange) -> bool| {
-        let held = (0..members.len()).filter(|&i| members[i].layers.is_some_and(test));
-        held.max_by_key(|&i| more(i)).filter(|&i| more(i) > 0)
+    let most_spare = |test: &dyn Fn(LayerRange) -> bool| {
+        let held = (0..engines.len()).filter(|&i| engines[i].layers.is_some_and(test));
+        held.max_by_key(|&i| spare(i)).filter(|&i| spare(i) > 0)
     };
-    let left = able(&|(_, to)| to == hole.0);
-    let right = able(&|(from, _)| from == hole.1);
-    let empty = (0..members.len()).filter(|&i| members[i].layers.is_none() && more(i) > 0);
+    let left = most_spare(&|(_, to)| to == gap.0);
+    let right = most_spare(&|(from, _)| from == gap.1);
+    let empty = (0..engines.len()).filter(|&i| engines[i].layers.is_none() && spare(i) > 0);
     let takers: Vec<usize> = left.into_iter().chain(empty).chain(right).collect();
-    let total: u32 = takers.iter().map(|&i| u32::from(more(i))).sum();
-    let width = u32::from(hole.1 - hole.0);
+    let total: u32 = takers.iter().map(|&i| u32::from(spare(i))).sum();
+    let width = u32::from(gap.1 - gap.0);
     if total < width {
         return Vec::new();
     }
     let mut moves = Vec::new();
-    let (mut from, mut before) = (hole.0, 0);
+    let (mut from, mut before) = (gap.0, 0);
     for &index in &takers {
-        before += u32::from(more(index));
-        let to = hole.0 + (width * before / total) as Layer;
+        before += u32::from(spare(index));
+        let to = gap.0 + (width * before / total) as Layer;
         if to > from {
-            let held = members[index].layers;
+            let held = engines[index].layers;
             let range = match held {
                 Some((begin, _)) if Some(index) == left => (begin, to),
                 Some((_, end)) => (from, end),
@@ -93,19 +97,19 @@
     moves
 }
 
-/// The last resort: an engine whose layers all have other holders moves onto the hole; of those the
-/// one whose layers have most room elsewhere.
-fn move_spare(spec: &EngineSpec, members: &[EngineState], hole: LayerRange) -> Option<Move> {
-    let spare = |index: usize| -> Option<f64> {
-        let (from, to) = members[index].layers?;
-        let others = rooms(spec, members, index);
+/// The last resort: an engine whose layers all have other holders moves to the gap. Of those it is
+/// the one whose layers keep the most capacity elsewhere.
+fn move_redundant(spec: &EngineSpec, engines: &[EngineState], gap: LayerRange) -> Option<Move> {
+    let elsewhere = |index: usize| -> Option<f64> {
+        let (from, to) = engines[index].layers?;
+        let others = layer_capacities(spec, engines, index);
         let held = &others[usize::from(from)..usize::from(to)];
         held.iter().copied().reduce(f64::min).filter(|least| *least > 0.0)
     };
-    let spares = (0..members.len()).filter_map(|i| Some((i, spare(i)?)));
-    let (index, _) = spares.max_by(|a, b| a.1.total_cmp(&b.1))?;
-    let kind = spec.kind(Some(&members[index].kind))?;
-    let width = join_width(spec, kind, JOIN_ROOMS[0]);
-    let from = hole.0.min(spec.layers - width);
+    let redundant = (0..engines.len()).filter_map(|i| Some((i, elsewhere(i)?)));
+    let (index, _) = redundant.max_by(|a, b| a.1.total_cmp(&b.1))?;
+    let kind = spec.kind(Some(&engines[index].kind))?;
+    let width = join_width(spec, kind, JOIN_CAPACITIES[0]);
+    let from = gap.0.min(spec.layers - width);
     Some((index, (from, from + width)))
 }
--- a/crates/roseshore_core/src/gateway/retry_budget.rs
+++ b/crates/roseshore_core/src/gateway/retry_budget.rs
@@ -1,109 +1,117 @@
-//! How many sends may be repeated.
+//! How many sends may be retries.
 //!
-//! The operators bound the repeated sends of all hosts together, for each service: a ratio of the
-//! requests in a window, and a slack. Hosts tell each other what they have counted. What is left
-//! is dealt out for the time that such a word takes, so that hosts which all repeat at the same
-//! moment stay within the bound together: most of it by requests, since a host that has three times
-//! as many loses three times as many with an engine.
+//! The operators bound the retries of each service for all hosts together: a ratio of the requests
+//! in a window, plus a slack. Hosts report their counts to each other. What is left of the budget
+//! is shared out for the time that a report takes, so that hosts which all retry at the same moment
+//! stay within the bound together. Most of it is shared by requests, since a host with three times
+//! as many requests loses three times as many when an engine fails.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// Part of the bound that is used; the rest covers words that are late and windows that are cut
-/// in another place.
-const SHARE: f64 = 0.8;
-/// Part of what is left that is dealt out evenly; the rest goes by the requests of each host.
-const EVEN: f64 = 0.2;
-/// The time within which hosts hear of each other's repeats.
-const WORD: Duration = Duration::from_millis(500);
+/// Share of the bound that is used; the rest covers late reports, and windows that hosts count from
+/// different moments.
+const USABLE_SHARE: f64 = 0.8;
+/// Share of what is left that is split evenly; the rest is split by the requests of each host.
+const EVEN_SHARE: f64 = 0.2;
+/// Time within which hosts hear of each other's retries.
+const REPORT_DELAY: Duration = Duration::from_millis(500);
 
-/// Requests and repeated sends within the window.
+/// Requests and retries within the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryCounts {
-    /// Requests.
+    /// Requests that came.
     pub requests: u32,
-    /// Repeated sends.
+    /// Sends that repeat an earlier one.
     pub retries: u32,
 }
 
-/// What one host has counted for one service.
+/// The retry budget of one service, as seen by one host.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
+    /// When each request within the window came.
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
-    others: RetryCounts,
+    /// When each retry within the window was made.
+    retries: VecDeque<Instant>,
+    /// Counts of the other hosts together.
+    peer_counts: RetryCounts,
+    /// Hosts that there are or were recently, including this one.
     hosts: usize,
-    told: usize,
+    /// Hosts whose counts are known, including this one.
+    reporting: usize,
 }
 
 impl RetryBudget {
-    /// An allowance of `ratio` repeats a request and `slack`, for all hosts, in each `window`.
+    /// A budget of `ratio` retries per request plus `slack` in each `window`, for all hosts
+    /// together.
     pub fn new(ratio: f64, slack: f64, window: Duration) -> RetryBudget {
         RetryBudget {
             ratio,
             slack,
             window,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
-            others: RetryCounts::default(),
+            retries: VecDeque::new(),
+            peer_counts: RetryCounts::default(),
             hosts: 1,
-            told: 1,
+            reporting: 1,
         }
     }
 
-    /// A request came.
+    /// Counts a request.
     pub fn record_request(&mut self, now: Instant) {
-        self.forget(now);
+        self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// What the other hosts have counted, how many hosts that is, and how many there are or were of late,
-    /// this one included: one that is out of touch may still repeat.
-    pub fn set_peer_counts(&mut self, counted: RetryCounts, told: usize, hosts: usize) {
-        self.others = counted;
+    /// Sets the counts of the other hosts. `reporting` is the number of hosts whose counts are
+    /// known, and `hosts` the number that there are or were recently, both including this one: a
+    /// host that is out of touch may still retry.
+    pub fn set_peer_counts(&mut self, counted: RetryCounts, reporting: usize, hosts: usize) {
+        self.peer_counts = counted;
         self.hosts = hosts.max(1);
-        self.told = told.clamp(1, self.hosts);
+        self.reporting = reporting.clamp(1, self.hosts);
     }
 
-    /// This host's share of what is left for all.
+    /// Share of the remaining budget that this host may use.
     fn share(&self) -> f64 {
-        let own = self.requests.len() as f64;
-        let all = own + f64::from(self.others.requests);
-        let even = 1.0 / self.hosts as f64;
-        if all == 0.0 {
-            return even;
+        let own_requests = self.requests.len() as f64;
+        let all_requests = own_requests + f64::from(self.peer_counts.requests);
+        let even_share = 1.0 / self.hosts as f64;
+        if all_requests == 0.0 {
+            return even_share;
         }
-        // Requests of hosts that are out of touch are not counted, but their share is theirs.
-        let heard = self.told as f64 * even;
-        EVEN * even + (1.0 - EVEN) * own / all * heard
+        // Requests of hosts that are out of touch are not counted, but their share stays reserved
+        // for them.
+        let heard_share = self.reporting as f64 * even_share;
+        EVEN_SHARE * even_share + (1.0 - EVEN_SHARE) * own_requests / all_requests * heard_share
     }
 
-    /// What this host has counted.
+    /// Counts of this host, to report to the others.
     pub fn counts(&mut self, now: Instant) -> RetryCounts {
-        self.forget(now);
-        RetryCounts { requests: self.requests.len() as u32, retries: self.repeats.len() as u32 }
+        self.expire(now);
+        RetryCounts { requests: self.requests.len() as u32, retries: self.retries.len() as u32 }
     }
 
-    /// Whether one more send may be repeated; if so, it is counted.
+    /// Whether one more retry is within the budget; if so, it is counted.
     pub fn try_retry(&mut self, now: Instant) -> bool {
-        self.forget(now);
-        let requests = self.requests.len() as f64 + f64::from(self.others.requests);
-        let word = |at: &&Instant| now.saturating_duration_since(**at) < WORD;
-        let recent = self.repeats.iter().rev().take_while(word).count();
-        let known = (self.repeats.len() - recent) as f64 + f64::from(self.others.retries);
-        let left = SHARE * (self.ratio * requests + self.slack) - known;
+        self.expire(now);
+        let requests = self.requests.len() as f64 + f64::from(self.peer_counts.requests);
+        let unreported = |at: &&Instant| now.saturating_duration_since(**at) < REPORT_DELAY;
+        let recent = self.retries.iter().rev().take_while(unreported).count();
+        let reported = (self.retries.len() - recent) as f64 + f64::from(self.peer_counts.retries);
+        let left = USABLE_SHARE * (self.ratio * requests + self.slack) - reported;
         let allowed = recent as f64 + 1.0 <= left * self.share();
         if allowed {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         allowed
     }
 
-    fn forget(&mut self, now: Instant) {
-        for times in [&mut self.requests, &mut self.repeats] {
+    fn expire(&mut self, now: Instant) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| now.saturating_duration_since(*at) > self.window) {
                 times.pop_front();
             }
--- a/crates/roseshore_core/src/gateway/routes.rs
+++ b/crates/roseshore_core/src/gateway/routes.rs
@@ -1,31 +1,32 @@
-//! The operator's configuration as one immutable, versioned snapshot.
+//! The operator's configuration as one immutable, versioned snapshot, with look-ups of routes,
+//! services and keys.
 
 use crate::prelude::*;
 use std::collections::HashMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What may be repeated, and in which form the answer comes.
+/// Whether a route's requests may run more than once, and the form of their answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
     /// May run more than once.
     Idempotent,
     /// Runs at most once for each attempt of a caller.
     NonIdempotent,
-    /// A series of events.
+    /// Answered by a stream of events.
     Stream {
-        /// Whether another target may go on after a given event.
+        /// Whether another target can continue the stream after a given event.
         resumable: bool,
     },
 }
 
 impl CallKind {
-    /// Whether running it again is harmless.
+    /// Whether a request may run more than once.
     pub fn is_idempotent(self) -> bool {
         matches!(self, CallKind::Idempotent | CallKind::Stream { resumable: true })
     }
 
-    /// The name in logs.
+    /// The kind's name in logs.
     pub fn name(self) -> &'static str {
         match self {
             CallKind::Idempotent => "idempotent",
@@ -34,45 +35,46 @@
         }
     }
 
-    /// Whether its answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, CallKind::Stream { .. })
     }
 }
 
-/// A service's part of a route.
+/// A service of a route, with its share of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its weight among the route's services.
+    /// Its weight, relative to those of the route's other services.
     pub weight: f64,
 }
 
-/// A declared route.
+/// A configured route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that callers name, in lower case.
+    /// The host name that callers ask for, in lower case.
     pub host: String,
-    /// The path's beginning; it begins and ends with a slash.
+    /// The prefix of the request path; it begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once, and the form of their answers.
     pub kind: CallKind,
-    /// The longest time a request is held.
+    /// The longest time that a request may take.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The latency within which an answer has its full value.
     pub objective: Duration,
-    /// Its rank, 0 first.
+    /// Its priority; 0 is the highest.
     pub priority: u32,
-    /// Who serves it.
+    /// The services that answer its requests.
     pub services: Vec<WeightedService>,
     /// Targets to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no API key.
     pub anonymous: bool,
-    /// The longest pause between events that is still in time.
+    /// The longest gap between two events that still counts as in time; `None` without such an
+    /// objective.
     pub max_gap: Option<Duration>,
 }
 
@@ -83,70 +85,71 @@
     pub name: String,
     /// Memory, MB.
     pub memory_mb: f64,
-    /// Factor on the time of steps.
+    /// Factor on the service's time of a decode step.
     pub step_factor: f64,
-    /// Factor on the time of reading prompts.
+    /// Factor on the service's time to read prompts.
     pub prefill_factor: f64,
 }
 
-/// The published figures of a service's engines.
+/// The published performance figures of a service's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests at once that an engine takes as the first of a path.
+    /// Requests that an engine serves at the same time as the first of their paths.
     pub slots: u32,
     /// Layers of the model.
     pub layers: Layer,
-    /// Memory of one layer's weights, MB.
+    /// Memory for the weights of one layer, MB.
     pub layer_mb: f64,
-    /// KV cache of a token over all layers, bytes.
+    /// KV cache of one token over all layers, bytes.
     pub kv_bytes: f64,
-    /// A step over all layers, ms.
+    /// Time of a decode step over all layers, ms.
     pub step_ms: f64,
-    /// Added to a step by each request that writes, ms.
+    /// Time that each request which writes adds to a step, ms.
     pub per_seq_ms: f64,
-    /// Added to a step by each token of context, ms.
+    /// Time that each token of context adds to a step, ms.
     pub context_ms: f64,
-    /// Prompt tokens read in a ms, over all layers.
+    /// Prompt tokens read per ms, over all layers.
     pub prefill_per_ms: f64,
-    /// Tokens of an event.
+    /// Tokens in one event of a stream.
     pub event_tokens: f64,
     /// Time to load all layers.
     pub load_time: Duration,
-    /// Mean tokens of a prompt.
+    /// Mean length of a prompt, tokens.
     pub mean_prompt: f64,
-    /// Mean tokens of an answer.
+    /// Mean length of an answer, tokens.
     pub mean_answer: f64,
-    /// Kinds of accelerators.
+    /// The kinds of accelerators that its engines run on.
     pub kinds: Vec<AcceleratorKind>,
 }
 
 impl EngineSpec {
-    /// The figures of a kind.
+    /// The accelerator kind with this name.
     pub fn kind(&self, name: Option<&str>) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|k| Some(k.name.as_str()) == name)
     }
 
-    /// KV cache of a token and layer, MB.
+    /// KV cache of one token in one layer, MB.
     pub fn kv_mb(&self) -> f64 {
         self.kv_bytes / f64::from(self.layers) / 1e6
     }
 
-    /// KV tokens that an engine of this size has room for beside so many layers.
-    pub fn kv_capacity(&self, size_mb: f64, layers: Layer) -> f64 {
+    /// Tokens that fit into the KV cache of an engine with this much memory beside the weights of
+    /// so many layers.
+    pub fn kv_capacity(&self, memory_mb: f64, layers: Layer) -> f64 {
         let held = f64::from(layers);
-        let free = size_mb - held * self.layer_mb;
+        let free = memory_mb - held * self.layer_mb;
         if layers == 0 { 0.0 } else { (free / (held * self.kv_mb())).max(0.0) }
     }
 }
 
-/// A declared service.
+/// A configured service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
     /// Its name.
     pub name: ServiceId,
-    /// Connections that a target takes from all hosts together.
+    /// Connections that a target accepts from all hosts together; `None` for no limit.
     pub max_connections: Option<u32>,
-    /// The figures of its engines, if they are engines.
+    /// The figures of its engines; `None` if its targets are not engines.
     pub engine: Option<EngineSpec>,
 }
 
@@ -157,24 +160,24 @@
     pub name: OrganisationId,
     /// Its API keys.
     pub keys: Vec<String>,
-    /// Its rank, before that of routes.
+    /// Its priority, which goes before that of routes.
     pub priority: Option<u32>,
 }
 
 /// Bounds on what callers may send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Bytes of a request's head.
+    /// Size of a request's head, bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request's body, bytes.
     pub body_bytes: usize,
-    /// From the first byte of a request to its last.
+    /// Time from the first byte of a request to its last.
     pub receive_timeout: Duration,
-    /// Silence on a connection that waits for a request.
+    /// Time that a connection may be silent while no request is on it.
     pub idle_timeout: Duration,
 }
 
-/// The usual figures of the operators' configurations, until one is read.
+/// The usual values of the operators' configurations, in force until one is read.
 impl Default for RequestLimits {
     fn default() -> RequestLimits {
         RequestLimits {
@@ -186,12 +189,12 @@
     }
 }
 
-/// Why a request is not allowed.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denied {
-    /// No route fits host and path.
+    /// No route matches its host name and path.
     NoRoute,
-    /// A key is needed and none came, or it is not known.
+    /// The route needs a key, and the request has none or an unknown one.
     BadKey,
 }
 
@@ -199,14 +202,16 @@
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     version: u64,
-    hosts: HashMap<String, Vec<Arc<Route>>>,
+    /// Routes by host name, those with longer prefixes first.
+    by_host: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, Arc<ServiceSpec>>,
+    /// Organisations by API key.
     keys: HashMap<String, Arc<OrganisationSpec>>,
     limits: RequestLimits,
 }
 
 impl Snapshot {
-    /// Orders what was declared for look-ups.
+    /// A snapshot of what was configured, indexed for look-ups.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -214,11 +219,11 @@
         organisations: Vec<OrganisationSpec>,
         limits: RequestLimits,
     ) -> Snapshot {
-        let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
+        let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
-            hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
+            by_host.entry(route.host.clone()).or_default().push(Arc::new(route));
         }
-        for routes in hosts.values_mut() {
+        for routes in by_host.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
         let services = services.into_iter().map(|s| (s.name.clone(), Arc::new(s))).collect();
@@ -228,10 +233,10 @@
                 keys.insert(key.clone(), organisation.clone());
             }
         }
-        Snapshot { version, hosts, services, keys, limits }
+        Snapshot { version, by_host, services, keys, limits }
     }
 
-    /// Its version.
+    /// Version of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -241,7 +246,7 @@
         &self.limits
     }
 
-    /// A service.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<ServiceSpec>> {
         self.services.get(name)
     }
@@ -251,21 +256,23 @@
         self.services.values().filter(|s| s.engine.is_some())
     }
 
-    /// The route of a request: of those of its host, the longest prefix of its path.
+    /// The route of a request: the one of its host name with the longest prefix of its path. The
+    /// port of the host name and the query of the path are ignored.
     ///
     /// # Errors
-    /// When none fits.
+    /// [`Denied::NoRoute`] if none matches.
     pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, Denied> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let path = path.split(['?', '#']).next().unwrap_or(path);
-        let routes = self.hosts.get(&host).ok_or(Denied::NoRoute)?;
+        let routes = self.by_host.get(&host).ok_or(Denied::NoRoute)?;
         routes.iter().find(|r| path.starts_with(&r.prefix)).ok_or(Denied::NoRoute)
     }
 
-    /// The organisation of a key; `None` where no key is asked for.
+    /// The organisation that a key belongs to; `None` if the route is anonymous or the
+    /// configuration has no keys.
     ///
     /// # Errors
-    /// When a key is needed and missing or not known.
+    /// [`Denied::BadKey`] if a key is needed, and it is missing or unknown.
     pub fn authorise(
         &self,
         route: &Route,
@@ -280,7 +287,8 @@
 }
 
 impl Route {
-    /// The service for a request, the same one for the same attempt id.
+    /// The service for a request, drawn by weight; the same attempt id always gives the same one.
+    /// `None` if no service has a weight.
     pub fn service(&self, attempt: &str) -> Option<&ServiceId> {
         let total: f64 = self.services.iter().map(|s| s.weight).sum();
         let mut at = xxh3_64(attempt.as_bytes()) as f64 / u64::MAX as f64 * total;
--- a/crates/roseshore_core/src/gateway/settings.rs
+++ b/crates/roseshore_core/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry host is told at its start.
+//! Settings that an entry host reads at its start.
 
 use crate::prelude::*;
 use std::net::SocketAddr;
@@ -6,27 +6,27 @@
 /// Bounds that the operators set for all hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// After a target's leaving is known, no request may reach it later than this.
+    /// The latest time after the news of a target's leaving at which a request may still reach it.
     pub drain: Duration,
-    /// From the stop signal to the kill.
+    /// Time from the stop signal to the kill.
     pub grace: Duration,
-    /// After a key's removal, no request with it may run later than this.
+    /// The latest time after a key's removal at which a request with it may still run.
     pub revoke: Duration,
-    /// Repeated sends for each request of a service.
+    /// Retries per request of a service, for all hosts together.
     pub retry_ratio: f64,
-    /// The time over which repeated sends are counted.
+    /// The window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// Repeated sends that all hosts together may make beyond the ratio in a window.
+    /// Retries in a window that all hosts together may make in addition to the ratio.
     pub retry_slack: f64,
-    /// After this time a target's address may be given to another service.
+    /// Time after which the address of a gone target may be given to another service.
     pub reuse_after: Duration,
-    /// How long a request stands still that depends on a dead engine.
+    /// How long a request may stand still when an engine that it depends on has died.
     pub stall: Duration,
-    /// Between two heartbeats of a target.
+    /// Interval between the heartbeats of a target.
     pub heartbeat: Duration,
 }
 
-/// The operators' usual figures, for settings that leave some out.
+/// The operators' usual values, for settings that leave some out.
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
@@ -46,26 +46,26 @@
 /// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntrySettings {
-    /// This host.
+    /// Name of this host.
     pub host: HostId,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where callers come in.
+    /// Listen address for callers.
     pub caller_addr: SocketAddr,
-    /// Where the balancer asks whether this host is ready.
+    /// Listen address for the load balancer's readiness probes.
     pub probe_addr: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_addr: SocketAddr,
-    /// The bounds.
+    /// The operators' bounds.
     pub bounds: Bounds,
-    /// Where this host hears others; without it, it stays alone.
+    /// Listen address for heartbeats of other hosts; without it, this host works alone.
     pub peer_addr: Option<SocketAddr>,
-    /// Where some others hear.
+    /// Heartbeat addresses of some other hosts, to join the rest by.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
-    /// Processor share of this host, thousandths of a core; 0 when it is not told.
+    /// CPU share of this host, thousandths of a core; 0 if it is not configured.
     pub millicores: u16,
-    /// Descriptors this process may use.
+    /// File descriptors that this process may use; `None` if it is not configured.
     pub max_descriptors: Option<usize>,
 }
--- a/crates/roseshore_core/src/gateway/unavailable.rs
+++ b/crates/roseshore_core/src/gateway/unavailable.rs
@@ -1,56 +1,59 @@
-//! What keeps a request from every target that could run it, when none can be chosen.
+//! Why no target can be chosen for a request.
 //!
-//! Several targets of a service may rest or have reached their limit while a request fails for another reason, such
-//! as layers that nobody holds. So the reason is found by asking whether there would be a way without the rests, and
-//! without the limits: a caller that is told to come back after a rest is served then.
+//! Some targets of a service may have asked for a back-off or reached their limit while the request
+//! fails for another reason, such as layers that no engine holds. So the reason is found by trying
+//! the selection without the back-offs and without the limits: a caller that is told to try again
+//! after a back-off is then served.
 
 use crate::prelude::*;
 
 /// Why no target can be chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unavailable {
-    /// Targets want a rest; there is a way after so long.
+    /// Targets asked for a back-off; the request can be sent after this time.
     BackingOff(Duration),
-    /// Targets take no more a second from all hosts.
+    /// Targets have reached their limit of requests a second from all hosts.
     RateLimited,
-    /// Something that neither the end of a rest nor more permits would mend.
+    /// Another reason, which neither the end of a back-off nor a higher limit would remove.
     Other,
 }
 
-/// A question of [`Unavailable::of`].
+/// The conditions under which [`Unavailable::of`] tries a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SelectionConditions {
-    /// The moment at which there would be a way.
+    /// The moment for which to select; back-offs that end before it are over.
     pub at: Instant,
-    /// Whether limits are heeded.
+    /// Whether targets that have reached their limit are left out.
     pub enforce_limits: bool,
 }
 
 impl Unavailable {
-    /// The reason, where nothing can be chosen at `now`: `rests` are the ends of the rests of the service's targets,
-    /// `limited` says whether any of them takes no more now, and `way` whether something could be chosen.
+    /// The reason why nothing can be chosen at `now`. `backoff_ends` are the ends of the back-offs
+    /// of the service's targets, `limited` says whether any of them has reached its limit, and
+    /// `selectable` whether something could be chosen under some conditions.
     pub fn of(
-        mut rests: Vec<Instant>,
+        mut backoff_ends: Vec<Instant>,
         limited: bool,
         now: Instant,
-        mut way: impl FnMut(SelectionConditions) -> bool,
+        mut selectable: impl FnMut(SelectionConditions) -> bool,
     ) -> Unavailable {
-        rests.sort_unstable();
-        let mut after = |enforce_limits| {
-            let end =
-                rests.iter().find(|end| way(SelectionConditions { at: **end, enforce_limits }));
+        backoff_ends.sort_unstable();
+        let mut backing_off = |enforce_limits| {
+            let end = backoff_ends
+                .iter()
+                .find(|end| selectable(SelectionConditions { at: **end, enforce_limits }));
             end.map(|end| Unavailable::BackingOff(end.saturating_duration_since(now)))
         };
-        if let Some(rest) = after(true) {
-            return rest;
+        if let Some(reason) = backing_off(true) {
+            return reason;
         }
         if !limited {
             return Unavailable::Other;
         }
-        let rest = after(false);
-        if way(SelectionConditions { at: now, enforce_limits: false }) {
+        let reason = backing_off(false);
+        if selectable(SelectionConditions { at: now, enforce_limits: false }) {
             return Unavailable::RateLimited;
         }
-        rest.unwrap_or(Unavailable::Other)
+        reason.unwrap_or(Unavailable::Other)
     }
 }
