--- a/crates/roseshore_core/src/answer.rs
+++ b/crates/roseshore_core/src/answer.rs
@@ -1,19 +1,20 @@
-//! One answer across stages: a machine that survives the loss of any of them.
+//! State machine for one answer, which survives the loss of any stage of its chain.
 //!
-//! An [`Answer`] takes what happens ([`Input`]) with the time, and says what is to be done
-//! ([`Action`]). Whatever the order of events, it holds to these rules:
+//! An [`Answer`] takes events ([`Input`]) together with the current time and returns the actions to
+//! carry out ([`Action`]). Whatever the order of events, it keeps these invariants:
 //!
 //! - Position `p` is delivered once, in order, from the current epoch only, and only with a
-//!   [`lineage`] that equals its route. Anything else is dropped and counted, or the route is
-//!   given up; it is never passed on.
-//! - An answer is whole only when the engine's count equals what was delivered. A hole at the end
-//!   is a fault of the route, never a short answer.
-//! - A route that fails is replaced: epoch + 1, another chain without what failed, going on at the
-//!   next position. Attempts are bounded by count and by the deadline.
+//!   [`lineage`] that matches its route. Anything else is dropped and counted, or the route is
+//!   abandoned; it is never passed on.
+//! - An answer is complete only when the token count that the engine reports equals the number of
+//!   tokens delivered. Missing tokens at the end are a fault of the route, never a short answer.
+//! - A route that fails is replaced: the epoch grows by one, and another chain without the failed
+//!   targets continues at the next position. Attempts are bounded by count and by the deadline.
 //! - A refusal says "not run" only when every attempt was proved not to have begun.
 //!
-//! [`timeout`] bounds silence, [`reorder`] puts early tokens in order, [`avoid`] remembers what failed,
-//! and [`crate::cost`] decides between moving KV caches and a new prefill.
+//! [`timeout`] bounds how long a stream may be silent, [`reorder`] sorts tokens that arrive early,
+//! [`avoid`] records what failed, and [`crate::cost`] decides between moving KV caches and a new
+//! prefill.
 
 pub mod avoid;
 pub mod interval;
--- a/crates/roseshore_core/src/answer/avoid.rs
+++ b/crates/roseshore_core/src/answer/avoid.rs
@@ -1,13 +1,13 @@
-//! What an answer's next chain should do without.
+//! Targets that an answer's next chain should exclude.
 //!
-//! A target that is known to have failed is avoided; when it is not known which stage failed, all
-//! stages of the chain are suspects. When the router finds no chain, suspects are relaxed first,
-//! then, once per answer, the failed ones too: a target refused for an old incarnation or a full
-//! queue may well serve now, and the alternative is to give the answer up.
+//! A target that is known to have failed is avoided. When it is not known which stage failed, all
+//! stages of the chain are suspects. When the router finds no chain, the suspects are allowed again
+//! first and then, once per answer, the failed targets too: a target that refused because of an old
+//! incarnation or a full queue may accept now, and the alternative is to give the answer up.
 
 use crate::ids::*;
 
-/// Targets to avoid.
+/// Targets that an answer avoids.
 #[derive(Clone, Debug, Default)]
 pub struct AvoidList {
     failed: Vec<TargetId>,
@@ -16,17 +16,17 @@
 }
 
 impl AvoidList {
-    /// A target failed.
+    /// Adds a target that is known to have failed.
     pub fn add_failed(&mut self, target: &TargetId) {
         add(&mut self.failed, target);
     }
 
-    /// A target may have failed.
+    /// Adds a target that may have failed.
     pub fn add_suspect(&mut self, target: &TargetId) {
         add(&mut self.suspects, target);
     }
 
-    /// All of them.
+    /// All targets to avoid, failed and suspected.
     pub fn list(&self) -> Vec<TargetId> {
         let mut all = self.failed.clone();
         for target in &self.suspects {
@@ -41,7 +41,8 @@
         self.suspects.clear();
     }
 
-    /// Forgives some; false when there is nothing left to relax.
+    /// Allows the suspects again or, if there are none, the failed targets once per answer; `false`
+    /// when nothing changed.
     pub fn relax(&mut self) -> bool {
         if !self.suspects.is_empty() {
             self.suspects.clear();
--- a/crates/roseshore_core/src/answer/interval.rs
+++ b/crates/roseshore_core/src/answer/interval.rs
@@ -1,35 +1,36 @@
-//! Measures the pace of the chain that an answer runs over.
+//! Measures the time between tokens of the chain that serves an answer.
 
 use crate::prelude::*;
 
-/// Tokens over which a pace is averaged, so that the router is told a few times a second.
-const SPAN: u32 = 8;
+/// Number of intervals averaged into one sample, so that the router gets a few samples a second.
+const INTERVALS_PER_SAMPLE: u32 = 8;
 
-/// The gaps between tokens of one route.
+/// Intervals between the tokens of one route.
 #[derive(Debug, Default)]
 pub struct IntervalMeter {
     since: Option<Instant>,
-    gaps: u32,
+    intervals: u32,
 }
 
 impl IntervalMeter {
-    /// Begins anew: another route, or a wait that was not the chain's.
+    /// Discards the current sample: the route changed, or a wait was not caused by the chain.
     pub fn reset(&mut self) {
         *self = IntervalMeter::default();
     }
 
-    /// Counts a token that came at `now`; the pace, once enough of them have come.
+    /// Counts a token that arrived at `now`; returns the mean interval once enough tokens have
+    /// arrived.
     pub fn record_token(&mut self, now: Instant) -> Option<Duration> {
         let Some(since) = self.since else {
             self.since = Some(now);
             return None;
         };
-        self.gaps += 1;
-        if self.gaps < SPAN {
+        self.intervals += 1;
+        if self.intervals < INTERVALS_PER_SAMPLE {
             return None;
         }
-        let pace = now.saturating_duration_since(since) / self.gaps;
-        *self = IntervalMeter { since: Some(now), gaps: 0 };
-        Some(pace)
+        let mean = now.saturating_duration_since(since) / self.intervals;
+        *self = IntervalMeter { since: Some(now), intervals: 0 };
+        Some(mean)
     }
 }
--- a/crates/roseshore_core/src/answer/lineage.rs
+++ b/crates/roseshore_core/src/answer/lineage.rs
@@ -1,8 +1,8 @@
-//! Stages, and the check that a token passed every layer once and in order.
+//! Stages, and the check that a token passed through every layer once and in order.
 //!
-//! Each stage stamps what it ran. A token may reach the caller only when its stamps are those of
-//! the route it was asked for: the same targets in the same lives, with layer ranges that tile
-//! `0..layers` without hole or overlap, the same epoch and the same version of the weights.
+//! Each stage adds a stamp of what it ran. A token may reach the caller only when its stamps match
+//! the route that was requested: the same targets in the same incarnations, layer ranges that tile
+//! `0..layers` without gap or overlap, the same epoch and the same version of the weights.
 
 use crate::ids::*;
 use quick_error::quick_error;
@@ -12,65 +12,65 @@
 /// One stage of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stage {
-    /// The target.
+    /// The target that runs the stage.
     pub target: TargetId,
-    /// Where it listens.
+    /// Address on which the target listens.
     pub addr: SocketAddr,
-    /// First layer and one past the last that it is to run; inside what it holds.
+    /// Layers to run, as `first..end`; a subset of the layers that the target holds.
     pub layers: (Layer, Layer),
-    /// The life of the engine that the route was made for.
+    /// Incarnation of the engine for which the route was made.
     pub incarnation: Incarnation,
 }
 
-/// What one stage did for one token.
+/// What one stage ran for one token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// The target that ran.
+    /// The target that ran the stage.
     pub target: TargetId,
-    /// The life of the engine that ran.
+    /// Incarnation of the engine that ran it.
     pub incarnation: Incarnation,
-    /// The layers it ran, first and one past the last.
+    /// Layers that were run, as `first..end`.
     pub layers: (Layer, Layer),
-    /// The epoch it ran for.
+    /// Epoch for which the stage ran.
     pub epoch: Epoch,
-    /// The version of the weights it ran.
+    /// Version of the weights that was run.
     pub version: VersionId,
 }
 
-/// What the stamps of a token must equal.
+/// What the stamps of a token are compared with.
 #[derive(Clone, Copy, Debug)]
 pub struct ExpectedLineage<'a> {
-    /// The route.
+    /// Stages of the route, in order of layers.
     pub stages: &'a [Stage],
-    /// The number of layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// The number of the route.
+    /// Epoch of the route.
     pub epoch: Epoch,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: &'a str,
 }
 
 quick_error! {
-    /// How a lineage or a route breaks the rule.
+    /// How the stamps of a token, or the layer ranges of a route, differ from what is required.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum LineageError {
-        /// Another number of stamps than stages.
-        Count(got: usize, want: usize) {
-            display("{got} stamps for {want} stages")
+        /// The number of stamps differs from the number of stages.
+        Count(got: usize, expected: usize) {
+            display("{got} stamps for {expected} stages")
         }
-        /// The range of stage `at` does not begin where the one before it ends.
+        /// The range of stage `at` does not start where the one before it ends.
         Tiling(at: usize) {
             display("stage {at} leaves a hole or an overlap")
         }
-        /// Another target ran stage `at`.
+        /// Stage `at` was run by another target.
         Target(at: usize) {
             display("another target ran stage {at}")
         }
-        /// Stage `at` ran in another life.
+        /// Stage `at` was run by another incarnation of the engine.
         Incarnation(at: usize) {
             display("stage {at} ran in another life")
         }
-        /// Stage `at` ran other layers.
+        /// Stage `at` ran another layer range.
         Layers(at: usize) {
             display("stage {at} ran other layers")
         }
@@ -78,7 +78,7 @@
         Epoch(at: usize) {
             display("stage {at} ran for another epoch")
         }
-        /// Stage `at` ran another version.
+        /// Stage `at` ran another version of the weights.
         Version(at: usize) {
             display("stage {at} ran another version")
         }
@@ -86,7 +86,7 @@
 }
 
 impl LineageError {
-    /// The index of the stage at fault, where one can be named.
+    /// Index of the stage at fault; `None` when no single stage can be named.
     pub fn stage(self) -> Option<usize> {
         match self {
             LineageError::Count(..) => None,
@@ -100,11 +100,11 @@
     }
 }
 
-/// Whether ranges tile `0..layers`: no hole, no overlap, none empty.
+/// Checks that the ranges tile `0..layers` without a gap, an overlap or an empty range.
 ///
 /// # Errors
-/// [`LineageError::Tiling`] with the first range that does not fit; the number of ranges when the last
-/// layers are missing.
+/// [`LineageError::Tiling`] with the index of the first range that does not fit, or with the number
+/// of ranges when the last layers are missing.
 pub fn check_tiling(
     ranges: impl Iterator<Item = (Layer, Layer)>,
     layers: Layer,
@@ -121,25 +121,25 @@
     if next == layers && count > 0 { Ok(()) } else { Err(LineageError::Tiling(count)) }
 }
 
-/// Whether the stamps of one token are those that its route wants.
+/// Checks that the stamps of one token match its route.
 ///
 /// # Errors
-/// The first difference.
-pub fn check(stamps: &[Stamp], want: &ExpectedLineage<'_>) -> Result<(), LineageError> {
-    if stamps.len() != want.stages.len() {
-        return Err(LineageError::Count(stamps.len(), want.stages.len()));
+/// The first difference found.
+pub fn check(stamps: &[Stamp], expected: &ExpectedLineage<'_>) -> Result<(), LineageError> {
+    if stamps.len() != expected.stages.len() {
+        return Err(LineageError::Count(stamps.len(), expected.stages.len()));
     }
-    for (at, (stamp, stage)) in stamps.iter().zip(want.stages).enumerate() {
-        check_stage(at, stamp, stage, want)?;
+    for (at, (stamp, stage)) in stamps.iter().zip(expected.stages).enumerate() {
+        check_stage(at, stamp, stage, expected)?;
     }
-    check_tiling(stamps.iter().map(|s| s.layers), want.layers)
+    check_tiling(stamps.iter().map(|s| s.layers), expected.layers)
 }
 
 fn check_stage(
     at: usize,
     stamp: &Stamp,
     stage: &Stage,
-    want: &ExpectedLineage<'_>,
+    expected: &ExpectedLineage<'_>,
 ) -> Result<(), LineageError> {
     if stamp.target != stage.target {
         return Err(LineageError::Target(at));
@@ -150,10 +150,10 @@
     if stamp.incarnation != stage.incarnation {
         return Err(LineageError::Incarnation(at));
     }
-    if stamp.epoch != want.epoch {
+    if stamp.epoch != expected.epoch {
         return Err(LineageError::Epoch(at));
     }
-    if stamp.version != want.version {
+    if stamp.version != expected.version {
         return Err(LineageError::Version(at));
     }
     Ok(())
--- a/crates/roseshore_core/src/answer/machine.rs
+++ b/crates/roseshore_core/src/answer/machine.rs
@@ -1,4 +1,4 @@
-//! The machine of one answer.
+//! The state machine of one answer.
 
 mod recover;
 mod route;
@@ -12,35 +12,37 @@
 use crate::cost::{CachedStage, MoveCostModel};
 use crate::prelude::*;
 
-/// A probe is sent when this part of the silence bound has passed.
-const PROBE_PART: f64 = 0.5;
-/// A probe may take this part of what is then left of the bound, so that its result comes in time.
-const PROBE_LIMIT: f64 = 0.5;
-/// A move of KV caches may take this multiple of its prediction.
-const MOVE_FACTOR: u32 = 3;
-/// Least time that a move may take.
-const MOVE_FLOOR: Duration = Duration::from_millis(100);
-/// Time after which a handover that found no chain is tried again.
-const HANDOVER_PAUSE: Duration = Duration::from_secs(1);
+/// Fraction of the silence timeout after which a probe is sent.
+const PROBE_AFTER_FRACTION: f64 = 0.5;
+/// Time limit of a probe as a fraction of what is left of the timeout, so that its result arrives
+/// before the timeout does.
+const PROBE_TIMEOUT_FRACTION: f64 = 0.5;
+/// Time limit of a KV cache transfer, as a multiple of its predicted time.
+const MOVE_TIMEOUT_FACTOR: u32 = 3;
+/// Lower bound on the time limit of a KV cache transfer.
+const MIN_MOVE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Interval after which a handover that found no chain is tried again.
+const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval between requests for a route while no chain is available.
 const CHAIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Bounds of one answer.
+/// Limits and timeouts of one answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerSettings {
-    /// Bounds of silence.
+    /// Timeouts for silent streams.
     pub timeouts: TimeoutSettings,
-    /// Early tokens held at most.
+    /// Maximum distance, in tokens, from the next position to a token that arrives early.
     pub window: usize,
-    /// Routes tried without a new token before giving up.
+    /// Maximum number of routes tried without receiving a new token.
     pub max_attempts: u32,
-    /// Routes tried in all.
+    /// Maximum number of routes tried in total.
     pub max_routes: u32,
-    /// What moving KV caches takes.
+    /// Model of the time that moving KV caches takes.
     pub move_cost: MoveCostModel,
-    /// When to come back after a refusal without a time of its own.
+    /// Default `Retry-After` of a refusal that does not set one.
     pub retry_after: Duration,
-    /// How long an answer that may have run waits for a chain at most; a failed target is out of use only for a time.
+    /// Maximum time that an answer that may have run waits for a chain. Waiting helps because a
+    /// failed target is out of use only for a limited time.
     pub chain_wait: Duration,
 }
 
@@ -58,18 +60,18 @@
     }
 }
 
-/// What was dropped, and what was tried.
+/// Counts of dropped events and of routes tried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounters {
-    /// Events of an older epoch, or after the end.
+    /// Events of an older epoch, or after the end of the answer.
     pub stale: u64,
-    /// Lines of another answer.
+    /// Stream lines that belong to another answer.
     pub misrouted: u64,
-    /// Tokens that were delivered or held already.
+    /// Tokens whose position was already delivered or buffered.
     pub duplicates: u64,
     /// Routes opened.
     pub routes: u32,
-    /// Routes given up.
+    /// Routes abandoned for another one.
     pub rerouted: u32,
 }
 
@@ -83,50 +85,59 @@
     Finished,
 }
 
-/// Which stage a failure is put down to.
+/// The stage to which a failure is attributed.
 enum Blame {
-    /// Nothing is avoided yet.
+    /// No stage; no target is avoided yet.
     None,
-    /// Some stage of the route.
+    /// Some stage of the route, not known which.
     Any,
     /// The stage at this index.
     At(usize),
-    /// Those that did not answer a probe; any when all did.
+    /// The stages that did not answer a probe; any stage when all of them answered.
     Silent,
 }
 
-/// One answer.
+/// One answer in progress.
 pub struct Answer {
     job: Job,
     settings: AnswerSettings,
     phase: Phase,
     epoch: Epoch,
     stages: Vec<Stage>,
-    /// For each stage, whether the last probe found it silent; `None` without a result.
+    /// For each stage, whether it failed to answer the last probe in time; `None` without a result.
     silent: Vec<Option<bool>>,
+    /// Stages of earlier routes whose work is not cancelled yet; the next route may use their caches.
     cached: Vec<CachedStage>,
     tokens: Vec<String>,
     window: ReorderBuffer,
+    /// Token count and end reported by the engine, until the last token is delivered.
     ending: Option<(u32, Finish)>,
     timeout: SilenceTimeout,
     avoid: AvoidList,
     counters: AnswerCounters,
+    /// Whether some attempt may have started work on a target.
     began: bool,
+    /// Whether the current route started from moved or kept KV caches.
     warm: bool,
+    /// Routes opened since the last token.
     attempts: u32,
+    /// Streams that ended early since the last token.
     cuts: u32,
     last_progress: Instant,
     timeout_at: Instant,
     probe_at: Option<Instant>,
+    /// The target being withdrawn for which another route was requested.
     handover: Option<TargetId>,
+    /// When a handover last found no chain.
     handover_failed: Option<Instant>,
+    /// Wait that an engine asked for when its queue was full.
     retry_after: Option<Duration>,
-    /// End of the wait for a chain; set when the router finds none, until the next token.
+    /// End of the wait for a chain; set when the router finds none, and cleared by the next token.
     chain_deadline: Option<Instant>,
 }
 
 impl Answer {
-    /// Begins an answer.
+    /// Starts an answer and asks for its first route.
     pub fn start(
         job: Job,
         settings: AnswerSettings,
@@ -165,17 +176,17 @@
         }
     }
 
-    /// The stages of the current route.
+    /// Stages of the current route.
     pub fn stages(&self) -> &[Stage] {
         &self.stages
     }
 
-    /// The tokens delivered so far.
+    /// Tokens delivered so far.
     pub fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// What was dropped and tried.
+    /// Counts of dropped events and of routes tried.
     pub fn counters(&self) -> AnswerCounters {
         self.counters
     }
@@ -185,21 +196,22 @@
         self.phase == Phase::Finished
     }
 
-    /// When [`Input::Tick`] is due, if nothing happens before.
+    /// When [`Input::Tick`] is due if no other event comes first.
     pub fn next_tick(&self) -> Instant {
         let wake = self.job.deadline.min(self.timeout_at);
         self.probe_at.map_or(wake, |p| p.min(wake))
     }
 
-    /// The driver was held up by the caller; what came meanwhile counts from now.
+    /// Restarts the silence timeout after the driver was blocked on the caller, so that the time
+    /// spent there does not count against the chain.
     pub fn restart_timeout(&mut self, now: Instant) {
         if matches!(self.phase, Phase::Prefill | Phase::Decode) {
             self.last_progress = now;
-            self.arm(now);
+            self.arm_timeout(now);
         }
     }
 
-    /// Takes one event.
+    /// Handles one event; the resulting actions are appended to `out`.
     pub fn handle(&mut self, now: Instant, input: Input, out: &mut Vec<Action>) {
         if self.finished() {
             self.counters.stale += 1;
@@ -222,24 +234,24 @@
             Input::Line(answer, epoch, line) => {
                 if answer != self.job.answer {
                     self.counters.misrouted += 1;
-                } else if self.current(epoch) {
+                } else if self.is_current(epoch) {
                     self.line(now, line, out);
                 }
             }
-            Input::Opened(epoch) if self.current(epoch) => self.opened(now),
-            Input::OpenFailed(epoch, failure) if self.current(epoch) => {
+            Input::Opened(epoch) if self.is_current(epoch) => self.opened(now),
+            Input::OpenFailed(epoch, failure) if self.is_current(epoch) => {
                 self.unopened(now, failure, out);
             }
-            Input::Ended(epoch, failure) if self.current(epoch) => self.ended(now, failure, out),
-            Input::Probed(epoch, target, health) if self.current(epoch) => {
+            Input::Ended(epoch, failure) if self.is_current(epoch) => self.ended(now, failure, out),
+            Input::Probed(epoch, target, health) if self.is_current(epoch) => {
                 self.probed(now, &target, health, out);
             }
-            Input::Moved(epoch, done) if self.current(epoch) => self.moved(now, done, out),
+            Input::Moved(epoch, done) if self.is_current(epoch) => self.moved(now, done, out),
             _ => {}
         }
     }
 
-    fn current(&mut self, epoch: Epoch) -> bool {
+    fn is_current(&mut self, epoch: Epoch) -> bool {
         let current = epoch == self.epoch;
         self.counters.stale += u64::from(!current);
         current
@@ -253,7 +265,8 @@
         if self.streaming() && now < self.timeout_at && self.probe_at.is_some_and(|at| now >= at) {
             self.probe_at = None;
             self.silent.fill(None);
-            let limit = self.timeout_at.saturating_duration_since(now).mul_f64(PROBE_LIMIT);
+            let limit =
+                self.timeout_at.saturating_duration_since(now).mul_f64(PROBE_TIMEOUT_FRACTION);
             out.push(Action::Probe { epoch: self.epoch, limit });
         }
         if now < self.timeout_at {
--- a/crates/roseshore_core/src/answer/machine/recover.rs
+++ b/crates/roseshore_core/src/answer/machine/recover.rs
@@ -1,4 +1,4 @@
-//! Giving up a route, and giving up the answer.
+//! Abandoning a route, and giving the answer up.
 
 use super::{Answer, Blame, Phase};
 use crate::answer::message::{Action, Cause, Finish};
@@ -17,7 +17,8 @@
         if cause == Cause::Silent {
             self.timeout.back_off();
         }
-        // Only a cut leaves every stage's cache intact; a warm route that brought nothing had none.
+        // Only a cut leaves the cache of every stage intact, and a second cut in a row means that
+        // the warm route delivered nothing, so its caches cannot be trusted.
         let usable = cause == Cause::Cut && self.phase == Phase::Decode && self.cuts == 1;
         self.retire(usable, out);
         self.last_progress = now;
@@ -36,7 +37,7 @@
         self.ask_route(charge_budget, out);
     }
 
-    /// Puts a failure down to stages; the number of those that are known to have failed.
+    /// Attributes a failure to stages; returns how many are known to have failed.
     pub(super) fn blame(&mut self, cause: Cause, blame: &Blame, out: &mut Vec<Action>) -> usize {
         let blamed = self.blamed(blame);
         let names = if blamed.is_empty() { "unknown".to_owned() } else { blamed.join(",") };
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Leaves the current route for the next epoch.
+    /// Leaves the current route and advances to the next epoch.
     pub(super) fn retire(&mut self, usable: bool, out: &mut Vec<Action>) {
         out.push(Action::Close(self.epoch));
         self.release(false, out);
@@ -87,7 +88,7 @@
         self.handover = None;
     }
 
-    /// Gives the answer up; the verdict follows from what was opened.
+    /// Ends the answer with a refusal; the verdict depends on whether any attempt may have run.
     pub(super) fn refuse(&mut self, mut refusal: Refusal, out: &mut Vec<Action>) {
         let began = self.began || matches!(self.phase, Phase::Opening);
         out.push(Action::Close(self.epoch));
--- a/crates/roseshore_core/src/answer/machine/route.rs
+++ b/crates/roseshore_core/src/answer/machine/route.rs
@@ -1,6 +1,9 @@
-//! Taking a route, leaving one that still works for another, and asking for the next.
+//! Adopting a route, handing over from one that still works, and requesting the next.
 
-use super::{Answer, CHAIN_RETRY_INTERVAL, HANDOVER_PAUSE, MOVE_FACTOR, MOVE_FLOOR, Phase};
+use super::{
+    Answer, CHAIN_RETRY_INTERVAL, HANDOVER_RETRY_INTERVAL, MIN_MOVE_TIMEOUT, MOVE_TIMEOUT_FACTOR,
+    Phase,
+};
 use crate::answer::lineage;
 use crate::answer::message::{Action, Route};
 use crate::cost::{self, Plan};
@@ -22,7 +25,7 @@
         self.adopt(now, route, out);
     }
 
-    /// Leaves a route that still works; its KV caches are all there.
+    /// Leaves a route that still works; all of its KV caches are available.
     pub(super) fn hand_over(&mut self, out: &mut Vec<Action>) {
         let usable = self.phase == Phase::Decode;
         self.counters.rerouted += 1;
@@ -41,7 +44,7 @@
         let targets = route.stages.iter().map(|s| s.target.as_str()).collect::<Vec<_>>();
         out.push(Action::Log(Event::RouteChosen, targets.join(" > ")));
         self.timeout.set_prediction(route.first_token, route.token_interval);
-        // An answer waits for a chain once between two tokens.
+        // An answer waits for a chain only once between two tokens.
         self.chain_deadline = self.chain_deadline.map(|_| now);
         self.stages = route.stages;
         self.silent = vec![None; self.stages.len()];
@@ -49,7 +52,7 @@
             Plan::Cold => self.open(now, false, out),
             Plan::Warm(moves, _) if moves.is_empty() => self.open(now, true, out),
             Plan::Warm(moves, time) => {
-                let limit = (time * MOVE_FACTOR).max(MOVE_FLOOR);
+                let limit = (time * MOVE_TIMEOUT_FACTOR).max(MIN_MOVE_TIMEOUT);
                 self.phase = Phase::Moving;
                 self.timeout_at = now + limit * 2;
                 out.push(Action::Move { epoch: self.epoch, moves, limit });
@@ -64,13 +67,15 @@
         self.attempts += 1;
         self.counters.routes += 1;
         let open = self.timeout.open();
-        // A stage that keeps a cache has just been heard of; if it died since, that shows soon.
+        // A stage that keeps a cache was heard from recently, so if it has died since, a short
+        // timeout is enough to notice.
         let bound = if warm { open.min(self.timeout.decode()) } else { open };
         self.timeout_at = now + bound;
         out.push(Action::Open { epoch: self.epoch, warm });
     }
 
-    /// Ends the work of the route before; with `warm`, stages that go on keep their KV cache.
+    /// Cancels the work of the previous route; with `warm`, stages of the new route keep their KV
+    /// cache.
     pub(super) fn release(&mut self, warm: bool, out: &mut Vec<Action>) {
         let epoch = self.epoch - 1;
         for held in std::mem::take(&mut self.cached) {
@@ -100,8 +105,8 @@
         self.refuse(refusal, out);
     }
 
-    /// Begins anew with another version of the weights; `false` once a token was delivered or a
-    /// route is open, for an answer is of one version.
+    /// Restarts with another version of the weights. Returns `false` once a token was delivered or
+    /// a route is open, because all tokens of an answer come from one version.
     pub fn change_version(&mut self, version: VersionId) -> bool {
         if self.phase != Phase::Routing || !self.tokens.is_empty() {
             return false;
@@ -120,9 +125,9 @@
     }
 
     pub(super) fn leaving(&mut self, now: Instant, target: TargetId, out: &mut Vec<Action>) {
-        let paused = self.handover_failed.is_some_and(|at| now < at + HANDOVER_PAUSE);
-        let ours = self.stages.iter().any(|s| s.target == target);
-        if !ours || paused || !self.streaming() || self.handover.is_some() {
+        let paused = self.handover_failed.is_some_and(|at| now < at + HANDOVER_RETRY_INTERVAL);
+        let on_route = self.stages.iter().any(|s| s.target == target);
+        if !on_route || paused || !self.streaming() || self.handover.is_some() {
             return;
         }
         let mut avoid = self.avoid.list();
--- a/crates/roseshore_core/src/answer/machine/stream.rs
+++ b/crates/roseshore_core/src/answer/machine/stream.rs
@@ -1,6 +1,6 @@
-//! What comes over the open stream, and what probes of its stages say.
+//! Handling of stream events and of probe results.
 
-use super::{Answer, Blame, PROBE_PART, Phase};
+use super::{Answer, Blame, PROBE_AFTER_FRACTION, Phase};
 use crate::answer::lineage::{self, ExpectedLineage, LineageError, Stamp};
 use crate::answer::message::{Action, Cause, Finish, ProbeResult, StreamFailure, StreamLine};
 use crate::answer::reorder::Insertion;
@@ -14,17 +14,17 @@
         self.began = true;
         self.phase = Phase::Prefill;
         self.last_progress = now;
-        self.arm(now);
+        self.arm_timeout(now);
     }
 
-    pub(super) fn arm(&mut self, now: Instant) {
+    pub(super) fn arm_timeout(&mut self, now: Instant) {
         let bound = if self.phase == Phase::Decode {
             self.timeout.decode()
         } else {
             self.timeout.prefill()
         };
         self.timeout_at = now + bound;
-        self.probe_at = Some(now + bound.mul_f64(PROBE_PART));
+        self.probe_at = Some(now + bound.mul_f64(PROBE_AFTER_FRACTION));
     }
 
     pub(super) fn unopened(&mut self, now: Instant, failure: StreamFailure, out: &mut Vec<Action>) {
@@ -72,7 +72,7 @@
     pub(super) fn lost(&mut self, now: Instant, stage: Option<TargetId>, out: &mut Vec<Action>) {
         let at = stage.and_then(|t| self.stages.iter().position(|s| s.target == t));
         let blame = match at {
-            // The stage lives, but has lost the cache that a warm start needs.
+            // The stage is alive but has lost the cache that a warm start needs.
             Some(_) if self.warm && self.phase == Phase::Prefill => Blame::None,
             Some(at) => Blame::At(at),
             None => Blame::Any,
@@ -141,10 +141,10 @@
         self.chain_deadline = None;
         self.last_progress = now;
         self.silent.fill(None);
-        self.arm(now);
+        self.arm_timeout(now);
     }
 
-    /// Ends the answer if its last token has been delivered.
+    /// Completes the answer if its last token has been delivered.
     pub(super) fn finish(&mut self, out: &mut Vec<Action>) {
         match self.ending.take() {
             Some((count, finish)) if count == self.window.next() => self.complete(finish, out),
@@ -175,9 +175,10 @@
         self.give_up(now, Cause::Cut, blame, out);
     }
 
-    /// Once every stage was heard of, one that is silent need not be waited for any longer.
+    /// Records a probe result. Once every stage has one, the route is abandoned without further
+    /// wait if some stage is silent.
     fn record_probe(&mut self, now: Instant, at: usize, silent: bool, out: &mut Vec<Action>) {
-        // A token has come since the probe was sent.
+        // A token has arrived since the probe was sent, so the result no longer matters.
         if self.probe_at.is_some() {
             return;
         }
@@ -203,7 +204,7 @@
         }
         match health {
             ProbeResult::Dead => self.give_up(now, Cause::Dead, Blame::At(at), out),
-            ProbeResult::Alive(life) if life != self.stages[at].incarnation => {
+            ProbeResult::Alive(incarnation) if incarnation != self.stages[at].incarnation => {
                 self.give_up(now, Cause::Restarted, Blame::At(at), out);
             }
             ProbeResult::Alive(_) => self.record_probe(now, at, false, out),
--- a/crates/roseshore_core/src/answer/message.rs
+++ b/crates/roseshore_core/src/answer/message.rs
@@ -1,4 +1,4 @@
-//! What goes into an answer's machine and what comes out.
+//! Inputs and actions of an answer's state machine.
 
 use crate::answer::lineage::{LineageError, Stage, Stamp};
 use crate::code::Code;
@@ -8,230 +8,231 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// What is to be answered.
+/// What an answer is to compute, and its limits.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The answer's id.
+    /// Id of the request that is answered.
     pub answer: RequestId,
-    /// The number of layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: VersionId,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// How many tokens the whole answer may have.
+    /// Upper bound on the number of tokens in the answer.
     pub limit: u32,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
 }
 
-/// A chain that the router chose, with its predictions.
+/// A chain chosen by the router, with its predicted times.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// In order of layers.
+    /// Stages, in order of layers.
     pub stages: Vec<Stage>,
-    /// Predicted time to the next token, by a new prefill.
+    /// Predicted time to the next token if the chain prefills from scratch.
     pub first_token: Duration,
-    /// Predicted time between tokens.
+    /// Predicted time between two tokens.
     pub token_interval: Duration,
 }
 
-/// Why opening or reading a stream failed.
+/// Why a stream could not be opened or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamFailure {
-    /// Nothing was sent.
+    /// The connection failed; no request was sent.
     Unreachable,
-    /// It was sent, and no whole reply came.
+    /// The request was sent, but no complete reply came back.
     Lost,
-    /// The engine said that nothing ran.
+    /// The engine replied that it ran nothing.
     Refused {
-        /// The HTTP status.
+        /// HTTP status of the reply.
         status: u16,
-        /// When the engine wants to be asked again.
+        /// Wait that the engine asks for before the next attempt.
         after: Option<Duration>,
     },
-    /// The reply broke the protocol.
+    /// The reply violated the protocol.
     Malformed,
 }
 
-/// What a probe of a target showed.
+/// Result of a liveness probe of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It answered, in this life.
+    /// It answered, and reported this incarnation.
     Alive(Incarnation),
     /// It refused the connection.
     Dead,
-    /// It did not answer in time.
+    /// It did not answer within the limit.
     Silent,
 }
 
-/// One line of a stream.
+/// One line of an engine's stream.
 #[derive(Clone, Debug)]
 pub enum StreamLine {
     /// One token.
     Token {
-        /// Which place.
+        /// Index of the token in the answer.
         position: Position,
-        /// The text.
+        /// The token's text.
         text: String,
-        /// What ran, in order.
+        /// Stamps of the stages that ran, in order of layers.
         lineage: Vec<Stamp>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         count: u32,
         /// `stop` or `length`.
         reason: String,
-        /// Prompt tokens that a prefix cache saved.
+        /// Number of prompt tokens found in a prefix cache.
         cached: u32,
     },
-    /// The answer cannot go on over this route.
+    /// The answer cannot continue on this route.
     Lost {
         /// The stage that failed, if known.
         stage: Option<TargetId>,
     },
 }
 
-/// What happened.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The router chose a chain.
     Chosen(Route),
-    /// The router has no chain.
+    /// The router found no chain.
     NoChain(Refusal),
-    /// No further attempt is allowed, whatever the router has.
+    /// No further attempt is allowed, whether or not a chain exists.
     RetryDenied(Refusal),
-    /// A stream's head has come.
+    /// The head of a stream arrived.
     Opened(Epoch),
     /// A stream could not be opened.
     OpenFailed(Epoch, StreamFailure),
-    /// A line came, with the answer and epoch that it names.
+    /// A stream line arrived, with the answer and the epoch that it names.
     Line(RequestId, Epoch, StreamLine),
-    /// A stream ended; without a failure, the engine closed it in order.
+    /// A stream ended; `None` when the engine closed it cleanly.
     Ended(Epoch, Option<StreamFailure>),
-    /// A probe of a stage came back.
+    /// The probe of a stage returned.
     Probed(Epoch, TargetId, ProbeResult),
-    /// A move of KV cache ended.
+    /// A transfer of KV caches ended; `true` when all of them arrived.
     Moved(Epoch, bool),
-    /// A target is being taken away.
+    /// A target is being withdrawn from service.
     Leaving(TargetId),
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
-    /// Time has passed.
+    /// The time that [`crate::answer::Answer::next_tick`] gave has come.
     Tick,
 }
 
-/// One stage's KV cache to bring to another target.
+/// One stage's KV cache to copy to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheMove {
-    /// Where it is.
+    /// The stage that has the cache.
     pub from: Stage,
-    /// Where it is to go.
+    /// The stage that needs it.
     pub to: Stage,
 }
 
-/// The end of a whole answer.
+/// How a complete answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finish {
     /// `stop` or `length`.
     pub reason: String,
-    /// Prompt tokens that a prefix cache saved.
+    /// Number of prompt tokens found in a prefix cache.
     pub cached: u32,
 }
 
-/// What is to be done.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask the router for a chain without these targets.
+    /// Ask the router for a chain that excludes these targets.
     Route {
-        /// Targets that failed this answer.
+        /// Targets that failed, or may have failed, for this answer.
         avoid: Vec<TargetId>,
-        /// Whether work of an earlier attempt is done again.
+        /// Whether work of an earlier attempt is repeated.
         retry: bool,
-        /// Whether the retry must be paid for from the service's retry budget: nothing was proved
-        /// to have failed, so that going on elsewhere may only add load to what is slow.
+        /// Whether the retry is charged to the service's retry budget. It is when no target was
+        /// proved to have failed: continuing elsewhere may then only add load to targets that are
+        /// slow.
         charge_budget: bool,
     },
-    /// Open a stream over [`crate::answer::Answer::stages`].
+    /// Open a stream over the stages in [`crate::answer::Answer::stages`].
     Open {
-        /// The number of the route.
+        /// Epoch of the route.
         epoch: Epoch,
-        /// Whether all stages hold the KV cache.
+        /// Whether every stage already holds the KV cache.
         warm: bool,
     },
     /// Stop reading the stream of this epoch.
     Close(Epoch),
-    /// Give the caller the token at this position of [`crate::answer::Answer::tokens`].
+    /// Send the caller the token at this index of [`crate::answer::Answer::tokens`].
     Deliver(Position),
-    /// End the work on a stage, best effort.
+    /// Cancel the work on a stage, best effort.
     Cancel {
-        /// Where.
+        /// The stage on which the work runs.
         stage: Stage,
-        /// This epoch and older ones.
+        /// Cancels the work of this epoch and of older ones.
         epoch: Epoch,
-        /// Whether the KV cache is still wanted.
+        /// Whether the stage keeps its KV cache for the next route.
         keep_cache: bool,
     },
-    /// Ask the stages of the route whether they live.
+    /// Probe the stages of the route for liveness.
     Probe {
-        /// The number of the route.
+        /// Epoch of the route.
         epoch: Epoch,
-        /// How long to wait for each.
+        /// Time limit of each probe.
         limit: Duration,
     },
-    /// Stop the old work, bring KV caches over, and report once with [`Input::Moved`].
+    /// Stop the work of the old route, transfer KV caches, and report once with [`Input::Moved`].
     Move {
-        /// The number of the new route.
+        /// Epoch of the new route.
         epoch: Epoch,
-        /// The caches.
+        /// The caches to transfer.
         moves: Vec<CacheMove>,
-        /// How long all may take.
+        /// Time limit for all transfers together.
         limit: Duration,
     },
     /// Tell the router that a target failed.
     Failed(TargetId),
-    /// Log a line of the catalogue.
+    /// Log an event of the catalogue with this text.
     Log(Event, String),
-    /// The answer is whole.
+    /// Finish the complete answer.
     Finish(Finish),
-    /// The answer is given up.
+    /// Give the answer up with this refusal.
     Refuse(Refusal),
 }
 
-/// Why a route was given up.
+/// Why a route was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The first stage was not reached.
+    /// The first stage could not be connected to.
     Unreachable,
-    /// The first stage refused.
+    /// The first stage refused the request.
     Refused,
-    /// A stage holds something else than the route says.
+    /// A stage holds another version, adapter or layer range than the route requires.
     Mismatch,
-    /// The first stage is full.
+    /// The queue of the first stage is full.
     Busy,
-    /// The stream ended before the answer.
+    /// The stream ended before the answer was complete.
     Cut,
-    /// Nothing came for too long.
+    /// Nothing arrived within the timeout.
     Silent,
-    /// A probe found a stage dead.
+    /// A probe was refused the connection to a stage.
     Dead,
-    /// A probe found a stage in another life.
+    /// A probe found another incarnation on a stage.
     Restarted,
-    /// The engine lost a stage.
+    /// The engine reported that it lost a stage.
     StageLost,
-    /// A token did not pass every layer once and in order.
+    /// A token did not pass through every layer once and in order.
     Lineage(LineageError),
-    /// Tokens came further ahead than the window reaches.
+    /// A token was further ahead than the reorder buffer holds.
     Overflow,
-    /// The stream's lines contradict each other or the protocol.
+    /// The stream's lines contradict each other or violate the protocol.
     Malformed,
-    /// A target is being taken away.
+    /// A target is being withdrawn from service.
     Leaving,
 }
 
 impl Cause {
-    /// The code of a refusal for this cause, when nothing ran.
+    /// Code of the refusal that this cause leads to if nothing ran.
     pub fn code(self) -> Code {
         match self {
             Cause::Unreachable => Code::TargetUnreachable,
--- a/crates/roseshore_core/src/answer/reorder.rs
+++ b/crates/roseshore_core/src/answer/reorder.rs
@@ -1,20 +1,20 @@
-//! The bounded buffer that puts early tokens back in order.
+//! Bounded buffer that puts tokens which arrive early back in order.
 
 use crate::ids::*;
 use std::collections::VecDeque;
 
-/// What became of a token.
+/// Outcome of inserting a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Insertion {
-    /// It is held; [`ReorderBuffer::pop`] gives it out when its turn comes.
+    /// Buffered; [`ReorderBuffer::pop`] returns it when its position is next.
     Held,
-    /// Its position was delivered or is held already.
+    /// The position was already delivered or is already buffered.
     Duplicate,
-    /// It lies further ahead than the window reaches.
+    /// The position is beyond the buffer's capacity.
     Overflow,
 }
 
-/// Tokens from the next position on.
+/// Buffered tokens, starting at the next position to deliver.
 #[derive(Clone, Debug)]
 pub struct ReorderBuffer {
     next: Position,
@@ -23,17 +23,17 @@
 }
 
 impl ReorderBuffer {
-    /// An empty window that holds at most `capacity` positions.
+    /// Creates an empty buffer that spans at most `capacity` positions.
     pub fn new(capacity: usize) -> ReorderBuffer {
         ReorderBuffer { next: 0, capacity, held: VecDeque::with_capacity(capacity) }
     }
 
-    /// The next position to deliver.
+    /// Next position to deliver.
     pub fn next(&self) -> Position {
         self.next
     }
 
-    /// Takes one token.
+    /// Inserts one token.
     pub fn insert(&mut self, position: Position, text: String) -> Insertion {
         let Some(ahead) = position.checked_sub(self.next) else {
             return Insertion::Duplicate;
@@ -52,7 +52,7 @@
         Insertion::Held
     }
 
-    /// Gives out the token whose turn it is.
+    /// Removes and returns the token at the next position, if it has arrived.
     pub fn pop(&mut self) -> Option<String> {
         let text = self.held.front_mut()?.take()?;
         self.held.pop_front();
@@ -60,7 +60,7 @@
         Some(text)
     }
 
-    /// Forgets early tokens, which belong to a route that was given up.
+    /// Drops the buffered tokens; they belong to an abandoned route.
     pub fn clear(&mut self) {
         self.held.clear();
     }
--- a/crates/roseshore_core/src/answer/timeout.rs
+++ b/crates/roseshore_core/src/answer/timeout.rs
@@ -1,9 +1,10 @@
-//! How long a stream may be silent before its route is given up.
+//! Timeout after which a silent stream's route is abandoned.
 //!
-//! A frozen stage cannot be told from a slow one but by time. The bound follows what was predicted
-//! and what was seen on this very stream (mean and deviation, as for retransmission timeouts), so
-//! that slow chains are not cut and fast ones are recovered fast. After a give-up for silence the
-//! bound doubles: when everything is slow, giving up again and again would only add load.
+//! A frozen stage can be told from a slow one only by time. The timeout follows the prediction and
+//! the intervals observed on this stream (mean and deviation, as in TCP's retransmission timeout),
+//! so that slow chains are not cut off and failures of fast ones are noticed soon. It doubles each
+//! time a route is abandoned for silence: when everything is slow, abandoning again and again would
+//! only add load.
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 const MEAN_GAIN: f64 = 0.125;
 /// Weight of a new sample in the deviation.
 const DEVIATION_GAIN: f64 = 0.25;
-/// Deviations added to the mean.
+/// Number of deviations added to the mean.
 const DEVIATIONS: f64 = 4.0;
-/// The bound doubles at most this often.
+/// Maximum number of times that the timeout doubles.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// Bounds of silence.
+/// Bounds of the silence timeout.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimeoutSettings {
-    /// Time for a stream's head to come.
+    /// Timeout for the head of a stream.
     pub open: Duration,
-    /// Least time to the first token of a route.
+    /// Lower bound on the timeout for the first token of a route.
     pub prefill: Duration,
-    /// Least time between tokens.
+    /// Lower bound on the timeout between tokens.
     pub decode: Duration,
-    /// Multiple of the prediction that is waited for.
+    /// Multiple of the predicted time after which the stream counts as silent.
     pub factor: f64,
-    /// No bound but the prediction's own exceeds this.
+    /// Limit on the doubling; a timeout that exceeds this before any doubling is kept as it is.
     pub ceiling: Duration,
 }
 
@@ -43,72 +44,72 @@
     }
 }
 
-/// The bound for one answer, over all its routes.
+/// The silence timeout of one answer, across all of its routes.
 #[derive(Clone, Debug)]
 pub struct SilenceTimeout {
-    rules: TimeoutSettings,
-    first: Duration,
-    between: Duration,
+    settings: TimeoutSettings,
+    first_token: Duration,
+    token_interval: Duration,
     mean: f64,
     deviation: f64,
     doublings: u32,
 }
 
 impl SilenceTimeout {
-    /// A pace without predictions.
-    pub fn new(rules: TimeoutSettings) -> SilenceTimeout {
+    /// Creates a timeout without predictions.
+    pub fn new(settings: TimeoutSettings) -> SilenceTimeout {
         let zero = Duration::ZERO;
         SilenceTimeout {
-            rules,
-            first: zero,
-            between: zero,
+            settings,
+            first_token: zero,
+            token_interval: zero,
             mean: 0.0,
             deviation: 0.0,
             doublings: 0,
         }
     }
 
-    /// Takes the predictions of a new route; what was seen on the old one no longer counts.
-    pub fn set_prediction(&mut self, first: Duration, between: Duration) {
-        self.first = first;
-        self.between = between;
-        self.mean = between.as_secs_f64();
+    /// Sets the predicted times of a new route and discards the observations of the old one.
+    pub fn set_prediction(&mut self, first_token: Duration, token_interval: Duration) {
+        self.first_token = first_token;
+        self.token_interval = token_interval;
+        self.mean = token_interval.as_secs_f64();
         self.deviation = self.mean / 2.0;
     }
 
-    /// Takes the time from one token to the next.
-    pub fn observe(&mut self, gap: Duration) {
-        let gap = gap.as_secs_f64();
-        let error = (gap - self.mean).abs();
+    /// Adds the interval between two tokens.
+    pub fn observe(&mut self, interval: Duration) {
+        let interval = interval.as_secs_f64();
+        let error = (interval - self.mean).abs();
         self.deviation += DEVIATION_GAIN * (error - self.deviation);
-        self.mean += MEAN_GAIN * (gap - self.mean);
+        self.mean += MEAN_GAIN * (interval - self.mean);
     }
 
-    /// A route was given up for silence.
+    /// Doubles the timeout, up to a bound, after a route was abandoned for silence.
     pub fn back_off(&mut self) {
         self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
     }
 
-    /// Time for a stream's head to come.
+    /// Timeout for the head of a stream.
     pub fn open(&self) -> Duration {
-        self.scale(self.rules.open)
+        self.scale(self.settings.open)
     }
 
-    /// Time to the first token after the head.
+    /// Timeout for the first token, counted from the head.
     pub fn prefill(&self) -> Duration {
-        let predicted = self.first.mul_f64(self.rules.factor);
-        self.scale(predicted.max(self.rules.prefill))
+        let predicted = self.first_token.mul_f64(self.settings.factor);
+        self.scale(predicted.max(self.settings.prefill))
     }
 
-    /// Time between tokens.
+    /// Timeout between tokens.
     pub fn decode(&self) -> Duration {
-        let predicted = self.between.mul_f64(self.rules.factor);
-        let seen = Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation);
-        self.scale(predicted.max(seen).max(self.rules.decode))
+        let predicted = self.token_interval.mul_f64(self.settings.factor);
+        let observed = Duration::from_secs_f64(self.mean + DEVIATIONS * self.deviation);
+        self.scale(predicted.max(observed).max(self.settings.decode))
     }
 
     fn scale(&self, bound: Duration) -> Duration {
         let stretched = bound * 2_u32.pow(self.doublings);
-        stretched.min(self.rules.ceiling.max(bound))
+        stretched.min(self.settings.ceiling.max(bound))
     }
 }
--- a/crates/roseshore_core/tests/answer.rs
+++ b/crates/roseshore_core/tests/answer.rs
@@ -22,12 +22,12 @@
     for fault in FAULTS {
         for step in STEPS {
             let case = format!("{} at {}", fault.name, step.name);
-            let mut world = World::new(rules());
+            let mut world = World::new(settings());
             if step.name == "before open" {
                 (fault.apply)(&mut world);
-                world.act();
+                world.run_actions();
             } else {
-                world.act();
+                world.run_actions();
                 assert!(run_until(&mut world, step), "{case}: the step was never reached");
                 (fault.apply)(&mut world);
             }
@@ -42,13 +42,13 @@
     for first in FAULTS {
         for step in STEPS.iter().skip(1) {
             for second in FAULTS {
-                for again in AGAIN {
+                for again in SECOND_FAULT_STEPS {
                     let case = format!(
                         "{} at {}, then {} {}",
                         first.name, step.name, second.name, again.name
                     );
-                    let mut world = World::new(rules());
-                    world.act();
+                    let mut world = World::new(settings());
+                    world.run_actions();
                     run_until(&mut world, step);
                     (first.apply)(&mut world);
                     if run_until(&mut world, again) {
@@ -62,7 +62,7 @@
     }
 }
 
-struct Verdicts {
+struct RefusalCase {
     name: &'static str,
     before: Change,
     input: Option<Input>,
@@ -70,70 +70,70 @@
     code: Code,
 }
 
-fn all(world: &mut World, range: usize, state: State) {
+fn set_all(world: &mut World, range: usize, state: State) {
     world.engines[range].iter_mut().for_each(|e| e.state = state);
 }
 
 #[test]
 fn a_refusal_says_truly_whether_it_ran() {
     let cases = [
-        Verdicts {
+        RefusalCase {
             name: "every first stage dead",
-            before: |w| all(w, 0, State::Dead),
+            before: |w| set_all(w, 0, State::Dead),
             input: None,
             verdict: Verdict::NotRun,
             code: Code::NoRoute,
         },
-        Verdicts {
+        RefusalCase {
             name: "every first stage full",
-            before: |w| all(w, 0, State::Busy),
+            before: |w| set_all(w, 0, State::Busy),
             input: None,
             verdict: Verdict::NotRun,
             code: Code::QueueFull,
         },
-        Verdicts {
+        RefusalCase {
             name: "every first stage holds another version",
-            before: |w| all(w, 0, State::Other),
+            before: |w| set_all(w, 0, State::Other),
             input: None,
             verdict: Verdict::NotRun,
             code: Code::TargetMismatch,
         },
-        Verdicts {
+        RefusalCase {
             name: "every first stage frozen",
-            before: |w| all(w, 0, State::Frozen),
+            before: |w| set_all(w, 0, State::Frozen),
             input: None,
             verdict: Verdict::MayHaveRun,
             code: Code::TargetLost,
         },
-        Verdicts {
+        RefusalCase {
             name: "every last stage dead",
-            before: |w| all(w, 2, State::Dead),
+            before: |w| set_all(w, 2, State::Dead),
             input: None,
             verdict: Verdict::MayHaveRun,
             code: Code::TargetLost,
         },
-        Verdicts {
+        RefusalCase {
             name: "caller left while opening",
             before: |_| {},
             input: Some(Input::CallerLeft),
             verdict: Verdict::MayHaveRun,
             code: Code::TargetLost,
         },
-        Verdicts {
+        RefusalCase {
             name: "denied after a first attempt that was not reached",
             before: |w| {
                 w.deny = true;
-                all(w, 0, State::Dead);
+                set_all(w, 0, State::Dead);
             },
             input: None,
             verdict: Verdict::NotRun,
             code: Code::RetryBudget,
         },
-        Verdicts {
+        RefusalCase {
             name: "denied after a first attempt that was silent",
             before: |w| {
                 w.deny = true;
-                all(w, 0, State::Frozen);
+                set_all(w, 0, State::Frozen);
             },
             input: None,
             verdict: Verdict::MayHaveRun,
@@ -141,9 +141,9 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(rules());
+        let mut world = World::new(settings());
         (case.before)(&mut world);
-        world.act();
+        world.run_actions();
         if let Some(input) = case.input {
             world.feed(input);
         }
@@ -155,7 +155,7 @@
     }
 }
 
-/// A failure of all engines of one layer range at a given step, and the expected result.
+/// All engines of one layer range fail at a given step.
 struct Outage {
     name: &'static str,
     step: &'static str,
@@ -163,11 +163,13 @@
     range: usize,
     /// How long the engines are dead; `None` if they do not come back.
     duration_ms: Option<u64>,
-    /// The code of the refusal and its latest time after the failure, in milliseconds; `None` if the answer is whole.
+    /// Code of the refusal and its latest time after the failure, in milliseconds; `None` if the
+    /// answer completes.
     refused: Option<(Code, u64)>,
 }
 
-/// Guards against refusing an answer that has begun while its targets are out of use for a short time.
+/// Guards against refusing an answer that has begun while its targets are out of use for a short
+/// time.
 #[test]
 fn an_answer_that_has_begun_waits_for_a_chain() {
     let cases = [
@@ -201,19 +203,19 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(rules());
+        let mut world = World::new(settings());
         let step = STEPS.iter().find(|step| step.name == case.step).expect("a known step");
         if step.name != "before open" {
-            world.act();
+            world.run_actions();
             assert!(run_until(&mut world, step), "{}", case.name);
         }
         let start = world.now;
-        all(&mut world, case.range, State::Dead);
-        world.act();
+        set_all(&mut world, case.range, State::Dead);
+        world.run_actions();
         let recovery = case.duration_ms.map(|ms| start + Duration::from_millis(ms));
         while world.end.is_none() {
             if recovery.is_some_and(|at| world.now >= at) {
-                all(&mut world, case.range, State::Live);
+                set_all(&mut world, case.range, State::Live);
                 world.failed.clear();
             }
             world.step();
@@ -231,8 +233,8 @@
 #[test]
 fn a_deadline_ends_the_answer_at_once() {
     for step in STEPS.iter().skip(1) {
-        let mut world = World::new(rules());
-        world.act();
+        let mut world = World::new(settings());
+        world.run_actions();
         assert!(run_until(&mut world, step), "{}", step.name);
         world.now += Duration::from_mins(1);
         world.feed(Input::Tick);
@@ -271,8 +273,8 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(rules());
-        world.act();
+        let mut world = World::new(settings());
+        world.run_actions();
         assert!(run_until(&mut world, &STEPS[4]));
         (case.before)(&mut world);
         let target = current(&world, 0);
@@ -285,8 +287,8 @@
 
 #[test]
 fn a_cut_stream_goes_on_with_the_caches_where_they_are() {
-    let mut world = World::new(rules());
-    world.act();
+    let mut world = World::new(settings());
+    world.run_actions();
     assert!(run_until(&mut world, &STEPS[4]));
     let before = world.route.clone();
     world.cut();
@@ -297,9 +299,9 @@
 }
 
 #[test]
-fn a_cut_stream_waits_no_longer_for_its_old_head_than_for_a_token() {
-    let mut world = World::new(rules());
-    world.act();
+fn a_cut_stream_reopens_within_the_token_timeout() {
+    let mut world = World::new(settings());
+    world.run_actions();
     assert!(run_until(&mut world, &STEPS[4]));
     let before = world.now;
     world.cut();
@@ -317,7 +319,7 @@
         name: &'static str,
         apply: Change,
         route: [&'static str; 3],
-        /// Whether going on is paid for from the retry budget.
+        /// Whether resuming is charged to the retry budget.
         charged: bool,
     }
     let cases = [
@@ -359,8 +361,8 @@
         },
     ];
     for case in cases {
-        let mut world = World::new(rules());
-        world.act();
+        let mut world = World::new(settings());
+        world.run_actions();
         assert!(run_until(&mut world, &STEPS[4]));
         (case.apply)(&mut world);
         world.run_to_end();
@@ -383,8 +385,8 @@
         Case { name: "a token since", token: true, epoch: 1 },
     ];
     for case in cases {
-        let mut world = World::new(rules());
-        world.act();
+        let mut world = World::new(settings());
+        world.run_actions();
         assert!(run_until(&mut world, &STEPS[4]));
         set(&mut world, 1, State::Frozen);
         world.now = world.answer.next_tick();
@@ -407,8 +409,8 @@
 
 #[test]
 fn time_that_the_caller_took_is_not_silence() {
-    let mut world = World::new(rules());
-    world.act();
+    let mut world = World::new(settings());
+    world.run_actions();
     assert!(run_until(&mut world, &STEPS[4]));
     world.now += Duration::from_secs(30);
     world.answer.restart_timeout(world.now);
@@ -419,45 +421,63 @@
 }
 
 #[test]
-fn silence_is_bounded_by_prediction_and_by_what_was_seen() {
+fn the_timeout_follows_prediction_and_observation() {
     struct Case {
         name: &'static str,
-        between: u64,
-        gaps: &'static [u64],
+        token_interval: u64,
+        intervals: &'static [u64],
         doublings: u32,
         bound: std::ops::RangeInclusive<u64>,
     }
     let cases = [
-        Case { name: "floor", between: 5, gaps: &[], doublings: 0, bound: 200..=200 },
-        Case { name: "prediction", between: 100, gaps: &[], doublings: 0, bound: 400..=400 },
+        Case { name: "floor", token_interval: 5, intervals: &[], doublings: 0, bound: 200..=200 },
+        Case {
+            name: "prediction",
+            token_interval: 100,
+            intervals: &[],
+            doublings: 0,
+            bound: 400..=400,
+        },
         Case {
             name: "slower than predicted",
-            between: 5,
-            gaps: &[300; 40],
+            token_interval: 5,
+            intervals: &[300; 40],
             doublings: 0,
             bound: 300..=450,
         },
         Case {
             name: "uneven",
-            between: 20,
-            gaps: &[10, 90, 10, 90, 10, 90],
+            token_interval: 20,
+            intervals: &[10, 90, 10, 90, 10, 90],
             doublings: 0,
             bound: 200..=260,
         },
-        Case { name: "given up twice", between: 5, gaps: &[], doublings: 2, bound: 800..=800 },
-        Case { name: "ceiling", between: 5, gaps: &[], doublings: 9, bound: 6400..=6400 },
+        Case {
+            name: "given up twice",
+            token_interval: 5,
+            intervals: &[],
+            doublings: 2,
+            bound: 800..=800,
+        },
+        Case {
+            name: "ceiling",
+            token_interval: 5,
+            intervals: &[],
+            doublings: 9,
+            bound: 6400..=6400,
+        },
     ];
     for case in cases {
-        let mut pace = SilenceTimeout::new(TimeoutSettings::default());
-        pace.set_prediction(Duration::ZERO, Duration::from_millis(case.between));
-        case.gaps.iter().for_each(|g| pace.observe(Duration::from_millis(*g)));
-        (0..case.doublings).for_each(|_| pace.back_off());
-        let bound = pace.decode().as_millis() as u64;
+        let mut timeout = SilenceTimeout::new(TimeoutSettings::default());
+        timeout.set_prediction(Duration::ZERO, Duration::from_millis(case.token_interval));
+        case.intervals.iter().for_each(|g| timeout.observe(Duration::from_millis(*g)));
+        (0..case.doublings).for_each(|_| timeout.back_off());
+        let bound = timeout.decode().as_millis() as u64;
         assert!(case.bound.contains(&bound), "{}: {bound} ms", case.name);
     }
 }
 
-/// Any mixture of stamps; the check must agree with a plain comparison, layer by layer.
+/// Random stamps; the check must agree with a plain comparison of each stamp.
 fn stamps() -> impl Strategy<Value = Vec<Stamp>> {
     let stamp = (0..4_u8, 0..3_u64, 0..13_u16, 0..13_u16, 1..3_u32, 0..2_u8).prop_map(
         |(target, incarnation, first, end, epoch, version)| Stamp {
@@ -471,7 +491,7 @@
     proptest::collection::vec(stamp, 0..5)
 }
 
-/// The same cases in every run.
+/// Uses a fixed seed, so that every run tests the same cases.
 fn config() -> ProptestConfig {
     ProptestConfig { rng_seed: RngSeed::Fixed(4), failure_persistence: None, ..Default::default() }
 }
@@ -485,26 +505,26 @@
             target: format!("e{at}0"), addr: ([127, 0, 0, 1], 1).into(), layers, incarnation: 1,
         };
         let stages = RANGES.into_iter().enumerate().map(stage).collect::<Vec<_>>();
-        let want = ExpectedLineage { stages: &stages, layers: 12, epoch: 2, version: "v1" };
-        let right = stages.iter().map(|s| Stamp {
+        let expected = ExpectedLineage { stages: &stages, layers: 12, epoch: 2, version: "v1" };
+        let valid = stages.iter().map(|s| Stamp {
             target: s.target.clone(), incarnation: 1, layers: s.layers, epoch: 2,
             version: "v1".to_owned(),
         }).collect::<Vec<_>>();
-        prop_assert_eq!(lineage::check(&right, &want), Ok(()));
-        prop_assert_eq!(lineage::check(&forged, &want).is_ok(), forged == right);
-        let mut mixed = right.clone();
+        prop_assert_eq!(lineage::check(&valid, &expected), Ok(()));
+        prop_assert_eq!(lineage::check(&forged, &expected).is_ok(), forged == valid);
+        let mut mixed = valid.clone();
         if let Some(stamp) = forged.first() {
             mixed[at] = stamp.clone();
         }
         mixed.swap(swap, at);
-        let verdict: Result<(), LineageError> = lineage::check(&mixed, &want);
-        prop_assert_eq!(verdict.is_ok(), mixed == right);
+        let verdict: Result<(), LineageError> = lineage::check(&mixed, &expected);
+        prop_assert_eq!(verdict.is_ok(), mixed == valid);
     }
 
     #[test]
-    fn any_order_of_events_keeps_the_promises(ops in proptest::collection::vec(op(), 0..60)) {
-        let mut world = World::new(rules());
-        world.act();
+    fn any_order_of_events_keeps_the_invariants(ops in proptest::collection::vec(op(), 0..60)) {
+        let mut world = World::new(settings());
+        world.run_actions();
         for op in ops {
             if world.end.is_some() {
                 break;
@@ -514,7 +534,7 @@
         if world.end.is_none() {
             world.run_to_end();
         }
-        // Whatever comes after the end changes nothing.
+        // Events after the end change nothing.
         world.feed(Input::Tick);
         world.feed(Input::Opened(1));
     }
--- a/crates/roseshore_core/tests/answer/faults.rs
+++ b/crates/roseshore_core/tests/answer/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with an answer, and when.
+//! Faults that an answer may meet, and the steps at which they are injected.
 
 use crate::world::{State, TOTAL, World};
 use roseshore_core::answer::lineage::Stamp;
@@ -28,10 +28,10 @@
 
 pub(crate) fn restart(world: &mut World, range: usize) {
     let name = current(world, range);
-    world.engine_mut(&name).life += 1;
+    world.engine_mut(&name).incarnation += 1;
 }
 
-/// A token of the current route, changed.
+/// Queues a token of the current route whose stamps were changed.
 pub(crate) fn forge(world: &mut World, change: fn(&mut Vec<Stamp>)) {
     let position = world.delivered.len() as u32;
     let StreamLine::Token { mut lineage, .. } = world.token(world.epoch, position) else {
@@ -45,7 +45,7 @@
     world.push_line(world.epoch, StreamLine::Token { position, text, lineage });
 }
 
-pub(crate) fn line(world: &mut World, answer: &str, epoch: Epoch, line: StreamLine) {
+pub(crate) fn push_line(world: &mut World, answer: &str, epoch: Epoch, line: StreamLine) {
     world.queue.push_back(Input::Line(answer.to_owned(), epoch, line));
 }
 
@@ -81,17 +81,17 @@
         apply: |w| forge_line(w, "own", w.epoch.wrapping_sub(1)),
     },
     Fault { name: "token of another answer", apply: |w| forge_line(w, "other", w.epoch) },
-    Fault { name: "end of another answer", apply: |w| line(w, "other", w.epoch, done(0)) },
+    Fault { name: "end of another answer", apply: |w| push_line(w, "other", w.epoch, done(0)) },
     Fault {
         name: "end of an old epoch",
-        apply: |w| line(w, "own", w.epoch.wrapping_sub(1), done(0)),
+        apply: |w| push_line(w, "own", w.epoch.wrapping_sub(1), done(0)),
     },
-    Fault { name: "end with a hole", apply: |w| line(w, "own", w.epoch, done(TOTAL + 5)) },
+    Fault { name: "end with a hole", apply: |w| push_line(w, "own", w.epoch, done(TOTAL + 5)) },
     Fault {
         name: "end before what was delivered",
         apply: |w| {
             if let Some(count) = w.delivered.len().checked_sub(1) {
-                line(w, "own", w.epoch, done(count as u32));
+                push_line(w, "own", w.epoch, done(count as u32));
             }
         },
     },
@@ -126,7 +126,7 @@
     if let StreamLine::Token { text, .. } = &mut token {
         "forged".clone_into(text);
     }
-    line(world, answer, epoch, token);
+    push_line(world, answer, epoch, token);
 }
 
 pub(crate) const STEPS: &[Step] = &[
@@ -138,8 +138,8 @@
     Step { name: "last token", reached: |w| w.delivered.len() == TOTAL as usize },
 ];
 
-/// When a second fault comes: once the answer has taken to another route.
-pub(crate) const AGAIN: &[Step] = &[
+/// When the second fault is injected: after the answer has changed to another route.
+pub(crate) const SECOND_FAULT_STEPS: &[Step] = &[
     Step { name: "at the next open", reached: |w| w.epoch >= 2 },
     Step { name: "in the next prefill", reached: |w| w.epoch >= 2 && w.queue.is_empty() },
     Step {
@@ -148,11 +148,11 @@
     },
 ];
 
-pub(crate) fn rules() -> AnswerSettings {
+pub(crate) fn settings() -> AnswerSettings {
     AnswerSettings { window: 16, max_attempts: 6, ..AnswerSettings::default() }
 }
 
-/// Runs until a step is reached; false when the answer ended before.
+/// Runs until a step is reached; `false` if the answer ended before.
 pub(crate) fn run_until(world: &mut World, step: &Step) -> bool {
     while world.end.is_none() {
         if (step.reached)(world) {
--- a/crates/roseshore_core/tests/answer/ops.rs
+++ b/crates/roseshore_core/tests/answer/ops.rs
@@ -1,4 +1,4 @@
-//! Any order of what may happen to an answer.
+//! Random operations on an answer and its simulated environment.
 
 use crate::faults::{FAULTS, current};
 use crate::world::{REPLICAS, State, World};
@@ -6,7 +6,7 @@
 use roseshore_core::answer::{Input, ProbeResult, StreamFailure};
 use roseshore_core::prelude::*;
 
-/// Something that the world does to an answer.
+/// One random operation.
 #[derive(Clone, Debug)]
 pub(crate) enum Op {
     Step(u8),
@@ -18,7 +18,7 @@
     Repeat(usize),
     Drop(usize),
     Opened(Epoch),
-    Unopened(Epoch),
+    OpenFailed(Epoch),
     Moved(Epoch, bool),
     Probed(Epoch, usize, u8),
     Ended(Epoch),
@@ -44,7 +44,7 @@
         2 => (0..8_usize).prop_map(Op::Repeat),
         2 => (0..8_usize).prop_map(Op::Drop),
         1 => (0..4_u32).prop_map(Op::Opened),
-        1 => (0..4_u32).prop_map(Op::Unopened),
+        1 => (0..4_u32).prop_map(Op::OpenFailed),
         1 => (0..4_u32, any::<bool>()).prop_map(|(e, done)| Op::Moved(e, done)),
         1 => (0..4_u32, 0..3_usize, 0..4_u8).prop_map(|(e, r, h)| Op::Probed(e, r, h)),
         1 => (0..4_u32).prop_map(Op::Ended),
@@ -62,25 +62,25 @@
                     world.step();
                 }
             }),
-            Op::Pump(times) => (0..times).for_each(|_| world.pump()),
+            Op::Pump(times) => (0..times).for_each(|_| world.pump_stream()),
             Op::Fault(at) if world.epoch > 0 => (FAULTS[at].apply)(world),
             Op::State(range, at, state) => world.engines[range][at].state = state,
-            Op::Restart(range, at) => world.engines[range][at].life += 1,
+            Op::Restart(range, at) => world.engines[range][at].incarnation += 1,
             Op::Swap(a, b) if a < len && b < len => world.queue.swap(a, b),
             Op::Repeat(at) if at < len => world.queue.push_back(world.queue[at].clone()),
             Op::Drop(at) if at < len => drop(world.queue.remove(at)),
             Op::Opened(epoch) => world.feed(Input::Opened(epoch)),
-            // An engine that has begun never says that it was not reached.
-            Op::Unopened(epoch) => world.feed(Input::OpenFailed(epoch, StreamFailure::Lost)),
+            // An engine that has begun never reports that it was unreachable.
+            Op::OpenFailed(epoch) => world.feed(Input::OpenFailed(epoch, StreamFailure::Lost)),
             Op::Moved(epoch, done) => world.feed(Input::Moved(epoch, done)),
-            Op::Probed(epoch, range, health) => {
+            Op::Probed(epoch, range, result) => {
                 let target = current(world, range);
-                let health = match health {
+                let result = match result {
                     0 => ProbeResult::Dead,
                     1 => ProbeResult::Silent,
-                    life => ProbeResult::Alive(u64::from(life)),
+                    incarnation => ProbeResult::Alive(u64::from(incarnation)),
                 };
-                world.feed(Input::Probed(epoch, target, health));
+                world.feed(Input::Probed(epoch, target, result));
             }
             Op::Ended(epoch) => world.feed(Input::Ended(epoch, None)),
             Op::Wait(ms) => {
--- a/crates/roseshore_core/tests/answer/world.rs
+++ b/crates/roseshore_core/tests/answer/world.rs
@@ -1,5 +1,5 @@
-//! A model of router, engines and links in which an answer's machine runs, and what must hold at
-//! every step whatever happens in it.
+//! Simulated router, engines and links for an answer's state machine, with the invariants that must
+//! hold at every step.
 
 use roseshore_core::answer::lineage::{Stage, Stamp};
 use roseshore_core::answer::{
@@ -20,7 +20,7 @@
     Dead,
     Frozen,
     Busy,
-    /// Holds another version; refuses at open.
+    /// Holds another version, so it refuses the stream.
     Other,
 }
 
@@ -28,7 +28,7 @@
 pub(crate) struct Engine {
     pub(crate) name: String,
     pub(crate) state: State,
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub(crate) began: bool,
     pub(crate) warm: Vec<bool>,
     pub(crate) end: Option<Result<Finish, Refusal>>,
-    /// Whether an attempt had to be paid for from the retry budget.
+    /// Whether an attempt was charged to the retry budget.
     pub(crate) charged: bool,
     /// Whether further attempts are denied.
     pub(crate) deny: bool,
@@ -60,7 +60,7 @@
 }
 
 impl World {
-    pub(crate) fn new(rules: AnswerSettings) -> World {
+    pub(crate) fn new(settings: AnswerSettings) -> World {
         let now = Instant::now();
         let job = Job {
             answer: "own".to_owned(),
@@ -73,13 +73,13 @@
         let engine = |range: usize, at: usize| Engine {
             name: format!("e{range}{at}"),
             state: State::Live,
-            life: 1,
+            incarnation: 1,
         };
         let row = |range| (0..REPLICAS).map(|at| engine(range, at)).collect();
         let mut actions = Vec::new();
         World {
             now,
-            answer: Answer::start(job, rules, now, &mut actions),
+            answer: Answer::start(job, settings, now, &mut actions),
             engines: (0..RANGES.len()).map(row).collect(),
             queue: VecDeque::new(),
             delivered: Vec::new(),
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Feeds one event and carries out what comes of it.
+    /// Handles one event and carries out the resulting actions.
     pub(crate) fn feed(&mut self, input: Input) {
         self.answer.handle(self.now, input, &mut self.actions);
-        self.act();
+        self.run_actions();
     }
 
-    /// Begins: asks the router for the first time.
-    pub(crate) fn act(&mut self) {
+    /// Carries out the pending actions, starting with the first request for a route.
+    pub(crate) fn run_actions(&mut self) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
                 self.carry_out(action);
@@ -111,11 +111,11 @@
         }
     }
 
-    /// The next event in order, or the passing of time when there is none.
+    /// Handles the next queued event, or lets time pass when there is none.
     pub(crate) fn step(&mut self) {
         self.now += Duration::from_millis(1);
         if self.queue.is_empty() {
-            self.pump();
+            self.pump_stream();
         }
         let input = self.queue.pop_front().unwrap_or_else(|| {
             self.now = self.now.max(self.answer.next_tick());
@@ -134,14 +134,14 @@
         panic!("the answer never ended");
     }
 
-    /// Lets the open stream give its next line, as the state of its stages allows.
-    pub(crate) fn pump(&mut self) {
+    /// Queues the next line of the open stream, as the state of its stages allows.
+    pub(crate) fn pump_stream(&mut self) {
         let Some(mut stream) = self.stream.filter(|s| !s.ended) else {
             return;
         };
-        let states = self.route.iter().map(|s| self.look(s)).collect::<Vec<_>>();
-        let reborn = |at: usize| self.engine(&self.route[at].target).life;
-        if states[0] == State::Dead || reborn(0) != self.route[0].incarnation {
+        let states = self.route.iter().map(|s| self.state(s)).collect::<Vec<_>>();
+        let incarnation = |at: usize| self.engine(&self.route[at].target).incarnation;
+        if states[0] == State::Dead || incarnation(0) != self.route[0].incarnation {
             stream.ended = true;
             self.queue.push_back(Input::Ended(stream.epoch, Some(StreamFailure::Lost)));
         } else if let Some(at) = states.iter().position(|s| *s == State::Dead) {
@@ -149,7 +149,7 @@
             let stage = Some(self.route[at].target.clone());
             self.push_line(stream.epoch, StreamLine::Lost { stage });
         } else if states.contains(&State::Frozen)
-            || (0..states.len()).any(|at| reborn(at) != self.route[at].incarnation)
+            || (0..states.len()).any(|at| incarnation(at) != self.route[at].incarnation)
         {
             return;
         } else if stream.next < TOTAL {
@@ -165,7 +165,7 @@
         self.stream = Some(stream);
     }
 
-    /// The stream breaks without a word.
+    /// Ends the stream without a final line.
     pub(crate) fn cut(&mut self) {
         if let Some(stream) = self.stream.as_mut().filter(|s| !s.ended) {
             stream.ended = true;
@@ -173,14 +173,14 @@
         }
     }
 
-    /// The stream stays open and says no more, though every stage lives.
+    /// Keeps the stream open but silent, although every stage is alive.
     pub(crate) fn mute(&mut self) {
         if let Some(stream) = self.stream.as_mut() {
             stream.ended = true;
         }
     }
 
-    /// A right token of the current route.
+    /// A valid token of the current route.
     pub(crate) fn token(&self, epoch: Epoch, position: Position) -> StreamLine {
         let stamp = |s: &Stage| Stamp {
             target: s.target.clone(),
@@ -205,7 +205,7 @@
         self.engines.iter_mut().flatten().find(|e| e.name == name).expect("engine")
     }
 
-    fn look(&self, stage: &Stage) -> State {
+    fn state(&self, stage: &Stage) -> State {
         self.engine(&stage.target).state
     }
 
@@ -231,8 +231,8 @@
                 self.probe(epoch);
             }
             Action::Move { epoch, moves, .. } => {
-                let fine = |s: &Stage| self.look(s) == State::Live;
-                let done = moves.iter().all(|m| fine(&m.from) && fine(&m.to));
+                let is_live = |s: &Stage| self.state(s) == State::Live;
+                let done = moves.iter().all(|m| is_live(&m.from) && is_live(&m.to));
                 self.queue.push_back(Input::Moved(epoch, done));
             }
             Action::Failed(target) => {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// A router whose view is old: it knows of failures only what it was told.
+    /// Chooses a chain with outdated knowledge: only failures that were reported are known.
     fn choose(&mut self, avoid: &[TargetId]) {
         let mut stages = Vec::new();
         for (row, layers) in self.engines.iter().zip(RANGES) {
@@ -257,7 +257,7 @@
                 target: engine.name.clone(),
                 addr: ([127, 0, 0, 1], 1).into(),
                 layers,
-                incarnation: engine.life,
+                incarnation: engine.incarnation,
             });
         }
         let first_token = Duration::from_millis(200);
@@ -271,7 +271,7 @@
         self.route = self.answer.stages().to_vec();
         self.warm.push(warm);
         let refused = |status| StreamFailure::Refused { status, after: None };
-        let failure = match self.look(&self.route[0]) {
+        let failure = match self.state(&self.route[0]) {
             State::Dead => Some(StreamFailure::Unreachable),
             State::Busy => Some(refused(503)),
             State::Other => Some(refused(409)),
@@ -293,12 +293,12 @@
     fn probe(&mut self, epoch: Epoch) {
         for stage in self.answer.stages() {
             let engine = self.engine(&stage.target);
-            let health = match engine.state {
+            let result = match engine.state {
                 State::Dead => ProbeResult::Dead,
                 State::Frozen => ProbeResult::Silent,
-                _ => ProbeResult::Alive(engine.life),
+                _ => ProbeResult::Alive(engine.incarnation),
             };
-            self.queue.push_back(Input::Probed(epoch, stage.target.clone(), health));
+            self.queue.push_back(Input::Probed(epoch, stage.target.clone(), result));
         }
     }
 
--- a/crates/roseshore_core/tests/cost.rs
+++ b/crates/roseshore_core/tests/cost.rs
@@ -11,7 +11,7 @@
     Stage { target: target.to_owned(), addr: ([127, 0, 0, 1], 1).into(), layers, incarnation }
 }
 
-fn held(target: &str, layers: (Layer, Layer), usable: bool) -> CachedStage {
+fn cached(target: &str, layers: (Layer, Layer), usable: bool) -> CachedStage {
     CachedStage { stage: stage(target, layers, 1), usable }
 }
 
@@ -26,7 +26,7 @@
         warm: Option<usize>,
     }
     let (a, b) = ((0, 6), (6, 12));
-    let both = || [held("a", a, true), held("b", b, true)];
+    let both = || [cached("a", a, true), cached("b", b, true)];
     let other = || [stage("a", a, 1), stage("c", b, 1)];
     let cases = [
         Case {
@@ -63,7 +63,7 @@
         },
         Case {
             name: "cache lost with its stage",
-            old: [held("a", a, true), held("b", b, false)],
+            old: [cached("a", a, true), cached("b", b, false)],
             new: other(),
             tokens: 10,
             cold: 10_000,
@@ -100,28 +100,32 @@
 fn predictions_follow_what_moves_took() {
     struct Case {
         name: &'static str,
-        /// Tokens of ten layers, and milliseconds.
-        seen: &'static [(u32, u64)],
+        /// Moves observed: tokens of ten layers, and milliseconds.
+        observed: &'static [(u32, u64)],
         predicted: &'static [(u32, u64)],
     }
     let cases = [
         Case {
             name: "short and long",
-            seen: &[(100, 60), (2000, 250)],
+            observed: &[(100, 60), (2000, 250)],
             predicted: &[(10, 51), (1000, 150), (4000, 450)],
         },
-        Case { name: "of one size", seen: &[(1000, 150)], predicted: &[(1000, 150)] },
-        Case { name: "size is no matter", seen: &[(100, 40), (5000, 40)], predicted: &[(900, 40)] },
+        Case { name: "of one size", observed: &[(1000, 150)], predicted: &[(1000, 150)] },
+        Case {
+            name: "size is no matter",
+            observed: &[(100, 40), (5000, 40)],
+            predicted: &[(900, 40)],
+        },
     ];
     for case in cases {
-        let mut rates = MoveCostModel::default();
-        for (tokens, took) in case.seen.iter().cycle().take(100) {
-            rates.observe(*tokens, 10, Duration::from_millis(*took));
+        let mut move_cost = MoveCostModel::default();
+        for (tokens, took) in case.observed.iter().cycle().take(100) {
+            move_cost.observe(*tokens, 10, Duration::from_millis(*took));
         }
-        for (tokens, want) in case.predicted {
-            let got = rates.predict(*tokens, 10);
-            let off = got.abs_diff(Duration::from_millis(*want));
-            assert!(off < Duration::from_millis(3), "{}: {tokens} tokens {got:?}", case.name);
+        for (tokens, expected) in case.predicted {
+            let got = move_cost.predict(*tokens, 10);
+            let error = got.abs_diff(Duration::from_millis(*expected));
+            assert!(error < Duration::from_millis(3), "{}: {tokens} tokens {got:?}", case.name);
         }
     }
 }
@@ -131,19 +135,20 @@
         rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..Default::default()
     })]
 
-    /// A warm plan gives every stage the cache of its own layers, and is never the slower way.
+    /// A warm plan gives every stage the cache of its own layers, and is never slower than a
+    /// prefill.
     #[test]
     fn a_warm_plan_covers_every_stage(
         usable in proptest::collection::vec(any::<bool>(), 3),
         picks in proptest::collection::vec(0..2_usize, 3),
-        lives in proptest::collection::vec(1..3_u64, 3),
+        incarnations in proptest::collection::vec(1..3_u64, 3),
         tokens in 0..5000_u32,
         cold in 0..500_u64,
     ) {
         let layers = |at: usize| (at as Layer * 4, at as Layer * 4 + 4);
-        let old = (0..3).map(|i| held(&format!("e{i}0"), layers(i), usable[i])).collect::<Vec<_>>();
+        let old = (0..3).map(|i| cached(&format!("e{i}0"), layers(i), usable[i])).collect::<Vec<_>>();
         let new = (0..3)
-            .map(|i| stage(&format!("e{i}{}", picks[i]), layers(i), lives[i]))
+            .map(|i| stage(&format!("e{i}{}", picks[i]), layers(i), incarnations[i]))
             .collect::<Vec<_>>();
         let cold = Duration::from_millis(cold);
         if let Plan::Warm(moves, time) = plan(&old, &new, tokens, cold, &MoveCostModel::default()) {
@@ -151,7 +156,7 @@
             for (i, to) in new.iter().enumerate() {
                 prop_assert!(usable[i]);
                 let moved = moves.contains(&CacheMove { from: old[i].stage.clone(), to: to.clone() });
-                let stays = picks[i] == 0 && lives[i] == 1;
+                let stays = picks[i] == 0 && incarnations[i] == 1;
                 prop_assert!(moved != stays);
             }
         }
