--- a/crates/roseshore_core/examples/route_compare.rs
+++ b/crates/roseshore_core/examples/route_compare.rs
@@ -1,8 +1,10 @@
-//! Compares ways to choose a chain, by their decisions only: targets are queues in virtual time.
+//! Compares strategies for choosing a chain, by their decisions only: targets are simulated as
+//! queues in virtual time.
 //!
-//! Today's size: 30 engines in three data centres, three pieces of twelve layers, three kinds of
-//! accelerators, 8 daemons that share late reports. Every way stands behind the same admission. Figures
-//! of one seeded run each; `cargo run --release -p roseshore_core --example route_compare`.
+//! The simulated fleet has 30 engines in three data centres, twelve layers in three ranges, three
+//! kinds of accelerators, and 8 daemons that share late reports. Every strategy is used behind the
+//! same admission control. Each figure comes from one seeded run of `cargo run --release -p
+//! roseshore_core --example route_compare`.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -19,24 +21,24 @@
 const SLOTS: usize = 4;
 const TOKENS: (u32, u32) = (20, 60);
 const PROMPT: (u32, u32) = (50, 350);
-const LIMIT: Duration = Duration::from_secs(4);
+const DEADLINE: Duration = Duration::from_secs(4);
 const LINK: Duration = Duration::from_millis(1);
-const WARM: Duration = Duration::from_secs(15);
+const WARM_UP: Duration = Duration::from_secs(15);
 const MEASURED: Duration = Duration::from_secs(30);
 const POLL: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     Random,
-    Robin,
-    Queue,
-    Ours,
+    RoundRobin,
+    ShortestQueue,
+    Sampled,
     Oracle,
 }
 
 #[derive(Clone, Copy)]
 struct Setup {
-    way: Way,
+    strategy: Strategy,
     load: f64,
     lag: Duration,
     slowed: bool,
@@ -59,7 +61,7 @@
     slow: f64,
     busy: usize,
     queue: VecDeque<usize>,
-    inside: u32,
+    in_flight: u32,
 }
 
 struct Job {
@@ -73,7 +75,7 @@
     done: u32,
     first: Option<Duration>,
     last: Instant,
-    hold: Option<(Ticket, Slot)>,
+    held: Option<(Ticket, Slot)>,
 }
 
 struct World {
@@ -84,10 +86,10 @@
     jobs: Vec<Job>,
     routers: Vec<Router>,
     admissions: Vec<Admission>,
-    waits: Vec<HashMap<u64, usize>>,
+    waiting: Vec<HashMap<u64, usize>>,
     fleet: Fleet,
     random: SmallRng,
-    robin: usize,
+    round_robin: usize,
     setup: Setup,
 }
 
@@ -95,19 +97,21 @@
     fn new(setup: Setup) -> World {
         let (now, mut fleet) = (Instant::now(), Fleet::default());
         let mut engines = Vec::new();
-        for zone in ["korangi", "clifton", "landhi"] {
+        for data_centre in ["korangi", "clifton", "landhi"] {
             let links =
                 ["korangi", "clifton", "landhi"].map(|other| (other.to_owned(), 1.0)).into();
-            fleet.data_centres.insert(zone.into(), DataCentre { region: "pk-south".into(), links });
+            fleet
+                .data_centres
+                .insert(data_centre.into(), DataCentre { region: "pk-south".into(), links });
         }
         for i in 0..ENGINES {
             let speed = [1.0, 2.0, 4.0][i / 3 % 3];
-            let piece = (i % 3) as Layer;
-            let zone = ["korangi", "clifton", "landhi"][i / 9 % 3];
+            let range = (i % 3) as Layer;
+            let data_centre = ["korangi", "clifton", "landhi"][i / 9 % 3];
             let target = Target {
                 kind: TargetKind::Engine,
                 host: "h".into(),
-                data_centre: zone.into(),
+                data_centre: data_centre.into(),
                 addr: "127.0.0.1:1".parse().unwrap(),
                 serves: None,
                 model: None,
@@ -118,13 +122,13 @@
             fleet.targets.insert(format!("e{i:02}"), target);
             let slow = if setup.slowed && i / 3 % 2 == 0 { 10.0 } else { 1.0 };
             engines.push(Engine {
-                layers: (piece * 4, piece * 4 + 4),
+                layers: (range * 4, range * 4 + 4),
                 step: 0.002 * speed,
                 prefill: 4000.0 / speed,
                 slow,
                 busy: 0,
                 queue: VecDeque::new(),
-                inside: 0,
+                in_flight: 0,
             });
         }
         fleet.services.insert(
@@ -135,18 +139,21 @@
                 sources: vec![],
                 idempotent: true,
                 advisory: false,
-                deadline: LIMIT,
+                deadline: DEADLINE,
             },
         );
         fleet.organisations.insert("o".into(), Organisation { share: 1.0, rate: 1e9, burst: 1e9 });
-        let zones = ["korangi", "clifton", "landhi"];
-        // One more than daemons: the oracle sees every request and knows the true speeds.
+        let data_centres = ["korangi", "clifton", "landhi"];
+        // One more router than daemons: the oracle sees every request and knows the true speeds.
         let routers = (0..=DAEMONS)
             .map(|d| {
                 let all = SampleSizes { near: ENGINES, far: ENGINES };
-                let tuning = if d == DAEMONS { all } else { SampleSizes::default() };
-                let mut router =
-                    Router::new(zones[d % 3], tuning, SmallRng::seed_from_u64(d as u64));
+                let sample_sizes = if d == DAEMONS { all } else { SampleSizes::default() };
+                let mut router = Router::new(
+                    data_centres[d % 3],
+                    sample_sizes,
+                    SmallRng::seed_from_u64(d as u64),
+                );
                 router.apply_fleet(&fleet);
                 router
             })
@@ -159,10 +166,10 @@
             jobs: Vec::new(),
             routers,
             admissions: (0..DAEMONS).map(|_| Admission::default()).collect(),
-            waits: vec![HashMap::new(); DAEMONS],
+            waiting: vec![HashMap::new(); DAEMONS],
             fleet,
             random: SmallRng::seed_from_u64(99),
-            robin: 0,
+            round_robin: 0,
             setup,
         };
         world.report(&[0; ENGINES], now);
@@ -176,13 +183,13 @@
         self.heap.push(Reverse((time, self.sequence, event)));
     }
 
-    /// Answers a second that the narrowest piece can do.
-    fn bound(&self) -> f64 {
+    /// Answers a second that the layer range with the least capacity can complete.
+    fn capacity(&self) -> f64 {
         let (tokens, prompt) =
             (f64::from(TOKENS.0 + TOKENS.1) / 2.0, f64::from(PROMPT.0 + PROMPT.1) / 2.0);
         let rate = |e: &Engine| SLOTS as f64 / (e.slow * (prompt / e.prefill + tokens * e.step));
-        let piece = |p: usize| self.engines.iter().skip(p).step_by(3).map(rate).sum::<f64>();
-        (0..3).map(piece).fold(f64::INFINITY, f64::min)
+        let range = |p: usize| self.engines.iter().skip(p).step_by(3).map(rate).sum::<f64>();
+        (0..3).map(range).fold(f64::INFINITY, f64::min)
     }
 
     fn report(&mut self, depths: &[u32], seen: Instant) {
@@ -217,13 +224,13 @@
     }
 
     fn router(&self, daemon: usize) -> usize {
-        if self.setup.way == Way::Oracle { DAEMONS } else { daemon }
+        if self.setup.strategy == Strategy::Oracle { DAEMONS } else { daemon }
     }
 
     fn pick(&mut self, job: usize) -> Vec<TargetIndex> {
         let (daemon, prompt, expected) =
             (self.jobs[job].daemon, self.jobs[job].prompt, self.jobs[job].tokens);
-        let need = ChainRequest {
+        let request = ChainRequest {
             model: "m",
             version: "v",
             layers: 12,
@@ -233,19 +240,19 @@
             expected,
             avoid: &[],
         };
-        if matches!(self.setup.way, Way::Ours | Way::Oracle) {
+        if matches!(self.setup.strategy, Strategy::Sampled | Strategy::Oracle) {
             let router = self.router(daemon);
-            let choice = self.routers[router].choose_chain(&need, self.now).unwrap();
+            let choice = self.routers[router].choose_chain(&request, self.now).unwrap();
             return choice.stages.iter().map(|s| s.row).collect();
         }
-        self.robin += 1;
+        self.round_robin += 1;
         (0..3)
-            .map(|piece| {
-                let all: Vec<usize> = (piece..ENGINES).step_by(3).collect();
+            .map(|range| {
+                let all: Vec<usize> = (range..ENGINES).step_by(3).collect();
                 let row = |i: usize| self.routers[daemon].loads().row(i as TargetIndex);
-                let chosen = match self.setup.way {
-                    Way::Random => all[self.random.random_range(0..all.len())],
-                    Way::Robin => all[(self.robin / DAEMONS + daemon) % all.len()],
+                let chosen = match self.setup.strategy {
+                    Strategy::Random => all[self.random.random_range(0..all.len())],
+                    Strategy::RoundRobin => all[(self.round_robin / DAEMONS + daemon) % all.len()],
                     _ => all
                         .into_iter()
                         .min_by(|&a, &b| row(a).figures.depth.total_cmp(&row(b).figures.depth))
@@ -256,19 +263,19 @@
             .collect()
     }
 
-    fn begin(&mut self, job: usize, pass: Slot) {
+    fn begin(&mut self, job: usize, slot: Slot) {
         let chain = self.pick(job);
         let router = self.router(self.jobs[job].daemon);
         let ticket = self.routers[router].begin(&chain, self.now);
         for &engine in &chain {
-            self.engines[engine as usize].inside += 1;
+            self.engines[engine as usize].in_flight += 1;
         }
-        let own = &mut self.jobs[job];
-        (own.chain, own.hold, own.last) = (chain, Some((ticket, pass)), self.now);
+        let current = &mut self.jobs[job];
+        (current.chain, current.held, current.last) = (chain, Some((ticket, slot)), self.now);
         self.at(self.now + LINK, Event::Enter(job));
     }
 
-    /// A step of a job comes to its stage.
+    /// A step of a job arrives at its stage.
     fn enter(&mut self, job: usize) {
         let engine = self.jobs[job].chain[self.jobs[job].at] as usize;
         if self.engines[engine].busy == SLOTS {
@@ -279,9 +286,10 @@
     }
 
     fn work(&mut self, job: usize) {
-        let own = &self.jobs[job];
-        let engine = &self.engines[own.chain[own.at] as usize];
-        let prefill = if own.done == 0 { f64::from(own.prompt) / engine.prefill } else { 0.0 };
+        let current = &self.jobs[job];
+        let engine = &self.engines[current.chain[current.at] as usize];
+        let prefill =
+            if current.done == 0 { f64::from(current.prompt) / engine.prefill } else { 0.0 };
         let took = Duration::from_secs_f64((prefill + engine.step) * engine.slow);
         self.at(self.now + took, Event::Step(job));
     }
@@ -292,24 +300,24 @@
             Some(next) => self.work(next),
             None => self.engines[engine].busy -= 1,
         }
-        let own = &mut self.jobs[job];
-        own.at = (own.at + 1) % own.chain.len();
-        if own.at == 0 {
-            let (chain, gap) = (own.chain.clone(), self.now - own.last);
-            match self.setup.way {
-                Way::Ours if own.done > 0 => {
-                    self.routers[own.daemon].record_chain_step(&chain, gap, self.now)
+        let current = &mut self.jobs[job];
+        current.at = (current.at + 1) % current.chain.len();
+        if current.at == 0 {
+            let (chain, gap) = (current.chain.clone(), self.now - current.last);
+            match self.setup.strategy {
+                Strategy::Sampled if current.done > 0 => {
+                    self.routers[current.daemon].record_chain_step(&chain, gap, self.now);
                 }
                 // The oracle knows the speeds; it is only told that there is progress.
-                Way::Oracle => {
-                    self.routers[DAEMONS].record_chain_step(&chain, Duration::ZERO, self.now)
+                Strategy::Oracle => {
+                    self.routers[DAEMONS].record_chain_step(&chain, Duration::ZERO, self.now);
                 }
                 _ => {}
             }
-            own.done += 1;
-            own.last = self.now;
-            own.first.get_or_insert(self.now - own.arrived);
-            if own.done == own.tokens {
+            current.done += 1;
+            current.last = self.now;
+            current.first.get_or_insert(self.now - current.arrived);
+            if current.done == current.tokens {
                 return self.ended(job, ends);
             }
         }
@@ -317,30 +325,30 @@
     }
 
     fn ended(&mut self, job: usize, ends: &mut Vec<(Duration, Duration)>) {
-        let own = &mut self.jobs[job];
-        let (ticket, pass) = own.hold.take().unwrap();
-        let daemon = own.daemon;
-        ends.push((own.first.unwrap(), self.now - own.arrived));
-        for &engine in &own.chain {
-            self.engines[engine as usize].inside -= 1;
+        let current = &mut self.jobs[job];
+        let (ticket, slot) = current.held.take().unwrap();
+        let daemon = current.daemon;
+        ends.push((current.first.unwrap(), self.now - current.arrived));
+        for &engine in &current.chain {
+            self.engines[engine as usize].in_flight -= 1;
         }
         let router = self.router(daemon);
         self.routers[router].end(&ticket, self.now);
-        let turns = self.admissions[daemon].release(pass, self.now, 0.5);
-        self.turns(daemon, turns);
+        let outcomes = self.admissions[daemon].release(slot, self.now, 0.5);
+        self.outcomes(daemon, outcomes);
     }
 
-    fn turns(&mut self, daemon: usize, turns: Vec<WaitOutcome>) {
-        for turn in turns {
-            let job = self.waits[daemon].remove(&turn.waiter).unwrap();
-            if let Ok(pass) = turn.result {
-                self.begin(job, pass);
+    fn outcomes(&mut self, daemon: usize, outcomes: Vec<WaitOutcome>) {
+        for outcome in outcomes {
+            let job = self.waiting[daemon].remove(&outcome.waiter).unwrap();
+            if let Ok(slot) = outcome.result {
+                self.begin(job, slot);
             }
         }
     }
 
     fn arrive(&mut self) {
-        let gap = -self.random.random::<f64>().ln() / (self.bound() * self.setup.load);
+        let gap = -self.random.random::<f64>().ln() / (self.capacity() * self.setup.load);
         self.at(self.now + Duration::from_secs_f64(gap), Event::Arrive);
         let (daemon, job) = (self.random.random_range(0..DAEMONS), self.jobs.len());
         let (prompt, tokens) = (
@@ -358,31 +366,31 @@
             done: 0,
             first: None,
             last: self.now,
-            hold: None,
+            held: None,
         });
-        let who = Arrival {
+        let arrival = Arrival {
             organisation: self.jobs[job].org,
             service: "s",
-            deadline: self.now + LIMIT,
+            deadline: self.now + DEADLINE,
             priority: 4,
             cost: tokens,
         };
-        match self.admissions[daemon].arrive(&self.fleet, &who, self.now, 0.5) {
-            AdmitResult::Admitted(pass) => self.begin(job, pass),
+        match self.admissions[daemon].arrive(&self.fleet, &arrival, self.now, 0.5) {
+            AdmitResult::Admitted(slot) => self.begin(job, slot),
             AdmitResult::Refused(_) => {}
-            AdmitResult::Queued(waits) => {
-                self.waits[daemon].insert(waits.waiter, job);
-                self.at(waits.until, Event::GiveUp(daemon, waits.waiter));
-                self.turns(daemon, waits.displaced.into_iter().collect());
+            AdmitResult::Queued(waiting) => {
+                self.waiting[daemon].insert(waiting.waiter, job);
+                self.at(waiting.until, Event::GiveUp(daemon, waiting.waiter));
+                self.outcomes(daemon, waiting.displaced.into_iter().collect());
             }
         }
     }
 
     fn poll(&mut self) {
-        let depths = self.engines.iter().map(|e| e.inside).collect();
+        let depths = self.engines.iter().map(|e| e.in_flight).collect();
         self.at(self.now + self.setup.lag, Event::Deliver(depths));
         self.at(self.now + POLL, Event::Poll);
-        let need = ChainRequest {
+        let request = ChainRequest {
             model: "m",
             version: "v",
             layers: 12,
@@ -395,22 +403,22 @@
         for daemon in 0..DAEMONS {
             self.admissions[daemon].tick(DAEMONS, self.now);
             let router = self.router(daemon);
-            if let Some(room) = self.routers[router].chain_capacity(&need, self.now) {
-                self.admissions[daemon].update_limit("s", room);
+            if let Some(capacity) = self.routers[router].chain_capacity(&request, self.now) {
+                self.admissions[daemon].update_limit("s", capacity);
             }
-            let turns = self.admissions[daemon].admit_waiting("s", self.now, 0.5);
-            self.turns(daemon, turns);
+            let outcomes = self.admissions[daemon].admit_waiting("s", self.now, 0.5);
+            self.outcomes(daemon, outcomes);
         }
     }
 
     fn run(mut self) -> String {
         let (start, mut ends): (Instant, Vec<(Duration, Duration)>) = (self.now, Vec::new());
         while let Some(Reverse((time, _, event))) = self.heap.pop() {
-            if time > start + WARM + MEASURED {
+            if time > start + WARM_UP + MEASURED {
                 break;
             }
             self.now = time;
-            if time < start + WARM {
+            if time < start + WARM_UP {
                 ends.clear();
             }
             match event {
@@ -421,32 +429,32 @@
                 Event::Deliver(depths) => self.report(&depths, time),
                 Event::GiveUp(daemon, waiter) => {
                     if self.admissions[daemon].give_up(waiter, 0.5).is_some() {
-                        self.waits[daemon].remove(&waiter);
+                        self.waiting[daemon].remove(&waiter);
                     }
                 }
             }
         }
-        let good = ends.iter().filter(|(_, whole)| *whole <= LIMIT).count() as f64;
+        let good = ends.iter().filter(|(_, whole)| *whole <= DEADLINE).count() as f64;
         let mut firsts: Vec<Duration> = ends.iter().map(|end| end.0).collect();
         firsts.sort();
         let at = |part: f64| {
             firsts.get((firsts.len() as f64 * part) as usize).map_or(0, Duration::as_millis)
         };
-        let share = good / MEASURED.as_secs_f64() / self.bound();
+        let share = good / MEASURED.as_secs_f64() / self.capacity();
         format!("{share:.2} {}/{}/{}", at(0.5), at(0.95), at(0.99))
     }
 }
 
 fn main() {
-    let ways = [
-        ("random", Way::Random),
-        ("robin", Way::Robin),
-        ("queue", Way::Queue),
-        ("ours", Way::Ours),
-        ("oracle", Way::Oracle),
+    let strategies = [
+        ("random", Strategy::Random),
+        ("robin", Strategy::RoundRobin),
+        ("queue", Strategy::ShortestQueue),
+        ("ours", Strategy::Sampled),
+        ("oracle", Strategy::Oracle),
     ];
     println!("goodput as part of the bound, time to first token p50/p95/p99 ms");
-    println!("| slowed | lag s | load | {} |", ways.map(|(name, _)| name).join(" | "));
+    println!("| slowed | lag s | load | {} |", strategies.map(|(name, _)| name).join(" | "));
     for slowed in [false, true] {
         for (lag, load) in [
             (0.25, 0.5),
@@ -459,9 +467,12 @@
             (2.0, 3.0),
         ] {
             let lag_time = Duration::from_secs_f64(lag);
-            let one =
-                |(_, way)| move || World::new(Setup { way, load, lag: lag_time, slowed }).run();
-            let row = ways.map(|way| std::thread::spawn(one(way))).map(|run| run.join().unwrap());
+            let one = |(_, strategy)| {
+                move || World::new(Setup { strategy, load, lag: lag_time, slowed }).run()
+            };
+            let row = strategies
+                .map(|strategy| std::thread::spawn(one(strategy)))
+                .map(|run| run.join().unwrap());
             println!("| {slowed} | {lag} | {load} | {} |", row.join(" | "));
         }
     }
--- a/crates/roseshore_core/examples/route_cost.rs
+++ b/crates/roseshore_core/examples/route_cost.rs
@@ -1,7 +1,7 @@
-//! What one decision costs at four sizes: chains, replicas, reports and admission.
+//! Measures the cost of one decision at four fleet sizes: chains, replicas, reports and admission.
 //!
-//! 24 models of three pieces over 22 data centres; every decision is also begun and ended.
-//! `cargo run --release -p roseshore_core --example route_cost`.
+//! 24 models of three layer ranges over 22 data centres; every decision is also begun and ended.
+//! Run with `cargo run --release -p roseshore_core --example route_cost`.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -13,22 +13,22 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 const MODELS: usize = 24;
-const ZONES: usize = 22;
+const DATA_CENTRES: usize = 22;
 const ROUNDS: usize = 100_000;
 
 fn fleet(targets: usize) -> Fleet {
     let mut fleet = Fleet::default();
-    for zone in 0..ZONES {
-        let links = (0..ZONES).map(|other| (format!("z{other}"), 5.0)).collect();
+    for data_centre in 0..DATA_CENTRES {
+        let links = (0..DATA_CENTRES).map(|other| (format!("z{other}"), 5.0)).collect();
         let centre = DataCentre { region: "r".into(), links };
-        fleet.data_centres.insert(format!("z{zone}"), centre);
+        fleet.data_centres.insert(format!("z{data_centre}"), centre);
     }
     for i in 0..targets {
         let service = i % 20 == 0;
         let target = Target {
             kind: if service { TargetKind::Service } else { TargetKind::Engine },
             host: format!("h{i}"),
-            data_centre: format!("z{}", i / 3 % ZONES),
+            data_centre: format!("z{}", i / 3 % DATA_CENTRES),
             addr: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
             serves: service.then(|| "lookup".to_owned()),
             model: None,
@@ -55,12 +55,12 @@
 }
 
 fn engine(i: usize) -> EngineState {
-    let piece = (i % 3) as Layer;
+    let range = (i % 3) as Layer;
     EngineState {
         incarnation: 1,
         model: Some(format!("m{}", i / 3 % MODELS)),
         version: Some("v".into()),
-        layers: (piece * 20, piece * 20 + 20),
+        layers: (range * 20, range * 20 + 20),
         adapters: [].into(),
         both_phases: true,
         loading: false,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Median and 99th percentile of the time of `rounds` calls, microseconds.
+/// Median and 99th percentile of the time of `rounds` calls, in microseconds.
 fn time(rounds: usize, mut call: impl FnMut(usize)) -> String {
     let mut took: Vec<f64> = (0..rounds)
         .map(|round| {
@@ -91,7 +91,7 @@
     let models: Vec<String> = (0..MODELS).map(|m| format!("m{m}")).collect();
     let prefixes: Vec<(u32, u64)> = (1..9).map(|n| (n * 64, u64::from(n))).collect();
     time(ROUNDS, |round| {
-        let need = ChainRequest {
+        let request = ChainRequest {
             model: &models[round % MODELS],
             version: "v",
             layers: 60,
@@ -101,7 +101,7 @@
             expected: 100,
             avoid: &[],
         };
-        let choice = router.choose_chain(&need, now).expect("a chain");
+        let choice = router.choose_chain(&request, now).expect("a chain");
         let rows: Vec<TargetIndex> = choice.stages.iter().map(|stage| stage.row).collect();
         let ticket = router.begin(&rows, now);
         router.record_chain_step(&rows, Duration::from_millis(10), now);
@@ -110,23 +110,23 @@
 }
 
 fn admissions(fleet: &Fleet, now: Instant) -> String {
-    let mut door = Admission::default();
+    let mut admission = Admission::default();
     let mut random = SmallRng::seed_from_u64(3);
     let ids: Vec<String> =
         (0..2000).map(|_| format!("o{}", random.random_range(0..33_000))).collect();
-    door.update_limit("lookup", Capacity { slots: 64.0, busy: 0.0 });
+    admission.update_limit("lookup", Capacity { slots: 64.0, busy: 0.0 });
     time(ROUNDS, |round| {
-        let who = Arrival {
+        let arrival = Arrival {
             organisation: &ids[round % ids.len()],
             service: "lookup",
             deadline: now + Duration::from_secs(30),
             priority: 4,
             cost: 1,
         };
-        let AdmitResult::Admitted(pass) = door.arrive(fleet, &who, now, 0.5) else {
-            panic!("let in")
+        let AdmitResult::Admitted(slot) = admission.arrive(fleet, &arrival, now, 0.5) else {
+            panic!("not admitted")
         };
-        door.release(pass, now, 0.5);
+        admission.release(slot, now, 0.5);
     })
 }
 
--- a/crates/roseshore_core/src/admit.rs
+++ b/crates/roseshore_core/src/admit.rs
@@ -1,10 +1,11 @@
-//! Who is let in, when, and who is told to come back.
+//! Admission control: which requests are admitted, which wait, and which are refused.
 //!
-//! An arrival passes three checks: its organisation's rate, whether it can make its deadline, and
-//! whether there is a free place. Without a queue it is let in at once. Otherwise it waits in its
-//! service's queue, where organisations take turns by their shares. What cannot be served in time is
-//! refused on arrival, so that an overload costs the refused little and the admitted nothing.
-//! State is kept only for organisations that are active now.
+//! A request passes three checks: its organisation's rate limit, whether it can meet its deadline,
+//! and whether the service has a free slot. If no request is queued and a slot is free, it is
+//! admitted at once. Otherwise it waits in its service's queue, where organisations are served in
+//! proportion to their shares. A request that cannot be served in time is refused on arrival, so
+//! that an overload costs refused callers little and admitted ones nothing. State is kept only for
+//! organisations that are currently active.
 
 pub mod bucket;
 pub mod fair;
@@ -18,36 +19,36 @@
 use rustc_hash::FxHashMap;
 use share::{Demand, DemandMeter, Demands, PeerDemand};
 
-/// The place of an active organisation.
+/// Index of an active organisation.
 pub type OrgIndex = u32;
-/// A waiting request.
+/// Id of a waiting request.
 pub type WaiterId = u64;
 
-/// The least time after which a refused caller is asked to come back.
+/// Minimum `Retry-After` of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The least stretch over which refused callers are spread.
+/// Minimum interval over which the retries of refused callers are spread.
 const MIN_SPREAD: Duration = Duration::from_secs(2);
-/// The longest time that is told, before spreading.
+/// Maximum `Retry-After` of a refusal, before spreading.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Organisations in a summary for other daemons.
+/// Maximum number of organisations in the summary sent to other daemons.
 const MAX_DEMANDS: usize = 32;
 
 /// A request that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// The customer.
+    /// The organisation that sent the request.
     pub organisation: &'a str,
-    /// The service.
+    /// The service it asks for.
     pub service: &'a str,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
-    /// Larger goes first within its organisation, 0 to 9.
+    /// Priority from 0 to 9; a larger one goes first within the same organisation.
     pub priority: u8,
-    /// Its expected work.
+    /// Expected work, in the same unit for all requests of a service.
     pub cost: u32,
 }
 
-/// A place inside, to be given back once.
+/// A concurrency slot held by an admitted request; returned once with [`Admission::release`].
 #[derive(Debug, PartialEq)]
 pub struct Slot {
     service: ServiceId,
@@ -56,43 +57,43 @@
     begun: Instant,
 }
 
-/// What becomes of an arrival.
+/// Outcome of a request for admission.
 #[derive(Debug, PartialEq)]
 pub enum AdmitResult {
-    /// It is in.
+    /// The request is admitted.
     Admitted(Slot),
-    /// It waits until this time at most.
+    /// The request waits in the queue.
     Queued(QueuedRequest),
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// A place in a queue.
+/// A request that waits in a service's queue.
 #[derive(Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Who waits.
+    /// Id of the waiting request.
     pub waiter: WaiterId,
-    /// When to give up at the latest.
+    /// Latest time until which it waits.
     pub until: Instant,
-    /// Another that was displaced by it.
+    /// A queued request that this one displaced, with its refusal.
     pub displaced: Option<WaitOutcome>,
 }
 
 /// The end of a wait.
 #[derive(Debug, PartialEq)]
 pub struct WaitOutcome {
-    /// Who waited.
+    /// Id of the request that waited.
     pub waiter: WaiterId,
-    /// Its place, or why it gets none.
+    /// Its slot, or the refusal.
     pub result: Result<Slot, Refusal>,
 }
 
-/// The capacity of a service, as the targets report it.
+/// Capacity of a service, as its targets report it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Requests that all its targets serve at once.
+    /// Number of requests that all targets together serve at once.
     pub slots: f64,
-    /// Requests there now, of all daemons.
+    /// Number of requests at the targets now, from all daemons.
     pub busy: f64,
 }
 
@@ -106,7 +107,7 @@
     open_requests: u32,
 }
 
-/// Admission at one daemon.
+/// Admission control of one daemon.
 #[derive(Debug)]
 pub struct Admission {
     indices: FxHashMap<OrganisationId, OrgIndex>,
@@ -135,7 +136,7 @@
 }
 
 impl Admission {
-    /// Takes over a configuration: limits of active organisations change at once.
+    /// Applies a configuration; new limits take effect at once for active organisations.
     pub fn apply_fleet(&mut self, fleet: &Fleet) {
         for org in self.orgs.iter_mut().flatten() {
             if let Some(limits) = fleet.organisations.get(&org.id) {
@@ -145,22 +146,23 @@
         self.queues.retain(|id, queue| fleet.services.contains_key(id) || !queue.idle());
     }
 
-    /// Decides on an arrival; `spread` in `0..1` is random and spreads out the refused.
+    /// Decides on a request. `spread` is a random number in `0..1` that spreads the retries of
+    /// refused callers.
     pub fn arrive(
         &mut self,
         fleet: &Fleet,
-        who: &Arrival<'_>,
+        arrival: &Arrival<'_>,
         now: Instant,
         spread: f64,
     ) -> AdmitResult {
-        let Some(index) = self.org_index(fleet, who.organisation, now) else {
-            return AdmitResult::Refused(unknown_organisation(who.organisation));
+        let Some(index) = self.org_index(fleet, arrival.organisation, now) else {
+            return AdmitResult::Refused(unknown_organisation(arrival.organisation));
         };
-        if !fleet.services.contains_key(who.service) {
-            return AdmitResult::Refused(unknown_service(who.service));
+        if !fleet.services.contains_key(arrival.service) {
+            return AdmitResult::Refused(unknown_service(arrival.service));
         }
         let Some(org) = self.orgs[index as usize].as_mut() else {
-            return AdmitResult::Refused(unknown_organisation(who.organisation));
+            return AdmitResult::Refused(unknown_organisation(arrival.organisation));
         };
         org.meter.count(now);
         let rate = org.limits.rate * org.limit_part;
@@ -169,23 +171,23 @@
             return AdmitResult::Refused(rate_limited(&org.id, wait, spread));
         }
         let share = org.limits.share;
-        let queue = match self.queues.get_mut(who.service) {
+        let queue = match self.queues.get_mut(arrival.service) {
             Some(queue) => queue,
-            None => self.queues.entry(who.service.to_owned()).or_default(),
+            None => self.queues.entry(arrival.service.to_owned()).or_default(),
         };
         let item = fair::Item {
             waiter: self.next_waiter,
             org: index,
             share,
-            cost: f64::from(who.cost.max(1)),
-            priority: who.priority,
-            latest: who.deadline,
+            cost: f64::from(arrival.cost.max(1)),
+            priority: arrival.priority,
+            latest: arrival.deadline,
         };
         let joined = queue.join(item, now);
         let refusal = match joined {
             JoinResult::Admitted | JoinResult::Queued(..) => None,
-            JoinResult::TooLate(wait) => Some(too_late(who.service, wait, spread)),
-            JoinResult::Full(wait) => Some(queue_full(who.service, wait, spread)),
+            JoinResult::TooLate(wait) => Some(too_late(arrival.service, wait, spread)),
+            JoinResult::Full(wait) => Some(queue_full(arrival.service, wait, spread)),
         };
         if let Some(refusal) = refusal {
             return AdmitResult::Refused(refusal);
@@ -193,7 +195,7 @@
         org.bucket.take();
         org.open_requests += 1;
         let JoinResult::Queued(until, displaced) = joined else {
-            let service = who.service.to_owned();
+            let service = arrival.service.to_owned();
             return AdmitResult::Admitted(Slot {
                 service,
                 org: index,
@@ -201,9 +203,9 @@
                 begun: now,
             });
         };
-        self.waiting.insert(item.waiter, who.service.to_owned());
+        self.waiting.insert(item.waiter, arrival.service.to_owned());
         self.next_waiter += 1;
-        let displaced = displaced.map(|other| self.displace(who.service, &other, spread));
+        let displaced = displaced.map(|other| self.displace(arrival.service, &other, spread));
         AdmitResult::Queued(QueuedRequest { waiter: item.waiter, until, displaced })
     }
 
@@ -215,16 +217,16 @@
         WaitOutcome { waiter: item.waiter, result: Err(queue_full(service, wait, spread)) }
     }
 
-    /// Takes a place back and says who may come in now.
-    pub fn release(&mut self, pass: Slot, now: Instant, spread: f64) -> Vec<WaitOutcome> {
-        self.request_left(pass.org);
-        if let Some(queue) = self.queues.get_mut(&pass.service) {
-            queue.release(pass.org, pass.cost, now.saturating_duration_since(pass.begun));
+    /// Returns a slot; the result lists the waiting requests that are now admitted or refused.
+    pub fn release(&mut self, slot: Slot, now: Instant, spread: f64) -> Vec<WaitOutcome> {
+        self.request_left(slot.org);
+        if let Some(queue) = self.queues.get_mut(&slot.service) {
+            queue.release(slot.org, slot.cost, now.saturating_duration_since(slot.begun));
         }
-        self.admit_waiting(&pass.service, now, spread)
+        self.admit_waiting(&slot.service, now, spread)
     }
 
-    /// A waiting request's time is up; `None` when its turn has come already.
+    /// Ends a wait whose time is up; `None` if the request has already left the queue.
     pub fn give_up(&mut self, waiter: WaiterId, spread: f64) -> Option<Refusal> {
         let service = self.waiting.remove(&waiter)?;
         let queue = self.queues.get_mut(&service)?;
@@ -234,7 +236,7 @@
         Some(too_late(&service, wait, spread))
     }
 
-    /// Lets in whom the limit of a service allows.
+    /// Admits waiting requests while the service's limit allows.
     pub fn admit_waiting(&mut self, service: &str, now: Instant, spread: f64) -> Vec<WaitOutcome> {
         let mut outcomes = Vec::new();
         while let Some(item) = self.queues.get_mut(service).and_then(ServiceQueue::call_next) {
@@ -265,12 +267,12 @@
         Err(too_late(service, wait, spread))
     }
 
-    /// The services that have a line now.
+    /// Services that have a queue.
     pub fn services(&self) -> impl Iterator<Item = &ServiceId> {
         self.queues.keys()
     }
 
-    /// Fits a service's limit to the capacity that its targets report.
+    /// Adjusts a service's concurrency limit to the capacity that its targets report.
     pub fn update_limit(&mut self, service: &str, capacity: Capacity) {
         let daemons = self.daemons as f64;
         if let Some(queue) = self.queues.get_mut(service) {
@@ -278,7 +280,8 @@
         }
     }
 
-    /// Renews the parts of the limits and forgets organisations that are no longer active.
+    /// Recomputes this daemon's part of each limit and removes organisations that are no longer
+    /// active.
     pub fn tick(&mut self, daemons: usize, now: Instant) {
         self.daemons = daemons.max(1);
         self.peer_demands.retain(|_, demand| demand.is_fresh(now));
@@ -289,7 +292,7 @@
             let rate = org.limits.rate * org.limit_part;
             let burst = org.limits.burst * org.limit_part;
             let idle = org.open_requests == 0 && org.meter.idle(now);
-            if idle && org.bucket.full(now, rate, burst) {
+            if idle && org.bucket.is_full(now, rate, burst) {
                 self.indices.remove(&org.id);
                 self.orgs[index] = None;
                 self.free_indices.push(index as OrgIndex);
@@ -297,7 +300,7 @@
         }
     }
 
-    /// What this daemon tells the others about its demand, the largest first.
+    /// This daemon's demand as reported to the others, the largest first.
     pub fn demands(&self, now: Instant) -> Demands {
         let demand =
             |org: &Org| Demand { organisation: org.id.clone(), rate: org.meter.rate(now) as f32 };
@@ -307,17 +310,17 @@
         Demands { organisations: all }
     }
 
-    /// Takes another daemon's demand.
+    /// Records the demand that another daemon reported.
     pub fn record_peer_demand(&mut self, host: &HostId, demands: &Demands, now: Instant) {
         self.peer_demands.insert(host.clone(), PeerDemand::new(demands, now));
     }
 
-    /// Organisations that state is kept for.
+    /// Number of organisations for which state is kept.
     pub fn active(&self) -> usize {
         self.indices.len()
     }
 
-    /// Requests of a service inside and waiting.
+    /// Number of a service's requests in flight and waiting.
     pub fn counts(&self, service: &str) -> (usize, usize) {
         self.queues.get(service).map_or((0, 0), ServiceQueue::counts)
     }
@@ -347,7 +350,8 @@
     }
 }
 
-/// When a refused caller should come back: not before `wait`, and not all together.
+/// `Retry-After` of a refusal: at least `wait`, and spread so that refused callers do not all
+/// return together.
 fn retry_after(wait: Duration, spread: f64) -> Duration {
     let base = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     base + base.max(MIN_SPREAD).mul_f64(spread.clamp(0.0, 1.0))
--- a/crates/roseshore_core/src/admit/fair.rs
+++ b/crates/roseshore_core/src/admit/fair.rs
@@ -1,22 +1,23 @@
-//! Start-time fair queueing between organisations by their shares.
+//! Start-time fair queueing between organisations, weighted by their shares.
 //!
-//! Start-time fair queueing: an organisation's next request carries a virtual start time that moves
-//! on by cost over share with each turn, and the smallest goes next. Within an organisation, a level
-//! of priority is worth one second of waiting, which also bounds how long a low one can be passed.
-//! Priorities do not count between organisations: a flood could simply be marked urgent.
+//! An organisation's next request has a virtual start time, which advances by cost divided by share
+//! each time one of its requests is dequeued; the smallest start time goes next. Within an
+//! organisation, each level of priority counts like one second of waiting, which also bounds how
+//! long a request of low priority can be overtaken. Priorities have no effect between
+//! organisations: otherwise a flood could be marked urgent to overtake everyone else.
 
 use super::{OrgIndex, WaiterId};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// The head start of each level of priority.
+/// Waiting time that one level of priority is worth.
 const PRIORITY_HEAD_START: Duration = Duration::from_secs(1);
 /// The highest priority.
 const MAX_PRIORITY: u8 = 9;
-/// Virtual time units of one unit of cost at share 1; whole numbers keep the order exact.
+/// Virtual time of one unit of cost at share 1; integers keep the order exact.
 const TAG_SCALE: f64 = 1e6;
-/// The least share that counts.
+/// Lower bound on a share.
 const MIN_SHARE: f64 = 1e-3;
 
 type Tag = u64;
@@ -24,17 +25,17 @@
 /// A waiting request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Item {
-    /// Who waits.
+    /// Id of the waiting request.
     pub waiter: WaiterId,
-    /// Whose it is.
+    /// The organisation that it belongs to.
     pub org: OrgIndex,
     /// The organisation's share.
     pub share: f64,
-    /// Its expected work.
+    /// Expected work.
     pub cost: f64,
-    /// Larger goes first within its organisation, 0 to 9.
+    /// Priority from 0 to 9; a larger one goes first within the same organisation.
     pub priority: u8,
-    /// After this its turn is of no use.
+    /// Latest useful time to start the request.
     pub latest: Instant,
 }
 
@@ -57,17 +58,17 @@
 }
 
 impl FairQueue {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether the queue is empty.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// Adds a request that came at `now`.
+    /// Adds a request that arrived at `now`.
     pub fn push(&mut self, item: Item, now: Instant) {
         let flow = self.flows.entry(item.org).or_default();
         if flow.items.is_empty() {
@@ -82,23 +83,23 @@
         self.positions.insert(item.waiter, (item.org, key));
     }
 
-    /// Takes the request whose turn it is among the organisations that `may` go.
-    pub fn pop(&mut self, may: impl Fn(&Item) -> bool) -> Option<Item> {
-        let goes = |&&(_, org): &&(Tag, OrgIndex)| self.head(org).is_some_and(&may);
-        let &(tag, org) = self.ready.iter().find(goes)?;
+    /// Removes the next request, considering only organisations whose first request `may` go.
+    pub fn pop(&mut self, allowed: impl Fn(&Item) -> bool) -> Option<Item> {
+        let is_allowed = |&&(_, org): &&(Tag, OrgIndex)| self.head(org).is_some_and(&allowed);
+        let &(tag, org) = self.ready.iter().find(is_allowed)?;
         let (key, _) = self.flows.get(&org)?.items.first_key_value()?;
         let waiter = key.1;
         self.virtual_time = self.virtual_time.max(tag);
         let item = self.remove(waiter)?;
         let flow = self.flows.get_mut(&org)?;
-        let step = (item.cost / flow.share * TAG_SCALE) as Tag;
+        let advance = (item.cost / flow.share * TAG_SCALE) as Tag;
         if !flow.items.is_empty() {
             self.ready.remove(&(flow.tag, org));
-            self.ready.insert((flow.tag + step, org));
+            self.ready.insert((flow.tag + advance, org));
         }
-        flow.tag += step;
+        flow.tag += advance;
         if self.is_empty() {
-            // Nobody waits: what was used before counts no longer.
+            // The queue is empty, so past usage no longer counts.
             self.flows.clear();
             self.shares = 0.0;
         }
@@ -110,7 +111,7 @@
         Some(item)
     }
 
-    /// Takes a request out of turn.
+    /// Removes a request that gives up or is displaced.
     pub fn remove(&mut self, waiter: WaiterId) -> Option<Item> {
         let (org, key) = self.positions.remove(&waiter)?;
         let flow = self.flows.get_mut(&org)?;
@@ -123,24 +124,26 @@
         Some(item)
     }
 
-    /// The work that has to be done, by shares, before a request that comes now has its turn.
+    /// Work, in units of cost and weighted by shares, to be done before a request that arrives now
+    /// gets its turn.
     pub fn work_ahead(&self, item: &Item, now: Instant) -> f64 {
         let before = (sort_time(item, now), WaiterId::MAX);
         let cost = |flow: &Flow| flow.items.range(..before).map(|(_, other)| other.cost).sum();
         self.scale_by_share(item, self.flows.get(&item.org).map_or(0.0, cost))
     }
 
-    /// The work that has to be done, by shares, for all that wait of an item's organisation.
+    /// Work, in units of cost and weighted by shares, to be done before all waiting requests of an
+    /// item's organisation have had their turn.
     pub fn org_work(&self, item: &Item) -> f64 {
         self.scale_by_share(item, self.flows.get(&item.org).map_or(0.0, |flow| flow.cost))
     }
 
-    /// The last request of an organisation.
+    /// The last request in an organisation's queue.
     pub fn last(&self, org: OrgIndex) -> Option<WaiterId> {
         self.flows.get(&org)?.items.last_key_value().map(|(key, _)| key.1)
     }
 
-    /// What all do until one organisation has done `cost`.
+    /// Work that all organisations together do while this one does `cost`.
     fn scale_by_share(&self, item: &Item, cost: f64) -> f64 {
         let share = item.share.max(MIN_SHARE);
         let waits = self.flows.get(&item.org).is_some_and(|flow| !flow.items.is_empty());
@@ -148,8 +151,8 @@
         cost * shares.max(share) / share
     }
 
-    /// The last request of the organisation that waits with the most work for its share, if that is
-    /// more than `org` would have.
+    /// The last request of the organisation with the most waiting work relative to its share;
+    /// `None` if that is `org` itself or no more than `org` has.
     pub fn largest_backlog(&self, org: OrgIndex) -> Option<WaiterId> {
         let load = |flow: &Flow| flow.cost / flow.share;
         let busiest = self.flows.iter().filter(|(_, f)| !f.items.is_empty());
@@ -162,7 +165,7 @@
     }
 }
 
-/// Where a request stands that comes at `now`: a level of priority is worth some waiting.
+/// Sort key of a request that arrives at `now`: lower priority counts as later arrival.
 fn sort_time(item: &Item, now: Instant) -> Instant {
     now + PRIORITY_HEAD_START * u32::from(MAX_PRIORITY - item.priority.min(MAX_PRIORITY))
 }
--- a/crates/roseshore_core/src/admit/queue.rs
+++ b/crates/roseshore_core/src/admit/queue.rs
@@ -1,4 +1,4 @@
-//! The line of one service: its limit, its queue and how fast it drains.
+//! Queue of one service, with its concurrency limit and an estimate of how fast it drains.
 
 use super::fair::{FairQueue, Item};
 use super::limit::Limit;
@@ -6,34 +6,35 @@
 use rustc_hash::FxHashMap;
 use std::time::{Duration, Instant};
 
-/// Requests that wait at most.
+/// Maximum number of waiting requests.
 const MAX_WAITING: usize = 1024;
-/// A predicted wait beyond this is refused even when the deadline would allow it.
+/// Maximum predicted wait; a request that would wait longer is refused even if its deadline allows
+/// it.
 const MAX_WAIT: Duration = Duration::from_secs(2);
-/// Part of a new sample in the mean time inside.
+/// Weight of a new sample in the estimates.
 const GAIN: f64 = 0.05;
 
-/// The part of requests that take no longer than the time inside that a deadline is held against.
-/// A mean would let a few slow targets lock all out.
+/// Quantile of the time per unit of cost that is assumed when a deadline is checked. With the mean,
+/// a few slow targets would cause all requests to be refused.
 const SERVICE_QUANTILE: f64 = 0.3;
 
-/// One place in so many is kept free of organisations that have their share already.
-const RESERVE_FRACTION: usize = 20;
+/// One slot in this many is reserved for organisations that have not used their share.
+const RESERVE_DIVISOR: usize = 20;
 
-/// What becomes of one that joins.
+/// Outcome of joining the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JoinResult {
-    /// It is in at once.
+    /// Admitted at once.
     Admitted,
-    /// It waits, until this time at most; another may have been displaced.
+    /// Queued until this time at most; may have displaced another request.
     Queued(Instant, Option<Item>),
-    /// It could not make its deadline; the predicted wait.
+    /// The deadline cannot be met; holds the predicted wait.
     TooLate(Duration),
-    /// There is no room to wait; the predicted wait.
+    /// The queue is full; holds the predicted wait.
     Full(Duration),
 }
 
-/// Who is inside.
+/// Requests in flight, by organisation.
 #[derive(Debug, Default)]
 struct InFlight {
     count: usize,
@@ -48,14 +49,14 @@
 }
 
 impl InFlight {
-    /// Whether one more may enter. An organisation that has its share of the places already leaves
-    /// a few free, so that the others need not wait for the next one that leaves.
+    /// Whether one more request may be admitted. An organisation that already uses its share leaves
+    /// a few slots free, so that the others need not wait for a request to finish.
     fn has_room(&self, item: &Item, limit: usize) -> bool {
         let own = self.orgs.get(&item.org);
         let shares = if own.is_some() { self.shares } else { self.shares + item.share };
         let count = own.map_or(0, |own| own.count);
         let over = count as f64 >= limit as f64 * item.share / shares;
-        self.count < limit - if over { limit / RESERVE_FRACTION } else { 0 }
+        self.count < limit - if over { limit / RESERVE_DIVISOR } else { 0 }
     }
 
     fn enter(&mut self, item: &Item) {
@@ -78,7 +79,7 @@
     }
 }
 
-/// A line.
+/// Queue of one service.
 #[derive(Debug, Default)]
 pub struct ServiceQueue {
     limit: Limit,
@@ -86,19 +87,20 @@
     in_flight: InFlight,
     mean_time: f64,
     mean_cost: f64,
-    quantile: f64,
+    quantile_time: f64,
 }
 
 impl ServiceQueue {
-    /// Lets a request in, has it wait, or turns it away.
+    /// Admits a request, queues it, or turns it away.
     pub fn join(&mut self, mut item: Item, now: Instant) -> JoinResult {
-        // Without a request in work the estimate would never be renewed, so one is always admitted.
-        let service = if self.in_flight.count == 0 {
+        // With nothing in flight the estimate would never be updated, so it is not applied then.
+        let service_time = if self.in_flight.count == 0 {
             Duration::ZERO
         } else {
-            duration(self.quantile * item.cost)
+            duration(self.quantile_time * item.cost)
         };
-        let Some(latest) = item.latest.checked_sub(service).filter(|latest| *latest > now) else {
+        let Some(latest) = item.latest.checked_sub(service_time).filter(|latest| *latest > now)
+        else {
             return JoinResult::TooLate(Duration::ZERO);
         };
         if self.queue.is_empty() && self.in_flight.has_room(&item, self.limit.value()) {
@@ -119,7 +121,8 @@
                 return JoinResult::Full(wait);
             }
         } else if self.predicted_wait(&item) > MAX_WAIT * 2 {
-            // It goes before others of its organisation; the last one's turn is too far now.
+            // The request goes ahead of others of its organisation, so the last one would now wait
+            // too long.
             displaced = self.queue.last(item.org);
         }
         let displaced = displaced.and_then(|waiter| self.queue.remove(waiter));
@@ -128,7 +131,7 @@
         JoinResult::Queued(latest, displaced)
     }
 
-    /// Takes the next one while there is room.
+    /// Dequeues and counts the next request if there is a free slot.
     pub fn call_next(&mut self) -> Option<Item> {
         let limit = self.limit.value();
         if self.in_flight.count >= limit {
@@ -139,23 +142,23 @@
         Some(item)
     }
 
-    /// One that had its turn was not let in after all.
+    /// Frees the slot of a dequeued request that was not admitted after all.
     pub fn cancel_turn(&mut self, org: OrgIndex) {
         self.in_flight.leave(org);
     }
 
-    /// One that was inside left after `took`.
+    /// Frees the slot of a request that ended after `took`.
     pub fn release(&mut self, org: OrgIndex, cost: f64, took: Duration) {
         self.in_flight.leave(org);
         let took = took.as_secs_f64();
         if self.mean_cost == 0.0 {
             self.mean_time = took;
             self.mean_cost = cost;
-            self.quantile = took / cost;
+            self.quantile_time = took / cost;
             return;
         }
-        let below = took / cost < self.quantile;
-        self.quantile *= if below {
+        let below = took / cost < self.quantile_time;
+        self.quantile_time *= if below {
             1.0 - GAIN * (1.0 - SERVICE_QUANTILE)
         } else {
             1.0 + GAIN * SERVICE_QUANTILE
@@ -164,32 +167,32 @@
         self.mean_cost += GAIN * (cost - self.mean_cost);
     }
 
-    /// Takes one out that no longer waits.
+    /// Removes a request that no longer waits.
     pub fn remove(&mut self, waiter: WaiterId) -> Option<Item> {
         self.queue.remove(waiter)
     }
 
-    /// The predicted time until an item would have its turn behind all of its organisation.
+    /// Predicted wait of a request behind all others of its organisation.
     pub fn predicted_wait(&self, item: &Item) -> Duration {
         self.drain_time(self.queue.org_work(item) + item.cost)
     }
 
-    /// Fits the limit to the capacity of the targets.
+    /// Adjusts the limit to the capacity of the targets.
     pub fn update_limit(&mut self, capacity: Capacity, daemons: f64) {
         self.limit.update(capacity, daemons, !self.queue.is_empty());
     }
 
-    /// Whether no request is in work or waits.
+    /// Whether no request is in flight or waiting.
     pub fn idle(&self) -> bool {
         self.in_flight.count == 0 && self.queue.is_empty()
     }
 
-    /// Requests inside and waiting.
+    /// Number of requests in flight and waiting.
     pub fn counts(&self) -> (usize, usize) {
         (self.in_flight.count, self.queue.len())
     }
 
-    /// How long the line takes for some work.
+    /// Predicted time in which the service completes `work` units of cost.
     fn drain_time(&self, work: f64) -> Duration {
         let unit = if self.mean_cost == 0.0 { 0.0 } else { self.mean_time / self.mean_cost };
         duration(work * unit / self.limit.value().max(1) as f64)
--- a/crates/roseshore_core/src/admit/share.rs
+++ b/crates/roseshore_core/src/admit/share.rs
@@ -1,43 +1,45 @@
 //! This daemon's part of an organisation's limits.
 //!
-//! A limit holds for the whole system, but nobody counts centrally. Each daemon takes the part that
-//! its own demand has in the demand it has heard of. A daemon that was not heard of counts as if
-//! it had the same demand as this one, so that without any report each takes an equal part.
+//! A limit holds for the whole system, but there is no central counter. Each daemon takes a part in
+//! proportion to its own demand among the demands that the daemons report. A daemon without a
+//! report counts as having the same demand as this one, so that without any reports all parts are
+//! equal.
 
 use crate::ids::*;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
-/// How long another daemon's demand counts.
+/// Time for which another daemon's reported demand counts.
 const PEER_DEMAND_TTL: Duration = Duration::from_secs(5);
-/// Time constant of the measured demand.
+/// Time constant of the demand estimate.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(5);
-/// Without a request for so long, an organisation is no longer active.
-const IDLE: Duration = Duration::from_secs(10);
-/// Requests a second that each daemon counts as having at least, so that a first request finds a part.
+/// Time without a request after which an organisation counts as inactive.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Lower bound on the demand, in requests a second, that each daemon counts as having; without it,
+/// an organisation's first request would find no part.
 const MIN_DEMAND: f64 = 0.05;
 
-/// The demand of the most active organisations at one daemon.
+/// Demand of the most active organisations at one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demands {
-    /// The largest first.
+    /// Demands, the largest first.
     pub organisations: Vec<Demand>,
 }
 
 /// One organisation's demand at one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// The customer.
+    /// The organisation.
     pub organisation: OrganisationId,
-    /// Requests a second, refused ones included.
+    /// Requests a second, including refused ones.
     pub rate: f32,
 }
 
-/// What each other daemon said last.
+/// Latest report of each other daemon.
 pub type PeerDemands = FxHashMap<HostId, PeerDemand>;
 
-/// What another daemon said.
+/// Demand reported by another daemon.
 #[derive(Clone, Debug)]
 pub struct PeerDemand {
     rates: FxHashMap<OrganisationId, f64>,
@@ -45,20 +47,20 @@
 }
 
 impl PeerDemand {
-    /// Its demand at `now`.
+    /// Creates it from a report received at `now`.
     pub fn new(demands: &Demands, now: Instant) -> PeerDemand {
         let rates = demands.organisations.iter();
         let rates = rates.map(|d| (d.organisation.clone(), f64::from(d.rate))).collect();
         PeerDemand { rates, at: now }
     }
 
-    /// Whether it still counts.
+    /// Whether the report still counts at `now`.
     pub fn is_fresh(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.at) < PEER_DEMAND_TTL
     }
 }
 
-/// Measures the requests a second of one organisation.
+/// Estimates the request rate of one organisation with exponential decay.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandMeter {
     rate: f64,
@@ -66,12 +68,12 @@
 }
 
 impl DemandMeter {
-    /// No demand yet.
+    /// Creates an estimate of zero.
     pub fn new(now: Instant) -> DemandMeter {
         DemandMeter { rate: 0.0, last: now }
     }
 
-    /// One more request.
+    /// Counts one request.
     pub fn count(&mut self, now: Instant) {
         self.rate = self.rate(now) + 1.0 / DEMAND_TIME_CONSTANT.as_secs_f64();
         self.last = self.last.max(now);
@@ -83,13 +85,13 @@
         self.rate * (-passed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Whether there was no request for long.
+    /// Whether no request has arrived for a while.
     pub fn idle(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.last) >= IDLE
+        now.saturating_duration_since(self.last) >= IDLE_TIMEOUT
     }
 }
 
-/// The part of an organisation's limits that this daemon may give out.
+/// Fraction of an organisation's limits that this daemon may use.
 pub fn limit_part(own: f64, id: &str, peers: &PeerDemands, daemons: usize) -> f64 {
     let own = own + MIN_DEMAND;
     let known = peers.len().min(daemons.saturating_sub(1));
--- a/crates/roseshore_core/src/code.rs
+++ b/crates/roseshore_core/src/code.rs
@@ -1,9 +1,9 @@
-//! The catalogue of refusal codes.
+//! Catalogue of refusal codes.
 //!
-//! A code's number never changes its meaning; a retired number is not used again. The numbers and
-//! summaries stand in `docs/CODES.md`, which a test holds against this table. Hundreds group by
-//! who can do something about it: 1 the caller's input, 2 limits and load, 3 targets, 4
-//! unrepeatable work, 5 configuration and platform, 6 lookups, 7 operators' commands.
+//! A code's number never changes its meaning, and a retired number is not reused. `docs/CODES.md`
+//! lists the numbers and summaries; a test compares it with this table. The hundreds group codes by
+//! who can act on them: 1 the caller's input, 2 limits and load, 3 targets, 4 non-idempotent
+//! requests and their keys, 5 configuration and platform, 6 lookups, 7 operators' commands.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,17 +19,17 @@
             /// Every code, in order of number.
             pub const ALL: &'static [Code] = &[$(Code::$name,)+];
 
-            /// The stable number, written `RS101`.
+            /// Stable number, printed as `RS101`.
             pub fn number(self) -> u16 {
                 match self { $(Code::$name => $number,)+ }
             }
 
-            /// The HTTP status it is answered with.
+            /// HTTP status of the response.
             pub fn status(self) -> u16 {
                 match self { $(Code::$name => $status,)+ }
             }
 
-            /// One line for the catalogue.
+            /// One-line summary for the catalogue.
             pub fn summary(self) -> &'static str {
                 match self { $(Code::$name => $summary,)+ }
             }
--- a/crates/roseshore_core/src/event.rs
+++ b/crates/roseshore_core/src/event.rs
@@ -1,13 +1,14 @@
-//! The catalogue of log events.
+//! Catalogue of log events.
 //!
-//! Every line that a daemon logs on purpose begins with an event's number, so that operators can
-//! search and alarm on it. `docs/EVENTS.md` lists them; a test holds the page against this table.
-//! Hundreds group by subsystem: 1 process, 2 requests, 3 answers, 4 unrepeatable work, 5
-//! configuration, 6 membership and load, 7 orders and placement, 8 lookups, 9 the account.
+//! Every event line that a daemon logs begins with the event's number, so that operators can search
+//! for it and set alarms. `docs/EVENTS.md` lists the events; a test compares it with this table.
+//! The hundreds group events by subsystem: 1 process, 2 requests, 3 answers, 4 non-idempotent
+//! requests and their keys, 5 configuration, 6 membership and load, 7 orders and placement, 8
+//! lookups, 9 usage accounting.
 
 macro_rules! events {
     ($($name:ident = $number:literal, $level:ident, $summary:literal;)+) => {
-        /// What happened.
+        /// A kind of log event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $(#[doc = $summary] $name,)+
@@ -17,17 +18,17 @@
             /// Every event, in order of number.
             pub const ALL: &'static [Event] = &[$(Event::$name,)+];
 
-            /// The stable number, written `E101`.
+            /// Stable number, printed as `E101`.
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $number,)+ }
             }
 
-            /// How loud it is logged.
+            /// Severity at which it is logged.
             pub fn level(self) -> Level {
                 match self { $(Event::$name => Level::$level,)+ }
             }
 
-            /// One line for the catalogue.
+            /// One-line summary for the catalogue.
             pub fn summary(self) -> &'static str {
                 match self { $(Event::$name => $summary,)+ }
             }
@@ -35,16 +36,16 @@
     };
 }
 
-/// How loud an event is logged.
+/// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Somebody should act.
+    /// An operator should act.
     Error,
-    /// Worth a look when it repeats.
+    /// Worth investigating when it repeats.
     Warn,
-    /// Ordinary life.
+    /// Normal operation.
     Info,
-    /// Only for the developers.
+    /// Useful only to developers.
     Debug,
 }
 
--- a/crates/roseshore_core/src/ids.rs
+++ b/crates/roseshore_core/src/ids.rs
@@ -1,11 +1,11 @@
-//! Aliases for the identifiers that travel between modules.
+//! Type aliases for identifiers shared between modules.
 //!
-//! They are aliases and not new types so that they can be keys of maps and fields of messages
-//! without ceremony; the field's name says which one is meant.
+//! They are aliases rather than newtypes so that they serve as map keys and message fields without
+//! conversions; the field's name tells which one is meant.
 
-/// A machine that runs one process of ours or of the platform's.
+/// A machine that runs one process of roseshore or of the platform.
 pub type HostId = String;
-/// A zone of machines that fails or is cut off together.
+/// A zone of machines that fails or loses its network together.
 pub type DataCentreId = String;
 /// A group of data centres that are close to each other.
 pub type RegionId = String;
@@ -17,32 +17,33 @@
 pub type ServiceId = String;
 /// A model family.
 pub type ModelId = String;
-/// One immutable version of a model.
+/// One immutable version of a model's weights.
 pub type VersionId = String;
 /// A fine-tuned adapter on top of a model version.
 pub type AdapterId = String;
-/// A request: the id that its caller gave it, if any, with `~` and a part that never occurs twice.
+/// A request: the id that its caller gave it, if any, followed by `~` and a unique part.
 pub type RequestId = String;
 /// A caller's idempotency key, already joined with its organisation and service.
 pub type Key = String;
 /// A command of an operator.
 pub type CommandId = String;
-/// A place in a stream of the log service; grows by one per record.
+/// Position in a stream of the log service; grows by one per record.
 pub type Offset = u64;
-/// How often a store has come back from an older copy; 0 where it does not say.
+/// Number of times that a store has been restored from an older copy; 0 where it does not report
+/// it.
 pub type Era = u64;
-/// The number of a route of one answer; grows with every re-route.
+/// Number of a route of one answer; grows with every re-route.
 pub type Epoch = u32;
-/// The number of a process's life; a restarted process has a higher one.
+/// Number of a process's incarnation; a restarted process has a higher one.
 pub type Incarnation = u64;
-/// A fencing number: the offset of the lease record that gave the right to order.
+/// Fencing token: the offset of the lease record that granted the right to give orders.
 pub type Fence = u64;
-/// The index of a model layer, from 0.
+/// Index of a model layer, from 0.
 pub type Layer = u16;
-/// The index of a token in an answer, from 0.
+/// Index of a token in an answer, from 0.
 pub type Position = u32;
 
-/// Whether `id` is a request's whole id, or the part of it that its caller gave.
+/// Whether `id` is the full id of `request`, or the part of it that its caller gave.
 pub fn request_id_matches(request: &str, id: &str) -> bool {
     request.strip_prefix(id).is_some_and(|rest| rest.is_empty() || rest.starts_with('~'))
 }
--- a/crates/roseshore_core/src/lib.rs
+++ b/crates/roseshore_core/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of roseshore.
+//! The decision logic of roseshore.
 //!
-//! Every module here is a plain state machine or a pure function: it is given an event and the
-//! time, and returns what is to be done. Nothing in this crate reads a clock, opens a socket,
-//! holds a lock or starts a thread, so each decision can be driven through any order of events by
-//! a table of cases or by `proptest`.
+//! Every module here is a plain state machine or a pure function: it takes an event and the current
+//! time, and returns the actions to carry out. Nothing in this crate reads a clock, opens a socket,
+//! holds a lock or starts a thread, so tests can drive each decision through any order of events
+//! with tables of cases or `proptest`.
 
 pub mod admit;
 pub mod answer;
--- a/crates/roseshore_core/src/load.rs
+++ b/crates/roseshore_core/src/load.rs
@@ -1,9 +1,9 @@
-//! What this daemon knows of each target.
+//! Load of each target, as known to this daemon.
 //!
-//! A target's report is late and shared by every daemon of the data centre. It is corrected by what
-//! this daemon alone knows for certain: how many of its own requests are in flight there, and how
-//! long steps really took. [`LoadTable`] keeps one row per target and hands out [`Ticket`]s that count
-//! as in flight until they are given back.
+//! A target's report is outdated by the time it is used, and every daemon of the data centre sees
+//! the same one. It is corrected by what this daemon knows for certain: how many of its own
+//! requests are in flight there, and how long steps took. [`LoadTable`] has one row per target and
+//! hands out a [`Ticket`] for requests, which count as in flight until it is returned.
 
 pub mod breaker;
 pub mod in_flight;
@@ -21,56 +21,57 @@
 use slowdown::Slowdown;
 use std::net::SocketAddr;
 
-/// The place of a target's row.
+/// Index of a target's row.
 pub type TargetIndex = u32;
-/// The place of a data centre in a small table.
+/// Index of a data centre in the load table.
 pub type DataCentreIndex = u16;
 
-/// How far a target's report is assumed to lag behind the moment at which it was polled.
+/// Age that a target's report is assumed to have when it is polled.
 const REPORT_LAG: Duration = Duration::from_millis(500);
-/// A report of this age says nothing about queues any more.
-const STALE: Duration = Duration::from_secs(10);
-
-/// Part of a new report that is believed at once: late reports that are followed at once make all
-/// daemons run to and fro together.
-const SMOOTH: f64 = 0.3;
-/// Without progress of any own request, a target counts as one time slower for each such span.
-const SILENCE: Duration = Duration::from_millis(250);
-/// Standard deviation of a step's time, as a part of it; steps of one answer are much alike, so
-/// that this stands for several of them.
-const NOISE: f64 = 1.0;
-
-/// How much is learned from a step that took longer than expected, against one that was faster.
-const RISE: f64 = 0.1;
-
-/// One target.
+/// Age from which on a report says nothing about the queue.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
+
+/// Weight of a new report in the running mean. Following outdated reports at once makes all daemons
+/// move between the same targets together.
+const REPORT_GAIN: f64 = 0.3;
+/// With own requests in flight but no progress, a target's slowdown is at least the time since its
+/// last progress divided by this.
+const SILENCE_UNIT: Duration = Duration::from_millis(250);
+/// Standard deviation of a step's time, relative to it. Steps of one answer are correlated, so this
+/// is set as large as for several of them together.
+const RELATIVE_NOISE: f64 = 1.0;
+
+/// Weight of a step that took longer than expected, relative to one that was faster.
+const SLOW_STEP_WEIGHT: f64 = 0.1;
+
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The target.
+    /// Id of the target.
     pub id: TargetId,
-    /// Its machine.
+    /// The host that it runs on.
     pub host: HostId,
-    /// Where it listens.
+    /// Address on which the target listens.
     pub addr: SocketAddr,
     /// Its data centre.
     pub data_centre: DataCentreIndex,
-    /// What it is.
+    /// Whether it is an engine or a service replica.
     pub kind: TargetKind,
-    /// The service source it serves.
+    /// The service source that it serves.
     pub serves: Option<String>,
-    /// What it holds, for engines that reported.
+    /// Model and layers that it holds; `None` until an engine has reported.
     pub engine: Option<EngineState>,
-    /// Its life; 0 before the first report.
+    /// Its incarnation; 0 before the first report.
     pub incarnation: Incarnation,
-    /// The load figures reported last.
+    /// Load figures of the latest report.
     pub figures: LoadFigures,
-    /// Whether its own report says that it is leaving.
+    /// Whether its report says that it takes no new work.
     pub draining: bool,
-    /// Whether its host is being taken away.
+    /// Whether its host is being withdrawn.
     pub host_leaving: bool,
-    /// Whether its failures keep it out of use.
+    /// Keeps the target out of use after failures.
     pub breaker: CircuitBreaker,
-    /// How its real times compare with its reports.
+    /// Ratio of its observed times to its reported ones.
     pub slowdown: Slowdown,
     own_requests: InFlightHistory,
     last_progress: Option<Instant>,
@@ -81,7 +82,7 @@
 }
 
 impl Row {
-    /// Whether new work may go there now.
+    /// Whether new work may be sent to the target now.
     pub fn usable(&self, now: Instant) -> bool {
         self.declared
             && !self.host_leaving
@@ -94,56 +95,59 @@
         self.reported_at.is_some()
     }
 
-    /// Own requests in flight there.
+    /// Number of this daemon's requests in flight at the target.
     pub fn own_requests(&self) -> u32 {
         self.own_requests.current()
     }
 
-    /// Requests there, a late report corrected by the own ones begun and ended since.
+    /// Number of requests at the target: the latest report, corrected by this daemon's requests
+    /// begun and ended since.
     pub fn depth(&self, now: Instant) -> f64 {
         let own = f64::from(self.own_requests.current());
         match self.reported_at {
-            Some(seen) if now.saturating_duration_since(seen) < STALE => own + self.other_requests,
+            Some(seen) if now.saturating_duration_since(seen) < MAX_REPORT_AGE => {
+                own + self.other_requests
+            }
             _ => own,
         }
     }
 
-    /// How many times longer it takes than it reports, by own observation. Own requests in flight
-    /// without any progress say so before the first of them has ended.
+    /// Ratio of observed to reported times. If own requests are in flight without progress, the
+    /// target counts as slower before the first of them has ended.
     pub fn slowdown(&self, now: Instant) -> f64 {
         let silence = match self.last_progress {
             Some(last) if self.own_requests.current() > 0 => now.saturating_duration_since(last),
             _ => Duration::ZERO,
         };
-        self.slowdown.factor(now).max(silence.as_secs_f64() / SILENCE.as_secs_f64())
+        self.slowdown.factor(now).max(silence.as_secs_f64() / SILENCE_UNIT.as_secs_f64())
     }
 
-    /// Seconds of one step or call, by report and own observation, without queueing.
+    /// Seconds of one step or call, from report and observation, without queueing.
     pub fn step(&self, now: Instant) -> f64 {
         self.figures.step * self.slowdown(now)
     }
 }
 
-/// Work in flight at some targets.
+/// Requests in flight at some targets; returned with [`LoadTable::end`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ticket {
-    /// Rows with the life of each.
+    /// Rows, each with its generation.
     rows: Vec<(TargetIndex, u32)>,
 }
 
-/// Every target.
+/// Load of every target.
 #[derive(Debug, Default)]
 pub struct LoadTable {
     rows: Vec<Row>,
-    free: Vec<TargetIndex>,
-    names: FxHashMap<TargetId, TargetIndex>,
+    free_indices: Vec<TargetIndex>,
+    indices: FxHashMap<TargetId, TargetIndex>,
     data_centres: Vec<DataCentreId>,
 }
 
 impl LoadTable {
-    /// Takes over the declared targets; what is known of those that stay is kept.
+    /// Applies the declared targets; the state of those that remain is kept.
     pub fn apply_fleet(&mut self, fleet: &Fleet) {
-        let gone = self.names.keys().filter(|id| !fleet.targets.contains_key(*id)).cloned();
+        let gone = self.indices.keys().filter(|id| !fleet.targets.contains_key(*id)).cloned();
         for id in gone.collect::<Vec<_>>() {
             self.remove(&id);
         }
@@ -152,22 +156,22 @@
         }
     }
 
-    /// The row of a target.
+    /// Index of a target's row.
     pub fn find(&self, id: &str) -> Option<TargetIndex> {
-        self.names.get(id).copied()
+        self.indices.get(id).copied()
     }
 
-    /// A row by its place.
+    /// The row with this index.
     pub fn row(&self, index: TargetIndex) -> &Row {
         &self.rows[index as usize]
     }
 
-    /// Every declared target's place.
+    /// Indices of all declared targets.
     pub fn declared(&self) -> impl Iterator<Item = TargetIndex> + '_ {
-        self.names.values().copied()
+        self.indices.values().copied()
     }
 
-    /// The place of a data centre, given one if it is new.
+    /// Index of a data centre; a new one gets the next free index.
     pub fn data_centre_index(&mut self, id: &str) -> DataCentreIndex {
         if let Some(zone) = self.data_centres.iter().position(|z| z == id) {
             return zone as DataCentreIndex;
@@ -176,33 +180,33 @@
         (self.data_centres.len() - 1) as DataCentreIndex
     }
 
-    /// The data centres, by place.
+    /// Ids of the data centres, by index.
     pub fn data_centres(&self) -> &[DataCentreId] {
         &self.data_centres
     }
 
-    /// Takes a report polled at `seen`; an older one than known is ignored.
-    pub fn report(&mut self, id: &str, seen: Instant, content: PollResult) -> ReportChange {
+    /// Applies a report polled at `seen`; a report older than the latest one is ignored.
+    pub fn report(&mut self, id: &str, seen: Instant, result: PollResult) -> ReportChange {
         let Some(index) = self.find(id) else { return ReportChange::Ignored };
         let row = &mut self.rows[index as usize];
         if row.reported_at.is_some_and(|known| seen <= known) {
             return ReportChange::Ignored;
         }
-        if content == PollResult::Silent {
+        if result == PollResult::Silent {
             row.breaker.record_failure(seen);
             return ReportChange::LoadOnly;
         }
         let first = row.reported_at.is_none();
         row.reported_at = Some(seen);
-        let change = match content {
+        let change = match result {
             PollResult::Engine(state) => apply_engine(row, seen, state),
             PollResult::Service(state) => apply_service(row, seen, state),
             PollResult::Silent => ReportChange::LoadOnly,
         };
         let own = row.own_requests.at_time(seen.checked_sub(REPORT_LAG).unwrap_or(seen));
         let others = (row.figures.depth - f64::from(own)).max(0.0);
-        let part = if first { 1.0 } else { SMOOTH };
-        row.other_requests += part * (others - row.other_requests);
+        let weight = if first { 1.0 } else { REPORT_GAIN };
+        row.other_requests += weight * (others - row.other_requests);
         change
     }
 
@@ -219,7 +223,7 @@
         Ticket { rows: rows.collect() }
     }
 
-    /// Gives a ticket back; rows that were taken over by other targets are left alone.
+    /// Returns a ticket; rows that have been reused for other targets are left alone.
     pub fn end(&mut self, ticket: &Ticket, now: Instant) {
         for &(index, generation) in &ticket.rows {
             let row = &mut self.rows[index as usize];
@@ -229,21 +233,21 @@
         }
     }
 
-    /// Puts a target out of use for a time that grows with every failure in a row.
+    /// Takes a target out of use for a time that grows with each consecutive failure.
     pub fn record_failure(&mut self, id: &str, now: Instant) {
         if let Some(index) = self.find(id) {
             self.rows[index as usize].breaker.record_failure(now);
         }
     }
 
-    /// Learns from the time that one step or call of one target took.
+    /// Updates the slowdown with the time of one step or call of a single target.
     pub fn record_step(&mut self, id: &str, took: Duration, now: Instant) {
         let Some(index) = self.find(id) else { return };
         self.record_chain_step(&[index], 0.0, took, now);
     }
 
-    /// Learns from the time that one step over several targets took, of which `links` seconds are
-    /// not theirs.
+    /// Updates the slowdowns with the time of one step over several targets, of which `links`
+    /// seconds were spent on the network.
     pub fn record_chain_step(
         &mut self,
         chain: &[TargetIndex],
@@ -258,29 +262,31 @@
             row.figures.step * queueing_factor(load, row.figures.slots)
         };
         let steps: Vec<f64> = chain.iter().map(expect).collect();
-        let guess = |(&i, &s): (&TargetIndex, &f64)| s * self.row(i).slowdown.factor(now);
-        let total = chain.iter().zip(&steps).map(guess).sum::<f64>();
+        let predict = |(&i, &s): (&TargetIndex, &f64)| s * self.row(i).slowdown.factor(now);
+        let total = chain.iter().zip(&steps).map(predict).sum::<f64>();
         let error = took.as_secs_f64() - links - total;
-        // Queueing makes steps longer and never shorter, and is accounted for elsewhere.
-        let trust = if error > 0.0 { RISE } else { 1.0 };
-        let spread = |(&i, &s): (&TargetIndex, &f64)| s * s * self.row(i).slowdown.variance(now);
-        let noise = (NOISE * total).powi(2) / trust;
-        let square = noise + chain.iter().zip(&steps).map(spread).sum::<f64>();
+        // Queueing can only lengthen a step and is accounted for separately, so a long step is weak
+        // evidence of a slow target.
+        let weight = if error > 0.0 { SLOW_STEP_WEIGHT } else { 1.0 };
+        let step_variance =
+            |(&i, &s): (&TargetIndex, &f64)| s * s * self.row(i).slowdown.variance(now);
+        let noise = (RELATIVE_NOISE * total).powi(2) / weight;
+        let total_variance = noise + chain.iter().zip(&steps).map(step_variance).sum::<f64>();
         for (&index, &step) in chain.iter().zip(&steps) {
             let row = &mut self.rows[index as usize];
-            let gain = row.slowdown.variance(now) * step / square;
+            let gain = row.slowdown.variance(now) * step / total_variance;
             row.slowdown.learn(now, error, gain, step);
             row.last_progress = Some(now);
             row.breaker.record_success(now);
         }
     }
 
-    /// Notes whether a target's host is being taken away.
+    /// Sets whether a target's host is being withdrawn.
     pub fn set_leaving(&mut self, index: TargetIndex, leaving: bool) {
         self.rows[index as usize].host_leaving = leaving;
     }
 
-    /// Seconds of one step by what was learned from steps alone.
+    /// Seconds of one step from the learned slowdown alone, without regard to silence.
     fn learned_step(&self, index: TargetIndex, now: Instant) -> f64 {
         let row = self.row(index);
         row.figures.step * row.slowdown.factor(now)
@@ -299,7 +305,7 @@
             }
             self.remove(id);
         }
-        let index = self.free.pop().unwrap_or(self.rows.len() as TargetIndex);
+        let index = self.free_indices.pop().unwrap_or(self.rows.len() as TargetIndex);
         let generation = self.rows.get(index as usize).map_or(0, |row| row.generation + 1);
         let row = Row {
             id: id.clone(),
@@ -327,20 +333,20 @@
         } else {
             self.rows[index as usize] = row;
         }
-        self.names.insert(id.clone(), index);
+        self.indices.insert(id.clone(), index);
     }
 
     fn remove(&mut self, id: &str) {
-        if let Some(index) = self.names.remove(id) {
+        if let Some(index) = self.indices.remove(id) {
             let row = &mut self.rows[index as usize];
             row.declared = false;
             row.engine = None;
-            self.free.push(index);
+            self.free_indices.push(index);
         }
     }
 }
 
-/// How many times longer a unit takes with `depth` units on `slots` places.
+/// Factor by which queueing lengthens a step when `depth` requests share `slots` slots.
 pub fn queueing_factor(depth: f64, slots: f64) -> f64 {
     (depth / slots).max(1.0)
 }
--- a/crates/roseshore_core/src/load/breaker.rs
+++ b/crates/roseshore_core/src/load/breaker.rs
@@ -1,74 +1,76 @@
-//! Whether a target that failed may be tried again.
+//! Circuit breaker of a target.
 //!
-//! A failure puts a target out of use at once, for a time that doubles with every failure in a
-//! row. Then it is half open: one request at a time may probe it. A probe that works, or a report
-//! polled after the quarantine, opens it fully.
+//! A failure opens the breaker: the target is out of use at once, for a time that doubles with each
+//! consecutive failure. After that the breaker is half open and lets through one request at a time
+//! as a probe. A probe that succeeds, or a report polled after the open period, closes it.
 
 use std::time::{Duration, Instant};
 
-/// Quarantine after the first failure.
-const FIRST: Duration = Duration::from_millis(250);
-/// The longest quarantine.
-const LONGEST: Duration = Duration::from_secs(16);
-/// A time without failure after which earlier ones are forgotten.
-const FORGET: Duration = Duration::from_mins(1);
+/// Open period after the first failure.
+const INITIAL_OPEN_PERIOD: Duration = Duration::from_millis(250);
+/// Maximum open period.
+const MAX_OPEN_PERIOD: Duration = Duration::from_secs(16);
+/// Time without a failure after which earlier ones no longer count.
+const FAILURE_MEMORY: Duration = Duration::from_mins(1);
 
-/// The failures of one target.
+/// Failure state of one target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CircuitBreaker {
     failures: u32,
-    last: Option<Instant>,
-    until: Option<Instant>,
+    last_failure: Option<Instant>,
+    open_until: Option<Instant>,
 }
 
 impl CircuitBreaker {
-    /// Whether new work may go there, when `own` requests are in flight.
+    /// Whether new work may be sent, with `own` requests of this daemon in flight.
     pub fn usable(&self, now: Instant, own: u32) -> bool {
-        match self.until {
+        match self.open_until {
             None => true,
             Some(until) => now >= until && own == 0,
         }
     }
 
-    /// Whether it is out of use at all, half open included.
+    /// Whether the breaker is open or half open.
     pub fn tripped(&self) -> bool {
-        self.until.is_some()
+        self.open_until.is_some()
     }
 
-    /// Until when nothing at all may go there; none where it is in use.
+    /// End of the period in which no request is let through; `None` when the breaker is closed.
     pub fn open_until(&self) -> Option<Instant> {
-        self.until
+        self.open_until
     }
 
-    /// It failed.
+    /// Records a failure; further failures during the open period are ignored.
     pub fn record_failure(&mut self, now: Instant) {
-        let inside = self.until.is_some_and(|until| now < until);
-        if inside {
+        let open = self.open_until.is_some_and(|until| now < until);
+        if open {
             return;
         }
-        let old = self.last.is_some_and(|last| now.saturating_duration_since(last) > FORGET);
-        self.failures = if old { 1 } else { self.failures.saturating_add(1) };
-        self.last = Some(now);
-        let length = FIRST.saturating_mul(1 << (self.failures - 1).min(16));
-        self.until = Some(now + length.min(LONGEST));
+        let expired = self
+            .last_failure
+            .is_some_and(|last| now.saturating_duration_since(last) > FAILURE_MEMORY);
+        self.failures = if expired { 1 } else { self.failures.saturating_add(1) };
+        self.last_failure = Some(now);
+        let period = INITIAL_OPEN_PERIOD.saturating_mul(1 << (self.failures - 1).min(16));
+        self.open_until = Some(now + period.min(MAX_OPEN_PERIOD));
     }
 
-    /// A step or call worked.
+    /// Records a step or call that succeeded.
     pub fn record_success(&mut self, now: Instant) {
-        if self.until.is_some_and(|until| now >= until) {
-            self.until = None;
+        if self.open_until.is_some_and(|until| now >= until) {
+            self.open_until = None;
         }
     }
 
-    /// A whole answer makes up for one failure of the row.
+    /// Takes back one of the consecutive failures; called for a complete answer.
     pub fn forgive_failure(&mut self) {
         self.failures = self.failures.saturating_sub(1);
     }
 
-    /// It answered a poll at `seen`.
+    /// Records a report polled at `seen`.
     pub fn record_report(&mut self, seen: Instant) {
-        if self.until.is_some_and(|until| seen >= until) {
-            self.until = None;
+        if self.open_until.is_some_and(|until| seen >= until) {
+            self.open_until = None;
         }
     }
 }
--- a/crates/roseshore_core/src/load/in_flight.rs
+++ b/crates/roseshore_core/src/load/in_flight.rs
@@ -1,14 +1,15 @@
-//! How many own requests were in flight a moment ago.
+//! Recent history of the number of own requests in flight.
 //!
-//! A report says what was true when it was taken; to correct it one has to know the own requests
-//! that it already counts. The last two seconds are kept in steps of an eighth of a second.
+//! A report describes the moment at which it was taken. Correcting it requires the number of own
+//! requests that it already includes. The last two seconds are kept in steps of an eighth of a
+//! second.
 
 use std::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(125);
 const STEPS: usize = 16;
 
-/// A count with its recent past.
+/// A counter with its recent history.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightHistory {
     current: u32,
@@ -17,7 +18,7 @@
 }
 
 impl InFlightHistory {
-    /// The count now.
+    /// Current count.
     pub fn current(&self) -> u32 {
         self.current
     }
@@ -28,7 +29,7 @@
         self.current = self.current.saturating_add_signed(by);
     }
 
-    /// The count at an earlier time, or the oldest that is known.
+    /// Count at an earlier time, or the oldest one kept.
     pub fn at_time(&mut self, time: Instant) -> u32 {
         let Some(newest) = self.newest else { return self.current };
         if time >= newest {
@@ -38,7 +39,7 @@
         self.past[(back as usize).min(STEPS - 1)]
     }
 
-    /// Moves the past on; `past[0]` is the count as it was before `newest`.
+    /// Shifts the history; `past[0]` is the count just before `newest`.
     fn advance(&mut self, now: Instant) {
         let Some(newest) = self.newest else {
             self.newest = Some(now);
--- a/crates/roseshore_core/src/load/report.rs
+++ b/crates/roseshore_core/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a target reports, and how a report changes what is known of it.
+//! Reports of targets, and how they update the load table.
 
 use super::Row;
 use super::breaker::CircuitBreaker;
@@ -6,49 +6,49 @@
 use crate::prelude::*;
 use std::collections::BTreeSet;
 
-/// What an engine said last.
+/// Latest report of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
-    /// The number of its life.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
     /// The model loaded, if any.
     pub model: Option<ModelId>,
     /// The version loaded, if any.
     pub version: Option<VersionId>,
-    /// First layer held and one past the last.
+    /// Layers held, as `first..end`.
     pub layers: (Layer, Layer),
     /// The adapters loaded.
     pub adapters: BTreeSet<AdapterId>,
-    /// Whether it runs prefill and decode alike.
+    /// Whether it runs both prefill and decode.
     pub both_phases: bool,
-    /// Whether a load is under way.
+    /// Whether it is loading a model.
     pub loading: bool,
     /// Whether it asks for no new work.
     pub draining: bool,
-    /// Requests waiting.
+    /// Number of requests waiting.
     pub queue: u32,
-    /// Answers being worked on.
+    /// Number of answers in progress.
     pub running: u32,
-    /// Steps that run at once.
+    /// Number of steps that run at once.
     pub slots: u32,
     /// Time of one step.
     pub step: Duration,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate in tokens a second.
     pub prefill: f64,
-    /// KV cache not in use, tokens.
+    /// Free KV cache in tokens.
     pub kv_free: u64,
 }
 
-/// What a replica of a service said last.
+/// Latest report of a service replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceState {
-    /// The number of its life.
+    /// Incarnation of the replica's process.
     pub incarnation: Incarnation,
-    /// Calls waiting.
+    /// Number of calls waiting.
     pub queue: u32,
-    /// Calls being worked on.
+    /// Number of calls in progress.
     pub running: u32,
-    /// Calls that run at once.
+    /// Number of calls that run at once.
     pub slots: u32,
     /// Time of one call.
     pub call: Duration,
@@ -56,47 +56,47 @@
     pub draining: bool,
 }
 
-/// What a poll of a target gave.
+/// Result of polling a target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PollResult {
-    /// An engine's report.
+    /// Report of an engine.
     Engine(EngineState),
-    /// A service replica's report.
+    /// Report of a service replica.
     Service(ServiceState),
-    /// No answer.
+    /// No reply.
     Silent,
 }
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportChange {
-    /// The report was older than the known one, or of an unknown target.
+    /// Nothing: the report was older than the latest one, or its target is unknown.
     Ignored,
-    /// Only load figures.
+    /// Only the load figures.
     LoadOnly,
-    /// What the target holds, its life or whether it takes work.
+    /// What the target holds, its incarnation, or whether it takes work.
     Capabilities,
 }
 
-/// What a target is asked to do in a unit of work, and how fast.
+/// Load figures common to engines and service replicas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadFigures {
-    /// Requests waiting or running there, as reported.
+    /// Number of requests waiting or running, as reported.
     pub depth: f64,
-    /// Requests waiting there, as reported.
+    /// Number of requests waiting, as reported.
     pub queue: f64,
-    /// Units that run at once.
+    /// Number of steps or calls that run at once.
     pub slots: f64,
     /// Seconds of one step or call.
     pub step: f64,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate in tokens a second.
     pub prefill: f64,
-    /// KV cache not in use, tokens.
+    /// Free KV cache in tokens.
     pub kv_free: f64,
 }
 
 impl LoadFigures {
-    /// What is assumed before the first report.
+    /// Assumed before the first report.
     pub(super) const UNKNOWN: LoadFigures = LoadFigures {
         depth: 0.0,
         queue: 0.0,
--- a/crates/roseshore_core/src/load/slowdown.rs
+++ b/crates/roseshore_core/src/load/slowdown.rs
@@ -1,23 +1,23 @@
-//! How a target's real times compare with what it reports.
+//! Ratio of a target's observed step times to its reported ones.
 //!
-//! Only the time of a whole chain's step can be seen. Its error is divided among the stages by how
-//! uncertain each one's factor is (a Kalman filter that keeps variances only): stages that have
-//! proved steady in other chains take little of the blame, so that over changing partners it
-//! settles on the target that is slow. What is not observed for a while is slowly forgiven, so that
-//! a target that recovered is found out.
+//! Only the time of a step over a whole chain can be observed. Its error is divided among the
+//! stages by the uncertainty of each one's ratio (a Kalman filter with variances only): stages that
+//! proved steady in other chains take a small part of the error, so that over changing chains it
+//! converges on the target that is slow. Without new observations the ratio decays to 1, so that a
+//! target that has recovered is tried again.
 
 use std::time::{Duration, Instant};
 
-/// The bounds of the factor; a target that is faster than it says is simply believed.
+/// Bounds of the ratio; a target that is faster than it reports is taken at its report.
 const BOUNDS: (f64, f64) = (1.0, 100.0);
-/// Without an observation, the factor is back at 1 after this time.
+/// Time without observations after which the ratio is back at 1.
 const DECAY_TIME: Duration = Duration::from_mins(3);
-/// Variance of a factor of which nothing is known.
+/// Initial and maximum variance of the ratio.
 const UNKNOWN: f64 = 16.0;
-/// Variance that a factor gains in a second.
+/// Variance that is added per second without observations.
 const DRIFT: f64 = 0.1;
 
-/// A factor on reported times.
+/// Estimated ratio of observed to reported times.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Slowdown {
     factor: f64,
@@ -32,19 +32,19 @@
 }
 
 impl Slowdown {
-    /// How many times longer it takes than it reports.
+    /// Ratio of observed to reported times at `now`.
     pub fn factor(&self, now: Instant) -> f64 {
         let kept = (1.0 - self.idle(now) / DECAY_TIME.as_secs_f64()).max(0.0);
         1.0 + (self.factor - 1.0) * kept
     }
 
-    /// How uncertain the factor is.
+    /// Variance of the ratio at `now`.
     pub fn variance(&self, now: Instant) -> f64 {
         (self.variance + DRIFT * self.idle(now)).min(UNKNOWN)
     }
 
-    /// Takes its part of an observation: `gain` is how far the factor moves for one second of
-    /// error, `step` how many seconds one factor stands for.
+    /// Applies one target's part of an observation. `gain` is the change of the ratio per second of
+    /// error, and `step` the reported seconds of a step, that is, seconds per unit of ratio.
     pub fn learn(&mut self, now: Instant, error: f64, gain: f64, step: f64) {
         let factor = self.factor(now) + gain * error;
         self.variance = self.variance(now) * (1.0 - gain * step);
@@ -52,7 +52,7 @@
         self.last = Some(now);
     }
 
-    /// Keeps the expected time when the report it is relative to changes.
+    /// Keeps the expected time constant when the reported time changes by `1 / ratio`.
     pub fn rescale(&mut self, ratio: f64) {
         self.factor = (self.factor * ratio).clamp(BOUNDS.0, BOUNDS.1);
     }
--- a/crates/roseshore_core/src/prelude.rs
+++ b/crates/roseshore_core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module needs.
+//! Types that nearly every module needs.
 
 pub use crate::code::Code;
 pub use crate::event::Event;
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -1,10 +1,11 @@
-//! The choice of a chain of engines for an answer, and of a replica for a call.
+//! Selection of a chain of engines for an answer, and of a replica for a service call.
 //!
-//! Engines that hold one model version are kept as a graph over the borders of their layer ranges.
-//! A choice draws a few candidates for each piece at random, own data centre first, adds those that
-//! seem to hold the prompt's prefix, and takes the shortest path by predicted time. Drawing at
-//! random keeps daemons that share the same late reports from running to the same target. What was
-//! not drawn can only cost time: when the drawn ones leave a hole, all are looked at.
+//! The engines that hold one model version form a graph whose vertices are the boundaries of their
+//! layer ranges. A selection samples a few random candidates for each range, mostly from the own
+//! data centre, adds those that probably have the prompt's prefix cached, and takes the path with
+//! the lowest predicted time. Random sampling keeps daemons that share the same outdated reports
+//! from all choosing the same target. It can only cost time, never a chain: when the sampled
+//! candidates do not cover every layer, all targets are considered.
 
 pub mod capacity;
 pub mod chain;
@@ -28,55 +29,56 @@
 use rand::rngs::SmallRng;
 use replica::Replicas;
 
-/// What an answer needs of its chain.
+/// What an answer requires of its chain.
 #[derive(Clone, Debug)]
 pub struct ChainRequest<'a> {
     /// The model.
     pub model: &'a str,
-    /// The version.
+    /// The version of the weights.
     pub version: &'a str,
-    /// The number of layers.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// The adapter.
+    /// The adapter, if any.
     pub adapter: Option<&'a str>,
-    /// Hashes of growing prefixes of the prompt, `(tokens, hash)`, shortest first.
+    /// Hashes of prefixes of the prompt as `(tokens, hash)`, shortest first.
     pub prefixes: &'a [(u32, u64)],
-    /// Tokens to prefill if nothing is cached.
+    /// Number of tokens to prefill if nothing is cached.
     pub prompt: u32,
-    /// Tokens expected to be generated.
+    /// Number of tokens expected to be generated.
     pub expected: u32,
-    /// Targets that failed this answer already.
+    /// Targets that the chain must not use because they failed for this answer.
     pub avoid: &'a [TargetId],
 }
 
 /// One stage of a chosen chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageChoice {
-    /// The target's row.
+    /// Index of the target's row in the load table.
     pub row: TargetIndex,
-    /// First layer and one past the last that it is to run.
+    /// Layers to run, as `first..end`.
     pub layers: (Layer, Layer),
 }
 
 /// A chosen chain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChainChoice {
-    /// In order of layers.
+    /// Stages, in order of layers.
     pub stages: Vec<StageChoice>,
     /// Predicted time to the next token.
     pub first_token: Duration,
-    /// Predicted time between tokens.
+    /// Predicted time between two tokens.
     pub token_interval: Duration,
-    /// Seconds for the whole answer if the chain were idle.
+    /// Predicted seconds for the whole answer if the chain were idle.
     pub idle_secs: f64,
 }
 
-/// How a choice is made; the defaults are those measured best.
+/// Number of random candidates per selection. The defaults performed best among the values
+/// compared.
 #[derive(Clone, Copy, Debug)]
 pub struct SampleSizes {
-    /// Candidates drawn for each piece in the own data centre.
+    /// Candidates sampled for each layer range in the own data centre.
     pub near: usize,
-    /// Candidates drawn for each piece elsewhere.
+    /// Candidates sampled for each layer range in other data centres.
     pub far: usize,
 }
 
@@ -86,14 +88,14 @@
     }
 }
 
-/// Everything that choices are made from.
+/// Selects targets from their reported and observed load.
 pub struct Router {
     loads: LoadTable,
     links: LinkDelays,
     pools: Pools,
     replicas: Replicas,
     prefixes: PrefixIndex,
-    own: DataCentreIndex,
+    local: DataCentreIndex,
     sample_sizes: SampleSizes,
     random: SmallRng,
     scratch: Scratch,
@@ -102,17 +104,17 @@
 }
 
 impl Router {
-    /// A router of a daemon in the data centre `own`.
-    pub fn new(own: &str, sample_sizes: SampleSizes, random: SmallRng) -> Router {
+    /// Creates a router for a daemon in the data centre `own`.
+    pub fn new(local: &str, sample_sizes: SampleSizes, random: SmallRng) -> Router {
         let mut loads = LoadTable::default();
-        let own = loads.data_centre_index(own);
+        let local = loads.data_centre_index(local);
         Router {
             loads,
             links: LinkDelays::default(),
             pools: Pools::default(),
             replicas: Replicas::default(),
             prefixes: PrefixIndex::default(),
-            own,
+            local,
             sample_sizes,
             random,
             scratch: Scratch::default(),
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Takes over a configuration.
+    /// Applies a configuration.
     pub fn apply_fleet(&mut self, fleet: &Fleet) {
         self.loads.apply_fleet(fleet);
         self.links = LinkDelays::from_fleet(&mut self.loads, fleet);
@@ -129,24 +131,24 @@
         self.replicas.clear();
     }
 
-    /// What is known of the targets.
+    /// Load of each target.
     pub fn loads(&self) -> &LoadTable {
         &self.loads
     }
 
-    /// Takes a report.
-    pub fn report(&mut self, id: &str, seen: Instant, content: PollResult) -> ReportChange {
-        let life = self.loads.find(id).map(|i| self.loads.row(i).incarnation);
-        let change = self.loads.report(id, seen, content);
+    /// Applies a target's report, polled at `seen`.
+    pub fn report(&mut self, id: &str, seen: Instant, result: PollResult) -> ReportChange {
+        let incarnation = self.loads.find(id).map(|i| self.loads.row(i).incarnation);
+        let change = self.loads.report(id, seen, result);
         if change == ReportChange::Capabilities {
             self.pools.clear();
             self.replicas.clear();
-            self.forget_cache(id, life);
+            self.forget_cache(id, incarnation);
         }
         change
     }
 
-    /// Takes cache events of a target.
+    /// Applies cache events of a target.
     pub fn apply_cache_changes(&mut self, id: &str, changes: &[CacheChange]) {
         let Some(row) = self.loads.find(id) else { return };
         for change in changes {
@@ -154,45 +156,46 @@
         }
     }
 
-    /// A target failed just now.
+    /// Records that a target failed at `now`.
     pub fn record_failure(&mut self, id: &str, now: Instant) {
         self.loads.record_failure(id, now);
     }
 
-    /// One step or call of a target took this long.
+    /// Records the time that one step or call of a target took.
     pub fn record_step(&mut self, id: &str, took: Duration, now: Instant) {
         self.loads.record_step(id, took, now);
     }
 
-    /// One step over a chain of targets took this long.
+    /// Records the time that one step over a chain of targets took.
     pub fn record_chain_step(&mut self, chain: &[TargetIndex], took: Duration, now: Instant) {
         let links = self.links.round_trip(chain.iter().map(|&i| self.loads.row(i).data_centre));
         self.loads.record_chain_step(chain, links, took, now);
     }
 
-    /// Notes whether a target's host is being taken away.
+    /// Sets whether a target's host is being withdrawn.
     pub fn set_leaving(&mut self, row: TargetIndex, leaving: bool) {
         self.loads.set_leaving(row, leaving);
     }
 
-    /// Counts chosen rows as in flight.
+    /// Counts the chosen rows as in flight until the ticket is returned.
     pub fn begin(&mut self, rows: &[TargetIndex], now: Instant) -> Ticket {
         self.loads.begin(rows, now)
     }
 
-    /// Gives a ticket back.
+    /// Returns a ticket.
     pub fn end(&mut self, ticket: &Ticket, now: Instant) {
         self.loads.end(ticket, now);
     }
 
-    /// Chooses a chain, or `None` when the usable targets leave a hole.
+    /// Chooses a chain; `None` when the usable targets do not cover every layer.
     pub fn choose_chain(
         &mut self,
         request: &ChainRequest<'_>,
         now: Instant,
     ) -> Option<ChainChoice> {
-        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
-        let tiers = self.pools.get(&place, request);
+        let context =
+            PoolContext { loads: &self.loads, links: &self.links, local: self.local, now };
+        let pools = self.pools.get(&context, request);
         let loads = &self.loads;
         self.avoid.clear();
         self.avoid.extend(request.avoid.iter().filter_map(|id| loads.find(id)));
@@ -202,20 +205,20 @@
         let step = ChainSearch {
             loads,
             links: &self.links,
-            own: self.own,
+            local: self.local,
             avoid: &self.avoid,
             work,
             hits: &self.hits,
-            idle_time: tiers.idle_time.predict(work),
+            idle_time: pools.idle_time.predict(work),
             now,
         };
-        let choice = step.choose(tiers, self.sample_sizes, &mut self.random, &mut self.scratch)?;
-        tiers.idle_time.learn(work, choice.idle_secs);
-        self.note_prefixes(request, &choice);
+        let choice = step.choose(pools, self.sample_sizes, &mut self.random, &mut self.scratch)?;
+        pools.idle_time.learn(work, choice.idle_secs);
+        self.record_prefixes(request, &choice);
         Some(choice)
     }
 
-    /// Chooses a replica of a service source, or `None` when none is usable.
+    /// Chooses a replica of a service source; `None` when none is usable.
     pub fn choose_replica(
         &mut self,
         serves: &str,
@@ -225,26 +228,26 @@
         let loads = &self.loads;
         self.avoid.clear();
         self.avoid.extend(avoid.iter().filter_map(|id| loads.find(id)));
-        let place = PoolContext { loads, links: &self.links, own: self.own, now };
-        let list = self.replicas.get(&place, serves);
+        let context = PoolContext { loads, links: &self.links, local: self.local, now };
+        let list = self.replicas.get(&context, serves);
         let pick = replica::ReplicaSearch {
             loads,
             links: &self.links,
-            own: self.own,
+            local: self.local,
             avoid: &self.avoid,
             now,
         };
         pick.choose(list, self.sample_sizes, &mut self.random)
     }
 
-    /// What the usable engines hold of a model.
+    /// Versions and layer ranges of a model that the usable engines hold.
     pub fn pieces(&self, model: &str, now: Instant) -> Pieces {
         let mut pieces = Pieces { held: Vec::new(), heard: true };
         for row in self.loads.declared().map(|index| self.loads.row(index)) {
             if row.kind != TargetKind::Engine {
                 continue;
             }
-            let near = row.data_centre == self.own;
+            let near = row.data_centre == self.local;
             pieces.heard &= !near || row.reported() || !row.usable(now);
             let Some(engine) = row.engine.as_ref().filter(|_| row.usable(now)) else { continue };
             let serves = engine.both_phases && !engine.loading && !engine.draining;
@@ -256,23 +259,26 @@
         pieces
     }
 
-    /// The capacity of the narrowest layer of a model's engines.
+    /// Capacity of the layer with the fewest slots among a model's engines.
     pub fn chain_capacity(&mut self, request: &ChainRequest<'_>, now: Instant) -> Option<Capacity> {
-        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
-        let tiers = self.pools.get(&place, request);
+        let context =
+            PoolContext { loads: &self.loads, links: &self.links, local: self.local, now };
+        let pools = self.pools.get(&context, request);
         let work = Work { prompt: request.prompt, expected: request.expected };
-        capacity::chain_capacity(&self.loads, request, tiers.idle_time.predict(work), now)
+        capacity::chain_capacity(&self.loads, request, pools.idle_time.predict(work), now)
     }
 
-    /// The capacity of the replicas of a service source.
+    /// Capacity of the replicas of a service source.
     pub fn replica_capacity(&mut self, serves: &str, now: Instant) -> Option<Capacity> {
-        let place = PoolContext { loads: &self.loads, links: &self.links, own: self.own, now };
-        let list = self.replicas.get(&place, serves);
+        let context =
+            PoolContext { loads: &self.loads, links: &self.links, local: self.local, now };
+        let list = self.replicas.get(&context, serves);
         capacity::replica_capacity(&self.loads, list, now)
     }
 
-    /// The prompt will be cached along the chain; not waiting for the event keeps it there.
-    fn note_prefixes(&mut self, request: &ChainRequest<'_>, choice: &ChainChoice) {
+    /// Records at once that the prompt will be cached along the chain, so that requests with the
+    /// same prefix follow it before the cache event arrives.
+    fn record_prefixes(&mut self, request: &ChainRequest<'_>, choice: &ChainChoice) {
         for stage in &choice.stages {
             for &(tokens, hash) in request.prefixes {
                 self.prefixes.apply(stage.row, CacheChange::Stored { hash, tokens });
@@ -280,9 +286,9 @@
         }
     }
 
-    fn forget_cache(&mut self, id: &str, life: Option<Incarnation>) {
+    fn forget_cache(&mut self, id: &str, incarnation: Option<Incarnation>) {
         let Some(row) = self.loads.find(id) else { return };
-        if life != Some(self.loads.row(row).incarnation) {
+        if incarnation != Some(self.loads.row(row).incarnation) {
             self.prefixes.apply(row, CacheChange::Cleared);
         }
     }
--- a/crates/roseshore_core/src/route/capacity.rs
+++ b/crates/roseshore_core/src/route/capacity.rs
@@ -1,4 +1,4 @@
-//! How much the targets of a service can take, for the limit of admission.
+//! Capacity of a service's targets, from which admission derives its concurrency limit.
 
 use super::ChainRequest;
 use super::cost::{self, StageWork, Work};
@@ -8,10 +8,10 @@
 use crate::load::{LoadTable, Row, TargetIndex};
 use std::time::Instant;
 
-/// The capacity of the narrowest layer; `None` when some layer has no usable engine.
+/// Capacity of the layer with the fewest slots; `None` when some layer has no usable engine.
 ///
-/// `idle_time` is the time of such an answer on an idle chain, in seconds. Answers use a stage's slots
-/// only for a part of it, so that a stage takes more answers than it has slots.
+/// `idle_time` is the time in seconds of such an answer on an idle chain. An answer occupies a
+/// stage's slots for only a fraction of it, so a stage serves more answers than it has slots.
 pub fn chain_capacity(
     loads: &LoadTable,
     request: &ChainRequest<'_>,
@@ -36,7 +36,7 @@
     (narrowest.slots > 0.0).then_some(narrowest)
 }
 
-/// The capacity of all replicas; `None` when none is usable.
+/// Capacity of all replicas together; `None` when none is usable.
 pub fn replica_capacity(loads: &LoadTable, group: &ReplicaGroup, now: Instant) -> Option<Capacity> {
     let mut capacity = Capacity { slots: 0.0, busy: 0.0 };
     group.rows().for_each(|index: TargetIndex| add(&mut capacity, loads.row(index), 1.0, now));
--- a/crates/roseshore_core/src/route/chain.rs
+++ b/crates/roseshore_core/src/route/chain.rs
@@ -1,4 +1,4 @@
-//! The shortest path over a few drawn candidates.
+//! Shortest path over the sampled candidates.
 
 use super::cost::{self, StageTime, StageWork, Work};
 use super::links::LinkDelays;
@@ -10,12 +10,13 @@
 use crate::prelude::*;
 use rand::rngs::SmallRng;
 
-/// Draws that may hit an unusable or known target before a group is left with fewer candidates.
+/// Extra draws per candidate: each unusable or duplicate one is redrawn up to this often before the
+/// group goes with fewer candidates.
 const REDRAWS: usize = 2;
-/// The end of a path.
+/// Marks the last node of a path.
 const END: u32 = u32::MAX;
 
-/// A drawn candidate.
+/// A candidate in the graph.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     row: TargetIndex,
@@ -26,37 +27,38 @@
     total: f64,
 }
 
-/// Memory that is used again for every choice.
+/// Buffer that is reused between selections.
 #[derive(Debug, Default)]
 pub struct Scratch {
     nodes: Vec<Node>,
 }
 
-/// One choice.
+/// Inputs of one chain selection.
 pub struct ChainSearch<'a> {
-    /// The targets.
+    /// Load of the targets.
     pub loads: &'a LoadTable,
-    /// The delays.
+    /// Delays between data centres.
     pub links: &'a LinkDelays,
     /// The own data centre.
-    pub own: DataCentreIndex,
-    /// Targets not to use.
+    pub local: DataCentreIndex,
+    /// Targets to exclude.
     pub avoid: &'a [TargetIndex],
-    /// The work.
+    /// Size of the answer.
     pub work: Work,
-    /// Targets that seem to hold the prompt's prefix.
+    /// Targets that probably have a prefix of the prompt cached.
     pub hits: &'a [PrefixHit],
-    /// Seconds that such an answer takes on an idle chain; 0 when unknown.
+    /// Predicted seconds of such an answer on an idle chain; 0 when unknown.
     pub idle_time: f64,
-    /// The time.
+    /// Current time.
     pub now: Instant,
 }
 
 impl ChainSearch<'_> {
-    /// Chooses by drawn candidates, and by all of them when the drawn ones leave a hole.
+    /// Chooses among sampled candidates, and among all targets if those do not form a complete
+    /// path.
     pub fn choose(
         &self,
-        tiers: &ChainPools,
+        pools: &ChainPools,
         sizes: SampleSizes,
         random: &mut SmallRng,
         scratch: &mut Scratch,
@@ -67,12 +69,13 @@
             self.draw(group, &group.far, far, random, nodes);
             self.add_hits(group, nodes);
         };
-        self.path(&tiers.exact, scratch, drawn)
-            .or_else(|| self.path(&tiers.exact, scratch, |g, n| self.add_all(g, n)))
-            .or_else(|| self.path(&tiers.trimmed, scratch, |g, n| self.add_all(g, n)))
+        self.path(&pools.exact, scratch, drawn)
+            .or_else(|| self.path(&pools.exact, scratch, |g, n| self.add_all(g, n)))
+            .or_else(|| self.path(&pools.trimmed, scratch, |g, n| self.add_all(g, n)))
     }
 
-    /// The shortest path over what `fill` adds for each group; groups come last layers first.
+    /// Shortest path over the candidates that `fill` adds for each group; groups are ordered from
+    /// the last layers to the first.
     fn path(
         &self,
         pool: &Pool,
@@ -88,7 +91,7 @@
                 self.link_next(nodes, at, pool.layers);
             }
         }
-        let entry = |node: &Node| node.total + self.links.delay(self.own, node.data_centre);
+        let entry = |node: &Node| node.total + self.links.delay(self.local, node.data_centre);
         let first = nodes
             .iter()
             .filter(|node| node.layers.0 == 0 && node.total.is_finite())
@@ -96,20 +99,20 @@
         Some(self.chain_from(nodes, *first))
     }
 
-    /// Finds the best next stage of one candidate.
+    /// Links one candidate to its best next stage.
     fn link_next(&self, nodes: &mut [Node], at: usize, layers: Layer) {
         let node = nodes[at];
         let tokens = 1.0 + f64::from(self.work.expected);
         let mut best = (f64::INFINITY, END);
         if node.layers.1 == layers {
-            best = (self.links.delay(node.data_centre, self.own) * tokens, END);
+            best = (self.links.delay(node.data_centre, self.local) * tokens, END);
         }
-        for (place, next) in nodes[..at].iter().enumerate() {
+        for (index, next) in nodes[..at].iter().enumerate() {
             if next.layers.0 == node.layers.1 {
                 let total =
                     next.total + self.links.delay(node.data_centre, next.data_centre) * tokens;
                 if total < best.0 {
-                    best = (total, place as u32);
+                    best = (total, index as u32);
                 }
             }
         }
@@ -119,16 +122,16 @@
 
     fn chain_from(&self, nodes: &[Node], start: Node) -> ChainChoice {
         let mut stages = Vec::with_capacity(8);
-        let mut first = self.links.delay(self.own, start.data_centre);
-        let mut between = 0.0;
-        let mut idle = 0.0;
+        let mut first_token = self.links.delay(self.local, start.data_centre);
+        let mut token_interval = 0.0;
+        let mut idle_secs = 0.0;
         let mut hops = 0.0;
         let mut node = start;
         loop {
             stages.push(StageChoice { row: node.row, layers: node.layers });
-            first += node.time.first_token;
-            between += node.time.token_interval;
-            idle += node.time.idle_secs;
+            first_token += node.time.first_token;
+            token_interval += node.time.token_interval;
+            idle_secs += node.time.idle_secs;
             if node.next == END {
                 break;
             }
@@ -141,9 +144,11 @@
         let tokens = 1.0 + f64::from(self.work.expected);
         ChainChoice {
             stages,
-            first_token: span(first + hops + self.links.delay(start.data_centre, self.own)),
-            token_interval: span(between + hops),
-            idle_secs: idle + hops * tokens,
+            first_token: duration(
+                first_token + hops + self.links.delay(start.data_centre, self.local),
+            ),
+            token_interval: duration(token_interval + hops),
+            idle_secs: idle_secs + hops * tokens,
         }
     }
 
@@ -187,7 +192,7 @@
         }
     }
 
-    /// Adds a candidate, unless it is unusable or there already.
+    /// Adds a candidate unless it is unusable or already present.
     fn add(&self, group: &PieceGroup, row: TargetIndex, nodes: &mut Vec<Node>) {
         let known = nodes.iter().rev().take_while(|node| node.layers == group.layers);
         if known.into_iter().any(|node| node.row == row) {
@@ -220,6 +225,6 @@
     }
 }
 
-fn span(seconds: f64) -> Duration {
+fn duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
--- a/crates/roseshore_core/src/route/links.rs
+++ b/crates/roseshore_core/src/route/links.rs
@@ -1,14 +1,14 @@
-//! What a hop between data centres costs.
+//! Network delays between data centres.
 
 use crate::load::{DataCentreIndex, LoadTable};
 use crate::prelude::*;
 
-/// One-way delay inside a data centre, seconds.
-const INSIDE: f64 = 0.000_1;
-/// One-way delay between data centres that declare none, seconds.
-const DEFAULT: f64 = 0.050;
+/// One-way delay within a data centre, in seconds.
+const LOCAL_DELAY: f64 = 0.000_1;
+/// One-way delay between data centres that declare none, in seconds.
+const DEFAULT_DELAY: f64 = 0.050;
 
-/// One-way delays between data centres, seconds.
+/// One-way delays between data centres, in seconds.
 #[derive(Clone, Debug, Default)]
 pub struct LinkDelays {
     width: usize,
@@ -16,32 +16,32 @@
 }
 
 impl LinkDelays {
-    /// The declared delays; one direction stands for both when only one is declared.
+    /// Takes the declared delays; a delay declared in only one direction counts for both.
     pub fn from_fleet(loads: &mut LoadTable, fleet: &Fleet) -> LinkDelays {
         for id in fleet.data_centres.keys() {
             loads.data_centre_index(id);
         }
         let zones = loads.data_centres();
         let width = zones.len();
-        let mut delays = vec![DEFAULT; width * width];
+        let mut delays = vec![DEFAULT_DELAY; width * width];
         let declared = |a: &str, b: &str| fleet.data_centres.get(a)?.links.get(b).copied();
         for (i, a) in zones.iter().enumerate() {
             for (j, b) in zones.iter().enumerate() {
                 let millis = declared(a, b).or_else(|| declared(b, a));
-                let delay = millis.map_or(DEFAULT, |ms| ms / 1000.0);
-                delays[i * width + j] = if i == j { INSIDE } else { delay.max(0.0) };
+                let delay = millis.map_or(DEFAULT_DELAY, |ms| ms / 1000.0);
+                delays[i * width + j] = if i == j { LOCAL_DELAY } else { delay.max(0.0) };
             }
         }
         LinkDelays { width, delays }
     }
 
-    /// Seconds one way.
+    /// One-way delay in seconds.
     pub fn delay(&self, a: DataCentreIndex, b: DataCentreIndex) -> f64 {
         let place = usize::from(a) * self.width + usize::from(b);
-        self.delays.get(place).copied().unwrap_or(DEFAULT)
+        self.delays.get(place).copied().unwrap_or(DEFAULT_DELAY)
     }
 
-    /// Seconds of a token's way over stages and back to the first one.
+    /// Seconds that a token spends on links between the stages and back to the first one.
     pub fn round_trip(&self, mut chain: impl Iterator<Item = DataCentreIndex>) -> f64 {
         let Some(first) = chain.next() else { return 0.0 };
         let mut last = first;
--- a/crates/roseshore_core/src/route/pool.rs
+++ b/crates/roseshore_core/src/route/pool.rs
@@ -1,4 +1,4 @@
-//! The engines that hold one model version, as a graph over layer borders.
+//! Engines that hold one model version, as a graph over layer boundaries.
 
 use super::ChainRequest;
 use super::cost::Work;
@@ -9,43 +9,45 @@
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// Pools kept; more than any fleet's models and adapters in use at a time.
+/// Maximum number of cached pools; more than the combinations of model, version and adapter that a
+/// fleet uses at a time.
 const MAX_POOLS: usize = 256;
-/// Tokens that are prefilled in about the time of one generated.
+/// Number of tokens prefilled in about the time of generating one.
 const PREFILL_TOKENS: f64 = 10.0;
-/// How often targets are weights_updated anew for draws.
+/// Interval at which the sampling weights of targets are updated.
 pub(super) const REWEIGH_INTERVAL: Duration = Duration::from_millis(500);
-/// Part of a sample that is learned at once.
-const LEARN: f64 = 0.05;
+/// Weight of a new sample in the running mean.
+const GAIN: f64 = 0.05;
 
-/// Engines that can run the same piece.
+/// Engines that can run the same layer range.
 #[derive(Clone, Debug)]
 pub struct PieceGroup {
-    /// First layer and one past the last.
+    /// The layer range, as `first..end`.
     pub layers: (Layer, Layer),
-    /// Those of the own data centre.
+    /// Engines in the own data centre.
     pub near: WeightedSampler,
-    /// All others, the nearest first.
+    /// Engines in other data centres, in order of network delay.
     pub far: WeightedSampler,
 }
 
-/// A graph of pieces from layer 0 to the last.
+/// Graph of layer ranges from layer 0 to the last.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// Pieces that lie on some whole path, the last ones first.
+    /// Layer ranges that lie on some complete path, the last layers first.
     pub groups: Vec<PieceGroup>,
-    /// The number of layers.
+    /// Number of layers of the model.
     pub layers: Layer,
 }
 
-/// The pools of one request.
+/// The graphs for one kind of request.
 #[derive(Clone, Debug, Default)]
 pub struct ChainPools {
-    /// Engines run all the layers they hold.
+    /// Every engine runs all the layers that it holds.
     pub exact: Pool,
-    /// Engines may begin in the middle of their range; used only when the other leaves a hole.
+    /// Engines may start in the middle of their range; used only when the exact graph has no
+    /// complete path.
     pub trimmed: Pool,
-    /// How long answers take on idle chains.
+    /// Predicted time of answers on idle chains.
     pub idle_time: IdleTimeModel,
     weights_updated: Option<Instant>,
 }
@@ -66,27 +68,27 @@
     }
 }
 
-/// How long answers take on idle chains, learned from those chosen.
+/// Time of an answer on an idle chain, relative to its size, learned from the chains chosen.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleTimeModel {
     ratio: Option<f64>,
 }
 
 impl IdleTimeModel {
-    /// Seconds for an answer; 0 when unknown.
+    /// Predicted seconds of an answer; 0 when unknown.
     pub fn predict(&self, work: Work) -> f64 {
         self.ratio.map_or(0.0, |ratio| ratio * units(work))
     }
 
-    /// Learns from the idle time of a chosen chain.
-    pub fn learn(&mut self, work: Work, idle: f64) {
-        let sample = idle / units(work);
+    /// Updates the estimate with the idle time of a chosen chain.
+    pub fn learn(&mut self, work: Work, idle_secs: f64) {
+        let sample = idle_secs / units(work);
         let old = self.ratio.unwrap_or(sample);
-        self.ratio = Some(old + LEARN * (sample - old));
+        self.ratio = Some(old + GAIN * (sample - old));
     }
 }
 
-/// The size of an answer: a token to generate is about as much as this many to prefill.
+/// Size of an answer in generated tokens; [`PREFILL_TOKENS`] tokens to prefill count as one.
 fn units(work: Work) -> f64 {
     f64::from(work.prompt) / PREFILL_TOKENS + f64::from(work.expected) + 1.0
 }
@@ -99,19 +101,19 @@
     layers: Layer,
 }
 
-/// The pools in use, built when first asked for.
+/// The graphs in use, built on first request.
 #[derive(Debug, Default)]
 pub struct Pools {
-    tiers: FxHashMap<PoolKey, ChainPools>,
+    pools: FxHashMap<PoolKey, ChainPools>,
 }
 
 impl Pools {
-    /// Forgets all; some engine's holding changed.
+    /// Drops all graphs; called when the layers, model or state of some engine changed.
     pub fn clear(&mut self) {
-        self.tiers.clear();
+        self.pools.clear();
     }
 
-    /// The pools for a request.
+    /// The graphs for a request.
     pub fn get(
         &mut self,
         context: &PoolContext<'_>,
@@ -123,27 +125,27 @@
             adapter: request.adapter.map(str::to_owned),
             layers: request.layers,
         };
-        if self.tiers.len() >= MAX_POOLS && !self.tiers.contains_key(&key) {
-            self.tiers.clear();
+        if self.pools.len() >= MAX_POOLS && !self.pools.contains_key(&key) {
+            self.pools.clear();
         }
-        let tiers = self.tiers.entry(key).or_insert_with(|| build(context, request));
-        tiers.update_weights(context.loads, context.now);
-        tiers
+        let pools = self.pools.entry(key).or_insert_with(|| build(context, request));
+        pools.update_weights(context.loads, context.now);
+        pools
     }
 }
 
 fn build(context: &PoolContext<'_>, request: &ChainRequest<'_>) -> ChainPools {
     let loads = context.loads;
-    let mut holders: Vec<TargetIndex> =
+    let mut engines: Vec<TargetIndex> =
         loads.declared().filter(|&i| can_serve(loads.row(i), request)).collect();
-    holders.sort_by(|&a, &b| loads.row(a).id.cmp(&loads.row(b).id));
+    engines.sort_by(|&a, &b| loads.row(a).id.cmp(&loads.row(b).id));
     let range = |i: TargetIndex| loads.row(i).engine.as_ref().map(|e| e.layers);
-    let exact = holders.iter().filter_map(|&i| Some((range(i)?, i)));
+    let exact = engines.iter().filter_map(|&i| Some((range(i)?, i)));
     let mut borders: Vec<Layer> = vec![0];
-    borders.extend(holders.iter().filter_map(|&i| Some(range(i)?.1)));
+    borders.extend(engines.iter().filter_map(|&i| Some(range(i)?.1)));
     borders.sort_unstable();
     borders.dedup();
-    let trimmed = holders.iter().filter_map(|&i| Some((range(i)?, i))).flat_map(|((a, b), i)| {
+    let trimmed = engines.iter().filter_map(|&i| Some((range(i)?, i))).flat_map(|((a, b), i)| {
         borders.iter().filter(move |&&u| a <= u && u < b).map(move |&u| ((u, b), i))
     });
     ChainPools {
@@ -167,15 +169,15 @@
         && engine.layers.1 <= request.layers
 }
 
-/// From where, and by what, pools are built.
+/// Inputs for building pools.
 pub struct PoolContext<'a> {
-    /// The targets.
+    /// Load of the targets.
     pub loads: &'a LoadTable,
-    /// The delays.
+    /// Delays between data centres.
     pub links: &'a LinkDelays,
     /// The own data centre.
-    pub own: DataCentreIndex,
-    /// The time.
+    pub local: DataCentreIndex,
+    /// Current time.
     pub now: Instant,
 }
 
@@ -198,14 +200,14 @@
     fn group(&self, layers: (Layer, Layer), rows: Vec<TargetIndex>) -> PieceGroup {
         let data_centre = |i: &TargetIndex| self.loads.row(*i).data_centre;
         let (near, mut far): (Vec<_>, Vec<_>) =
-            rows.into_iter().partition(|i| data_centre(i) == self.own);
-        let delay = |i: &TargetIndex| self.links.delay(self.own, data_centre(i));
+            rows.into_iter().partition(|i| data_centre(i) == self.local);
+        let delay = |i: &TargetIndex| self.links.delay(self.local, data_centre(i));
         far.sort_by(|a, b| delay(a).total_cmp(&delay(b)));
         PieceGroup { layers, near: WeightedSampler::new(near), far: WeightedSampler::new(far) }
     }
 }
 
-/// The pieces that can be reached from layer 0 and lead to the last one.
+/// Layer ranges that are reachable from layer 0 and from which the last layer can be reached.
 fn on_path(
     layers: Layer,
     groups: &BTreeMap<(Layer, Layer), Vec<TargetIndex>>,
--- a/crates/roseshore_core/src/route/prefix.rs
+++ b/crates/roseshore_core/src/route/prefix.rs
@@ -1,44 +1,45 @@
-//! Which targets seem to hold which prompt prefixes.
+//! Index of the targets that probably have a prompt prefix cached.
 //!
-//! Built from cache events that come late and with gaps, and from own choices. It is a hint: a
-//! wrong guess costs time and never correctness. The size is bounded; the oldest prefixes go first.
+//! It is built from cache events, which arrive late and with gaps, and from this daemon's own
+//! selections. It is only a hint: a wrong guess costs time but never correctness. Its size is
+//! bounded; the oldest prefixes are evicted first.
 
 use crate::load::TargetIndex;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// PrefixIndex kept.
-const PREFIXES: usize = 32_768;
-/// Targets kept per prefix.
-const HOLDERS: usize = 6;
-/// Hits given for one prompt.
-const HITS: usize = 12;
+/// Maximum number of prefixes in the index.
+const MAX_PREFIXES: usize = 32_768;
+/// Maximum number of targets kept per prefix.
+const MAX_HOLDERS: usize = 6;
+/// Maximum number of hits returned for one prompt.
+const MAX_HITS: usize = 12;
 
 /// A change of one target's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The prefix is cached.
+    /// A prefix was cached.
     Stored {
-        /// Its hash.
+        /// Hash of the prefix.
         hash: u64,
-        /// Its tokens.
+        /// Length of the prefix in tokens.
         tokens: u32,
     },
-    /// It is no longer cached.
+    /// A prefix was evicted.
     Evicted {
-        /// Its hash.
+        /// Hash of the prefix.
         hash: u64,
     },
-    /// Nothing is cached any more.
+    /// The whole cache was cleared.
     Cleared,
 }
 
-/// A target that seems to hold a prefix.
+/// A target that probably has a prefix of the prompt cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixHit {
-    /// The target.
+    /// Index of the target's row in the load table.
     pub row: TargetIndex,
-    /// Tokens of the prompt it holds.
+    /// Number of prompt tokens cached.
     pub tokens: u32,
 }
 
@@ -50,11 +51,11 @@
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
-    holders: [Holder; HOLDERS],
+    holders: [Holder; MAX_HOLDERS],
     count: usize,
 }
 
-/// The index.
+/// Maps prefix hashes to the targets that probably hold them.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     entries: FxHashMap<u64, Entry>,
@@ -63,7 +64,7 @@
 }
 
 impl PrefixIndex {
-    /// Takes one change.
+    /// Applies one cache change of a target.
     pub fn apply(&mut self, row: TargetIndex, change: CacheChange) {
         match change {
             CacheChange::Stored { hash, .. } => self.store(row, hash),
@@ -72,30 +73,35 @@
                     entry.remove(row);
                 }
             }
-            // Entries of an earlier generation are void; they need not be looked for.
+            // Entries of an earlier generation are ignored on lookup, so none need to be removed
+            // here.
             CacheChange::Cleared => *self.generations.entry(row).or_default() += 1,
         }
     }
 
-    /// Adds the targets that seem to hold the longest of the growing `prefixes`.
+    /// Adds the targets that probably hold one of the `prefixes`, those with the longest prefix
+    /// first.
     pub fn find(&self, prefixes: &[(u32, u64)], hits: &mut Vec<PrefixHit>) {
         for &(tokens, hash) in prefixes.iter().rev() {
             let Some(entry) = self.entries.get(&hash) else { continue };
             for holder in &entry.holders[..entry.count] {
                 let known = hits.iter().any(|hit| hit.row == holder.row);
-                if !known && hits.len() < HITS && holder.generation == self.generation(holder.row) {
+                if !known
+                    && hits.len() < MAX_HITS
+                    && holder.generation == self.generation(holder.row)
+                {
                     hits.push(PrefixHit { row: holder.row, tokens });
                 }
             }
         }
     }
 
-    /// PrefixIndex kept now.
+    /// Number of prefixes in the index.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is kept.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -114,7 +120,7 @@
     }
 
     fn make_room(&mut self) {
-        while self.entries.len() >= PREFIXES {
+        while self.entries.len() >= MAX_PREFIXES {
             let Some(oldest) = self.order.pop_front() else { return };
             self.entries.remove(&oldest);
         }
@@ -122,10 +128,10 @@
 }
 
 impl Entry {
-    /// The newest holder stands last; the oldest gives way.
+    /// Appends the newest holder; the oldest one is dropped when the entry is full.
     fn add(&mut self, holder: Holder) {
         self.remove(holder.row);
-        if self.count == HOLDERS {
+        if self.count == MAX_HOLDERS {
             self.holders.copy_within(1.., 0);
             self.count -= 1;
         }
--- a/crates/roseshore_core/src/route/replica.rs
+++ b/crates/roseshore_core/src/route/replica.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica of a plain or lookup service.
+//! Selection of a replica of a plain or lookup service.
 
 use super::SampleSizes;
 use super::cost;
@@ -19,13 +19,13 @@
 }
 
 impl ReplicaGroup {
-    /// All of them.
+    /// All replicas.
     pub fn rows(&self) -> impl Iterator<Item = TargetIndex> + '_ {
         self.near.rows().iter().chain(self.far.rows()).copied()
     }
 }
 
-/// The replicas of each service source.
+/// Replicas of every service source.
 #[derive(Debug, Default)]
 pub struct Replicas {
     groups: Option<FxHashMap<String, ReplicaGroup>>,
@@ -34,7 +34,7 @@
 }
 
 impl Replicas {
-    /// Forgets all; the configuration changed.
+    /// Drops all groups; called when the configuration changed.
     pub fn clear(&mut self) {
         self.groups = None;
         self.weighed = None;
@@ -56,39 +56,39 @@
 }
 
 fn build(context: &PoolContext<'_>) -> FxHashMap<String, ReplicaGroup> {
-    let mut sides: FxHashMap<String, (Vec<TargetIndex>, Vec<TargetIndex>)> = FxHashMap::default();
+    let mut lists: FxHashMap<String, (Vec<TargetIndex>, Vec<TargetIndex>)> = FxHashMap::default();
     for index in context.loads.declared() {
         let row = context.loads.row(index);
         let Some(serves) = row.serves.clone().filter(|_| row.kind == TargetKind::Service) else {
             continue;
         };
-        let (near, far) = sides.entry(serves).or_default();
-        let list = if row.data_centre == context.own { near } else { far };
+        let (near, far) = lists.entry(serves).or_default();
+        let list = if row.data_centre == context.local { near } else { far };
         list.push(index);
     }
     let group = |(near, far)| ReplicaGroup {
         near: WeightedSampler::new(near),
         far: WeightedSampler::new(far),
     };
-    sides.into_iter().map(|(serves, lists)| (serves, group(lists))).collect()
+    lists.into_iter().map(|(serves, lists)| (serves, group(lists))).collect()
 }
 
-/// One choice.
+/// Inputs of one replica selection.
 pub struct ReplicaSearch<'a> {
-    /// The targets.
+    /// Load of the targets.
     pub loads: &'a LoadTable,
-    /// The delays.
+    /// Delays between data centres.
     pub links: &'a LinkDelays,
     /// The own data centre.
-    pub own: DataCentreIndex,
-    /// Targets not to use.
+    pub local: DataCentreIndex,
+    /// Targets to exclude.
     pub avoid: &'a [TargetIndex],
-    /// The time.
+    /// Current time.
     pub now: Instant,
 }
 
 impl ReplicaSearch<'_> {
-    /// The best of a few drawn replicas, or of all when none of them can be used.
+    /// The fastest of a few sampled replicas, or of all when none of the sampled ones is usable.
     pub fn choose(
         &self,
         group: &ReplicaGroup,
@@ -129,7 +129,7 @@
             return;
         }
         let time = cost::predict_call(target, self.now)
-            + 2.0 * self.links.delay(self.own, target.data_centre);
+            + 2.0 * self.links.delay(self.local, target.data_centre);
         if time < best.0 {
             *best = (time, Some(row));
         }
--- a/crates/roseshore_core/src/route/weighted.rs
+++ b/crates/roseshore_core/src/route/weighted.rs
@@ -1,37 +1,40 @@
-//! Random draws among targets, by what each can do.
+//! Weighted random sampling of targets.
 //!
-//! Which target is fast is known well and changes slowly; how long its queue is now is known late.
-//! So the first decides how often a target is looked at, and the second only which of the few drawn
-//! ones is taken: a late report can then mislead a few choices and never all of them.
+//! A target's speed is known well and changes slowly, while its queue length is known only with
+//! delay. Speed therefore determines how often a target is sampled, and queue length only which of
+//! the few sampled targets is taken, so that an outdated report can mislead some selections but not
+//! all of them.
 
 use crate::load::{LoadTable, TargetIndex};
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use std::time::Instant;
 
-/// The least part of the best target's weight; a slow one is still tried now and then.
-const LEAST: f64 = 0.01;
+/// Lower bound on a weight, relative to the largest one, so that slow targets are still sampled
+/// occasionally.
+const MIN_RELATIVE_WEIGHT: f64 = 0.01;
 
-/// Targets with the weights at which they are drawn.
+/// Targets and their cumulative weights.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedSampler {
     rows: Vec<TargetIndex>,
-    sums: Vec<f64>,
+    cumulative: Vec<f64>,
 }
 
 impl WeightedSampler {
-    /// Targets that are drawn alike until they are weighed.
+    /// Creates a sampler in which all targets have equal weight.
     pub fn new(rows: Vec<TargetIndex>) -> WeightedSampler {
-        let sums = (1..=rows.len()).map(|n| n as f64).collect();
-        WeightedSampler { rows, sums }
+        let cumulative = (1..=rows.len()).map(|n| n as f64).collect();
+        WeightedSampler { rows, cumulative }
     }
 
-    /// All of them.
+    /// All targets.
     pub fn rows(&self) -> &[TargetIndex] {
         &self.rows
     }
 
-    /// Weighs anew: units a second, by reports and own observation; none for an unusable one.
+    /// Updates the weights: slots divided by the seconds of a step, from reports and own
+    /// observation; unusable targets get the lower bound.
     pub fn update_weights(&mut self, loads: &LoadTable, now: Instant) {
         let weight = |&index: &TargetIndex| {
             let row = loads.row(index);
@@ -39,18 +42,18 @@
         };
         let best = self.rows.iter().map(weight).fold(0.0, f64::max);
         let mut sum = 0.0;
-        self.sums.clear();
+        self.cumulative.clear();
         for row in &self.rows {
-            sum += weight(row).max(best * LEAST);
-            self.sums.push(sum);
+            sum += weight(row).max(best * MIN_RELATIVE_WEIGHT);
+            self.cumulative.push(sum);
         }
     }
 
-    /// One of them; `None` when there is none.
+    /// Samples one target; `None` when there is none.
     pub fn draw(&self, random: &mut SmallRng) -> Option<TargetIndex> {
-        let total = *self.sums.last()?;
+        let total = *self.cumulative.last()?;
         let point = random.random::<f64>() * total;
-        let place = self.sums.partition_point(|&sum| sum <= point);
+        let place = self.cumulative.partition_point(|&sum| sum <= point);
         self.rows.get(place.min(self.rows.len() - 1)).copied()
     }
 }
--- a/crates/roseshore_core/src/verdict.rs
+++ b/crates/roseshore_core/src/verdict.rs
@@ -1,7 +1,7 @@
-//! What is known about whether a request ran.
+//! Certainty about whether a request ran.
 //!
-//! A [`Verdict`] travels with every error through every layer. It can only become less certain on
-//! the way out: [`Verdict::join`] never turns an unknown into "not run".
+//! Every error carries a [`Verdict`] through all layers. On the way out it can only become less
+//! certain: [`Verdict::join`] never turns an unknown result into "not run".
 
 use crate::code::Code;
 use serde::{Deserialize, Serialize};
@@ -13,22 +13,22 @@
 pub enum Verdict {
     /// Certain: no target has begun it, and none will.
     NotRun,
-    /// Unknown: a target may have begun or finished it.
+    /// Unknown: a target may have begun or completed it.
     MayHaveRun,
-    /// Certain: it ran, and its whole answer was delivered.
+    /// Certain: it ran, and the complete answer was delivered.
     Answered,
 }
 
 impl Verdict {
-    /// Joins what two attempts of one request proved.
+    /// Combines the verdicts of two attempts of one request.
     ///
-    /// Only two attempts that certainly did not run make a request that did not run.
+    /// The result is "not run" only if neither attempt ran for certain.
     #[must_use]
     pub fn join(self, other: Verdict) -> Verdict {
         self.max(other)
     }
 
-    /// Whether another attempt is harmless for a request with this `idempotent` mark.
+    /// Whether a retry is safe for a request that is `idempotent` or not.
     pub fn may_retry(self, idempotent: bool) -> bool {
         match self {
             Verdict::NotRun => true,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The stable name used in bodies, headers, logs and metrics.
+    /// Stable name used in bodies, headers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::NotRun => "not_run",
@@ -47,31 +47,31 @@
     }
 }
 
-/// The final answer to a request that gets no result.
+/// Final response to a request that gets no result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why, as a stable numbered code.
+    /// Stable numbered code of the reason.
     pub code: Code,
-    /// What a person should know, names in backticks, with a way out.
+    /// Message for operators and callers, with names in backticks and a way to resolve the problem.
     pub message: String,
-    /// When coming back makes sense; `None` where it does not.
+    /// When a retry makes sense; `None` where it does not.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of a request that certainly did not run.
+    /// Creates a refusal of a request that certainly did not run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Refusal {
         Refusal { verdict: Verdict::NotRun, code, message: message.into(), retry_after: None }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn may_have_run(code: Code, message: impl Into<String>) -> Refusal {
         Refusal { verdict: Verdict::MayHaveRun, code, message: message.into(), retry_after: None }
     }
 
-    /// Adds the time after which to come back.
+    /// Sets the time after which to retry.
     #[must_use]
     pub fn after(mut self, wait: Duration) -> Refusal {
         self.retry_after = Some(wait);
--- a/crates/roseshore_core/tests/catalogue.rs
+++ b/crates/roseshore_core/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Holds the catalogues in the docs against the code, both ways.
+//! Compares the catalogues in the docs with the code, in both directions.
 
 use roseshore_core::code::Code;
 use roseshore_core::event::Event;
--- a/crates/roseshore_core/tests/load.rs
+++ b/crates/roseshore_core/tests/load.rs
@@ -1,4 +1,4 @@
-//! What is known of targets: late reports corrected, failures kept out, slow ones found.
+//! The load table: corrections of late reports, circuit breakers, detection of slow targets.
 
 use proptest::prelude::*;
 use roseshore_core::fleet::TargetKind;
@@ -41,7 +41,7 @@
 fn late_reports_are_corrected_by_own_requests() {
     struct Case {
         name: &'static str,
-        /// Own requests begun (or ended, below 0) at these times.
+        /// Times at which own requests begin (a positive number) or end (a negative one).
         own: &'static [(u64, i32)],
         reported: u32,
         depth: f64,
@@ -93,15 +93,15 @@
     for case in cases {
         let start = Instant::now();
         let mut loads = loads(&["t"]);
-        let mut take = |(at, leaving)| loads.report("t", start + ms(at), state(1, 0, leaving));
-        assert_eq!(case.reports.map(&mut take)[1], case.last, "{}", case.name);
+        let mut report = |(at, draining)| loads.report("t", start + ms(at), state(1, 0, draining));
+        assert_eq!(case.reports.map(&mut report)[1], case.last, "{}", case.name);
         let row = loads.find("t").unwrap();
         assert_eq!(loads.row(row).usable(start + ms(20)), case.usable, "{}", case.name);
     }
 }
 
 #[derive(Clone, Copy)]
-enum Do {
+enum Step {
     Fail(u64),
     Work(u64),
     Report(u64),
@@ -109,10 +109,10 @@
 
 #[test]
 fn failures_keep_a_target_out() {
-    use Do::*;
+    use Step::*;
     struct Case {
         name: &'static str,
-        steps: &'static [Do],
+        steps: &'static [Step],
         at: u64,
         own: u32,
         usable: bool,
@@ -132,20 +132,20 @@
     ];
     for case in cases {
         let start = Instant::now();
-        let mut health = CircuitBreaker::default();
+        let mut breaker = CircuitBreaker::default();
         for step in case.steps {
             match *step {
-                Fail(at) => health.record_failure(start + ms(at)),
-                Work(at) => health.record_success(start + ms(at)),
-                Report(at) => health.record_report(start + ms(at)),
+                Fail(at) => breaker.record_failure(start + ms(at)),
+                Work(at) => breaker.record_success(start + ms(at)),
+                Report(at) => breaker.record_report(start + ms(at)),
             }
         }
-        assert_eq!(health.usable(start + ms(case.at), case.own), case.usable, "{}", case.name);
+        assert_eq!(breaker.usable(start + ms(case.at), case.own), case.usable, "{}", case.name);
     }
 }
 
 #[test]
-fn a_new_life_is_used_at_once() {
+fn a_new_incarnation_is_used_at_once() {
     let start = Instant::now();
     let mut loads = loads(&["t"]);
     let row = loads.find("t").unwrap();
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn the_slow_one_is_found_among_changing_partners() {
+fn the_slow_target_is_found_among_changing_chains() {
     let start = Instant::now();
     let ids = ["a", "b", "c", "d", "e", "f"];
     let mut loads = loads(&ids);
@@ -172,10 +172,10 @@
         let slow = chain.contains(&rows[2]);
         loads.record_chain_step(&chain, 0.0, ms(if slow { 24 } else { 6 }), now);
     }
-    let factor = |row: TargetIndex| loads.row(row).slowdown(start + ms(4000));
-    assert!(factor(rows[2]) > 7.0, "{}", factor(rows[2]));
+    let slowdown = |row: TargetIndex| loads.row(row).slowdown(start + ms(4000));
+    assert!(slowdown(rows[2]) > 7.0, "{}", slowdown(rows[2]));
     for &row in rows.iter().filter(|&&row| row != rows[2]) {
-        assert!(factor(row) < 2.5, "{}", factor(row));
+        assert!(slowdown(row) < 2.5, "{}", slowdown(row));
     }
     let later = start + Duration::from_mins(5);
     assert!((loads.row(rows[2]).slowdown(later) - 1.0).abs() < 1e-9, "it is tried again");
@@ -187,13 +187,13 @@
     let mut loads = loads(&["t"]);
     let row = loads.find("t").unwrap();
     loads.report("t", start, state(1, 0, false));
-    let factor = |loads: &LoadTable, at: u64| loads.row(row).slowdown(start + ms(at));
+    let slowdown = |loads: &LoadTable, at: u64| loads.row(row).slowdown(start + ms(at));
     let ticket = loads.begin(&[row], start);
-    assert!(factor(&loads, 200) <= 1.0 && factor(&loads, 2500) >= 10.0);
+    assert!(slowdown(&loads, 200) <= 1.0 && slowdown(&loads, 2500) >= 10.0);
     loads.record_step("t", ms(2), start + ms(2500));
-    assert!(factor(&loads, 2600) < 1.5, "progress");
+    assert!(slowdown(&loads, 2600) < 1.5, "progress");
     loads.end(&ticket, start + ms(2600));
-    assert!(factor(&loads, 9000) < 1.5, "nothing in flight");
+    assert!(slowdown(&loads, 9000) < 1.5, "nothing in flight");
 }
 
 #[test]
@@ -215,14 +215,14 @@
 proptest! {
     /// The history agrees with a full record, to an eighth of a second.
     #[test]
-    fn history_is_right(steps in prop::collection::vec((0..300_u64, any::<bool>()), 1..60)) {
+    fn history_matches_a_full_record(steps in prop::collection::vec((0..300_u64, any::<bool>()), 1..60)) {
         let start = Instant::now();
-        let (mut history, mut record, mut now, mut level) = (InFlightHistory::default(), vec![], 0, 0_u32);
+        let (mut history, mut record, mut now, mut current) = (InFlightHistory::default(), vec![], 0, 0_u32);
         for (gap, up) in steps {
             now += gap;
-            level = if up { level + 1 } else { level.saturating_sub(1) };
+            current = if up { current + 1 } else { current.saturating_sub(1) };
             history.change(start + ms(now), if up { 1 } else { -1 });
-            record.push((now, level));
+            record.push((now, current));
         }
         let at = |time: u64| record.iter().rev().find(|(t, _)| *t <= time).map_or(0, |(_, l)| *l);
         for back in (0..1800.min(now)).step_by(25) {
--- a/crates/roseshore_core/tests/metrics.rs
+++ b/crates/roseshore_core/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Holds `docs/METRICS.md` against the sources, both ways.
+//! Compares `docs/METRICS.md` with the sources, in both directions.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -6,14 +6,14 @@
 
 const MACROS: [&str; 3] = ["counter!(", "gauge!(", "histogram!("];
 
-/// A metric by its name, type and labels, as the page writes them.
-type Line = String;
+/// A metric with its name, type and labels, formatted like a row of the page.
+type Row = String;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files below a folder with this ending.
+/// All files below a folder whose names have this ending.
 fn files(folder: &Path, ending: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path()) {
@@ -26,8 +26,9 @@
     found
 }
 
-/// The words in quotes of a macro's arguments that are its name or a label's.
-fn line(kind: &str, arguments: &str) -> Line {
+/// Formats a metric from a macro's arguments: the first string is its name, and each string before
+/// `=>` a label.
+fn row(kind: &str, arguments: &str) -> Row {
     let mut parts = arguments.split('"');
     let name = parts.by_ref().nth(1).unwrap_or_default();
     let parts: Vec<&str> = parts.collect();
@@ -38,7 +39,7 @@
     format!("| `{name}` | {kind} | {labels} |")
 }
 
-fn in_sources() -> BTreeSet<Line> {
+fn in_sources() -> BTreeSet<Row> {
     let crates = fs::read_dir(root().join("crates")).expect("crates");
     let sources = crates.map(|it| it.expect("a crate").path().join("src"));
     let texts = sources.flat_map(|it| files(&it, ".rs"));
@@ -48,7 +49,7 @@
             for (at, _) in text.match_indices(opening) {
                 let after = &text[at + opening.len()..];
                 let arguments = &after[..after.find(';').unwrap_or(after.len())];
-                found.insert(line(opening.trim_end_matches("!("), arguments));
+                found.insert(row(opening.trim_end_matches("!("), arguments));
             }
         }
     }
@@ -59,13 +60,13 @@
 fn the_page_matches_the_sources() {
     let page = fs::read_to_string(root().join("docs/METRICS.md")).expect("the page");
     let rows: Vec<&str> = page.lines().filter(|it| it.starts_with("| `")).collect();
-    let cut = |row: &&str| row.split_inclusive('|').take(4).collect::<Line>();
-    let on_page: Vec<Line> = rows.iter().map(cut).collect();
+    let cut = |row: &&str| row.split_inclusive('|').take(4).collect::<Row>();
+    let on_page: Vec<Row> = rows.iter().map(cut).collect();
     assert_eq!(on_page, in_sources().into_iter().collect::<Vec<_>>());
     assert!(rows.iter().all(|it| it.split('|').nth(4).is_some_and(|m| !m.trim().is_empty())));
 }
 
-/// Operators' pages name metrics that exist.
+/// Operators' pages name only metrics that exist.
 #[test]
 fn pages_name_known_metrics() {
     let known: String = in_sources().into_iter().collect();
--- a/crates/roseshore_core/tests/retry.rs
+++ b/crates/roseshore_core/tests/retry.rs
@@ -1,23 +1,23 @@
-//! Retry budgets and waits.
+//! Retry budgets and waits between attempts.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use roseshore_core::prelude::*;
 use roseshore_core::retry::{FIRST_WAIT, LONGEST_WAIT, RetryBudget, backoff};
 
-/// The same cases in every run.
+/// Uses a fixed seed, so that every run tests the same cases.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
 #[derive(Clone, Debug)]
-enum Move {
-    Earn,
+enum Step {
+    Success,
     Spend,
-    Pass(u64),
-    /// A caller whose clock reading is older than the last one.
-    Back(u64),
+    Wait(u64),
+    /// A call whose clock reading is older than the previous one.
+    ClockBack(u64),
 }
 
 proptest! {
@@ -25,37 +25,37 @@
 
     #[test]
     fn extra_attempts_are_bounded_by_successes_and_time(
-        moves in prop::collection::vec(
+        steps in prop::collection::vec(
             prop_oneof![
-                1 => Just(Move::Earn),
-                3 => Just(Move::Spend),
-                1 => (0_u64..2000).prop_map(Move::Pass),
-                1 => (0_u64..2000).prop_map(Move::Back),
+                1 => Just(Step::Success),
+                3 => Just(Step::Spend),
+                1 => (0_u64..2000).prop_map(Step::Wait),
+                1 => (0_u64..2000).prop_map(Step::ClockBack),
             ],
             0..200,
         ),
         ratio in 0.0_f64..0.5,
         burst in 0.0_f64..10.0,
-        trickle in 0.0_f64..2.0,
+        min_rate in 0.0_f64..2.0,
     ) {
-        let mut budget = RetryBudget::new(ratio, burst, trickle);
+        let mut budget = RetryBudget::new(ratio, burst, min_rate);
         let t0 = Instant::now() + Duration::from_secs(1000);
         let (mut now, mut spent, mut earned) = (t0, 0.0, 0.0);
-        for step in moves {
+        for step in steps {
             match step {
-                Move::Earn => {
+                Step::Success => {
                     earned += 1.0;
                     budget.record_success();
                 }
-                Move::Spend => spent += f64::from(u8::from(budget.try_spend(now))),
-                Move::Pass(ms) => now += Duration::from_millis(ms),
-                Move::Back(ms) => {
+                Step::Spend => spent += f64::from(u8::from(budget.try_spend(now))),
+                Step::Wait(ms) => now += Duration::from_millis(ms),
+                Step::ClockBack(ms) => {
                     let past = t0.max(now.checked_sub(Duration::from_millis(ms)).unwrap());
                     spent += f64::from(u8::from(budget.try_spend(past)));
                 }
             }
             let passed = (now - t0).as_secs_f64();
-            prop_assert!(spent <= burst + ratio * earned + trickle * passed + 1e-6);
+            prop_assert!(spent <= burst + ratio * earned + min_rate * passed + 1e-6);
         }
     }
 
--- a/crates/roseshore_core/tests/route.rs
+++ b/crates/roseshore_core/tests/route.rs
@@ -1,4 +1,4 @@
-//! Chains tile all layers over usable targets, whatever is known of them.
+//! Chains cover every layer once with usable targets, whatever is known of the targets.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -14,32 +14,37 @@
 #[derive(Clone, Copy, Debug)]
 struct Engine {
     id: &'static str,
-    zone: &'static str,
+    data_centre: &'static str,
     layers: (Layer, Layer),
     state: State,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Good,
+    Usable,
     Queue(u32),
     OldVersion,
     OtherModel,
     NoAdapter,
     Loading,
-    Closing,
+    Draining,
     HostLeaving,
     Failed,
     Silent,
-    Unheard,
+    Unreported,
     Prefill,
     Cached,
 }
 
 use State::*;
 
-fn engine(id: &'static str, zone: &'static str, layers: (Layer, Layer), state: State) -> Engine {
-    Engine { id, zone, layers, state }
+fn engine(
+    id: &'static str,
+    data_centre: &'static str,
+    layers: (Layer, Layer),
+    state: State,
+) -> Engine {
+    Engine { id, data_centre, layers, state }
 }
 
 fn report(engine: &Engine) -> EngineState {
@@ -52,7 +57,7 @@
         adapters: (engine.state != NoAdapter).then(|| "a".to_owned()).into_iter().collect(),
         both_phases: engine.state != Prefill,
         loading: engine.state == Loading,
-        draining: engine.state == Closing,
+        draining: engine.state == Draining,
         queue,
         running: queue,
         slots: 4,
@@ -62,11 +67,11 @@
     }
 }
 
-fn target(kind: TargetKind, zone: &str, serves: Option<&str>) -> Target {
+fn target(kind: TargetKind, data_centre: &str, serves: Option<&str>) -> Target {
     Target {
         kind,
         host: "h".into(),
-        data_centre: zone.into(),
+        data_centre: data_centre.into(),
         addr: "127.0.0.1:1".parse().unwrap(),
         serves: serves.map(str::to_owned),
         model: None,
@@ -78,21 +83,21 @@
 
 fn fleet(targets: impl Iterator<Item = (String, Target)>) -> Fleet {
     let mut fleet = Fleet { targets: targets.collect(), ..Fleet::default() };
-    for zone in ["near", "far"] {
+    for data_centre in ["near", "far"] {
         let links = [("near", 1.0), ("far", 1.0)].map(|(id, ms)| (id.to_owned(), ms));
         let zone_links = links.into_iter().collect();
         let centre = DataCentre { region: "r".into(), links: zone_links };
-        fleet.data_centres.insert(zone.into(), centre);
+        fleet.data_centres.insert(data_centre.into(), centre);
     }
     fleet
 }
 
 fn router(engines: &[Engine], seed: u64, now: Instant) -> Router {
     let mut router = Router::new("near", SampleSizes::default(), SmallRng::seed_from_u64(seed));
-    let declared = |e: &Engine| (e.id.to_owned(), target(TargetKind::Engine, e.zone, None));
+    let declared = |e: &Engine| (e.id.to_owned(), target(TargetKind::Engine, e.data_centre, None));
     router.apply_fleet(&fleet(engines.iter().map(declared)));
     for engine in engines {
-        if engine.state != Unheard {
+        if engine.state != Unreported {
             router.report(engine.id, now, PollResult::Engine(report(engine)));
         }
         match engine.state {
@@ -114,7 +119,7 @@
 }
 
 fn choose(router: &mut Router, avoid: &[TargetId], now: Instant) -> Option<Vec<String>> {
-    let need = ChainRequest {
+    let request = ChainRequest {
         model: "m",
         version: "v2",
         layers: LAYERS,
@@ -124,7 +129,7 @@
         expected: 100,
         avoid,
     };
-    let chain = router.choose_chain(&need, now)?;
+    let chain = router.choose_chain(&request, now)?;
     let tiles = chain.stages.windows(2).all(|w| w[0].layers.1 == w[1].layers.0);
     let (first, last) = (chain.stages.first()?, chain.stages.last()?);
     assert!(tiles && first.layers.0 == 0 && last.layers.1 == LAYERS, "{chain:?}");
@@ -140,8 +145,8 @@
 
 #[test]
 fn a_chain_is_chosen() {
-    let head = engine("head", "near", (0, 6), Good);
-    let tail = engine("tail", "near", (6, 12), Good);
+    let head = engine("head", "near", (0, 6), Usable);
+    let tail = engine("tail", "near", (6, 12), Usable);
     let with = |engine: Engine| vec![head, tail, engine];
     let only = |state: State| vec![head, engine("other", "near", (6, 12), state)];
     let both: Option<&[&str]> = Some(&["head", "tail"]);
@@ -150,19 +155,19 @@
         Case { name: "a hole", engines: vec![head], avoid: &[], chosen: None },
         Case {
             name: "a gap between",
-            engines: vec![head, engine("x", "near", (7, 12), Good)],
+            engines: vec![head, engine("x", "near", (7, 12), Usable)],
             avoid: &[],
             chosen: None,
         },
         Case {
             name: "an overlap is trimmed",
-            engines: vec![head, engine("x", "near", (4, 12), Good)],
+            engines: vec![head, engine("x", "near", (4, 12), Usable)],
             avoid: &[],
             chosen: Some(&["head", "x"]),
         },
         Case {
             name: "layers beyond the model",
-            engines: vec![head, engine("x", "near", (6, 13), Good)],
+            engines: vec![head, engine("x", "near", (6, 13), Usable)],
             avoid: &[],
             chosen: None,
         },
@@ -171,21 +176,21 @@
         Case { name: "other model", engines: only(OtherModel), avoid: &[], chosen: None },
         Case { name: "no adapter", engines: only(NoAdapter), avoid: &[], chosen: None },
         Case { name: "loading", engines: only(Loading), avoid: &[], chosen: None },
-        Case { name: "target leaving", engines: only(Closing), avoid: &[], chosen: None },
+        Case { name: "target leaving", engines: only(Draining), avoid: &[], chosen: None },
         Case { name: "host leaving", engines: only(HostLeaving), avoid: &[], chosen: None },
         Case { name: "failed", engines: only(Failed), avoid: &[], chosen: None },
         Case { name: "silent", engines: only(Silent), avoid: &[], chosen: None },
-        Case { name: "never reported", engines: only(Unheard), avoid: &[], chosen: None },
+        Case { name: "never reported", engines: only(Unreported), avoid: &[], chosen: None },
         Case { name: "prefill only", engines: only(Prefill), avoid: &[], chosen: None },
         Case {
             name: "own data centre first",
-            engines: with(engine("away", "far", (6, 12), Good)),
+            engines: with(engine("away", "far", (6, 12), Usable)),
             avoid: &[],
             chosen: both,
         },
         Case {
             name: "another data centre when necessary",
-            engines: with(engine("away", "far", (6, 12), Good)),
+            engines: with(engine("away", "far", (6, 12), Usable)),
             avoid: &["tail"],
             chosen: Some(&["head", "away"]),
         },
@@ -194,7 +199,7 @@
             engines: vec![
                 head,
                 engine("tail", "near", (6, 12), Queue(40)),
-                engine("away", "far", (6, 12), Good),
+                engine("away", "far", (6, 12), Usable),
             ],
             avoid: &[],
             chosen: Some(&["head", "away"]),
@@ -217,48 +222,49 @@
         let mut router = router(&case.engines, 1, now);
         let avoid: Vec<TargetId> = case.avoid.iter().map(|id| (*id).to_owned()).collect();
         let chosen = choose(&mut router, &avoid, now);
-        let want = case.chosen.map(|ids| ids.iter().map(|id| (*id).to_owned()).collect());
-        assert_eq!(chosen, want, "{}", case.name);
+        let expected = case.chosen.map(|ids| ids.iter().map(|id| (*id).to_owned()).collect());
+        assert_eq!(chosen, expected, "{}", case.name);
     }
 }
 
 fn any_engines() -> impl Strategy<Value = Vec<Engine>> {
     const IDS: [&str; 14] = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n"];
     let state = prop::sample::select(vec![
-        Good,
-        Good,
-        Good,
-        Good,
+        Usable,
+        Usable,
+        Usable,
+        Usable,
         Queue(9),
         OldVersion,
         Loading,
-        Closing,
+        Draining,
         HostLeaving,
         Failed,
         Silent,
-        Unheard,
+        Unreported,
         Cached,
     ]);
-    let zone = prop::sample::select(vec!["near", "far"]);
+    let data_centre = prop::sample::select(vec!["near", "far"]);
     let border = || prop::sample::select(vec![0_u16, 3, 4, 6, 8, 12]);
-    let one = (zone, border(), border(), state);
+    let one = (data_centre, border(), border(), state);
     prop::collection::vec(one, 1..IDS.len()).prop_map(|list| {
         let named = list.into_iter().zip(IDS);
-        let engine = |((zone, a, b, state), id): ((_, Layer, Layer, _), _)| {
-            engine(id, zone, (a.min(b), a.max(b)), state)
+        let engine = |((data_centre, a, b, state), id): ((_, Layer, Layer, _), _)| {
+            engine(id, data_centre, (a.min(b), a.max(b)), state)
         };
         named.map(engine).collect()
     })
 }
 
-/// Whether usable engines cover all layers, found by trying every start.
+/// Whether usable engines cover all layers, found with a greedy search that is independent of the
+/// router.
 fn coverable(engines: &[Engine], avoid: &[TargetId]) -> bool {
-    let good = |e: &&Engine| {
-        matches!(e.state, Good | Queue(_) | Cached) && !avoid.iter().any(|id| id == e.id)
+    let usable = |e: &&Engine| {
+        matches!(e.state, Usable | Queue(_) | Cached) && !avoid.iter().any(|id| id == e.id)
     };
     let mut reach = 0;
     loop {
-        let over = engines.iter().filter(good).filter(|e| e.layers.0 <= reach);
+        let over = engines.iter().filter(usable).filter(|e| e.layers.0 <= reach);
         let next = over.map(|e| e.layers.1).max().unwrap_or(0);
         if next >= LAYERS {
             return true;
@@ -284,7 +290,7 @@
         prop_assert_eq!(chosen.is_some(), coverable(&engines, &avoid));
         for id in chosen.unwrap_or_default() {
             let engine = engines.iter().find(|e| e.id == id).unwrap();
-            prop_assert!(matches!(engine.state, Good | Queue(_) | Cached), "{:?}", engine);
+            prop_assert!(matches!(engine.state, Usable | Queue(_) | Cached), "{:?}", engine);
             prop_assert!(!avoid.contains(&id));
         }
     }
@@ -308,8 +314,9 @@
         let now = Instant::now();
         let mut router = Router::new("near", SampleSizes::default(), SmallRng::seed_from_u64(1));
         let all = [("idle", "near", 0), ("busy", "near", 90), ("away", "far", 0)];
-        let declared = all
-            .map(|(id, zone, _)| (id.to_owned(), target(TargetKind::Service, zone, Some("s/one"))));
+        let declared = all.map(|(id, data_centre, _)| {
+            (id.to_owned(), target(TargetKind::Service, data_centre, Some("s/one")))
+        });
         router.apply_fleet(&fleet(declared.into_iter()));
         for (id, _, queue) in all {
             let call = Duration::from_millis(1);
@@ -326,29 +333,29 @@
     }
 }
 
-/// Whether a target that left and came back is chosen again, by what is asked meanwhile.
-struct BackCase {
+/// Whether a target that was withdrawn and returned is chosen again, depending on the requests.
+struct ReturnCase {
     name: &'static str,
     /// Whether each request has a prompt of its own.
     distinct: bool,
-    /// Requests that are in flight at a time.
+    /// Number of requests in flight at a time.
     at_once: usize,
     used: bool,
 }
 
 #[test]
 fn a_target_that_came_back_is_used_again() {
-    // The cached prefix keeps one prompt that is asked for one at a time where it is; anything
-    // else finds the target that came back.
+    // With one prompt and one request at a time, the cached prefix keeps the requests on the same
+    // target; otherwise the target that returned is chosen.
     let cases = [
-        BackCase { name: "one prompt, one at a time", distinct: false, at_once: 1, used: false },
-        BackCase { name: "one prompt, many at once", distinct: false, at_once: 12, used: true },
-        BackCase { name: "many prompts, one at a time", distinct: true, at_once: 1, used: true },
+        ReturnCase { name: "one prompt, one at a time", distinct: false, at_once: 1, used: false },
+        ReturnCase { name: "one prompt, many at once", distinct: false, at_once: 12, used: true },
+        ReturnCase { name: "many prompts, one at a time", distinct: true, at_once: 1, used: true },
     ];
     for case in cases {
         let start = Instant::now();
-        let stay = engine("stay", "near", (0, 12), Good);
-        let back = engine("back", "near", (0, 12), Good);
+        let stay = engine("stay", "near", (0, 12), Usable);
+        let back = engine("back", "near", (0, 12), Usable);
         let mut router = router(&[stay, back], 3, start);
         let row = router.loads().find("back").expect("declared");
         let mut tickets = std::collections::VecDeque::new();
@@ -356,14 +363,14 @@
         for step in 0..2000_u64 {
             let now = start + Duration::from_millis(10 * step);
             router.set_leaving(row, step < 100);
-            // Reports come once a second, as polls do.
+            // Reports come once a second, like polls.
             if step % 100 == 0 {
                 for engine in [stay, back] {
                     router.report(engine.id, now, PollResult::Engine(report(&engine)));
                 }
             }
             let hash = if case.distinct { step } else { 0 };
-            let need = ChainRequest {
+            let request = ChainRequest {
                 model: "m",
                 version: "v2",
                 layers: LAYERS,
@@ -373,7 +380,7 @@
                 expected: 2,
                 avoid: &[],
             };
-            let chain = router.choose_chain(&need, now).expect("one stays");
+            let chain = router.choose_chain(&request, now).expect("one stays");
             let rows: Vec<_> = chain.stages.iter().map(|s| s.row).collect();
             used |= step >= 100 && rows.contains(&row);
             tickets.push_back(router.begin(&rows, now));
