--- a/crates/roseshore_core/examples/gateway_cost.rs
+++ b/crates/roseshore_core/examples/gateway_cost.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use roseshore_core::gateway::path::{PathNeed, choose};
-use roseshore_core::gateway::peers::{LoadNote, Own, Peers, mark};
+use roseshore_core::gateway::peers::{LocalState, Peers, TargetLoad, name_hash};
 use roseshore_core::gateway::plan::{Member, next_step, plan};
 use roseshore_core::gateway::targets::{Absence, Claim};
 use roseshore_core::gateway::{EngineSpec, Holding, Kind, TargetRecord, Targets};
@@ -145,7 +145,7 @@
     };
     let records: Vec<TargetRecord> = (0..engines.len() * CENTRES.len()).map(record).collect();
     let mut targets = Targets::default();
-    targets.replace(records.clone(), Absence::Left);
+    targets.replace_list(records.clone(), Absence::Left);
     let mut turn = 0;
     let mut changed = |records: &[TargetRecord]| {
         turn += 1;
@@ -157,21 +157,21 @@
         let other = changed(&records);
         let at = fresh.iter().position(|r| r.id == other.id).unwrap_or(0);
         fresh[at] = other;
-        targets.replace(fresh, Absence::Left);
+        targets.replace_list(fresh, Absence::Left);
     });
     let record = micros(51, || {
-        targets.put(changed(&records));
+        targets.upsert(changed(&records));
     });
     let note = |r: &TargetRecord| {
-        let target = mark(&r.id);
-        (target, LoadNote { target, own: 3, held: 40, down: false })
+        let target = name_hash(&r.id);
+        (target, TargetLoad { target, own: 3, held: 40, down: false })
     };
     let told: HashMap<_, _> = records.iter().step_by(3).map(note).collect();
-    let loads = micros(51, || targets.others(&told));
+    let loads = micros(51, || targets.set_remote_loads(&told));
     for record in records.iter().step_by(30) {
-        targets.begin(&Claim { target: record.id.clone(), held: 1000.0 });
+        targets.reserve(&Claim { target: record.id.clone(), kv_used: 1000.0 });
     }
-    let notes = micros(51, || drop(std::hint::black_box(targets.notes())));
+    let notes = micros(51, || drop(std::hint::black_box(targets.load_reports())));
     let need = need();
     let mut random = SmallRng::seed_from_u64(1);
     let path = micros(101, || {
@@ -208,7 +208,7 @@
             kind: Some(member.kind.clone()),
             holding: member.layers.map(|layers| Holding { layers }),
         };
-        targets.put(record);
+        targets.upsert(record);
     }
     let need = need();
     let mut random = SmallRng::seed_from_u64(1);
@@ -224,12 +224,12 @@
     let now = Instant::now();
     let addr = |n: u16| SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000));
     let mut own = Peers::new(addr(0), "north", 1, &[], now);
-    let told = Own { config: 1, ..Own::default() };
+    let told = LocalState { config: 1, ..LocalState::default() };
     for n in 1..hosts {
         let centre = if n % 22 == 0 { "north" } else { "south" };
         let mut other = Peers::new(addr(n), centre, u64::from(n), &[addr(0)], now);
         for (_, beat) in other.due(&told, now) {
-            own.hear(addr(n), beat, now);
+            own.receive(addr(n), beat, now);
         }
     }
     let mut at = now;
@@ -244,7 +244,7 @@
         let beats: Vec<_> = other.due(&told, at).into_iter().map(|(_, beat)| beat).collect();
         heard.push(micros(1, || {
             for beat in beats.clone() {
-                own.hear(addr(1), beat, at);
+                own.receive(addr(1), beat, at);
             }
         }));
     }
--- a/crates/roseshore_core/src/gateway.rs
+++ b/crates/roseshore_core/src/gateway.rs
@@ -45,7 +45,7 @@
 pub use copies::Copies;
 pub use currency::Currency;
 pub use failure::{Fault, Next, Standing};
-pub use fatal::Fatal;
+pub use fatal::FatalRequests;
 pub use fingerprint::Fingerprint;
 pub use hindrance::{Hindrance, Wish};
 pub use outage::Outage;
--- a/crates/roseshore_core/src/gateway/copies.rs
+++ b/crates/roseshore_core/src/gateway/copies.rs
@@ -10,23 +10,23 @@
 //! a copy. So a copy spreads as a tree, twice as wide with each step.
 
 use super::position::Position;
-use super::targets::Changes;
+use super::targets::ListDelta;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// For the next bytes of a copy to come: some milliseconds between data centres, and a busy host.
-pub const COPY_TIME: Duration = Duration::from_millis(400);
+pub const COPY_TIMEOUT: Duration = Duration::from_millis(400);
 /// No copy is asked for so long after one that failed: the store is read in the meantime.
-const AFTER_FAILURE: Duration = Duration::from_secs(1);
+const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
 /// The moment in which gifts are counted.
-const MOMENT: Duration = Duration::from_millis(200);
+const WINDOW: Duration = Duration::from_millis(200);
 /// Bytes that a host gives in a moment: one megabyte a second, of which the narrowest links carry
 /// two and a half.
-const MOST_GIVEN: usize = 200_000;
+const MAX_WINDOW_BYTES: usize = 200_000;
 /// After being turned away, another host is asked no sooner.
-const TURNED_AWAY: Duration = Duration::from_millis(60);
+const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
 
 /// How much of the store a host has read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
     pub next: Position,
     /// What changed since the asking host's list, or all that is listed: were it always all, each change of one
     /// record would fill the links of hosts before thousands of targets.
-    pub changes: Changes,
+    pub changes: ListDelta,
     /// The digest of the list that this leads to.
     pub digest: u64,
     /// For so long, entries that dropped out may be live targets' whose heartbeats lapsed while the
@@ -83,29 +83,29 @@
 #[derive(Clone, Debug, Default)]
 pub struct Copies {
     /// When the one that is under way is given up.
-    until: Option<Instant>,
+    deadline: Option<Instant>,
     /// No other is asked for until then.
-    pause: Option<Instant>,
+    retry_at: Option<Instant>,
     /// Whether that is since a host turned this one away.
-    turned_away: bool,
+    refused: bool,
     /// The moment that gifts are counted in, and the bytes given.
-    moment: Option<Instant>,
-    given: usize,
+    window_start: Option<Instant>,
+    window_bytes: usize,
     /// What was given last, to whom, and who of them was named last.
     extent: Extent,
-    owners: Vec<SocketAddr>,
-    named: usize,
+    recipients: Vec<SocketAddr>,
+    last_redirect: usize,
 }
 
 /// What became of a copy that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CopyOutcome {
     /// It came.
-    Came,
+    Received,
     /// The host gave none.
-    TurnedAway,
+    Refused,
     /// The host named another one.
-    SentOn,
+    Redirected,
     /// It did not come.
     Failed,
 }
@@ -113,66 +113,66 @@
 impl Copies {
     /// Whether a copy may be asked for now; if so, it counts as under way. Returns when it is to be
     /// given up.
-    pub fn ask(&mut self, now: Instant) -> Option<Instant> {
-        if self.until.is_some() || self.pause.is_some_and(|until| now < until) {
+    pub fn start(&mut self, now: Instant) -> Option<Instant> {
+        if self.deadline.is_some() || self.retry_at.is_some_and(|until| now < until) {
             return None;
         }
-        self.until = Some(now + COPY_TIME);
-        self.until
+        self.deadline = Some(now + COPY_TIMEOUT);
+        self.deadline
     }
 
     /// Whether one is under way.
-    pub fn under_way(&self) -> bool {
-        self.until.is_some()
+    pub fn in_progress(&self) -> bool {
+        self.deadline.is_some()
     }
 
     /// Whether a copy is soon to be had: one is under way, or a host that has one gives no more for
     /// a moment. As hosts read the store in that moment, fourteen of 23 read one new configuration.
     pub fn expected(&self, now: Instant) -> bool {
-        self.under_way() || (self.turned_away && self.pause.is_some_and(|until| now < until))
+        self.in_progress() || (self.refused && self.retry_at.is_some_and(|until| now < until))
     }
 
     /// The one under way came, or did not.
-    pub fn ended(&mut self, outcome: Outcome, now: Instant) {
-        self.until = None;
-        self.turned_away = outcome == Outcome::TurnedAway;
-        self.pause = match outcome {
-            Outcome::Came | Outcome::SentOn => None,
-            Outcome::TurnedAway => Some(now + TURNED_AWAY),
-            Outcome::Failed => Some(now + AFTER_FAILURE),
+    pub fn finish(&mut self, outcome: CopyOutcome, now: Instant) {
+        self.deadline = None;
+        self.refused = outcome == CopyOutcome::Refused;
+        self.retry_at = match outcome {
+            CopyOutcome::Received | CopyOutcome::Redirected => None,
+            CopyOutcome::Refused => Some(now + REFUSED_BACKOFF),
+            CopyOutcome::Failed => Some(now + FAILURE_BACKOFF),
         };
     }
 
     /// Whether a copy of so many bytes may be given; if so, it is counted. The first in a moment may
     /// be of any size.
-    pub fn give(&mut self, bytes: usize, now: Instant) -> bool {
-        let over = |at| now.saturating_duration_since(at) >= MOMENT;
-        if self.moment.is_none_or(over) {
-            self.moment = Some(now);
-            self.given = 0;
+    pub fn take_budget(&mut self, bytes: usize, now: Instant) -> bool {
+        let over = |at| now.saturating_duration_since(at) >= WINDOW;
+        if self.window_start.is_none_or(over) {
+            self.window_start = Some(now);
+            self.window_bytes = 0;
         }
-        let fits = self.given == 0 || self.given + bytes <= MOST_GIVEN;
+        let fits = self.window_bytes == 0 || self.window_bytes + bytes <= MAX_WINDOW_BYTES;
         if fits {
-            self.given += bytes;
+            self.window_bytes += bytes;
         }
         fits
     }
 
     /// Remembers a host that was given a copy of so much.
-    pub fn given_to(&mut self, host: SocketAddr, extent: Extent) {
+    pub fn record_recipient(&mut self, host: SocketAddr, extent: Extent) {
         if self.extent != extent {
             self.extent = extent;
-            self.owners.clear();
+            self.recipients.clear();
         }
-        self.owners.push(host);
+        self.recipients.push(host);
     }
 
     /// A host that was given a copy of so much, each in turn.
-    pub fn owner(&mut self, extent: Extent, asker: SocketAddr) -> Option<SocketAddr> {
-        if self.extent != extent || self.owners.is_empty() {
+    pub fn redirect(&mut self, extent: Extent, asker: SocketAddr) -> Option<SocketAddr> {
+        if self.extent != extent || self.recipients.is_empty() {
             return None;
         }
-        self.named = (self.named + 1) % self.owners.len();
-        Some(self.owners[self.named]).filter(|owner| *owner != asker)
+        self.last_redirect = (self.last_redirect + 1) % self.recipients.len();
+        Some(self.recipients[self.last_redirect]).filter(|owner| *owner != asker)
     }
 }
--- a/crates/roseshore_core/src/gateway/fingerprint.rs
+++ b/crates/roseshore_core/src/gateway/fingerprint.rs
@@ -3,7 +3,7 @@
 //! A caller that asks again has a new request id, so what a request did to a target can only be told
 //! of the next one by what it asks: who, where, and the body.
 
-use super::peers::mark;
+use super::peers::name_hash;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
@@ -30,21 +30,22 @@
             digest.update(&(part.len() as u64).to_le_bytes());
             digest.update(part);
         }
-        Fingerprint { organisation: organisation.map_or(0, mark), digest: digest.digest() }
+        Fingerprint { organisation: organisation.map_or(0, name_hash), digest: digest.digest() }
     }
 }
 
 /// A text that is no fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoFingerprint;
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
-    fn from_str(text: &str) -> Result<Fingerprint, NoFingerprint> {
-        let (organisation, digest) = text.split_at_checked(8).ok_or(NoFingerprint)?;
-        let organisation = u32::from_str_radix(organisation, 16).map_err(|_| NoFingerprint)?;
-        let digest = u64::from_str_radix(digest, 16).map_err(|_| NoFingerprint)?;
+    fn from_str(text: &str) -> Result<Fingerprint, ParseFingerprintError> {
+        let (organisation, digest) = text.split_at_checked(8).ok_or(ParseFingerprintError)?;
+        let organisation =
+            u32::from_str_radix(organisation, 16).map_err(|_| ParseFingerprintError)?;
+        let digest = u64::from_str_radix(digest, 16).map_err(|_| ParseFingerprintError)?;
         Ok(Fingerprint { organisation, digest })
     }
 }
--- a/crates/roseshore_core/src/gateway/limits.rs
+++ b/crates/roseshore_core/src/gateway/limits.rs
@@ -16,25 +16,25 @@
 pub mod share;
 mod word;
 
-use super::peers::{AskNote, GrantNote, LimitNote, TargetMark};
+use super::peers::{LimitReport, PermitGrant, PermitRequest, TargetHash};
 use crate::prelude::*;
 pub use issuer::Issuer;
-pub use share::{Share, Wants};
+pub use share::{PermitShare, RecentDemand};
 use std::collections::HashMap;
-use word::{Word, Words};
+use word::{Advertisement, Advertisements};
 
 /// How long an unused permit may be used: less than a second of a target's limit is late by it.
-const VALID: Duration = Duration::from_secs(1);
+const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
 /// How long nothing more is asked for after a question that was not answered: the issuer is busy, or lost.
-const UNANSWERED: Duration = Duration::from_millis(200);
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 /// How long the word of a target that is not known (any more) is kept: entries that lapse are back after seconds.
-const KEPT: Duration = Duration::from_mins(1);
+const RETENTION: Duration = Duration::from_mins(1);
 /// A change of a limit by less than this part of it is no news for the log.
-const NEWS: f64 = 0.1;
+const LOGGED_CHANGE: f64 = 0.1;
 
 /// What an answer says of its target's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Naming {
+pub enum AdvertisedLimit {
     /// It names none.
     #[default]
     None,
@@ -59,7 +59,7 @@
 
 /// A limit that changed, requests a second; none for no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct LimitChange {
     /// What it was.
     pub before: Option<f64>,
     /// What it is.
@@ -68,81 +68,103 @@
 
 /// What this host knows of one limit.
 #[derive(Clone, Debug)]
-struct Limited {
-    words: Words,
+struct LimitState {
+    advertisements: Advertisements,
     /// When something was last heard of it.
-    heard: Instant,
+    last_heard: Instant,
     /// Unused permits, and until when they may be used.
     permits: u32,
-    valid: Instant,
+    valid_until: Instant,
     /// Until when the issuer is not to be asked.
-    closed: Instant,
+    closed_until: Instant,
 }
 
 /// All limits, by the lives of their targets.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct TargetLimits {
     /// This host as the origin of words.
     origin: u32,
     /// Of its last word.
     number: u32,
-    all: HashMap<TargetMark, Limited>,
+    all: HashMap<TargetHash, LimitState>,
     /// Counts the heartbeats that told only some of the words.
     turn: usize,
 }
 
-impl Limits {
+impl TargetLimits {
     /// No limit is known; `origin` tells this life of this host from others.
-    pub fn new(origin: u32) -> Limits {
-        Limits { origin, number: 0, all: HashMap::new(), turn: 0 }
+    pub fn new(origin: u32) -> TargetLimits {
+        TargetLimits { origin, number: 0, all: HashMap::new(), turn: 0 }
     }
 
     /// A target named its limit in an answer that came now; returns whether that is news.
-    pub fn named(&mut self, target: TargetMark, limit: f64, now: Instant) -> Option<Change> {
+    pub fn advertised(
+        &mut self,
+        target: TargetHash,
+        limit: f64,
+        now: Instant,
+    ) -> Option<LimitChange> {
         self.number += 1;
-        self.take(target, Word::named(limit, now, (self.origin, self.number)), now)
+        self.apply(target, Advertisement::limited(limit, now, (self.origin, self.number)), now)
     }
 
     /// A target named no limit in the answer to a request that was sent at `sent`; returns whether that is news.
-    pub fn unnamed(&mut self, target: TargetMark, sent: Instant, now: Instant) -> Option<Change> {
-        let known = self.all.get(&target)?.words.current();
+    pub fn not_advertised(
+        &mut self,
+        target: TargetHash,
+        sent: Instant,
+        now: Instant,
+    ) -> Option<LimitChange> {
+        let known = self.all.get(&target)?.advertisements.current();
         self.number += 1;
         let word = known.ended_by(sent, (self.origin, self.number))?;
-        self.take(target, word, now)
+        self.apply(target, word, now)
     }
 
     /// Another host told of a target's word; returns whether that is news.
-    pub fn heard(&mut self, note: &LimitNote, now: Instant) -> Option<Change> {
-        self.take(note.target, Word::heard(note, now)?, now)
+    pub fn receive(&mut self, note: &LimitReport, now: Instant) -> Option<LimitChange> {
+        self.apply(note.target, Advertisement::from_report(note, now)?, now)
     }
 
-    fn take(&mut self, target: TargetMark, word: Word, now: Instant) -> Option<Change> {
+    fn apply(
+        &mut self,
+        target: TargetHash,
+        word: Advertisement,
+        now: Instant,
+    ) -> Option<LimitChange> {
         if let Some(known) = self.all.get_mut(&target) {
-            known.heard = now;
-            let before = known.words.current().named_limit();
-            known.words.take(word);
-            return Change { before, after: known.words.current().named_limit() }.news();
+            known.last_heard = now;
+            let before = known.advertisements.current().named_limit();
+            known.advertisements.add(word);
+            return LimitChange { before, after: known.advertisements.current().named_limit() }
+                .significant();
         }
         word.rate(now)?;
-        let words = Words::new(word);
-        let limited = Limited { words, heard: now, permits: 0, valid: now, closed: now };
+        let advertisements = Advertisements::new(word);
+        let limited = LimitState {
+            advertisements,
+            last_heard: now,
+            permits: 0,
+            valid_until: now,
+            closed_until: now,
+        };
         self.all.insert(target, limited);
-        Change { before: None, after: word.named_limit() }.news()
+        LimitChange { before: None, after: word.named_limit() }.significant()
     }
 
     /// Requests a second that a target takes from all hosts now; none where it names no limit.
-    pub fn rate(&self, target: TargetMark, now: Instant) -> Option<f64> {
+    pub fn rate(&self, target: TargetHash, now: Instant) -> Option<f64> {
         self.all.get(&target)?.rate(now)
     }
 
     /// Whether a request may be sent to a target.
-    pub fn permit(&self, target: TargetMark, now: Instant) -> Permit {
+    pub fn permit(&self, target: TargetHash, now: Instant) -> Permit {
         let Some(known) = self.all.get(&target).filter(|known| known.rate(now).is_some()) else {
             return Permit::Unlimited;
         };
-        if known.permits > 0 && now < known.valid {
+        if known.permits > 0 && now < known.valid_until {
             Permit::Held
-        } else if now < known.closed {
+        } else if now < known.closed_until {
             Permit::None
         } else {
             Permit::Ask
@@ -150,13 +172,13 @@
     }
 
     /// The targets to which nothing may be sent now.
-    pub fn shut(&self, now: Instant) -> impl Iterator<Item = TargetMark> {
-        let none = move |target: &TargetMark| self.permit(*target, now) == Permit::None;
+    pub fn without_permit(&self, now: Instant) -> impl Iterator<Item = TargetHash> {
+        let none = move |target: &TargetHash| self.permit(*target, now) == Permit::None;
         self.all.keys().copied().filter(none)
     }
 
     /// A request is sent to a target; returns whether that was permitted.
-    pub fn spend(&mut self, target: TargetMark, now: Instant) -> bool {
+    pub fn consume(&mut self, target: TargetHash, now: Instant) -> bool {
         match self.permit(target, now) {
             Permit::Unlimited => true,
             Permit::Held => {
@@ -168,44 +190,49 @@
     }
 
     /// The question for a permit; none where the target names no limit.
-    pub fn ask(&self, target: TargetMark, number: u64, now: Instant) -> Option<AskNote> {
-        let word = self.all.get(&target)?.words.current();
-        Some(AskNote { number, limit: word.note(target, 0, now) })
+    pub fn permit_request(
+        &self,
+        target: TargetHash,
+        number: u64,
+        now: Instant,
+    ) -> Option<PermitRequest> {
+        let word = self.all.get(&target)?.advertisements.current();
+        Some(PermitRequest { number, limit: word.report(target, 0, now) })
     }
 
     /// The issuer's answer came.
-    pub fn granted(&mut self, grant: &GrantNote, now: Instant) {
+    pub fn apply_grant(&mut self, grant: &PermitGrant, now: Instant) {
         let Some(known) = self.all.get_mut(&grant.target) else { return };
-        if now >= known.valid {
+        if now >= known.valid_until {
             known.permits = 0;
         }
         if grant.permits > 0 {
             known.permits += u32::from(grant.permits);
-            known.valid = now + VALID;
+            known.valid_until = now + PERMIT_VALIDITY;
         }
-        known.closed = now + Duration::from_millis(u64::from(grant.wait));
+        known.closed_until = now + Duration::from_millis(u64::from(grant.wait));
     }
 
     /// The issuer's answer did not come.
-    pub fn unanswered(&mut self, target: TargetMark, now: Instant) {
+    pub fn request_failed(&mut self, target: TargetHash, now: Instant) {
         if let Some(known) = self.all.get_mut(&target) {
-            known.closed = now + UNANSWERED;
+            known.closed_until = now + UNANSWERED_BACKOFF;
         }
     }
 
     /// What is told to other hosts, so many at most, others with each turn; `wanted` says what this host, as the
     /// issuer, was asked for, and none for a target that is not to be told of.
-    pub fn notes(
+    pub fn reports(
         &mut self,
         most: usize,
-        wanted: impl Fn(TargetMark) -> Option<u16>,
+        wanted: impl Fn(TargetHash) -> Option<u16>,
         now: Instant,
-    ) -> Vec<LimitNote> {
+    ) -> Vec<LimitReport> {
         let lasting = self.all.iter().filter(|(_, known)| known.rate(now).is_some());
-        let note = |(target, known): (&TargetMark, &Limited)| {
-            Some(known.words.current().note(*target, wanted(*target)?, now))
+        let note = |(target, known): (&TargetHash, &LimitState)| {
+            Some(known.advertisements.current().report(*target, wanted(*target)?, now))
         };
-        let mut notes: Vec<LimitNote> = lasting.filter_map(note).collect();
+        let mut notes: Vec<LimitReport> = lasting.filter_map(note).collect();
         notes.sort_unstable_by_key(|note| note.target);
         if notes.len() > most {
             self.turn = self.turn.wrapping_add(1);
@@ -217,26 +244,26 @@
     }
 
     /// Forgets limits that have ended, and those of lives that are not `known` any more.
-    pub fn forget(&mut self, known: impl Fn(TargetMark) -> bool, now: Instant) {
+    pub fn expire(&mut self, known: impl Fn(TargetHash) -> bool, now: Instant) {
         self.all.retain(|target, limited| {
-            let late = now.saturating_duration_since(limited.heard) >= KEPT;
+            let late = now.saturating_duration_since(limited.last_heard) >= RETENTION;
             let lasts = limited.rate(now).is_some();
             if known(*target) { lasts || !late } else { !late }
         });
     }
 }
 
-impl Limited {
+impl LimitState {
     fn rate(&self, now: Instant) -> Option<f64> {
-        self.words.current().rate(now)
+        self.advertisements.current().rate(now)
     }
 }
 
-impl Change {
+impl LimitChange {
     /// The change, where it is worth a line in the log.
-    fn news(self) -> Option<Change> {
+    fn significant(self) -> Option<LimitChange> {
         let small = match (self.before, self.after) {
-            (Some(before), Some(after)) => (after - before).abs() <= NEWS * before,
+            (Some(before), Some(after)) => (after - before).abs() <= LOGGED_CHANGE * before,
             (None, None) => true,
             _ => false,
         };
--- a/crates/roseshore_core/src/gateway/limits/share.rs
+++ b/crates/roseshore_core/src/gateway/limits/share.rs
@@ -9,17 +9,17 @@
 /// What was asked for in this time decides.
 const WINDOW: Duration = Duration::from_secs(2);
 /// Counts as asked for by every data centre, so that one which begins to ask has a part to begin with.
-const EVEN: f64 = 0.1;
+const BASE_WEIGHT: f64 = 0.1;
 /// What may be sent at once beside the rate: so many requests, and the limit's part of this time.
-const AT_ONCE: f64 = 2.5;
-const SAVED: Duration = Duration::from_millis(800);
+const BURST_REQUESTS: f64 = 2.5;
+const BURST_TIME: Duration = Duration::from_millis(800);
 /// What users bear beside the rate, in the same terms: half of the limit more within four seconds, and five requests.
-const BORNE: f64 = 5.0;
-const BORNE_TIME: Duration = Duration::from_secs(2);
+const MAX_BURST_REQUESTS: f64 = 5.0;
+const MAX_BURST_TIME: Duration = Duration::from_secs(2);
 
 /// What one data centre may send to a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct PermitShare {
     /// Requests a second.
     pub rate: f64,
     /// Requests at once.
@@ -28,7 +28,7 @@
 
 /// What decides a data centre's share.
 #[derive(Clone, Debug)]
-pub struct Claims<'a> {
+pub struct ShareInputs<'a> {
     /// What its hosts have asked for.
     pub own: u16,
     /// What those of each other data centre have.
@@ -39,23 +39,23 @@
     pub heard: f64,
 }
 
-impl Share {
+impl PermitShare {
     /// The share of a limit, requests a second.
-    pub fn of(limit: f64, claims: &Claims<'_>) -> Share {
-        let weight = |asked: &u16| f64::from(*asked) + EVEN;
+    pub fn of(limit: f64, claims: &ShareInputs<'_>) -> PermitShare {
+        let weight = |asked: &u16| f64::from(*asked) + BASE_WEIGHT;
         let own = weight(&claims.own);
         let all = own + claims.others.iter().map(weight).sum::<f64>();
         let part = own / all * claims.heard;
-        let (least, shared) = Share::at_once(limit, claims);
-        Share { rate: part * limit, burst: least + part * shared }
+        let (least, shared) = PermitShare::burst_parts(limit, claims);
+        PermitShare { rate: part * limit, burst: least + part * shared }
     }
 
     /// What this data centre may send at once in any case, and what all of them divide beside that. Where users bear
     /// a request of each, each may save up a whole one; else only the target's own.
-    fn at_once(limit: f64, claims: &Claims<'_>) -> (f64, f64) {
-        let usual = AT_ONCE + limit * SAVED.as_secs_f64();
+    fn burst_parts(limit: f64, claims: &ShareInputs<'_>) -> (f64, f64) {
+        let usual = BURST_REQUESTS + limit * BURST_TIME.as_secs_f64();
         let centres = claims.others.len() as f64 + 1.0;
-        let left = BORNE + limit * BORNE_TIME.as_secs_f64() - centres;
+        let left = MAX_BURST_REQUESTS + limit * MAX_BURST_TIME.as_secs_f64() - centres;
         match (left >= 0.0, claims.home) {
             (true, _) => (1.0, usual.min(left)),
             (false, true) => (1.0, usual),
@@ -66,30 +66,30 @@
 
 /// What was asked for of late.
 #[derive(Clone, Debug, Default)]
-pub struct Wants {
+pub struct RecentDemand {
     times: VecDeque<Instant>,
 }
 
-impl Wants {
+impl RecentDemand {
     /// The most that is counted; more says the same.
-    const MOST: usize = 4096;
+    const MAX_COUNTED: usize = 4096;
 
     /// One more was asked for.
     pub fn add(&mut self, now: Instant) {
         self.forget(now);
-        if self.times.len() < Wants::MOST {
+        if self.times.len() < RecentDemand::MAX_COUNTED {
             self.times.push_back(now);
         }
     }
 
     /// How many were asked for.
     pub fn count(&self, now: Instant) -> u16 {
-        let late = self.times.partition_point(|at| Wants::over(*at, now));
+        let late = self.times.partition_point(|at| RecentDemand::over(*at, now));
         (self.times.len() - late) as u16
     }
 
     fn forget(&mut self, now: Instant) {
-        let late = self.times.partition_point(|at| Wants::over(*at, now));
+        let late = self.times.partition_point(|at| RecentDemand::over(*at, now));
         self.times.drain(..late);
     }
 
--- a/crates/roseshore_core/src/gateway/peers.rs
+++ b/crates/roseshore_core/src/gateway/peers.rs
@@ -20,35 +20,36 @@
 mod telling;
 mod view;
 
-use super::fatal::FatalNote;
-use super::paces::PaceNote;
+use super::fatal::FatalReport;
+use super::paces::PaceReport;
 use crate::prelude::*;
 pub use message::{
-    AskNote, Beat, CentreMark, CountNote, Datagram, Echo, GrantNote, HoldNote, LimitNote, ListMark,
-    LoadNote, Named, Scope, TargetMark, mark, target_mark,
+    CentreHash, Datagram, Echo, Heartbeat, HoldingReport, KnownHost, LimitReport, ListVersion,
+    PermitGrant, PermitRequest, Scope, ServiceCounts, TargetHash, TargetLoad, name_hash,
+    target_hash,
 };
 use peer::Peer;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use telling::Hurry;
+use telling::Urgency;
 pub use view::View;
 
 /// What a heartbeat brought.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct HeartbeatEffect {
     /// The sender was not known, or had been silent.
     pub joined: bool,
     /// When the sender's configuration was proven, on the own clock.
-    pub proven: Option<Instant>,
+    pub config_proven: Option<Instant>,
     /// The same of its list of targets.
-    pub listed: Option<Instant>,
+    pub list_proven: Option<Instant>,
     /// Whether the sender is of the own data centre.
     pub near: bool,
 }
 
 /// What a host tells of itself.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct LocalState {
     /// Whether it takes no new work.
     pub leaving: bool,
     /// Whether the store answers it.
@@ -56,37 +57,37 @@
     /// The version of its configuration.
     pub config: u64,
     /// When that was last proven to be the newest.
-    pub proven: Option<Instant>,
+    pub config_proven: Option<Instant>,
     /// How far it has read the list of targets.
-    pub list: ListMark,
+    pub list: ListVersion,
     /// When that was last proven to be all there is.
-    pub listed: Option<Instant>,
+    pub list_proven: Option<Instant>,
     /// What it has in flight.
-    pub loads: Vec<LoadNote>,
+    pub loads: Vec<TargetLoad>,
     /// What it has counted.
-    pub counts: Vec<CountNote>,
+    pub counts: Vec<ServiceCounts>,
     /// What it has ordered, and learned, of targets' layers.
-    pub holds: Vec<HoldNote>,
+    pub holdings: Vec<HoldingReport>,
     /// What engines reported of their pace.
-    pub paces: Vec<PaceNote>,
+    pub paces: Vec<PaceReport>,
     /// Requests that end targets.
-    pub fatal: Vec<FatalNote>,
+    pub fatal: Vec<FatalReport>,
     /// Limits that targets named.
-    pub limits: Vec<LimitNote>,
+    pub limits: Vec<LimitReport>,
 }
 
-impl Default for Own {
-    fn default() -> Own {
-        Own {
+impl Default for LocalState {
+    fn default() -> LocalState {
+        LocalState {
             leaving: false,
             reading: true,
             config: 0,
-            proven: None,
-            list: ListMark::default(),
-            listed: None,
+            config_proven: None,
+            list: ListVersion::default(),
+            list_proven: None,
             loads: Vec::new(),
             counts: Vec::new(),
-            holds: Vec::new(),
+            holdings: Vec::new(),
             paces: Vec::new(),
             fatal: Vec::new(),
             limits: Vec::new(),
@@ -98,16 +99,16 @@
 #[derive(Clone, Debug)]
 pub struct Peers {
     addr: SocketAddr,
-    centre: CentreMark,
+    centre: CentreHash,
     capacity: u16,
     life: u64,
-    begun: Instant,
+    started: Instant,
     sequence: u64,
     leaving: bool,
     reading: bool,
     /// Whether it spoke for its data centre when it last told others.
     speaking: bool,
-    hurry: Hurry,
+    urgency: Urgency,
     all: BTreeMap<SocketAddr, Peer>,
     next_named: usize,
 }
@@ -124,15 +125,15 @@
         let seed = |addr: &SocketAddr| (*addr, Peer::seed(*addr, now));
         Peers {
             addr,
-            centre: mark(data_centre),
+            centre: name_hash(data_centre),
             capacity: 0,
             life,
-            begun: now,
+            started: now,
             sequence: 0,
             leaving: false,
             reading: true,
             speaking: true,
-            hurry: Hurry::No,
+            urgency: Urgency::No,
             all: seeds.iter().filter(|seed| **seed != addr).map(seed).collect(),
             next_named: 0,
         }
@@ -150,9 +151,14 @@
     }
 
     /// Takes a heartbeat; `None` for one that is no news.
-    pub fn hear(&mut self, from: SocketAddr, beat: Beat, now: Instant) -> Option<Heard> {
+    pub fn receive(
+        &mut self,
+        from: SocketAddr,
+        beat: Heartbeat,
+        now: Instant,
+    ) -> Option<HeartbeatEffect> {
         for named in &beat.named {
-            self.learn(named, now);
+            self.learn_host(named, now);
         }
         if from == self.addr {
             return None;
@@ -164,12 +170,12 @@
             return None;
         }
         let back = spoken && !peer.alive(near, now);
-        let joined = peer.heard.is_none() || beat.life != peer.life || back;
+        let joined = peer.last_heard.is_none() || beat.life != peer.life || back;
         let echo = beat.echo;
-        peer.take(beat, now);
-        let proven = echo.and_then(|echo| self.placed(echo, echo.config?, now));
-        let listed = echo.and_then(|echo| self.placed(echo, echo.list?, now));
-        Some(Heard { joined, proven, listed, near })
+        peer.update(beat, now);
+        let config_proven = echo.and_then(|echo| self.proof_time(echo, echo.config?, now));
+        let list_proven = echo.and_then(|echo| self.proof_time(echo, echo.list?, now));
+        Some(HeartbeatEffect { joined, config_proven, list_proven, near })
     }
 
     /// Whether a host is of the own data centre.
@@ -182,17 +188,17 @@
         peer.centre.is_some_and(|centre| centre != self.centre)
     }
 
-    fn learn(&mut self, named: &Named, now: Instant) {
+    fn learn_host(&mut self, named: &KnownHost, now: Instant) {
         if named.addr == self.addr {
             return;
         }
         let unknown = || Peer::unknown(named.addr, now);
-        self.all.entry(named.addr).or_insert_with(unknown).name(named, now);
+        self.all.entry(named.addr).or_insert_with(unknown).note_named(named, now);
     }
 
     /// A proof's time on the own clock; none is newer than its telling.
-    fn placed(&self, echo: Echo, since: i64, now: Instant) -> Option<Instant> {
-        let sent = self.begun.checked_add(Duration::from_millis(echo.sent))?;
+    fn proof_time(&self, echo: Echo, since: i64, now: Instant) -> Option<Instant> {
+        let sent = self.started.checked_add(Duration::from_millis(echo.sent))?;
         let since_then = Duration::from_millis(since.unsigned_abs());
         let proven = match since {
             ..0 => sent.checked_sub(since_then)?,
--- a/crates/roseshore_core/src/gateway/peers/message.rs
+++ b/crates/roseshore_core/src/gateway/peers/message.rs
@@ -1,36 +1,36 @@
 //! What one host tells another: the heartbeat, of itself and of those that it speaks for, and what is asked between
 //! them.
 
-use crate::gateway::fatal::FatalNote;
-use crate::gateway::paces::PaceNote;
+use crate::gateway::fatal::FatalReport;
+use crate::gateway::paces::PaceReport;
 use crate::gateway::position::Position;
-use crate::gateway::targets::Word;
+use crate::gateway::targets::LayersReport;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A target in a heartbeat.
-pub type TargetMark = u32;
+pub type TargetHash = u32;
 /// A data centre in a heartbeat.
-pub type CentreMark = u32;
+pub type CentreHash = u32;
 
 /// The mark of a target, a service or a data centre.
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
 /// The mark of a target in one of its lives. What hosts tell of a former life has another mark, so it is
 /// not taken for word of this one, however late it comes.
-pub fn target_mark(id: &str, life: Incarnation) -> TargetMark {
-    if life == 0 { mark(id) } else { mark(&format!("{id}@{life}")) }
+pub fn target_hash(id: &str, life: Incarnation) -> TargetHash {
+    if life == 0 { name_hash(id) } else { name_hash(&format!("{id}@{life}")) }
 }
 
 /// What a host has at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LoadNote {
+pub struct TargetLoad {
     /// The target.
-    pub target: TargetMark,
+    pub target: TargetHash,
     /// Requests in flight.
     pub own: u16,
     /// KV cache that they take, thousands of tokens times layers.
@@ -42,20 +42,20 @@
 /// The layers that a target holds by its own word, or was ordered to hold; the list says so
 /// later. An empty range says that it was shown not to hold what the list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HoldNote {
+pub struct HoldingReport {
     /// The target.
-    pub target: TargetMark,
+    pub target: TargetHash,
     /// Its layers.
-    pub word: Word,
+    pub word: LayersReport,
     /// Whether it holds them; else it was ordered to.
     pub done: bool,
 }
 
 /// What a host has counted of a service's requests and repeated sends in the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CountNote {
+pub struct ServiceCounts {
     /// The mark of the service.
-    pub service: TargetMark,
+    pub service: TargetHash,
     /// Requests.
     pub requests: u32,
     /// Repeated sends.
@@ -64,9 +64,9 @@
 
 /// What a target said of its limit, as one host or another heard it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNote {
+pub struct LimitReport {
     /// The target.
-    pub target: TargetMark,
+    pub target: TargetHash,
     /// Requests a second that it takes from all hosts together, as last named.
     pub limit: f32,
     /// Whether it names none any more.
@@ -81,18 +81,18 @@
 
 /// A question for a permit to send to a target, to the host that issues them.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AskNote {
+pub struct PermitRequest {
     /// Comes back with the answer.
     pub number: u64,
     /// The target, and what is known of its limit.
-    pub limit: LimitNote,
+    pub limit: LimitReport,
 }
 
 /// The answer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantNote {
+pub struct PermitGrant {
     /// The target.
-    pub target: TargetMark,
+    pub target: TargetHash,
     /// The number of the question.
     pub number: u64,
     /// Requests that may be sent; 0 for none.
@@ -105,16 +105,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     /// A heartbeat.
-    Beat(Box<Beat>),
+    Beat(Box<Heartbeat>),
     /// A question for a permit.
-    Ask(AskNote),
+    Ask(PermitRequest),
     /// The answer to it.
-    Grant(GrantNote),
+    Grant(PermitGrant),
 }
 
 /// How far a host has read the list of targets, and what it came to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListMark {
+pub struct ListVersion {
     /// How far that is.
     pub next: Position,
     /// The digest of the list.
@@ -147,20 +147,20 @@
 
 /// A host that a heartbeat names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Named {
+pub struct KnownHost {
     /// Where it hears.
     pub addr: SocketAddr,
     /// Its data centre.
-    pub centre: CentreMark,
+    pub centre: CentreHash,
     /// Its processor share, thousandths of a core.
     pub capacity: u16,
 }
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender's data centre.
-    pub centre: CentreMark,
+    pub centre: CentreHash,
     /// The sender's processor share, thousandths of a core.
     pub capacity: u16,
     /// The sender's life.
@@ -182,23 +182,23 @@
     /// The version of its configuration; 0 for none.
     pub config: u64,
     /// How far it has read the list of targets.
-    pub list: ListMark,
+    pub list: ListVersion,
     /// Whose loads and counts follow.
     pub scope: Scope,
     /// What is in flight.
-    pub loads: Vec<LoadNote>,
+    pub loads: Vec<TargetLoad>,
     /// The same of some targets that only other data centres use.
-    pub far: Vec<LoadNote>,
+    pub far: Vec<TargetLoad>,
     /// What was counted.
-    pub counts: Vec<CountNote>,
+    pub counts: Vec<ServiceCounts>,
     /// What the sender has ordered, and learned, of targets' layers.
-    pub holds: Vec<HoldNote>,
+    pub holds: Vec<HoldingReport>,
     /// What engines reported of their pace.
-    pub paces: Vec<PaceNote>,
+    pub paces: Vec<PaceReport>,
     /// Requests that end targets.
-    pub fatal: Vec<FatalNote>,
+    pub fatal: Vec<FatalReport>,
     /// Limits that targets named.
-    pub limits: Vec<LimitNote>,
+    pub limits: Vec<LimitReport>,
     /// Some hosts that the sender hears.
-    pub named: Vec<Named>,
+    pub named: Vec<KnownHost>,
 }
--- a/crates/roseshore_core/src/gateway/peers/order.rs
+++ b/crates/roseshore_core/src/gateway/peers/order.rs
@@ -3,7 +3,7 @@
 //! Nobody is elected. Each host works its place out from the hosts that it hears or that others name,
 //! so two may take the same place for a while, or none.
 
-use super::message::{CentreMark, Named, TargetMark};
+use super::message::{CentreHash, KnownHost, TargetHash};
 use super::peer::{Peer, Rank, rank};
 use super::{Peers, audience};
 use crate::prelude::*;
@@ -12,14 +12,14 @@
 
 impl Peers {
     /// Hosts that are heard, by data centre and rank.
-    pub(super) fn ranked(&self, now: Instant) -> BTreeMap<CentreMark, Vec<Named>> {
-        let mut ranked: BTreeMap<CentreMark, Vec<Named>> = BTreeMap::new();
+    pub(super) fn ranked(&self, now: Instant) -> BTreeMap<CentreHash, Vec<KnownHost>> {
+        let mut ranked: BTreeMap<CentreHash, Vec<KnownHost>> = BTreeMap::new();
         for peer in self.all.values() {
             let Some(centre) = peer.centre else { continue };
             if peer.leaving || !peer.alive(centre == self.centre, now) {
                 continue;
             }
-            let named = Named { addr: peer.addr, centre, capacity: peer.capacity };
+            let named = KnownHost { addr: peer.addr, centre, capacity: peer.capacity };
             ranked.entry(centre).or_default().push(named);
         }
         for hosts in ranked.values_mut() {
@@ -32,7 +32,7 @@
     /// included.
     pub(super) fn ranked_near(&self, now: Instant) -> Vec<Rank> {
         let near = self.all.values().filter(|p| self.is_near(p));
-        let stays = near.filter(|p| !p.leaving && p.sound(true, now));
+        let stays = near.filter(|p| !p.leaving && p.presumed_alive(true, now));
         let mut ranks: Vec<Rank> = stays.map(Peer::rank).collect();
         if !self.leaving {
             ranks.push(self.rank());
@@ -57,20 +57,20 @@
     }
 
     /// Hosts of the own data centre that live, this one left out.
-    pub fn near(&self, now: Instant) -> usize {
+    pub fn near_alive(&self, now: Instant) -> usize {
         let near = |p: &&Peer| self.is_near(p) && p.alive(true, now);
         self.all.values().filter(near).count()
     }
 
     /// This host's place among those of its data centre that live and stay; 0 is the first.
-    pub fn place(&self, now: Instant) -> usize {
-        self.near_before(now, |p| p.config > 0)
+    pub fn rank_in_centre(&self, now: Instant) -> usize {
+        self.ranked_before(now, |p| p.config > 0)
     }
 
     /// The host of the own data centre that issues permits: the first one that lives and stays. None while it
     /// is only named, not heard.
     pub fn issuer(&self, now: Instant) -> Option<SocketAddr> {
-        if self.place(now) == 0 {
+        if self.rank_in_centre(now) == 0 {
             return Some(self.addr);
         }
         let near = self.all.values().filter(|p| self.is_near(p) && p.rank() < self.rank());
@@ -80,9 +80,9 @@
 
     /// The part of the hosts of the own data centre that are heard, of those that live or may: who is only cut
     /// off may issue permits, too.
-    pub fn heard_part(&self, now: Instant) -> f64 {
+    pub fn heard_share(&self, now: Instant) -> f64 {
         let stays =
-            self.all.values().filter(|p| self.is_near(p) && p.heard.is_some() && !p.leaving);
+            self.all.values().filter(|p| self.is_near(p) && p.last_heard.is_some() && !p.leaving);
         let (mut known, mut alive) = (1.0, 1.0);
         for peer in stays {
             known += 1.0;
@@ -93,9 +93,9 @@
 
     /// What each other data centre has been asked for a limited target: the most that one of its hosts told. A
     /// silent one's last word counts while it is known.
-    pub fn wanted_elsewhere(&self, target: TargetMark) -> Vec<u16> {
-        let mut wanted: BTreeMap<CentreMark, u16> = BTreeMap::new();
-        for peer in self.all.values().filter(|p| p.heard.is_some() && self.is_far(p)) {
+    pub fn remote_demand(&self, target: TargetHash) -> Vec<u16> {
+        let mut wanted: BTreeMap<CentreHash, u16> = BTreeMap::new();
+        for peer in self.all.values().filter(|p| p.last_heard.is_some() && self.is_far(p)) {
             let most = wanted.entry(peer.centre.unwrap_or_default()).or_default();
             *most = (*most).max(peer.wanted(target));
         }
@@ -104,11 +104,11 @@
 
     /// Hosts of the own data centre that come before this one. Of those that are only named nothing
     /// else is known, so they count.
-    fn near_before(&self, now: Instant, counts: impl Fn(&Peer) -> bool) -> usize {
+    fn ranked_before(&self, now: Instant, counts: impl Fn(&Peer) -> bool) -> usize {
         let own = self.rank();
         let before = self.all.values().filter(|p| {
             let near = self.is_near(p) && p.rank() < own;
-            near && !p.leaving && p.sound(true, now) && (!p.alive(true, now) || counts(p))
+            near && !p.leaving && p.presumed_alive(true, now) && (!p.alive(true, now) || counts(p))
         });
         before.count()
     }
@@ -116,11 +116,11 @@
     /// This host's place in the order in which hosts read the store: one of the whole system reads,
     /// and when it is silent the next one of each data centre does. Hosts that the store does not
     /// answer come last.
-    pub fn reading_place(&self, now: Instant) -> usize {
+    pub fn read_rank(&self, now: Instant) -> usize {
         let own = (!self.reading, self.rank());
         let before = |p: &Peer, near: bool| {
             let known = p.alive(near, now);
-            let stays = !p.leaving && p.sound(near, now) && (!known || p.config > 0);
+            let stays = !p.leaving && p.presumed_alive(near, now) && (!known || p.config > 0);
             stays && (known && !p.reading, p.rank()) < own
         };
         let near = self.all.values().filter(|p| self.is_near(p));
@@ -130,15 +130,15 @@
     }
 
     /// This host's place in that order when nobody has read anything yet.
-    pub fn starting_place(&self, now: Instant) -> usize {
+    pub fn startup_read_rank(&self, now: Instant) -> usize {
         let own = self.rank();
         let first = |p: &&Peer| self.is_far(p) && p.rank() < own;
-        let far = self.all.values().filter(first).any(|p| p.sound(false, now));
-        self.near_before(now, |_| true) + usize::from(far)
+        let far = self.all.values().filter(first).any(|p| p.presumed_alive(false, now));
+        self.ranked_before(now, |_| true) + usize::from(far)
     }
 
     /// Whether there is no other host to hear of.
-    pub fn alone(&self) -> bool {
+    pub fn no_peers(&self) -> bool {
         self.all.is_empty()
     }
 
--- a/crates/roseshore_core/src/gateway/peers/sums.rs
+++ b/crates/roseshore_core/src/gateway/peers/sums.rs
@@ -1,20 +1,20 @@
 //! What several hosts have in flight and have counted, added up.
 
-use super::message::{CountNote, LoadNote, TargetMark};
+use super::message::{ServiceCounts, TargetHash, TargetLoad};
 use super::peer::Peer;
 use crate::gateway::allowance::Counted;
-use crate::gateway::fatal::FatalNote;
+use crate::gateway::fatal::FatalReport;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 /// Targets that a heartbeat tells of; more do not fit a datagram.
-const TOLD: usize = 66;
+const MAX_LOADS: usize = 66;
 /// Bytes that a target takes in a heartbeat, and a limit.
 const LOAD_BYTES: usize = 12;
 const LIMIT_BYTES: usize = 28;
 /// Targets of them that only hosts of other data centres use: a few at a time, since there are
 /// several times as many, and they matter only when work is sent there.
-const FAR_TOLD: usize = 24;
+const MAX_FAR_LOADS: usize = 24;
 
 /// The load of one target.
 #[derive(Clone, Copy, Debug, Default)]
@@ -22,7 +22,7 @@
     own: u32,
     held: u32,
     /// Hosts that it failed.
-    downs: u32,
+    failures: u32,
     /// Whether hosts of the own data centre use it.
     near: bool,
 }
@@ -30,8 +30,8 @@
 /// Loads and counts of some hosts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sums {
-    loads: HashMap<TargetMark, Sum>,
-    counts: HashMap<TargetMark, Counted>,
+    loads: HashMap<TargetHash, Sum>,
+    counts: HashMap<TargetHash, Counted>,
     pub(super) hosts: usize,
 }
 
@@ -40,20 +40,20 @@
     /// another one may only be cut off from it, so that does not count.
     pub(super) fn add_loads<'a>(
         &mut self,
-        notes: impl IntoIterator<Item = &'a LoadNote>,
+        notes: impl IntoIterator<Item = &'a TargetLoad>,
         near: bool,
     ) {
         for note in notes {
             let sum = self.loads.entry(note.target).or_default();
             sum.own = sum.own.saturating_add(u32::from(note.own));
             sum.held = sum.held.saturating_add(note.held);
-            sum.downs += u32::from(note.down && near);
+            sum.failures += u32::from(note.down && near);
             sum.near |= near;
         }
     }
 
     /// Adds what was counted.
-    pub(super) fn add_counts(&mut self, notes: &[CountNote]) {
+    pub(super) fn add_counts(&mut self, notes: &[ServiceCounts]) {
         for note in notes {
             let sum = self.counts.entry(note.service).or_default();
             sum.requests = sum.requests.saturating_add(note.requests);
@@ -69,7 +69,7 @@
             if let Some(sum) = rest.loads.get_mut(&note.target) {
                 sum.own = sum.own.saturating_sub(u32::from(note.own));
                 sum.held = sum.held.saturating_sub(note.held);
-                sum.downs = sum.downs.saturating_sub(u32::from(note.down));
+                sum.failures = sum.failures.saturating_sub(u32::from(note.down));
             }
         }
         for note in &peer.counts {
@@ -82,37 +82,37 @@
     }
 
     /// The loads by target.
-    pub(super) fn by_target(&self) -> HashMap<TargetMark, LoadNote> {
-        let note = |(target, sum): (&TargetMark, &Sum)| (*target, sum.note(*target));
+    pub(super) fn by_target(&self) -> HashMap<TargetHash, TargetLoad> {
+        let note = |(target, sum): (&TargetHash, &Sum)| (*target, sum.note(*target));
         self.loads.iter().map(note).collect()
     }
 
     /// The loads of targets that the own data centre uses, for a heartbeat: those that failed first,
     /// then the fullest.
-    pub(super) fn near_notes(&self, most: usize) -> Vec<LoadNote> {
-        foremost(self.notes(true).collect(), most)
+    pub(super) fn near_loads(&self, most: usize) -> Vec<TargetLoad> {
+        most_relevant(self.notes(true).collect(), most)
     }
 
     /// The loads of some other targets, where there is room for so many; others of them with each turn.
-    pub(super) fn far_notes(&self, room: usize, turn: usize) -> Vec<LoadNote> {
-        let mut notes: Vec<LoadNote> = self.notes(false).collect();
+    pub(super) fn far_loads(&self, room: usize, turn: usize) -> Vec<TargetLoad> {
+        let mut notes: Vec<TargetLoad> = self.notes(false).collect();
         notes.sort_unstable_by_key(|note| note.target);
-        let most = FAR_TOLD.min(room).min(notes.len());
+        let most = MAX_FAR_LOADS.min(room).min(notes.len());
         let first = (turn * most).checked_rem(notes.len()).unwrap_or(0);
         notes.rotate_left(first);
         notes.truncate(most);
         notes
     }
 
-    fn notes(&self, near: bool) -> impl Iterator<Item = LoadNote> {
-        let of = move |(_, sum): &(&TargetMark, &Sum)| sum.near == near;
+    fn notes(&self, near: bool) -> impl Iterator<Item = TargetLoad> {
+        let of = move |(_, sum): &(&TargetHash, &Sum)| sum.near == near;
         let notes = self.loads.iter().filter(of).map(|(target, sum)| sum.note(*target));
         notes.filter(|n| n.own > 0 || n.held > 0 || n.down)
     }
 
     /// The counts for a heartbeat.
-    pub(super) fn count_notes(&self) -> Vec<CountNote> {
-        let note = |(service, sum): (&TargetMark, &Counted)| CountNote {
+    pub(super) fn service_counts(&self) -> Vec<ServiceCounts> {
+        let note = |(service, sum): (&TargetHash, &Counted)| ServiceCounts {
             service: *service,
             requests: sum.requests,
             repeats: sum.repeats,
@@ -121,26 +121,26 @@
     }
 
     /// What was counted for a service.
-    pub(super) fn counted(&self, service: TargetMark) -> Counted {
+    pub(super) fn counted(&self, service: TargetHash) -> Counted {
         self.counts.get(&service).copied().unwrap_or_default()
     }
 }
 
 impl Sum {
-    fn note(self, target: TargetMark) -> LoadNote {
+    fn note(self, target: TargetHash) -> TargetLoad {
         let own = u16::try_from(self.own).unwrap_or(u16::MAX);
-        LoadNote { target, own, held: self.held, down: self.downs > 0 }
+        TargetLoad { target, own, held: self.held, down: self.failures > 0 }
     }
 }
 
 /// How many targets a heartbeat tells of beside requests that end targets, and so many limits.
-pub(super) fn told(fatal: &[FatalNote], limits: usize) -> usize {
-    let taken = fatal.iter().map(FatalNote::bytes).sum::<usize>() + limits * LIMIT_BYTES;
-    TOLD.saturating_sub(taken.div_ceil(LOAD_BYTES))
+pub(super) fn load_capacity(fatal: &[FatalReport], limits: usize) -> usize {
+    let taken = fatal.iter().map(FatalReport::max_bytes).sum::<usize>() + limits * LIMIT_BYTES;
+    MAX_LOADS.saturating_sub(taken.div_ceil(LOAD_BYTES))
 }
 
 /// The notes that matter most.
-pub(super) fn foremost(mut notes: Vec<LoadNote>, most: usize) -> Vec<LoadNote> {
+pub(super) fn most_relevant(mut notes: Vec<TargetLoad>, most: usize) -> Vec<TargetLoad> {
     notes.sort_by_key(|note| Reverse((note.down, note.held, note.own, note.target)));
     notes.truncate(most);
     notes
--- a/crates/roseshore_core/src/gateway/peers/telling.rs
+++ b/crates/roseshore_core/src/gateway/peers/telling.rs
@@ -5,10 +5,10 @@
 //! centre the sums of this one.
 
 use super::audience::{self, Relation};
-use super::message::{Beat, CentreMark, Echo, Named, Scope};
+use super::message::{CentreHash, Echo, Heartbeat, KnownHost, Scope};
 use super::peer::{Peer, Rank};
-use super::sums::{self, Sums, foremost};
-use super::{Own, Peers};
+use super::sums::{self, Sums, most_relevant};
+use super::{LocalState, Peers};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 /// Hosts of the hearer's data centre that a heartbeat names, by rank: when the speakers are lost
 /// together, the next ones are known. More than three speakers and three to follow them, so that
 /// the loss of a third of the hosts leaves some with near certainty.
-const STANDBY: usize = 12;
+const NAMED_AT_CONTACT: usize = 12;
 /// Of these, and of hosts of other data centres, those that one heartbeat names.
-const NAMED: usize = 4;
+const NAMED_PER_HEARTBEAT: usize = 4;
 /// Hosts of each other data centre worth naming: its speakers.
-const FAR_FIRST: usize = 3;
+const NAMED_PER_FAR_CENTRE: usize = 3;
 /// A host that has begun tries its seeds often for so long: they may begin a little later.
-const SEEKING: Duration = Duration::from_secs(3);
+const SEED_SEARCH: Duration = Duration::from_secs(3);
 
 /// Whose next heartbeats do not wait for their time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Hurry {
+pub(super) enum Urgency {
     No,
     Near,
     All,
 }
 
 /// Who there is when it is decided whom to tell.
-struct Around {
+struct Membership {
     /// Hosts of the own data centre to ask, by rank.
     asked: Vec<Rank>,
     /// Other hosts of the own data centre that are known to live.
@@ -41,40 +41,40 @@
     /// Whether any of them is heard.
     heard: bool,
     /// Speakers that are heard, by data centre.
-    far: BTreeMap<CentreMark, usize>,
+    far: BTreeMap<CentreHash, usize>,
 }
 
-impl Around {
-    fn speakers(&self, centre: CentreMark) -> usize {
+impl Membership {
+    fn speakers(&self, centre: CentreHash) -> usize {
         self.far.get(&centre).copied().unwrap_or(0)
     }
 }
 
 /// What one round of heartbeats is made from.
 struct Round<'a> {
-    own: &'a Own,
+    own: &'a LocalState,
     /// Other hosts of the own data centre.
     near: Sums,
     /// All other hosts.
     others: Sums,
     /// Hosts that are heard, by data centre and rank.
-    ranked: BTreeMap<CentreMark, Vec<Named>>,
+    ranked: BTreeMap<CentreHash, Vec<KnownHost>>,
 }
 
 impl Peers {
     /// Makes the next heartbeats due at once: to the own data centre, or to all.
     pub fn make_due(&mut self, all: bool) {
-        self.hurry = self.hurry.max(if all { Hurry::All } else { Hurry::Near });
+        self.urgency = self.urgency.max(if all { Urgency::All } else { Urgency::Near });
     }
 
     /// The heartbeats that are due, with their hearers.
-    pub fn due(&mut self, own: &Own, now: Instant) -> Vec<(SocketAddr, Beat)> {
+    pub fn due(&mut self, own: &LocalState, now: Instant) -> Vec<(SocketAddr, Heartbeat)> {
         self.leaving = own.leaving;
         self.reading = own.reading;
         self.speaking = self.speaks(now);
-        self.all.retain(|_, peer| !peer.forgotten(now));
+        self.all.retain(|_, peer| !peer.is_expired(now));
         let due = self.due_hearers(now);
-        self.hurry = Hurry::No;
+        self.urgency = Urgency::No;
         if due.is_empty() {
             return Vec::new();
         }
@@ -83,39 +83,41 @@
     }
 
     fn due_hearers(&self, now: Instant) -> Vec<(SocketAddr, Relation)> {
-        let around = self.around(now);
+        let around = self.membership(now);
         let due = |peer: &&Peer, to: Relation| {
             let period = to.period(around.near);
             let over = |told| now.saturating_duration_since(told) >= period;
-            peer.told.is_none_or(over) || self.hurries(to)
+            peer.last_sent.is_none_or(over) || self.is_urgent(to)
         };
         let relation = |peer: &Peer| self.relation(peer, &around, now);
         let related = self.all.values().filter_map(|peer| Some((peer, relation(peer)?)));
         related.filter(|(peer, to)| due(peer, *to)).map(|(peer, to)| (peer.addr, to)).collect()
     }
 
-    fn around(&self, now: Instant) -> Around {
+    fn membership(&self, now: Instant) -> Membership {
         let mut asked = self.ranked_near(now);
-        let near = asked.len().saturating_sub(1).max(self.near(now));
-        let heard = self.near(now) > 0;
+        let near = asked.len().saturating_sub(1).max(self.near_alive(now));
+        let heard = self.near_alive(now) > 0;
         asked.truncate(audience::asked(asked.len(), heard));
         let mut far = BTreeMap::new();
         for peer in self.all.values().filter(|p| p.speaks && p.alive(false, now)) {
             *far.entry(peer.centre.unwrap_or_default()).or_insert(0) += 1;
         }
-        Around { asked, near, heard, far }
+        Membership { asked, near, heard, far }
     }
 
-    fn hurries(&self, to: Relation) -> bool {
+    fn is_urgent(&self, to: Relation) -> bool {
         match to {
-            Relation::Speaker | Relation::Listener => self.hurry >= Hurry::Near,
-            Relation::FarSpeaker => self.hurry == Hurry::All,
-            Relation::Asker | Relation::Sought | Relation::Contact | Relation::Seed => false,
+            Relation::Speaker | Relation::Listener => self.urgency >= Urgency::Near,
+            Relation::FarSpeaker => self.urgency == Urgency::All,
+            Relation::Requester | Relation::StartupSeed | Relation::Contact | Relation::Seed => {
+                false
+            }
         }
     }
 
     /// What a host is to this one; `None` when there is nothing to tell it.
-    fn relation(&self, peer: &Peer, around: &Around, now: Instant) -> Option<Relation> {
+    fn relation(&self, peer: &Peer, around: &Membership, now: Instant) -> Option<Relation> {
         let near = self.is_near(peer);
         let speaks = self.speaking;
         let alive = peer.alive(near, now);
@@ -130,25 +132,25 @@
             return Some(Relation::FarSpeaker);
         }
         if alive && peer.asks {
-            return Some(Relation::Asker);
+            return Some(Relation::Requester);
         }
         // Who speaks keeps trying those who spoke, or may, until enough of their data centre are
         // heard.
-        let spoke = peer.heard.is_some() && peer.speaks;
-        let said = peer.heard.is_none() && peer.sound(near, now);
+        let spoke = peer.last_heard.is_some() && peer.speaks;
+        let said = peer.last_heard.is_none() && peer.presumed_alive(near, now);
         let speakers = peer.centre.map_or(0, |centre| around.speakers(centre));
-        if far && ((spoke && speakers == 0) || (said && speakers < FAR_FIRST)) {
+        if far && ((spoke && speakers == 0) || (said && speakers < NAMED_PER_FAR_CENTRE)) {
             return Some(Relation::Contact);
         }
         match (peer.seed, around.heard) {
-            (true, false) if now < self.begun + SEEKING => Some(Relation::Sought),
+            (true, false) if now < self.started + SEED_SEARCH => Some(Relation::StartupSeed),
             (true, false) => Some(Relation::Contact),
             (true, true) if speaks => Some(Relation::Seed),
             _ => None,
         }
     }
 
-    fn round<'a>(&self, own: &'a Own, now: Instant) -> Round<'a> {
+    fn round<'a>(&self, own: &'a LocalState, now: Instant) -> Round<'a> {
         let near = self.near_sums(now);
         let mut others = near.clone();
         self.add_far(&mut others, now);
@@ -161,13 +163,13 @@
         relation: Relation,
         round: &Round<'_>,
         now: Instant,
-    ) -> Beat {
+    ) -> Heartbeat {
         self.sequence += 1;
         let own = round.own;
-        let sent = now.saturating_duration_since(self.begun).as_millis() as u64;
+        let sent = now.saturating_duration_since(self.started).as_millis() as u64;
         let centre = self.all.get(&to).and_then(|peer| peer.centre);
-        let named = self.names(to, centre, relation, round);
-        let mut beat = Beat {
+        let named = self.hosts_to_name(to, centre, relation, round);
+        let mut beat = Heartbeat {
             centre: self.centre,
             capacity: self.capacity,
             life: self.life,
@@ -184,22 +186,22 @@
             loads: Vec::new(),
             far: Vec::new(),
             counts: Vec::new(),
-            holds: own.holds.clone(),
+            holds: own.holdings.clone(),
             paces: own.paces.clone(),
             fatal: own.fatal.clone(),
             limits: own.limits.clone(),
             named,
         };
-        let told = sums::told(&beat.fatal, beat.limits.len());
+        let told = sums::load_capacity(&beat.fatal, beat.limits.len());
         let Some(peer) = self.all.get_mut(&to) else { return beat };
-        peer.told(relation.asks(), now);
-        beat.echo = peer.heard.map(|heard| own.echo(peer.sent, heard));
+        peer.record_sent(relation.asks(), now);
+        beat.echo = peer.last_heard.map(|heard| own.echo(peer.sender_clock, heard));
         let mut sums = match relation {
             Relation::Listener if peer.scope == Scope::Own => round.others.without(peer),
             Relation::Listener => round.others.clone(),
             Relation::FarSpeaker => round.near.clone(),
             _ => {
-                beat.loads = foremost(own.loads.clone(), told);
+                beat.loads = most_relevant(own.loads.clone(), told);
                 beat.counts.clone_from(&own.counts);
                 return beat;
             }
@@ -211,47 +213,50 @@
             Relation::FarSpeaker => Scope::Centre(hosts),
             _ => Scope::Others(hosts),
         };
-        beat.loads = sums.near_notes(told);
-        beat.far = sums.far_notes(told - beat.loads.len(), self.sequence as usize);
-        beat.counts = sums.count_notes();
+        beat.loads = sums.near_loads(told);
+        beat.far = sums.far_loads(told - beat.loads.len(), self.sequence as usize);
+        beat.counts = sums.service_counts();
         beat
     }
 
     /// Hosts that a heartbeat names: the first of the hearer's data centre, and speakers of others;
     /// some of them in turn to those who hear more soon. Only those that are heard here, or
     /// a dead one would be named for ever.
-    fn names(
+    fn hosts_to_name(
         &mut self,
         to: SocketAddr,
-        centre: Option<CentreMark>,
+        centre: Option<CentreHash>,
         relation: Relation,
         round: &Round<'_>,
-    ) -> Vec<Named> {
-        let first = |mark: &CentreMark, most: usize| {
+    ) -> Vec<KnownHost> {
+        let first = |mark: &CentreHash, most: usize| {
             let all = round.ranked.get(mark).into_iter().flatten();
             all.filter(|n| n.addr != to).take(most).copied().collect::<Vec<_>>()
         };
-        let own = centre.map(|mark| first(&mark, STANDBY)).unwrap_or_default();
+        let own = centre.map(|mark| first(&mark, NAMED_AT_CONTACT)).unwrap_or_default();
         let others = round.ranked.keys().filter(|mark| centre != Some(**mark));
-        let far: Vec<Named> = others.flat_map(|mark| first(mark, FAR_FIRST)).collect();
+        let far: Vec<KnownHost> =
+            others.flat_map(|mark| first(mark, NAMED_PER_FAR_CENTRE)).collect();
         let most = match relation {
-            Relation::Asker | Relation::Sought | Relation::Contact | Relation::Seed => STANDBY,
-            Relation::Speaker | Relation::Listener | Relation::FarSpeaker => NAMED,
+            Relation::Requester | Relation::StartupSeed | Relation::Contact | Relation::Seed => {
+                NAMED_AT_CONTACT
+            }
+            Relation::Speaker | Relation::Listener | Relation::FarSpeaker => NAMED_PER_HEARTBEAT,
         };
         self.next_named = self.next_named.wrapping_add(1);
-        let mut named = in_turn(&own, most, self.next_named);
-        named.extend(in_turn(&far, NAMED, self.next_named));
+        let mut named = rotate_window(&own, most, self.next_named);
+        named.extend(rotate_window(&far, NAMED_PER_HEARTBEAT, self.next_named));
         named
     }
 }
 
 /// So many of a list, others with each turn.
-fn in_turn(all: &[Named], most: usize, turn: usize) -> Vec<Named> {
+fn rotate_window(all: &[KnownHost], most: usize, turn: usize) -> Vec<KnownHost> {
     let most = most.min(all.len());
     (0..most).map(|step| all[(turn * most + step) % all.len()]).collect()
 }
 
-impl Own {
+impl LocalState {
     /// The own proofs, for a hearer whose last heartbeat was sent at `sent` on its clock.
     fn echo(&self, sent: u64, heard: Instant) -> Echo {
         let since = |proven: Instant| {
@@ -260,6 +265,6 @@
             let before = heard.saturating_duration_since(proven).as_millis() as i64;
             if proven >= heard { after } else { -(before + 1) }
         };
-        Echo { sent, config: self.proven.map(since), list: self.listed.map(since) }
+        Echo { sent, config: self.config_proven.map(since), list: self.list_proven.map(since) }
     }
 }
--- a/crates/roseshore_core/src/gateway/peers/view.rs
+++ b/crates/roseshore_core/src/gateway/peers/view.rs
@@ -1,7 +1,7 @@
 //! What the other hosts have in flight and have counted, as far as this one hears.
 
 use super::Peers;
-use super::message::{CentreMark, LoadNote, Scope, TargetMark};
+use super::message::{CentreHash, Scope, TargetHash, TargetLoad};
 use super::peer::Peer;
 use super::sums::Sums;
 use crate::gateway::allowance::Counted;
@@ -12,9 +12,9 @@
 #[derive(Clone, Debug)]
 pub struct View {
     /// What they have in flight at each target, and whether it failed one of them.
-    pub loads: HashMap<TargetMark, LoadNote>,
+    pub loads: HashMap<TargetHash, TargetLoad>,
     /// Hosts whose word that is, the viewing one included.
-    pub told: usize,
+    pub reporting: usize,
     /// Hosts that live or lived of late, the viewing one included.
     pub hosts: usize,
     sums: Sums,
@@ -22,7 +22,7 @@
 
 impl View {
     /// What they have counted for a service.
-    pub fn counted(&self, service: TargetMark) -> Counted {
+    pub fn counted(&self, service: TargetHash) -> Counted {
         self.sums.counted(service)
     }
 }
@@ -37,7 +37,7 @@
                 sums.hosts += 1;
                 sums.add_loads(&peer.loads, true);
             }
-            if peer.still_counts(now) {
+            if peer.counts_valid(now) {
                 sums.add_counts(&peer.counts);
             }
         }
@@ -46,8 +46,8 @@
 
     /// Adds other data centres: of each, the word of the speaker that hears most of it.
     pub(super) fn add_far(&self, sums: &mut Sums, now: Instant) {
-        let mut best: BTreeMap<CentreMark, (u16, &Peer)> = BTreeMap::new();
-        for peer in self.all.values().filter(|p| p.still_counts(now)) {
+        let mut best: BTreeMap<CentreHash, (u16, &Peer)> = BTreeMap::new();
+        for peer in self.all.values().filter(|p| p.counts_valid(now)) {
             let Some(centre) = peer.centre.filter(|c| *c != self.centre) else { continue };
             let hosts = match peer.scope {
                 Scope::Centre(hosts) => hosts,
@@ -87,7 +87,7 @@
         let mut sums = Sums::default();
         sums.hosts = hosts;
         sums.add_loads(&peer.loads, true);
-        sums.add_loads(peer.far(), false);
+        sums.add_loads(peer.far_loads(), false);
         sums.add_counts(&peer.counts);
         sums
     }
@@ -96,16 +96,16 @@
     pub fn view(&self, now: Instant) -> View {
         let sums = self.others(now);
         let hosts = self.hosts().max(1 + sums.hosts);
-        View { loads: sums.by_target(), told: 1 + sums.hosts, sums, hosts }
+        View { loads: sums.by_target(), reporting: 1 + sums.hosts, sums, hosts }
     }
 
     /// What the other hosts have in flight at each target, and whether it failed one of them.
-    pub fn loads(&self, now: Instant) -> HashMap<TargetMark, LoadNote> {
+    pub fn loads(&self, now: Instant) -> HashMap<TargetHash, TargetLoad> {
         self.view(now).loads
     }
 
     /// Hosts that were heard, and live or lived of late, this one included.
     pub fn hosts(&self) -> usize {
-        1 + self.all.values().filter(|p| p.heard.is_some()).count()
+        1 + self.all.values().filter(|p| p.last_heard.is_some()).count()
     }
 }
--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -12,36 +12,36 @@
 mod list;
 mod target;
 
-use super::paces::{Pace, PaceNote};
+use super::paces::{EnginePace, PaceReport};
 use super::path::{Part, PathNeed};
-use super::peers::{LoadNote, TargetMark};
+use super::peers::{TargetHash, TargetLoad};
 use super::plan::pressure::{Taken, fullest};
 use super::position::Position;
 use super::routes::EngineSpec;
 use crate::prelude::*;
-use intake::Heard;
-pub use intake::Intake;
-use list::Gone;
-pub use list::{Absence, Changes, News, Replaced};
+pub use intake::Availability;
+use intake::StoredAvailability;
+use list::DroppedTargets;
+pub use list::{Absence, ListDelta, ListUpdate, RecordChange};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap};
-use target::Learned;
-pub use target::{Claim, Death, Holding, Target, TargetRecord, Word};
+use target::ReportedHolding;
+pub use target::{Claim, Holding, LayersReport, LivenessFailure, Target, TargetRecord};
 
 /// All targets.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     all: BTreeMap<TargetId, Target>,
     /// The target with each mark.
-    marks: HashMap<TargetMark, TargetId>,
+    ids: HashMap<TargetHash, TargetId>,
     /// Of what is listed.
     digest: u64,
     /// How far the list has been read.
-    next: Position,
+    position: Position,
     /// What dropped out of the list of late.
-    gone: Gone,
+    dropped: DroppedTargets,
     /// What targets said that they take, by their lives.
-    heard: HashMap<TargetMark, Heard>,
+    availability: HashMap<TargetHash, StoredAvailability>,
 }
 
 impl Targets {
@@ -51,13 +51,13 @@
     }
 
     /// The mark of a target in its life at hand.
-    pub fn mark(&self, id: &str) -> Option<TargetMark> {
-        self.all.get(id).map(|t| t.mark)
+    pub fn hash(&self, id: &str) -> Option<TargetHash> {
+        self.all.get(id).map(|t| t.hash)
     }
 
     /// The id of the target with a mark.
-    pub fn marked(&self, mark: TargetMark) -> Option<&TargetId> {
-        self.marks.get(&mark)
+    pub fn id_of(&self, mark: TargetHash) -> Option<&TargetId> {
+        self.ids.get(&mark)
     }
 
     /// How many are known.
@@ -71,28 +71,28 @@
     }
 
     /// The targets of a service.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
+    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
         self.all.values().filter(move |t| t.record.service == service)
     }
 
     /// A request goes to a target.
-    pub fn begin(&mut self, claim: &Claim) {
+    pub fn reserve(&mut self, claim: &Claim) {
         if let Some(target) = self.all.get_mut(&claim.target) {
-            target.own += 1;
-            target.held += claim.held;
+            target.in_flight += 1;
+            target.kv_used += claim.kv_used;
         }
     }
 
     /// It ended.
-    pub fn end(&mut self, claim: &Claim) {
+    pub fn release(&mut self, claim: &Claim) {
         if let Some(target) = self.all.get_mut(&claim.target) {
-            target.own = target.own.saturating_sub(1);
-            target.held = (target.held - claim.held).max(0.0);
+            target.in_flight = target.in_flight.saturating_sub(1);
+            target.kv_used = (target.kv_used - claim.kv_used).max(0.0);
         }
     }
 
     /// A send failed there; returns whether that put it out of use just now.
-    pub fn failed(&mut self, id: &str, now: Instant) -> bool {
+    pub fn record_failure(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
         let before = target.health.suspect();
         target.health.failed(now);
@@ -100,12 +100,12 @@
     }
 
     /// Until when a target is out of use; none where it is not.
-    pub fn quarantine(&self, id: &str) -> Option<Instant> {
+    pub fn quarantine_end(&self, id: &str) -> Option<Instant> {
         self.all.get(id)?.health.quarantine()
     }
 
     /// A whole answer came; returns whether that put it into use again.
-    pub fn worked(&mut self, id: &str, now: Instant) -> bool {
+    pub fn record_success(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
         let before = target.health.suspect();
         target.health.worked(now);
@@ -114,11 +114,11 @@
     }
 
     /// Something came through these targets.
-    pub fn progressed<'a>(&mut self, path: impl Iterator<Item = &'a TargetId>, now: Instant) {
+    pub fn record_progress<'a>(&mut self, path: impl Iterator<Item = &'a TargetId>, now: Instant) {
         for id in path {
             if let Some(target) = self.all.get_mut(id) {
-                target.progress = Some(now);
-                target.dead = None;
+                target.last_progress = Some(now);
+                target.liveness_failure = None;
             }
         }
     }
@@ -127,135 +127,142 @@
     /// does not say which of its targets is at fault, but other streams show which are not.
     pub fn suspects(&self, path: &[TargetId], since: Instant) -> Vec<TargetId> {
         let quiet = |id: &&TargetId| {
-            self.all.get(*id).is_none_or(|t| t.progress.is_none_or(|at| at <= since))
+            self.all.get(*id).is_none_or(|t| t.last_progress.is_none_or(|at| at <= since))
         };
         path.iter().filter(quiet).cloned().collect()
     }
 
     /// Whether it is an engine that is held to hold no layers: it started again, and nothing comes
     /// through it any more, though its port answers.
-    pub fn empty(&self, id: &str) -> bool {
+    pub fn holds_no_layers(&self, id: &str) -> bool {
         self.all.get(id).is_some_and(|t| t.record.kind.is_some() && t.holding().is_none())
     }
 
     /// It does not answer liveness checks; returns whether that is news.
-    pub fn died(&mut self, id: &str, death: Death) -> bool {
+    pub fn liveness_failed(&mut self, id: &str, death: LivenessFailure) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let news = target.dead.is_none();
-        target.dead = Some(death);
+        let news = target.liveness_failure.is_none();
+        target.liveness_failure = Some(death);
         news
     }
 
     /// It answered a liveness check; returns whether that is news.
-    pub fn answered(&mut self, id: &str) -> bool {
-        self.all.get_mut(id).is_some_and(|t| t.dead.take().is_some())
+    pub fn liveness_passed(&mut self, id: &str) -> bool {
+        self.all.get_mut(id).is_some_and(|t| t.liveness_failure.take().is_some())
     }
 
     /// The targets that this host holds for dead.
     pub fn dead(&self) -> Vec<TargetId> {
-        self.all.values().filter(|t| t.dead.is_some()).map(|t| t.record.id.clone()).collect()
+        self.all
+            .values()
+            .filter(|t| t.liveness_failure.is_some())
+            .map(|t| t.record.id.clone())
+            .collect()
     }
 
     /// Another target answers at its address.
-    pub fn replaced(&mut self, id: &str) {
+    pub fn mark_replaced(&mut self, id: &str) {
         if let Some(target) = self.all.get_mut(id) {
             target.replaced = true;
         }
     }
 
     /// The next word of a target's layers, for what this host has just found out.
-    pub fn next_word(&self, target: TargetMark, layers: (Layer, Layer)) -> Word {
-        let known = self.marks.get(&target).and_then(|id| self.all.get(id));
-        let last = known.map_or(Word::default(), |t| t.word);
-        Word { number: last.number + 1, layers, listed: last.listed }
+    pub fn next_report(&self, target: TargetHash, layers: (Layer, Layer)) -> LayersReport {
+        let known = self.ids.get(&target).and_then(|id| self.all.get(id));
+        let last = known.map_or(LayersReport::default(), |t| t.layers_report);
+        LayersReport { number: last.number + 1, layers, listed: last.listed }
     }
 
     /// A target holds layers by its own word, or an empty range: it was shown not to hold what the list
     /// says. Believed until then; returns whether that is news. An earlier word than the last changes
     /// nothing, nor does one beside another list, and of two with one number every host takes the same.
-    pub fn learned(&mut self, target: TargetMark, word: Word, until: Instant) -> bool {
-        let Some(target) = self.marks.get(&target).and_then(|id| self.all.get_mut(id)) else {
+    pub fn apply_report(&mut self, target: TargetHash, word: LayersReport, until: Instant) -> bool {
+        let Some(target) = self.ids.get(&target).and_then(|id| self.all.get_mut(id)) else {
             return false;
         };
-        if word < target.word || word.listed != target.word.listed {
+        if word < target.layers_report || word.listed != target.layers_report.listed {
             return false;
         }
-        let news = word > target.word;
-        target.word = word;
+        let news = word > target.layers_report;
+        target.layers_report = word;
         let (from, to) = word.layers;
         let holding = (from < to).then_some(Holding { layers: (from, to) });
         if news {
             target.clearing = None;
         }
         let differs = target.record.holding != holding;
-        target.learned = differs.then_some(Learned { holding, until });
+        target.reported_holding = differs.then_some(ReportedHolding { holding, until });
         news
     }
 
     /// What other hosts have at the targets.
-    pub fn others(&mut self, loads: &HashMap<TargetMark, LoadNote>) {
+    pub fn set_remote_loads(&mut self, loads: &HashMap<TargetHash, TargetLoad>) {
         for target in self.all.values_mut() {
-            target.others = loads.get(&target.mark).copied().unwrap_or_default();
+            target.remote_load = loads.get(&target.hash).copied().unwrap_or_default();
         }
     }
 
     /// What this host has at the targets, for the others.
-    pub fn notes(&self) -> Vec<LoadNote> {
-        let note = |t: &Target| LoadNote {
-            target: t.mark,
-            own: t.own.min(u32::from(u16::MAX)) as u16,
-            held: (t.held / 1000.0) as u32,
-            down: t.dead.is_some(),
+    pub fn load_reports(&self) -> Vec<TargetLoad> {
+        let note = |t: &Target| TargetLoad {
+            target: t.hash,
+            own: t.in_flight.min(u32::from(u16::MAX)) as u16,
+            held: (t.kv_used / 1000.0) as u32,
+            down: t.liveness_failure.is_some(),
         };
         self.all.values().map(note).filter(|n| n.own > 0 || n.down).collect()
     }
 
     /// A target reported its pace, here or to another host; the latest word counts.
-    pub fn paced(&mut self, target: TargetMark, pace: Pace) {
-        let known = self.marks.get(&target).and_then(|id| self.all.get_mut(id));
-        if let Some(target) = known.filter(|t| pace.newer(t.pace)) {
+    pub fn record_pace(&mut self, target: TargetHash, pace: EnginePace) {
+        let known = self.ids.get(&target).and_then(|id| self.all.get_mut(id));
+        if let Some(target) = known.filter(|t| pace.is_newer(t.pace)) {
             target.pace = Some(pace);
         }
     }
 
     /// The paces that differ from what is published, for the other hosts: the slowest of so many.
-    pub fn pace_notes(&self, most: usize, now: Instant) -> Vec<PaceNote> {
-        let note = |t: &Target| t.pace?.note(t.mark, now);
-        let mut notes: Vec<PaceNote> = self.all.values().filter_map(note).collect();
+    pub fn pace_reports(&self, most: usize, now: Instant) -> Vec<PaceReport> {
+        let note = |t: &Target| t.pace?.report(t.hash, now);
+        let mut notes: Vec<PaceReport> = self.all.values().filter_map(note).collect();
         notes.sort_unstable_by_key(|note| (Reverse(note.pace), note.target));
         notes.truncate(most);
         notes
     }
 
     /// A target told its load.
-    pub fn loaded(&mut self, id: &str, running: u32, waiting: u32, now: Instant) {
+    pub fn record_load(&mut self, id: &str, running: u32, waiting: u32, now: Instant) {
         if let Some(target) = self.all.get_mut(id) {
-            target.load = Some((f64::from(running + waiting), now));
+            target.reported_load = Some((f64::from(running + waiting), now));
         }
     }
 
     /// The target of a plain service for a request: the least loaded sound one, own data centre
     /// first among equals. When all have failed of late, the least loaded of them; but nothing is
     /// sent to one that is dark, since that would cost its caller the time of a connection.
-    pub fn plain<'a>(
+    pub fn choose_plain<'a>(
         &'a self,
         service: &'a str,
         near: &str,
         avoid: &[TargetId],
         now: Instant,
     ) -> Option<&'a Target> {
-        let open = || self.of(service).filter(|t| t.takes(now) && !avoid.contains(&t.record.id));
+        let open = || {
+            self.of_service(service)
+                .filter(|t| t.accepts_work(now) && !avoid.contains(&t.record.id))
+        };
         let cost = |t: &Target| {
             let told = t
-                .load
+                .reported_load
                 .filter(|(_, at)| now.saturating_duration_since(*at) < Duration::from_millis(500));
-            let busy = told.map_or(0.0, |(n, _)| n).max(t.busy());
+            let busy = told.map_or(0.0, |(n, _)| n).max(t.total_in_flight());
             let far = if t.record.data_centre == near { 0.0 } else { 0.5 };
             (busy + far) / f64::from(t.record.slots.max(1))
         };
         let least = |a: &&Target, b: &&Target| cost(a).total_cmp(&cost(b));
-        let lit = || open().filter(|t| t.dead != Some(Death::Dark));
-        open().filter(|t| t.sound(now)).min_by(least).or_else(|| lit().min_by(least))
+        let lit = || open().filter(|t| t.liveness_failure != Some(LivenessFailure::Silent));
+        open().filter(|t| t.is_healthy(now)).min_by(least).or_else(|| lit().min_by(least))
     }
 
     /// The parts that a path through the layers may use.
@@ -266,40 +273,40 @@
         need: &PathNeed<'_>,
         now: Instant,
     ) -> Vec<Part> {
-        let usable = |t: &&Target| t.takes(now) && !need.avoid.contains(&t.record.id);
-        let all = self.of(service).filter(usable);
+        let usable = |t: &&Target| t.accepts_work(now) && !need.avoid.contains(&t.record.id);
+        let all = self.of_service(service).filter(usable);
         all.filter_map(|t| Self::part(t, spec, need, now)).collect()
     }
 
     /// How full the fullest layer of a data centre's engines is, as a share of its room, or the first
     /// layers' engines, as a share of their slots.
     pub fn fullest(&self, service: &str, spec: &EngineSpec, centre: &str) -> f64 {
-        let near = self.of(service).filter(|t| t.open() && t.record.data_centre == centre);
+        let near =
+            self.of_service(service).filter(|t| t.is_available() && t.record.data_centre == centre);
         let taken = near.filter_map(|t| {
             let layers = t.holding()?.layers;
-            let room = Self::room(t, spec)?;
-            Some(Taken { layers, room, taken: t.taken() })
+            let room = Self::kv_capacity(t, spec)?;
+            Some(Taken { layers, room, taken: t.total_kv_used() })
         });
-        fullest(spec.layers, taken).max(self.started(service, centre))
+        fullest(spec.layers, taken).max(self.first_layer_load(service, centre))
     }
 
     /// The share of the slots that are taken at the engines which requests may begin at.
-    fn started(&self, service: &str, centre: &str) -> f64 {
+    fn first_layer_load(&self, service: &str, centre: &str) -> f64 {
         let first = |t: &&Target| {
-            t.open()
+            t.is_available()
                 && t.record.data_centre == centre
                 && t.holding().is_some_and(|h| h.layers.0 == 0)
         };
-        let (taken, slots) = self
-            .of(service)
-            .filter(first)
-            .fold((0.0, 0.0), |sum, t| (sum.0 + t.busy(), sum.1 + f64::from(t.record.slots)));
+        let (taken, slots) = self.of_service(service).filter(first).fold((0.0, 0.0), |sum, t| {
+            (sum.0 + t.total_in_flight(), sum.1 + f64::from(t.record.slots))
+        });
         if slots > 0.0 { taken / slots } else { 0.0 }
     }
 
     /// KV cache of an engine beside its layers, tokens times layers.
-    fn room(t: &Target, spec: &EngineSpec) -> Option<f64> {
-        let weights = t.weights();
+    fn kv_capacity(t: &Target, spec: &EngineSpec) -> Option<f64> {
+        let weights = t.weight_layers();
         let kind = spec.kind(t.record.kind.as_deref())?;
         Some(spec.room(kind.size_mb, weights) * f64::from(weights))
     }
@@ -308,11 +315,11 @@
         let layers = t.holding()?.layers;
         let kind = spec.kind(t.record.kind.as_deref())?;
         let share = 1.0 / f64::from(spec.layers);
-        let busy = t.busy();
+        let busy = t.total_in_flight();
         let context = spec.context_ms * (spec.prompt + spec.answer);
         let step = spec.step_ms + (spec.per_seq_ms + context) * (busy + 1.0);
-        let room = Self::room(t, spec)?;
-        let slowness = t.slowness(now);
+        let room = Self::kv_capacity(t, spec)?;
+        let slowness = t.slowdown(now);
         let read_ms = slowness * kind.read * share / spec.read_per_ms;
         Some(Part {
             id: t.record.id.clone(),
@@ -324,9 +331,9 @@
             read_ms,
             busy,
             slots: f64::from(t.record.slots),
-            free: room - t.taken(),
+            free: room - t.total_kv_used(),
             room,
-            sound: t.sound(now),
+            sound: t.is_healthy(now),
         })
     }
 }
--- a/crates/roseshore_core/src/gateway/targets/list.rs
+++ b/crates/roseshore_core/src/gateway/targets/list.rs
@@ -2,7 +2,7 @@
 
 use super::Targets;
 use super::target::{Target, TargetRecord};
-use crate::gateway::peers::ListMark;
+use crate::gateway::peers::ListVersion;
 use crate::gateway::position::Position;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -19,9 +19,9 @@
 
 /// What a record of the list brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum RecordChange {
     /// Nothing that matters for work.
-    Same,
+    Unchanged,
     /// A target that was not known, or something about one that was.
     Changed,
     /// The target started again under its id: what was known of it, and what runs through it, is gone.
@@ -30,7 +30,7 @@
 
 /// What a whole list brought.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Replaced {
+pub struct ListUpdate {
     /// Targets that dropped out.
     pub lost: Vec<TargetId>,
     /// Targets that started again under their ids.
@@ -39,28 +39,28 @@
 
 /// Targets that dropped out of the list, and how far it was read by then.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Gone {
+pub(super) struct DroppedTargets {
     ids: HashMap<TargetId, Position>,
     /// What dropped out before that may have been forgotten.
-    known: Position,
+    complete_since: Position,
 }
 
-impl Gone {
+impl DroppedTargets {
     fn add(&mut self, id: TargetId, next: Position) {
         self.ids.insert(id, next);
-        if self.ids.len() > MOST_GONE {
-            self.known = next;
+        if self.ids.len() > MAX_DROPPED {
+            self.complete_since = next;
             self.ids.retain(|_, at| *at > next);
         }
     }
 }
 
 /// Dropped targets that are remembered: more than leave while a host is cut off for some seconds.
-const MOST_GONE: usize = 400;
+const MAX_DROPPED: usize = 400;
 
 /// What changed in the list since a host read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct ListDelta {
     /// Records that are new or changed; all of them where `dropped` is none.
     pub records: Vec<TargetRecord>,
     /// Targets that dropped out; none when the whole list is given.
@@ -70,109 +70,109 @@
 impl Targets {
     /// Takes a record of the list. The list is in order, so a record with another life is of a later one
     /// even where the target's clock went back.
-    pub fn put(&mut self, record: TargetRecord) -> News {
-        self.gone.ids.remove(&record.id);
+    pub fn upsert(&mut self, record: TargetRecord) -> RecordChange {
+        self.dropped.ids.remove(&record.id);
         let Some(known) = self.all.get_mut(&record.id) else {
             self.add(Target::new(record));
-            return News::Changed;
+            return RecordChange::Changed;
         };
-        if known.missing.is_some() || known.record != record {
-            known.changed = self.next;
+        if known.missing_until.is_some() || known.record != record {
+            known.changed_at = self.position;
         }
         if known.record.life != record.life {
-            let target = known.reborn(record);
+            let target = known.restarted(record);
             self.digest ^= known.digest();
-            self.marks.remove(&known.mark);
+            self.ids.remove(&known.hash);
             self.add(target);
-            return News::Restarted;
+            return RecordChange::Restarted;
         }
         self.digest ^= known.digest();
-        let changed = known.listed(record);
+        let changed = known.update_record(record);
         self.digest ^= known.digest();
-        if changed { News::Changed } else { News::Same }
+        if changed { RecordChange::Changed } else { RecordChange::Unchanged }
     }
 
     fn add(&mut self, mut target: Target) {
-        target.changed = self.next;
-        target.intake = self.intake_of(target.mark);
+        target.changed_at = self.position;
+        target.availability = self.availability_of(target.hash);
         self.digest ^= target.digest();
-        self.marks.insert(target.mark, target.record.id.clone());
+        self.ids.insert(target.hash, target.record.id.clone());
         self.all.insert(target.record.id.clone(), target);
     }
 
     /// A target dropped out of the list; returns whether it was known.
-    pub fn drop(&mut self, id: &str, absence: Absence) -> bool {
+    pub fn remove(&mut self, id: &str, absence: Absence) -> bool {
         // Also one that is not known here: another host may have read it before it dropped out.
-        self.gone.add(id.to_owned(), self.next);
+        self.dropped.add(id.to_owned(), self.position);
         let Some(target) = self.all.get_mut(id) else { return false };
         self.digest ^= target.digest();
         match absence {
             Absence::Left => {
-                self.marks.remove(&target.mark);
+                self.ids.remove(&target.hash);
                 self.all.remove(id);
             }
             Absence::Lapsed(until) => {
-                target.missing.get_or_insert(until);
+                target.missing_until.get_or_insert(until);
             }
         }
         true
     }
 
     /// Takes the whole list at once.
-    pub fn replace(&mut self, records: Vec<TargetRecord>, absence: Absence) -> Replaced {
+    pub fn replace_list(&mut self, records: Vec<TargetRecord>, absence: Absence) -> ListUpdate {
         let listed: HashSet<&TargetId> = records.iter().map(|r| &r.id).collect();
         let lost: Vec<_> = self.all.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         // Of what dropped out before nothing is known here.
-        self.gone = Gone { ids: HashMap::new(), known: self.next };
-        self.change(records, lost, absence)
+        self.dropped = DroppedTargets { ids: HashMap::new(), complete_since: self.position };
+        self.apply_delta(records, lost, absence)
     }
 
     /// Takes what changed in the list.
-    pub fn change(
+    pub fn apply_delta(
         &mut self,
         records: Vec<TargetRecord>,
         lost: Vec<TargetId>,
         absence: Absence,
-    ) -> Replaced {
+    ) -> ListUpdate {
         for id in &lost {
-            self.drop(id, absence);
+            self.remove(id, absence);
         }
         let mut restarted = Vec::new();
         for record in records {
             let id = record.id.clone();
-            if self.put(record) == News::Restarted {
+            if self.upsert(record) == RecordChange::Restarted {
                 restarted.push(id.clone());
             }
             if let Some(target) = self.all.get_mut(&id) {
                 // It may have dropped out and come back as it was, unseen here.
-                target.changed = self.next;
+                target.changed_at = self.position;
             }
         }
-        Replaced { lost, restarted }
+        ListUpdate { lost, restarted }
     }
 
     /// Takes the whole list of a store that came back from an older copy. What is known here of a target's life
     /// is newer than the copy, so it stays until the target writes its entry again; what the copy lacks
     /// may have been written after it; and what is known to be gone is no target again by being in it.
-    pub fn go_back(&mut self, records: Vec<TargetRecord>, absence: Absence) -> Replaced {
+    pub fn apply_older_list(&mut self, records: Vec<TargetRecord>, absence: Absence) -> ListUpdate {
         let listed: HashSet<&TargetId> = records.iter().map(|r| &r.id).collect();
         let lost: Vec<_> = self.all.keys().filter(|id| !listed.contains(*id)).cloned().collect();
         for id in &lost {
-            self.drop(id, absence);
+            self.remove(id, absence);
         }
         let mut restarted = Vec::new();
         for record in records {
             let known = self.all.get(&record.id).map(|t| &t.record);
-            if known.is_none() && self.gone.ids.contains_key(&record.id) {
+            if known.is_none() && self.dropped.ids.contains_key(&record.id) {
                 continue;
             }
             let newest = known.filter(|known| known.life >= record.life).cloned().unwrap_or(record);
             let id = newest.id.clone();
-            if self.put(newest) == News::Restarted {
+            if self.upsert(newest) == RecordChange::Restarted {
                 restarted.push(id);
             }
         }
-        Replaced { lost, restarted }
+        ListUpdate { lost, restarted }
     }
 
     /// Lets time pass; returns the targets that have been missing for too long.
@@ -180,41 +180,41 @@
         for target in self.all.values_mut() {
             target.tick(now);
         }
-        self.forget_intakes(now);
-        let late = |t: &Target| t.missing.is_some_and(|until| now >= until);
+        self.expire_availability(now);
+        let late = |t: &Target| t.missing_until.is_some_and(|until| now >= until);
         let gone: Vec<_> =
             self.all.iter().filter(|(_, t)| late(t)).map(|(id, _)| id.clone()).collect();
         for target in gone.iter().filter_map(|id| self.all.remove(id)) {
-            self.marks.remove(&target.mark);
+            self.ids.remove(&target.hash);
         }
         gone
     }
 
     /// The list has been read so far: what is taken from now on belongs to that.
-    pub fn reach(&mut self, next: Position) {
-        self.next = self.next.max(next);
+    pub fn advance_to(&mut self, next: Position) {
+        self.position = self.position.max(next);
     }
 
     /// What changed since the list was read so far; all of it where that is not known any more.
-    pub fn since(&self, known: Position) -> Changes {
-        if known == Position::default() || known < self.gone.known {
-            return Changes { records: self.listed(), dropped: None };
+    pub fn changes_since(&self, known: Position) -> ListDelta {
+        if known == Position::default() || known < self.dropped.complete_since {
+            return ListDelta { records: self.listed_records(), dropped: None };
         }
-        let fresh = self.all.values().filter(|t| t.missing.is_none() && t.changed > known);
+        let fresh = self.all.values().filter(|t| t.missing_until.is_none() && t.changed_at > known);
         let records = fresh.map(|t| t.record.clone()).collect();
-        let gone = self.gone.ids.iter().filter(|(_, at)| **at > known);
-        Changes { records, dropped: Some(gone.map(|(id, _)| id.clone()).collect()) }
+        let gone = self.dropped.ids.iter().filter(|(_, at)| **at > known);
+        ListDelta { records, dropped: Some(gone.map(|(id, _)| id.clone()).collect()) }
     }
 
     /// The records that are listed.
-    pub fn listed(&self) -> Vec<TargetRecord> {
-        let listed = self.all.values().filter(|t| t.missing.is_none());
+    pub fn listed_records(&self) -> Vec<TargetRecord> {
+        let listed = self.all.values().filter(|t| t.missing_until.is_none());
         listed.map(|t| t.record.clone()).collect()
     }
 
     /// How far the list was read, for the others.
     /// The digest is the same wherever the same was read.
-    pub fn list_mark(&self, next: Position) -> ListMark {
-        ListMark { next, digest: self.digest }
+    pub fn list_version(&self, next: Position) -> ListVersion {
+        ListVersion { next, digest: self.digest }
     }
 }
--- a/crates/roseshore_core/src/gateway/targets/target.rs
+++ b/crates/roseshore_core/src/gateway/targets/target.rs
@@ -1,9 +1,9 @@
 //! One target: its record in the platform's list, and this host's own view of it.
 
-use super::super::paces::Pace;
-use super::super::peers::{LoadNote, TargetMark, target_mark};
+use super::super::paces::EnginePace;
+use super::super::peers::{TargetHash, TargetLoad, target_hash};
 use super::super::position::Position;
-use super::Intake;
+use super::Availability;
 use crate::load::health::Health;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
 
 impl TargetRecord {
     /// The layers it holds; an empty range for none.
-    pub fn listed(&self) -> (Layer, Layer) {
+    pub fn listed_layers(&self) -> (Layer, Layer) {
         self.holding.map_or((0, 0), |h| h.layers)
     }
 }
@@ -54,7 +54,7 @@
 /// believed until the target's next change: the other hosts of a data centre would count a part
 /// as narrower than it is, and refuse while one host serves alone.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Learned {
+pub(super) struct ReportedHolding {
     /// None where it was shown not to hold what the list says.
     pub(super) holding: Option<Holding>,
     /// Believed until then, unless it is said again.
@@ -64,7 +64,7 @@
 /// What was said of the layers that a target holds. Hosts pass such words on at once, so they are numbered: without
 /// an order, two hosts that had heard different words would tell each other theirs for ever.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Word {
+pub struct LayersReport {
     /// Grows with each word since the list last changed.
     pub number: u32,
     /// The layers; an empty range when it does not hold what the list says.
@@ -73,10 +73,10 @@
     pub listed: (Layer, Layer),
 }
 
-impl Word {
+impl LayersReport {
     /// No word yet beside a list's record.
-    fn none(record: &TargetRecord) -> Word {
-        Word { number: 0, layers: (0, 0), listed: record.listed() }
+    fn initial(record: &TargetRecord) -> LayersReport {
+        LayersReport { number: 0, layers: (0, 0), listed: record.listed_layers() }
     }
 }
 
@@ -93,19 +93,19 @@
 
 /// How a target failed its liveness checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Death {
+pub enum LivenessFailure {
     /// Its port resets connections: the process is gone, or takes no more of them.
     Reset,
     /// Nothing answers: its machine is dark, or a link to it is cut.
-    Dark,
+    Silent,
 }
 
-impl Death {
+impl LivenessFailure {
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Death::Reset => "reset",
-            Death::Dark => "silent",
+            LivenessFailure::Reset => "reset",
+            LivenessFailure::Silent => "silent",
         }
     }
 }
@@ -116,7 +116,7 @@
     /// The target.
     pub target: TargetId,
     /// KV cache, tokens times layers.
-    pub held: f64,
+    pub kv_used: f64,
 }
 
 /// A target and this host's own view of it.
@@ -125,126 +125,126 @@
     /// The list's record.
     pub record: TargetRecord,
     /// Own requests in flight.
-    pub own: u32,
+    pub in_flight: u32,
     /// KV cache that own requests take, tokens times layers.
-    pub held: f64,
+    pub kv_used: f64,
     /// It dropped out of the list, and is kept until then.
-    pub(super) missing: Option<Instant>,
+    pub(super) missing_until: Option<Instant>,
     /// Whether another target answered at its address.
     pub(super) replaced: bool,
-    pub(super) mark: TargetMark,
+    pub(super) hash: TargetHash,
     /// Of its record, while it is listed.
     digest: u64,
     /// How far the list was read when its record became what it is, at most.
-    pub(super) changed: Position,
+    pub(super) changed_at: Position,
     /// What other hosts have there.
-    pub(super) others: LoadNote,
+    pub(super) remote_load: TargetLoad,
     pub(super) health: Health,
-    pub(super) load: Option<(f64, Instant)>,
+    pub(super) reported_load: Option<(f64, Instant)>,
     /// How fast it runs.
-    pub(super) pace: Option<Pace>,
+    pub(super) pace: Option<EnginePace>,
     /// What it holds by its own report, where the list does not say so yet.
-    pub(super) learned: Option<Learned>,
+    pub(super) reported_holding: Option<ReportedHolding>,
     /// The last word of its layers that was heard.
-    pub(super) word: Word,
+    pub(super) layers_report: LayersReport,
     /// When something last came through it.
-    pub(super) progress: Option<Instant>,
+    pub(super) last_progress: Option<Instant>,
     /// How it failed its last liveness checks, if it did.
-    pub(super) dead: Option<Death>,
+    pub(super) liveness_failure: Option<LivenessFailure>,
     /// Layers that it is giving up.
     pub(super) clearing: Option<Clearing>,
     /// What it says that it takes.
-    pub(super) intake: Intake,
+    pub(super) availability: Availability,
 }
 
 impl Target {
     pub(super) fn new(record: TargetRecord) -> Target {
         Target {
-            mark: target_mark(&record.id, record.life),
-            digest: digest_of(&record),
-            changed: Position::default(),
-            others: LoadNote::default(),
-            word: Word::none(&record),
+            hash: target_hash(&record.id, record.life),
+            digest: record_digest(&record),
+            changed_at: Position::default(),
+            remote_load: TargetLoad::default(),
+            layers_report: LayersReport::initial(&record),
             record,
-            own: 0,
-            held: 0.0,
-            missing: None,
+            in_flight: 0,
+            kv_used: 0.0,
+            missing_until: None,
             replaced: false,
             health: Health::default(),
-            load: None,
+            reported_load: None,
             pace: None,
-            learned: None,
-            progress: None,
-            dead: None,
+            reported_holding: None,
+            last_progress: None,
+            liveness_failure: None,
             clearing: None,
-            intake: Intake::default(),
+            availability: Availability::default(),
         }
     }
 
     /// Its part in the digest of the list; none while it is missing.
     pub(super) fn digest(&self) -> u64 {
-        if self.missing.is_some() { 0 } else { self.digest }
+        if self.missing_until.is_some() { 0 } else { self.digest }
     }
 
     /// Whether new work may go there by what the list and the target itself say.
-    pub fn open(&self) -> bool {
-        !self.record.draining && !self.replaced && !self.intake.leaving
+    pub fn is_available(&self) -> bool {
+        !self.record.draining && !self.replaced && !self.availability.leaving
     }
 
     /// Whether own experience allows new work, too.
-    pub fn sound(&self, now: Instant) -> bool {
-        !self.down() && self.health.usable(now, self.own)
+    pub fn is_healthy(&self, now: Instant) -> bool {
+        !self.is_down() && self.health.usable(now, self.in_flight)
     }
 
     /// Whether it answers nobody's liveness checks.
-    pub fn down(&self) -> bool {
-        self.dead.is_some() || self.others.down
+    pub fn is_down(&self) -> bool {
+        self.liveness_failure.is_some() || self.remote_load.down
     }
 
     /// How it failed its last liveness checks, if it did.
-    pub fn death(&self) -> Option<Death> {
-        self.dead
+    pub fn liveness_failure(&self) -> Option<LivenessFailure> {
+        self.liveness_failure
     }
 
     /// Requests in flight of all hosts.
-    pub fn busy(&self) -> f64 {
-        f64::from(self.own) + f64::from(self.others.own)
+    pub fn total_in_flight(&self) -> f64 {
+        f64::from(self.in_flight) + f64::from(self.remote_load.own)
     }
 
     /// KV cache that all hosts' requests take, tokens times layers.
-    pub fn taken(&self) -> f64 {
-        self.held + f64::from(self.others.held) * 1000.0
+    pub fn total_kv_used(&self) -> f64 {
+        self.kv_used + f64::from(self.remote_load.held) * 1000.0
     }
 
     /// The same target in another life, which holds and knows nothing of this one. What this host has
     /// sent there still ends one by one.
-    pub(super) fn reborn(&self, record: TargetRecord) -> Target {
-        Target { own: self.own, held: self.held, ..Target::new(record) }
+    pub(super) fn restarted(&self, record: TargetRecord) -> Target {
+        Target { in_flight: self.in_flight, kv_used: self.kv_used, ..Target::new(record) }
     }
 
     /// How many times slower it runs than published.
-    pub fn slowness(&self, now: Instant) -> f64 {
+    pub fn slowdown(&self, now: Instant) -> f64 {
         self.pace.map_or(1.0, |pace| pace.factor(now))
     }
 
     /// Takes a record of the same life; returns whether it changed anything that matters for work.
-    pub(super) fn listed(&mut self, record: TargetRecord) -> bool {
-        self.missing = None;
+    pub(super) fn update_record(&mut self, record: TargetRecord) -> bool {
+        self.missing_until = None;
         if self.record.holding != record.holding {
-            self.clear_from(self.holding(), record.holding);
-            self.learned = None;
-            self.word = Word::none(&record);
+            self.start_clearing(self.holding(), record.holding);
+            self.reported_holding = None;
+            self.layers_report = LayersReport::initial(&record);
         }
         let changed = self.record != record;
         if changed {
-            self.digest = digest_of(&record);
+            self.digest = record_digest(&record);
             self.record = record;
         }
         changed
     }
 
     /// Notes that layers are given up, if they are.
-    fn clear_from(&mut self, old: Option<Holding>, new: Option<Holding>) {
+    fn start_clearing(&mut self, old: Option<Holding>, new: Option<Holding>) {
         let (Some(old), Some(new)) = (old, new) else { return };
         let (old, new) = (old.layers, new.layers);
         if old.0 < new.0 || new.1 < old.1 {
@@ -255,7 +255,7 @@
 
     /// Lets time pass for what is believed for a while only.
     pub(super) fn tick(&mut self, now: Instant) {
-        self.learned = self.learned.filter(|learned| now < learned.until);
+        self.reported_holding = self.reported_holding.filter(|learned| now < learned.until);
         if let Some(clearing) = &mut self.clearing {
             let until = *clearing.until.get_or_insert(now + CLEAR_TIME);
             if now >= until {
@@ -265,20 +265,20 @@
     }
 
     /// Layers whose weights take of its memory.
-    pub fn weights(&self) -> Layer {
+    pub fn weight_layers(&self) -> Layer {
         let held = self.holding().map_or(0, |h| h.layers.1 - h.layers.0);
         self.clearing.map_or(held, |clearing| clearing.width.max(held))
     }
 
     /// The layers it holds.
     pub fn holding(&self) -> Option<Holding> {
-        self.learned.map_or(self.record.holding, |l| l.holding)
+        self.reported_holding.map_or(self.record.holding, |l| l.holding)
     }
 }
 
 /// What hosts compare their lists by; the same wherever the same was read.
-fn digest_of(record: &TargetRecord) -> u64 {
-    let layers = record.listed();
+fn record_digest(record: &TargetRecord) -> u64 {
+    let layers = record.listed_layers();
     let TargetRecord { id, life, addr, draining, .. } = record;
     let text = format!("{id} {life} {addr} {draining} {layers:?}");
     xxh3_64(text.as_bytes())
--- a/crates/roseshore_core/tests/gateway/copies.rs
+++ b/crates/roseshore_core/tests/gateway/copies.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use roseshore_core::gateway::Copies;
 use roseshore_core::gateway::Position;
-use roseshore_core::gateway::copies::{COPY_TIME, Extent, Outcome};
+use roseshore_core::gateway::copies::{COPY_TIMEOUT, CopyOutcome, Extent};
 use roseshore_core::gateway::targets::Absence;
 use roseshore_core::gateway::{TargetRecord, Targets};
 use roseshore_core::prelude::*;
@@ -17,7 +17,7 @@
 /// What happened to the copy that was asked for at first, and when the next may be asked for.
 struct Case {
     name: &'static str,
-    outcome: Outcome,
+    outcome: CopyOutcome,
     /// After so many milliseconds another may be asked for, and not a little before.
     after: u64,
 }
@@ -25,24 +25,24 @@
 #[test]
 fn one_copy_at_a_time_and_the_store_after_a_failure() {
     let cases = [
-        Case { name: "it came", outcome: Outcome::Came, after: 0 },
-        Case { name: "it failed", outcome: Outcome::Failed, after: 1_000 },
-        Case { name: "turned away", outcome: Outcome::TurnedAway, after: 60 },
+        Case { name: "it came", outcome: CopyOutcome::Received, after: 0 },
+        Case { name: "it failed", outcome: CopyOutcome::Failed, after: 1_000 },
+        Case { name: "turned away", outcome: CopyOutcome::Refused, after: 60 },
     ];
     for case in cases {
         let now = Instant::now();
         let mut copies = Copies::default();
-        assert_eq!(copies.ask(now), Some(now + COPY_TIME), "{}", case.name);
-        assert!(copies.under_way() && copies.ask(now).is_none(), "{}", case.name);
-        copies.ended(case.outcome, now);
-        let expected = case.outcome == Outcome::TurnedAway;
+        assert_eq!(copies.start(now), Some(now + COPY_TIMEOUT), "{}", case.name);
+        assert!(copies.in_progress() && copies.start(now).is_none(), "{}", case.name);
+        copies.finish(case.outcome, now);
+        let expected = case.outcome == CopyOutcome::Refused;
         assert_eq!(copies.expected(now), expected, "{}", case.name);
         let due = now + Duration::from_millis(case.after);
         if case.after > 0 {
             let before = now + Duration::from_millis(case.after - 1);
-            assert_eq!(copies.ask(before), None, "{}", case.name);
+            assert_eq!(copies.start(before), None, "{}", case.name);
         }
-        assert!(copies.ask(due).is_some(), "{}", case.name);
+        assert!(copies.start(due).is_some(), "{}", case.name);
     }
 }
 
@@ -70,7 +70,7 @@
         let mut copies = Copies::default();
         for (at, bytes, given) in case.asked {
             let now = begun + Duration::from_millis(*at);
-            assert_eq!(copies.give(*bytes, now), *given, "{} at {at}", case.name);
+            assert_eq!(copies.take_budget(*bytes, now), *given, "{} at {at}", case.name);
         }
     }
 }
@@ -98,12 +98,12 @@
                 continue;
             }
             let known = has[from].is_some_and(|since| since <= at);
-            if known && copies[from].give(bytes, now) {
-                copies[from].given_to(addr(n), extent);
+            if known && copies[from].take_budget(bytes, now) {
+                copies[from].record_recipient(addr(n), extent);
                 has[n] = Some(at + way);
                 continue;
             }
-            let other = copies[from].owner(extent, addr(n)).filter(|_| known && sent_on);
+            let other = copies[from].redirect(extent, addr(n)).filter(|_| known && sent_on);
             let other = other.and_then(|owner| (0..HOSTS).find(|n| addr(*n) == owner));
             asks[n] = other.map_or((at + 60, n % 3), |owner| (at + 2, owner));
         }
@@ -172,26 +172,26 @@
                 Step::Read(host, count) => {
                     let Reader { targets, next } = &mut hosts[host];
                     let end = (*next + count).min(log.len());
-                    targets.reach(at(end as Offset));
+                    targets.advance_to(at(end as Offset));
                     for (id, value) in &log[*next..end] {
                         match value {
-                            Some(port) => drop(targets.put(named(*id, *port))),
-                            None => drop(targets.drop(&format!("t-{id}"), Absence::Left)),
+                            Some(port) => drop(targets.upsert(named(*id, *port))),
+                            None => drop(targets.remove(&format!("t-{id}"), Absence::Left)),
                         }
                     }
                     *next = end;
                 }
                 Step::Copy(from, to) if hosts[from].next > hosts[to].next => {
                     let known = hosts[to].next as Offset;
-                    let (next, changes) = (hosts[from].next, hosts[from].targets.since(at(known)));
+                    let (next, changes) = (hosts[from].next, hosts[from].targets.changes_since(at(known)));
                     let targets = &mut hosts[to].targets;
-                    targets.reach(at(next as Offset));
+                    targets.advance_to(at(next as Offset));
                     match changes.dropped {
-                        Some(lost) => targets.change(changes.records, lost, Absence::Left),
-                        None => targets.replace(changes.records, Absence::Left),
+                        Some(lost) => targets.apply_delta(changes.records, lost, Absence::Left),
+                        None => targets.replace_list(changes.records, Absence::Left),
                     };
                     hosts[to].next = next;
-                    let mark = |host: usize| hosts[host].targets.list_mark(at(0));
+                    let mark = |host: usize| hosts[host].targets.list_version(at(0));
                     prop_assert_eq!(mark(to), mark(from));
                 }
                 Step::Copy(..) => {}
@@ -204,15 +204,15 @@
 #[test]
 fn a_change_is_handed_on_alone() {
     let mut giver = Targets::default();
-    giver.reach(at(3000));
+    giver.advance_to(at(3000));
     for id in 0..250 {
-        giver.put(named(id, 0));
+        giver.upsert(named(id, 0));
     }
-    giver.reach(at(3001));
-    giver.put(named(7, 1));
-    giver.drop("t-9", Absence::Left);
-    let changes = giver.since(at(3000));
+    giver.advance_to(at(3001));
+    giver.upsert(named(7, 1));
+    giver.remove("t-9", Absence::Left);
+    let changes = giver.changes_since(at(3000));
     assert_eq!(changes.records, [named(7, 1)]);
     assert_eq!(changes.dropped, Some(vec!["t-9".to_owned()]));
-    assert_eq!(giver.since(at(0)).records.len(), 249, "who has nothing gets all");
+    assert_eq!(giver.changes_since(at(0)).records.len(), 249, "who has nothing gets all");
 }
--- a/crates/roseshore_core/tests/gateway/fatal.rs
+++ b/crates/roseshore_core/tests/gateway/fatal.rs
@@ -1,8 +1,8 @@
 //! Requests that end targets: what is held against them, what clears them, and who knows.
 
 use proptest::prelude::*;
-use roseshore_core::gateway::fatal::{Change, FatalNote, TOLD_BYTES};
-use roseshore_core::gateway::{Fatal, Fingerprint};
+use roseshore_core::gateway::fatal::{FatalChange, FatalReport, REPORT_BYTES};
+use roseshore_core::gateway::{FatalRequests, Fingerprint};
 use roseshore_core::prelude::*;
 
 fn ms(n: u64) -> Duration {
@@ -32,25 +32,25 @@
     blocked: bool,
 }
 
-fn play(steps: &[Step], start: Instant) -> (Fatal, Instant) {
-    let mut fatal = Fatal::new(start);
+fn play(steps: &[Step], start: Instant) -> (FatalRequests, Instant) {
+    let mut fatal = FatalRequests::new(start);
     let mut now = start;
     let request = print("a");
     for step in steps {
         let (Step::Ended(at, ..) | Step::Whole(at) | Step::Told(at, ..) | Step::ToldWhole(at, _)) =
             *step;
         now = start + ms(at);
-        let note = |ends, well| FatalNote { fingerprint: request, ends, well };
+        let note = |ends, well| FatalReport { fingerprint: request, ends, well };
         match *step {
-            Step::Ended(_, target, early) => fatal.ended(request, target, early, now),
-            Step::Whole(_) => fatal.worked(request, now),
+            Step::Ended(_, target, early) => fatal.record_crash(request, target, early, now),
+            Step::Whole(_) => fatal.record_success(request, now),
             Step::Told(_, target, age) => {
-                let end = roseshore_core::gateway::fatal::EndNote { target, early: true, age };
-                fatal.hear(&note(vec![end], None), now)
+                let end = roseshore_core::gateway::fatal::CrashReport { target, early: true, age };
+                fatal.receive(&note(vec![end], None), now)
             }
-            Step::ToldWhole(_, age) => fatal.hear(&note(vec![], Some(age)), now),
+            Step::ToldWhole(_, age) => fatal.receive(&note(vec![], Some(age)), now),
         };
-        fatal.forget(now);
+        fatal.expire(now);
     }
     (fatal, now)
 }
@@ -167,20 +167,20 @@
 #[test]
 fn what_is_remembered_is_bounded_and_blocked_requests_stay() {
     let now = Instant::now();
-    let mut fatal = Fatal::new(now);
+    let mut fatal = FatalRequests::new(now);
     for target in 1..=3 {
-        fatal.ended(print("guilty"), target, true, now);
+        fatal.record_crash(print("guilty"), target, true, now);
     }
     for n in 0..5_000_u32 {
-        fatal.ended(print(&format!("beside-{n}")), 3, true, now + ms(u64::from(n)));
+        fatal.record_crash(print(&format!("beside-{n}")), 3, true, now + ms(u64::from(n)));
     }
     // A moment at which blocked requests have their turn again.
     let later = now + ms(6_100);
     assert!(fatal.blocked(print("guilty"), later).is_some());
-    assert_eq!(fatal.count(), 1);
-    let bytes: usize = fatal.notes(later).iter().map(FatalNote::bytes).sum();
-    assert!(bytes <= TOLD_BYTES, "{bytes} bytes");
-    assert_eq!(fatal.notes(later)[0].fingerprint, print("guilty"), "the most ends first");
+    assert_eq!(fatal.blocked_count(), 1);
+    let bytes: usize = fatal.reports(later).iter().map(FatalReport::max_bytes).sum();
+    assert!(bytes <= REPORT_BYTES, "{bytes} bytes");
+    assert_eq!(fatal.reports(later)[0].fingerprint, print("guilty"), "the most ends first");
 }
 
 /// Hosts that hear each other's words late, twice, out of order, or not at all.
@@ -208,23 +208,23 @@
         words in words(),
     ) {
         let start = Instant::now();
-        let mut hosts = vec![Fatal::new(start); 4];
-        let mut flying: Vec<(Instant, usize, FatalNote)> = Vec::new();
+        let mut hosts = vec![FatalRequests::new(start); 4];
+        let mut flying: Vec<(Instant, usize, FatalReport)> = Vec::new();
         for (step, word) in words.iter().enumerate() {
             let now = start + ms(step as u64 * 10);
             let due = |at: u64| at / 10 == step as u64;
             for (host, _, target, early) in ends.iter().filter(|(_, at, ..)| due(*at)) {
-                hosts[*host].ended(print("a"), *target, *early, now);
+                hosts[*host].record_crash(print("a"), *target, *early, now);
             }
             if let Some((host, _)) = whole.filter(|(_, at)| due(*at)) {
-                hosts[host].worked(print("a"), now);
+                hosts[host].record_success(print("a"), now);
             }
             if !word.lost {
-                let told = hosts[word.from].notes(now).into_iter();
+                let told = hosts[word.from].reports(now).into_iter();
                 flying.extend(told.map(|note| (now + ms(word.delay), word.to, note)));
             }
             for (_, to, note) in flying.extract_if(.., |(at, ..)| *at <= now) {
-                hosts[to].hear(&note, now);
+                hosts[to].receive(&note, now);
             }
         }
         // From here on every word gets through.
@@ -232,9 +232,9 @@
         let end = now + ms(6_000);
         while now < end {
             for from in 0..4 {
-                for note in hosts[from].notes(now) {
+                for note in hosts[from].reports(now) {
                     for to in (0..4).filter(|to| *to != from) {
-                        hosts[to].hear(&note, now + ms(5));
+                        hosts[to].receive(&note, now + ms(5));
                     }
                 }
             }
@@ -248,26 +248,26 @@
         targets.dedup();
         prop_assert!(!blocked[0] || targets.len() >= 3);
         let quiet = now + ms(2_000);
-        prop_assert!(blocked[0] || hosts.iter().all(|h| h.notes(quiet).is_empty()));
+        prop_assert!(blocked[0] || hosts.iter().all(|h| h.reports(quiet).is_empty()));
     }
 }
 
 #[test]
 fn a_host_that_joins_later_hears_of_every_blocked_request() {
     let start = Instant::now();
-    let mut known = Fatal::new(start);
+    let mut known = FatalRequests::new(start);
     for n in 0..50 {
         for target in 1..=3 {
-            known.ended(print(&format!("r-{n}")), target, true, start);
+            known.record_crash(print(&format!("r-{n}")), target, true, start);
         }
     }
-    let mut joined = Fatal::new(start);
+    let mut joined = FatalRequests::new(start);
     let mut changes = 0;
     for step in 0..200 {
         let now = start + ms(5_000 + step * 100);
-        for note in known.notes(now) {
-            let change = joined.hear(&note, now);
-            changes += usize::from(matches!(change, Change::Blocked));
+        for note in known.reports(now) {
+            let change = joined.receive(&note, now);
+            changes += usize::from(matches!(change, FatalChange::Blocked));
         }
     }
     assert_eq!(changes, 50);
@@ -303,25 +303,25 @@
     ];
     for case in cases {
         let start = Instant::now();
-        let mut writer = Fatal::new(start);
+        let mut writer = FatalRequests::new(start);
         for target in 1..=3 {
-            writer.ended(print("a"), target, true, start);
+            writer.record_crash(print("a"), target, true, start);
         }
-        writer.ended(print("b"), 1, true, start);
-        let upkeep = writer.upkeep(&[], WALL, start);
+        writer.record_crash(print("b"), 1, true, start);
+        let upkeep = writer.record_diff(&[], WALL, start);
         assert_eq!(upkeep.missing.len(), 1, "{}: only what is blocked", case.name);
         let record = &upkeep.missing[0];
-        assert!(writer.upkeep(&[print("a")], WALL, start).missing.is_empty(), "{}", case.name);
+        assert!(writer.record_diff(&[print("a")], WALL, start).missing.is_empty(), "{}", case.name);
         // Another host, later.
         let now = start + ms(700_000);
-        let mut reader = Fatal::new(now);
+        let mut reader = FatalRequests::new(now);
         if case.whole {
-            reader.worked(print("a"), now);
+            reader.record_success(print("a"), now);
         }
         let wall = WALL.saturating_add_signed(case.later * 1000);
-        reader.hear(&record.aged(wall), now);
+        reader.receive(&record.aged(wall), now);
         assert_eq!(reader.blocked(print("a"), now).is_some(), case.blocked, "{}", case.name);
-        let outdated = reader.upkeep(&[print("a")], wall, now).outdated;
+        let outdated = reader.record_diff(&[print("a")], wall, now).outdated;
         assert_eq!(outdated.is_empty(), case.blocked, "{}", case.name);
     }
 }
--- a/crates/roseshore_core/tests/gateway/fatal_load.rs
+++ b/crates/roseshore_core/tests/gateway/fatal_load.rs
@@ -3,8 +3,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use roseshore_core::gateway::fatal::{EARLY, Limits};
-use roseshore_core::gateway::{Fatal, Fingerprint};
+use roseshore_core::gateway::fatal::{CrashLimits, EARLY};
+use roseshore_core::gateway::{FatalRequests, Fingerprint};
 use roseshore_core::prelude::*;
 
 const STEP: Duration = Duration::from_millis(10);
@@ -22,7 +22,7 @@
 const ENDS_SOON: Duration = Duration::from_millis(60);
 const ENDS_LATE: Duration = Duration::from_millis(900);
 /// No request is blocked.
-const UNBOUNDED: Limits = Limits { early: usize::MAX, all: usize::MAX };
+const UNBOUNDED: CrashLimits = CrashLimits { early: usize::MAX, all: usize::MAX };
 /// Sends of one request, and tries of one caller.
 const SENDS: u32 = 4;
 const TRIES: u32 = 2;
@@ -72,7 +72,7 @@
     lives: [u32; ENGINES],
     runs: Vec<Run>,
     returning: Vec<(Instant, Run)>,
-    knowledge: Fatal,
+    knowledge: FatalRequests,
     ended: Vec<usize>,
     refused: Vec<u64>,
     next: u64,
@@ -83,7 +83,7 @@
 }
 
 impl World {
-    fn new(load: Load, limits: Limits, seed: u64) -> World {
+    fn new(load: Load, limits: CrashLimits, seed: u64) -> World {
         let start = Instant::now();
         World {
             load,
@@ -94,7 +94,7 @@
             lives: [0; ENGINES],
             runs: Vec::new(),
             returning: Vec::new(),
-            knowledge: Fatal::with_limits(start, limits),
+            knowledge: FatalRequests::with_limits(start, limits),
             ended: vec![0; load.fatal as usize],
             refused: Vec::new(),
             next: load.fatal,
@@ -107,7 +107,7 @@
             self.arrive();
             self.fall();
             self.go_on();
-            self.knowledge.forget(self.now);
+            self.knowledge.expire(self.now);
         }
         let ended = self.ended.iter().copied().max().unwrap_or(0);
         let others = (self.next - self.load.fatal) as usize;
@@ -171,7 +171,7 @@
         let over = |run: &mut Run| !run.fatal && begun(run) >= FIRST + RUN;
         let whole: Vec<Run> = self.runs.extract_if(.., over).collect();
         for run in whole {
-            self.knowledge.worked(print(run.request), now);
+            self.knowledge.record_success(print(run.request), now);
         }
         let ends = |run: &&Run| run.fatal && begun(run) >= FIRST + self.load.ends_after;
         let ending: Vec<Run> = self.runs.iter().filter(ends).cloned().collect();
@@ -195,7 +195,7 @@
         let lost: Vec<Run> = self.runs.extract_if(.., |run| run.engine == engine).collect();
         for run in &lost {
             let early = now.saturating_duration_since(run.sent) < FIRST + EARLY;
-            self.knowledge.ended(print(run.request), mark, early, now);
+            self.knowledge.record_crash(print(run.request), mark, early, now);
         }
         for run in lost {
             if run.sends < SENDS {
@@ -209,7 +209,7 @@
 }
 
 /// Means over seeds: engines ended by the worst fatal request, and others refused in 10,000.
-fn mean(load: Load, limits: Limits) -> (f64, f64) {
+fn mean(load: Load, limits: CrashLimits) -> (f64, f64) {
     const SEEDS: u64 = 3;
     let play = |seed| World::new(load, limits, seed).play();
     let outcomes: Vec<Outcome> = (0..SEEDS).map(play).collect();
@@ -247,7 +247,7 @@
     for case in cases {
         let name = case.load.name;
         let (before, _) = mean(case.load, UNBOUNDED);
-        let (after, refused) = mean(case.load, Limits::USUAL);
+        let (after, refused) = mean(case.load, CrashLimits::DEFAULT);
         println!("{name}: {before:.1} ended before, {after:.1} after; {refused:.1} refused");
         assert!((before - case.before).abs() < 0.1, "{name}: {before:.1} ended before");
         assert!((after - case.after).abs() < 0.1, "{name}: {after:.1} ended");
--- a/crates/roseshore_core/tests/gateway/holdings.rs
+++ b/crates/roseshore_core/tests/gateway/holdings.rs
@@ -2,7 +2,7 @@
 
 use super::figures::spec;
 use roseshore_core::gateway::PathNeed;
-use roseshore_core::gateway::peers::mark;
+use roseshore_core::gateway::peers::name_hash;
 use roseshore_core::gateway::targets::{Holding, Target};
 use roseshore_core::gateway::{TargetRecord, Targets};
 use roseshore_core::prelude::*;
@@ -72,11 +72,11 @@
         for word in case.words {
             match *word {
                 Listed(layers) => {
-                    targets.put(listed(layers));
+                    targets.upsert(listed(layers));
                 }
                 Learned(layers) => {
-                    let word = targets.next_word(mark("a"), layers);
-                    targets.learned(mark("a"), word, now + Duration::from_secs(1));
+                    let word = targets.next_report(name_hash("a"), layers);
+                    targets.apply_report(name_hash("a"), word, now + Duration::from_secs(1));
                 }
                 Pause => {
                     now += Duration::from_secs(2);
@@ -106,17 +106,17 @@
         let parts = targets.parts("engines", &spec(), &need, now);
         parts.first().map_or(0, |part| part.room as u64)
     };
-    targets.put(listed((70, 80)));
+    targets.upsert(listed((70, 80)));
     let wide = room(&targets);
-    targets.put(listed((75, 80)));
+    targets.upsert(listed((75, 80)));
     targets.tick(now);
     assert!(room(&targets) <= wide, "the weights of ten layers are there");
     targets.tick(now + Duration::from_secs(4));
     let narrow = room(&targets);
     assert!(narrow > wide, "{narrow} over {wide}");
-    targets.put(listed((70, 80)));
-    targets.put(listed((75, 80)));
-    let word = targets.next_word(mark("a"), (75, 80));
-    targets.learned(mark("a"), word, now + Duration::from_secs(5));
+    targets.upsert(listed((70, 80)));
+    targets.upsert(listed((75, 80)));
+    let word = targets.next_report(name_hash("a"), (75, 80));
+    targets.apply_report(name_hash("a"), word, now + Duration::from_secs(5));
     assert_eq!(room(&targets), narrow, "its own report says that it is done");
 }
--- a/crates/roseshore_core/tests/gateway/intake.rs
+++ b/crates/roseshore_core/tests/gateway/intake.rs
@@ -1,6 +1,6 @@
 //! What targets say that they take.
 
-use roseshore_core::gateway::peers::target_mark;
+use roseshore_core::gateway::peers::target_hash;
 use roseshore_core::gateway::targets::Absence;
 use roseshore_core::gateway::{TargetRecord, Targets};
 use roseshore_core::prelude::*;
@@ -31,20 +31,20 @@
 }
 
 fn first() -> u32 {
-    target_mark("a", 1)
+    target_hash("a", 1)
 }
 
 fn cases() -> Vec<Case> {
     let case = |name, happens, used| Case { name, happens, used };
     vec![
         case("nothing", |_, _| (), Some(ms(0))),
-        case("rests", |t, now| _ = t.wants_rest(first(), ms(3_000), now), Some(ms(3_000))),
-        case("no time at all", |t, now| _ = t.wants_rest(first(), ms(0), now), Some(ms(0))),
+        case("rests", |t, now| _ = t.pause(first(), ms(3_000), now), Some(ms(3_000))),
+        case("no time at all", |t, now| _ = t.pause(first(), ms(0), now), Some(ms(0))),
         case(
             "a shorter rest after a longer one",
             |t, now| {
-                assert_eq!(t.wants_rest(first(), ms(3_000), now), Some(ms(3_000)));
-                assert_eq!(t.wants_rest(first(), ms(500), now + ms(100)), None);
+                assert_eq!(t.pause(first(), ms(3_000), now), Some(ms(3_000)));
+                assert_eq!(t.pause(first(), ms(500), now + ms(100)), None);
             },
             Some(ms(3_000)),
         ),
@@ -52,61 +52,61 @@
             "a day",
             |t, now| {
                 let day = Duration::from_hours(24);
-                assert_eq!(t.wants_rest(first(), day, now), Some(Duration::from_hours(1)));
+                assert_eq!(t.pause(first(), day, now), Some(Duration::from_hours(1)));
             },
             Some(Duration::from_hours(1)),
         ),
         case(
             "an older answer ends whole",
             |t, now| {
-                t.failed("a", now);
-                t.wants_rest(first(), ms(3_000), now);
-                t.worked("a", now + ms(400));
+                t.record_failure("a", now);
+                t.pause(first(), ms(3_000), now);
+                t.record_success("a", now + ms(400));
             },
             Some(ms(3_000)),
         ),
         case(
             "drops out and is back",
             |t, now| {
-                t.wants_rest(first(), ms(3_000), now);
-                t.drop("a", Absence::Left);
-                t.put(record("a", 1));
+                t.pause(first(), ms(3_000), now);
+                t.remove("a", Absence::Left);
+                t.upsert(record("a", 1));
             },
             Some(ms(3_000)),
         ),
         case(
             "another life",
             |t, now| {
-                t.wants_rest(first(), ms(3_000), now);
-                t.leaves(first(), now);
-                t.put(record("a", 2));
+                t.pause(first(), ms(3_000), now);
+                t.mark_leaving(first(), now);
+                t.upsert(record("a", 2));
             },
             Some(ms(0)),
         ),
         case(
             "leaves",
             |t, now| {
-                assert!(t.leaves(first(), now));
-                assert!(!t.leaves(first(), now), "it has said so");
+                assert!(t.mark_leaving(first(), now));
+                assert!(!t.mark_leaving(first(), now), "it has said so");
             },
             None,
         ),
         case(
             "leaves, drops out and is back",
             |t, now| {
-                t.leaves(first(), now);
-                t.drop("a", Absence::Left);
+                t.mark_leaving(first(), now);
+                t.remove("a", Absence::Left);
                 t.tick(now + ms(30_000));
-                t.put(record("a", 1));
+                t.upsert(record("a", 1));
             },
             None,
         ),
         case(
             "leaves before it is listed",
             |t, now| {
-                t.drop("a", Absence::Left);
-                t.leaves(first(), now);
-                t.put(record("a", 1));
+                t.remove("a", Absence::Left);
+                t.mark_leaving(first(), now);
+                t.upsert(record("a", 1));
             },
             None,
         ),
@@ -118,9 +118,9 @@
     let now = Instant::now();
     for case in cases() {
         let mut targets = Targets::default();
-        targets.put(record("a", 1));
+        targets.upsert(record("a", 1));
         (case.happens)(&mut targets, now);
-        let used = |at: Duration| targets.plain("plain", "north", &[], now + at).is_some();
+        let used = |at: Duration| targets.choose_plain("plain", "north", &[], now + at).is_some();
         let late = Duration::from_hours(30);
         match case.used {
             None => assert!(!used(ms(0)) && !used(late), "{}", case.name),
@@ -137,19 +137,19 @@
     let now = Instant::now();
     let mut targets = Targets::default();
     for id in ["a", "b", "c"] {
-        targets.put(record(id, 1));
+        targets.upsert(record(id, 1));
     }
-    assert_eq!(targets.rest_ends("plain", now), []);
-    targets.wants_rest(first(), ms(3_000), now);
-    targets.wants_rest(target_mark("b", 1), ms(800), now);
-    assert_eq!(targets.rest_ends("plain", now + ms(300)), [now + ms(3_000), now + ms(800)]);
-    assert_eq!(targets.rest_ends("other", now), []);
-    assert_eq!(targets.rest_ends("plain", now + ms(3_000)), []);
-    targets.leaves(target_mark("c", 1), now);
-    targets.drop("c", Absence::Left);
+    assert_eq!(targets.pause_ends("plain", now), []);
+    targets.pause(first(), ms(3_000), now);
+    targets.pause(target_hash("b", 1), ms(800), now);
+    assert_eq!(targets.pause_ends("plain", now + ms(300)), [now + ms(3_000), now + ms(800)]);
+    assert_eq!(targets.pause_ends("other", now), []);
+    assert_eq!(targets.pause_ends("plain", now + ms(3_000)), []);
+    targets.mark_leaving(target_hash("c", 1), now);
+    targets.remove("c", Absence::Left);
     targets.tick(now + Duration::from_mins(2));
-    targets.put(record("c", 1));
-    let taken = targets.get("c").expect("listed").takes(now + Duration::from_mins(2));
+    targets.upsert(record("c", 1));
+    let taken = targets.get("c").expect("listed").accepts_work(now + Duration::from_mins(2));
     assert!(taken, "the word of a target that was gone for so long is not kept");
 }
 
@@ -158,19 +158,19 @@
 fn sent_in_rest(heeded: bool) -> u32 {
     let begun = Instant::now();
     let mut targets = Targets::default();
-    targets.put(record("a", 1));
+    targets.upsert(record("a", 1));
     let mut sent = 0;
     for step in 0..300_u64 {
         let now = begun + ms(10 * step);
         if step % 10 == 0 && step < 160 {
-            targets.worked("a", now);
+            targets.record_success("a", now);
         }
-        let sound = targets.get("a").is_some_and(|t| t.takes(now) && t.sound(now));
+        let sound = targets.get("a").is_some_and(|t| t.accepts_work(now) && t.is_healthy(now));
         if step % 7 == 0 && sound {
             sent += u32::from(now > begun + ms(500));
-            targets.failed("a", now);
+            targets.record_failure("a", now);
             if heeded {
-                targets.wants_rest(first(), ms(3_000), now);
+                targets.pause(first(), ms(3_000), now);
             }
         }
     }
--- a/crates/roseshore_core/tests/gateway/leaving.rs
+++ b/crates/roseshore_core/tests/gateway/leaving.rs
@@ -1,6 +1,6 @@
 //! Which streams a leaving host still takes.
 
-use roseshore_core::gateway::leaving::Pace;
+use roseshore_core::gateway::leaving::TokenPace;
 use roseshore_core::prelude::*;
 
 /// A stream, and how much of the grace must be left for it.
@@ -15,11 +15,11 @@
 
 #[test]
 fn a_stream_is_taken_if_it_may_be_expected_to_end() {
-    let mut pace = Pace::default();
+    let mut pace = TokenPace::default();
     for _ in 0..200 {
-        pace.ended(100.0, Duration::from_secs(1));
+        pace.record_stream(100.0, Duration::from_secs(1));
     }
-    pace.ended(0.0, Duration::from_mins(1));
+    pace.record_stream(0.0, Duration::from_mins(1));
     let cases = [
         Case { name: "short", guess: 50.0, bound: 579.0, taken: 1_700, refused: 1_500 },
         Case { name: "usual", guess: 171.0, bound: 579.0, taken: 5_600, refused: 5_400 },
--- a/crates/roseshore_core/tests/gateway/limit_ways.rs
+++ b/crates/roseshore_core/tests/gateway/limit_ways.rs
@@ -6,8 +6,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
-use roseshore_core::gateway::limits::share::Claims;
-use roseshore_core::gateway::limits::{Issuer, Share};
+use roseshore_core::gateway::limits::share::ShareInputs;
+use roseshore_core::gateway::limits::{Issuer, PermitShare};
 use roseshore_core::prelude::*;
 use std::collections::VecDeque;
 
@@ -113,9 +113,10 @@
         if held.0 == 0 && at >= held.1 {
             let now = self.begun + Duration::from_secs_f64(at);
             let limit = self.limit;
-            let share =
-                |own| Share::of(limit, &Claims { own, others: &[], home: true, heard: 1.0 });
-            let grant = self.issuer.ask(TARGET, 1, now, share);
+            let share = |own| {
+                PermitShare::of(limit, &ShareInputs { own, others: &[], home: true, heard: 1.0 })
+            };
+            let grant = self.issuer.issue(TARGET, 1, now, share);
             *held = (grant.permits, at + f64::from(grant.wait) / 1000.0);
         }
         let sends = held.0 > 0;
--- a/crates/roseshore_core/tests/gateway/limits.rs
+++ b/crates/roseshore_core/tests/gateway/limits.rs
@@ -1,9 +1,9 @@
 //! Limits that targets name: which word is the newest, how data centres divide a limit, and what is issued.
 
 use proptest::prelude::*;
-use roseshore_core::gateway::limits::share::Claims;
-use roseshore_core::gateway::limits::{Change, Issuer, Limits, Permit, Share};
-use roseshore_core::gateway::peers::{GrantNote, LimitNote};
+use roseshore_core::gateway::limits::share::ShareInputs;
+use roseshore_core::gateway::limits::{Issuer, LimitChange, Permit, PermitShare, TargetLimits};
+use roseshore_core::gateway::peers::{LimitReport, PermitGrant};
 use roseshore_core::prelude::*;
 
 const TARGET: u32 = 7;
@@ -15,12 +15,12 @@
 /// What happens to a host that has heard nothing, and the limit that it keeps afterwards.
 struct Case {
     name: &'static str,
-    happens: fn(&mut Limits, Instant),
+    happens: fn(&mut TargetLimits, Instant),
     kept: Option<f64>,
 }
 
-fn told(limit: f32, ended: bool, age: u32, origin: (u32, u32)) -> LimitNote {
-    LimitNote { target: TARGET, limit, ended, age, origin, wanted: 0 }
+fn told(limit: f32, ended: bool, age: u32, origin: (u32, u32)) -> LimitReport {
+    LimitReport { target: TARGET, limit, ended, age, origin, wanted: 0 }
 }
 
 /// Each plays up to five seconds before the moment at which the limit is asked for.
@@ -29,34 +29,34 @@
     let case = |name, happens, kept| Case { name, happens, kept };
     let cases = [
         case("nothing", |_, _| (), None),
-        case("named", |l, t| _ = l.named(TARGET, 6.0, t), Some(6.0)),
+        case("named", |l, t| _ = l.advertised(TARGET, 6.0, t), Some(6.0)),
         case(
             "a limit of nothing is tried now and then",
-            |l, t| _ = l.named(TARGET, 0.0, t),
+            |l, t| _ = l.advertised(TARGET, 0.0, t),
             Some(0.2),
         ),
         case(
             "named anew, higher",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                l.named(TARGET, 8.0, t + ms(250));
+                l.advertised(TARGET, 6.0, t);
+                l.advertised(TARGET, 8.0, t + ms(250));
             },
             Some(8.0),
         ),
         case(
             "none in an answer to a request that was sent before",
             |l, t| {
-                l.named(TARGET, 6.0, t + ms(100));
-                assert_eq!(l.unnamed(TARGET, t, t + ms(900)), None);
+                l.advertised(TARGET, 6.0, t + ms(100));
+                assert_eq!(l.not_advertised(TARGET, t, t + ms(900)), None);
             },
             Some(6.0),
         ),
         case(
             "none in an answer to a request that was sent after",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                let ended = Change { before: Some(6.0), after: None };
-                assert_eq!(l.unnamed(TARGET, t + ms(1), t + ms(20)), Some(ended));
+                l.advertised(TARGET, 6.0, t);
+                let ended = LimitChange { before: Some(6.0), after: None };
+                assert_eq!(l.not_advertised(TARGET, t + ms(1), t + ms(20)), Some(ended));
                 // The load comes back step by step.
                 assert_eq!(l.rate(TARGET, t + ms(501)), Some(12.0));
             },
@@ -65,59 +65,63 @@
         case(
             "named again after its end",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                l.unnamed(TARGET, t + ms(1), t + ms(20));
-                l.named(TARGET, 5.0, t + ms(30));
+                l.advertised(TARGET, 6.0, t);
+                l.not_advertised(TARGET, t + ms(1), t + ms(20));
+                l.advertised(TARGET, 5.0, t + ms(30));
             },
             Some(5.0),
         ),
         case(
             "told by another host",
-            |l, t| _ = l.heard(&told(4.0, false, 100, (9, 1)), t),
+            |l, t| _ = l.receive(&told(4.0, false, 100, (9, 1)), t),
             Some(4.0),
         ),
         case(
             "told, older than what this host heard",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                assert_eq!(l.heard(&told(4.0, false, 400, (9, 1)), t + ms(50)), None);
+                l.advertised(TARGET, 6.0, t);
+                assert_eq!(l.receive(&told(4.0, false, 400, (9, 1)), t + ms(50)), None);
             },
             Some(6.0),
         ),
         case(
             "of two words of about the same moment the lower one",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                l.heard(&told(4.0, false, 100, (9, 1)), t + ms(50));
-                l.heard(&told(7.0, false, 0, (8, 1)), t + ms(60));
+                l.advertised(TARGET, 6.0, t);
+                l.receive(&told(4.0, false, 100, (9, 1)), t + ms(50));
+                l.receive(&told(7.0, false, 0, (8, 1)), t + ms(60));
             },
             Some(4.0),
         ),
         case(
             "its end told, older than what this host heard",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                l.heard(&told(4.0, true, 100, (9, 1)), t + ms(50));
+                l.advertised(TARGET, 6.0, t);
+                l.receive(&told(4.0, true, 100, (9, 1)), t + ms(50));
             },
             Some(6.0),
         ),
         case(
             "its own word told back is no younger",
             |l, t| {
-                l.named(TARGET, 6.0, t);
-                let own = l.notes(1, |_| Some(0), t + ms(10))[0];
-                l.heard(&told(4.0, true, 0, (9, 1)), t + ms(15));
-                l.heard(&LimitNote { age: 0, ..own }, t + ms(16));
-                l.heard(&LimitNote { age: 10, ..own }, t + ms(17));
+                l.advertised(TARGET, 6.0, t);
+                let own = l.reports(1, |_| Some(0), t + ms(10))[0];
+                l.receive(&told(4.0, true, 0, (9, 1)), t + ms(15));
+                l.receive(&LimitReport { age: 0, ..own }, t + ms(16));
+                l.receive(&LimitReport { age: 10, ..own }, t + ms(17));
             },
             Some(6.0),
         ),
-        case("rubbish told", |l, t| _ = l.heard(&told(f32::NAN, false, 0, (9, 1)), t), None),
-        case("less than nothing told", |l, t| _ = l.heard(&told(-1.0, false, 0, (9, 1)), t), None),
+        case("rubbish told", |l, t| _ = l.receive(&told(f32::NAN, false, 0, (9, 1)), t), None),
+        case(
+            "less than nothing told",
+            |l, t| _ = l.receive(&told(-1.0, false, 0, (9, 1)), t),
+            None,
+        ),
     ];
     for case in cases {
         let begun = Instant::now();
-        let mut limits = Limits::new(1);
+        let mut limits = TargetLimits::new(1);
         (case.happens)(&mut limits, begun);
         assert_eq!(limits.rate(TARGET, begun + ms(5_000)), case.kept, "{}", case.name);
     }
@@ -126,15 +130,15 @@
 #[test]
 fn two_hosts_that_tell_each_other_all_they_know_come_to_rest() {
     let begun = Instant::now();
-    let (mut a, mut b) = (Limits::new(1), Limits::new(2));
-    a.named(TARGET, 6.0, begun);
-    b.named(TARGET, 5.0, begun + ms(2));
+    let (mut a, mut b) = (TargetLimits::new(1), TargetLimits::new(2));
+    a.advertised(TARGET, 6.0, begun);
+    b.advertised(TARGET, 5.0, begun + ms(2));
     let mut changes = 0;
     for turn in 1..100 {
         let (sent, came) = (begun + ms(turn * 100), begun + ms(turn * 100 + 3));
-        let (from_a, from_b) = (a.notes(9, |_| Some(0), sent), b.notes(9, |_| Some(0), sent));
-        changes += from_a.iter().filter_map(|note| b.heard(note, came)).count();
-        changes += from_b.iter().filter_map(|note| a.heard(note, came)).count();
+        let (from_a, from_b) = (a.reports(9, |_| Some(0), sent), b.reports(9, |_| Some(0), sent));
+        changes += from_a.iter().filter_map(|note| b.receive(note, came)).count();
+        changes += from_b.iter().filter_map(|note| a.receive(note, came)).count();
     }
     let end = begun + ms(10_000);
     assert_eq!(a.rate(TARGET, end), b.rate(TARGET, end));
@@ -145,44 +149,44 @@
 fn a_word_lasts_as_long_as_its_target_s_life() {
     let begun = Instant::now();
     let late = begun + Duration::from_mins(10);
-    let mut limits = Limits::new(1);
-    limits.named(TARGET, 6.0, begun);
-    limits.forget(|_| true, late);
+    let mut limits = TargetLimits::new(1);
+    limits.advertised(TARGET, 6.0, begun);
+    limits.expire(|_| true, late);
     assert_eq!(limits.rate(TARGET, late), Some(6.0));
-    limits.forget(|_| false, late);
+    limits.expire(|_| false, late);
     assert_eq!(limits.rate(TARGET, late), None);
 }
 
 #[test]
 fn a_word_on_a_target_that_is_not_listed_binds_and_is_not_told_on() {
     let begun = Instant::now();
-    let mut limits = Limits::new(1);
-    limits.heard(&told(6.0, false, 0, (2, 1)), begun);
+    let mut limits = TargetLimits::new(1);
+    limits.receive(&told(6.0, false, 0, (2, 1)), begun);
     assert_eq!(limits.permit(TARGET, begun), Permit::Ask);
-    assert_eq!(limits.notes(9, |_| None, begun), []);
-    assert_eq!(limits.notes(9, |_| Some(0), begun).len(), 1, "once it is listed");
+    assert_eq!(limits.reports(9, |_| None, begun), []);
+    assert_eq!(limits.reports(9, |_| Some(0), begun).len(), 1, "once it is listed");
 }
 
 #[test]
 fn a_permit_is_used_once_and_not_late() {
     let begun = Instant::now();
-    let mut limits = Limits::new(1);
+    let mut limits = TargetLimits::new(1);
     assert_eq!(limits.permit(TARGET, begun), Permit::Unlimited);
-    limits.named(TARGET, 6.0, begun);
+    limits.advertised(TARGET, 6.0, begun);
     assert_eq!(limits.permit(TARGET, begun), Permit::Ask);
-    let ask = limits.ask(TARGET, 3, begun).expect("a limit is known");
+    let ask = limits.permit_request(TARGET, 3, begun).expect("a limit is known");
     assert_eq!((ask.number, ask.limit.limit), (3, 6.0));
-    let grant = GrantNote { target: TARGET, number: 3, permits: 2, wait: 0 };
-    limits.granted(&grant, begun);
-    assert!(limits.spend(TARGET, begun) && limits.spend(TARGET, begun));
-    assert!(!limits.spend(TARGET, begun), "both are used");
-    limits.granted(&grant, begun);
-    assert!(!limits.spend(TARGET, begun + ms(1_000)), "it lay too long");
-    limits.granted(&GrantNote { permits: 0, wait: 80, ..grant }, begun + ms(1_000));
+    let grant = PermitGrant { target: TARGET, number: 3, permits: 2, wait: 0 };
+    limits.apply_grant(&grant, begun);
+    assert!(limits.consume(TARGET, begun) && limits.consume(TARGET, begun));
+    assert!(!limits.consume(TARGET, begun), "both are used");
+    limits.apply_grant(&grant, begun);
+    assert!(!limits.consume(TARGET, begun + ms(1_000)), "it lay too long");
+    limits.apply_grant(&PermitGrant { permits: 0, wait: 80, ..grant }, begun + ms(1_000));
     assert_eq!(limits.permit(TARGET, begun + ms(1_079)), Permit::None);
-    assert_eq!(limits.shut(begun + ms(1_079)).collect::<Vec<_>>(), [TARGET]);
+    assert_eq!(limits.without_permit(begun + ms(1_079)).collect::<Vec<_>>(), [TARGET]);
     assert_eq!(limits.permit(TARGET, begun + ms(1_080)), Permit::Ask);
-    limits.unanswered(TARGET, begun + ms(1_080));
+    limits.request_failed(TARGET, begun + ms(1_080));
     assert_eq!(limits.permit(TARGET, begun + ms(1_081)), Permit::None);
 }
 
@@ -194,10 +198,10 @@
         limit in 0.2_f64..100.0,
         asked in proptest::collection::vec(0_u16..500, 1..23),
     ) {
-        let shares: Vec<Share> = (0..asked.len()).map(|n| {
+        let shares: Vec<PermitShare> = (0..asked.len()).map(|n| {
             let mut others = asked.clone();
             let own = others.remove(n);
-            Share::of(limit, &Claims { own, others: &others, home: n == 0, heard: 1.0 })
+            PermitShare::of(limit, &ShareInputs { own, others: &others, home: n == 0, heard: 1.0 })
         }).collect();
         let rate: f64 = shares.iter().map(|s| s.rate).sum();
         let burst: f64 = shares.iter().map(|s| s.burst).sum();
@@ -217,8 +221,8 @@
         let mut issued: Vec<(Instant, u16)> = Vec::new();
         for pause in pauses {
             now += ms(pause);
-            let share = |own| Share::of(limit, &Claims { own, others: &[], home: true, heard: 1.0 });
-            let grant = issuer.ask(TARGET, 1, now, share);
+            let share = |own| PermitShare::of(limit, &ShareInputs { own, others: &[], home: true, heard: 1.0 });
+            let grant = issuer.issue(TARGET, 1, now, share);
             issued.push((now, grant.permits));
             prop_assert!(grant.permits == 0 || grant.wait == 0);
         }
--- a/crates/roseshore_core/tests/gateway/older_store.rs
+++ b/crates/roseshore_core/tests/gateway/older_store.rs
@@ -1,7 +1,7 @@
 //! The lists of hosts whose store comes back from an older copy again and again.
 
 use proptest::prelude::*;
-use roseshore_core::gateway::targets::{Absence, Changes, News, Target};
+use roseshore_core::gateway::targets::{Absence, ListDelta, RecordChange, Target};
 use roseshore_core::gateway::{Holding, Position, TargetRecord, Targets};
 use roseshore_core::prelude::*;
 use std::collections::BTreeMap;
@@ -72,20 +72,20 @@
         let known = self.read.filter(|read| read.era == store.era);
         let Some(known) = known else {
             let next = Position { era: store.era, next: end };
-            self.targets.reach(next);
+            self.targets.advance_to(next);
             match self.read {
-                Some(_) => self.targets.go_back(store.newest(), absence),
-                None => self.targets.replace(store.newest(), absence),
+                Some(_) => self.targets.apply_older_list(store.newest(), absence),
+                None => self.targets.replace_list(store.newest(), absence),
             };
             self.read = Some(next);
             return;
         };
         let next = Position { era: store.era, next: end.min(known.next + count as Offset) };
-        self.targets.reach(next);
+        self.targets.advance_to(next);
         for (id, layers) in &store.log[known.next as usize..next.next as usize] {
             match layers {
-                Some(layers) => _ = self.targets.put(named(*id, *layers)),
-                None => _ = self.targets.drop(&format!("t-{id}"), absence),
+                Some(layers) => _ = self.targets.upsert(named(*id, *layers)),
+                None => _ = self.targets.remove(&format!("t-{id}"), absence),
             }
         }
         self.read = Some(next);
@@ -95,16 +95,16 @@
     fn copy(&mut self, from: &Host, absence: Absence) {
         let known = self.read.unwrap_or_default();
         let Some(next) = from.read.filter(|next| *next > known) else { return };
-        let Changes { records, dropped } = from.targets.since(known);
-        self.targets.reach(next);
+        let ListDelta { records, dropped } = from.targets.changes_since(known);
+        self.targets.advance_to(next);
         match dropped {
-            Some(dropped) => self.targets.change(records, dropped, absence),
+            Some(dropped) => self.targets.apply_delta(records, dropped, absence),
             None if self.read.is_some() && known.era < next.era => {
-                self.targets.go_back(records, absence)
+                self.targets.apply_older_list(records, absence)
             }
-            None => self.targets.replace(records, absence),
+            None => self.targets.replace_list(records, absence),
         };
-        let same = |a: &Targets, b: &Targets| a.list_mark(next) == b.list_mark(next);
+        let same = |a: &Targets, b: &Targets| a.list_version(next) == b.list_version(next);
         if same(&self.targets, &from.targets) {
             self.read = Some(next);
         }
@@ -160,9 +160,9 @@
         for host in &mut hosts {
             host.read(&store, usize::MAX >> 1, lapse);
             host.targets.tick(now + Duration::from_secs(3));
-            prop_assert_eq!(host.targets.listed(), fresh.targets.listed());
-            prop_assert_eq!(host.targets.list_mark(Position::default()),
-                fresh.targets.list_mark(Position::default()));
+            prop_assert_eq!(host.targets.listed_records(), fresh.targets.listed_records());
+            prop_assert_eq!(host.targets.list_version(Position::default()),
+                fresh.targets.list_version(Position::default()));
         }
     }
 }
@@ -182,56 +182,64 @@
         Case { name: "unknown here", known: |_| (), copy: Some(named(1, 3)), used: Some(3) },
         Case {
             name: "other layers since",
-            known: |t| _ = t.put(named(1, 5)),
+            known: |t| _ = t.upsert(named(1, 5)),
             copy: Some(named(1, 3)),
             used: Some(5),
         },
         Case {
             name: "leaving since",
-            known: |t| _ = t.put(TargetRecord { draining: true, ..named(1, 3) }),
+            known: |t| _ = t.upsert(TargetRecord { draining: true, ..named(1, 3) }),
             copy: Some(named(1, 3)),
             used: None,
         },
         Case {
             name: "another life since",
-            known: |t| _ = t.put(TargetRecord { life: 2, ..named(1, 5) }),
+            known: |t| _ = t.upsert(TargetRecord { life: 2, ..named(1, 5) }),
             copy: Some(named(1, 3)),
             used: Some(5),
         },
         Case {
             name: "a life that was missed here",
-            known: |t| _ = t.put(named(1, 3)),
+            known: |t| _ = t.upsert(named(1, 3)),
             copy: Some(TargetRecord { life: 2, ..named(1, 5) }),
             used: Some(5),
         },
         Case {
             name: "gone since",
             known: |t| {
-                t.put(named(1, 3));
-                t.drop("t-1", Absence::Left);
+                t.upsert(named(1, 3));
+                t.remove("t-1", Absence::Left);
             },
             copy: Some(named(1, 3)),
             used: None,
         },
-        Case { name: "listed since", known: |t| _ = t.put(named(1, 4)), copy: None, used: Some(4) },
+        Case {
+            name: "listed since",
+            known: |t| _ = t.upsert(named(1, 4)),
+            copy: None,
+            used: Some(4),
+        },
     ];
     let now = Instant::now();
     for case in cases {
         let mut targets = Targets::default();
-        targets.reach(Position { era: 1, next: 40 });
-        targets.put(named(2, 1));
+        targets.advance_to(Position { era: 1, next: 40 });
+        targets.upsert(named(2, 1));
         (case.known)(&mut targets);
-        targets.reach(Position { era: 2, next: 9 });
+        targets.advance_to(Position { era: 2, next: 9 });
         let copy: Vec<TargetRecord> = case.copy.into_iter().chain([named(2, 1)]).collect();
-        targets.go_back(copy, Absence::Lapsed(now + Duration::from_secs(2)));
+        targets.apply_older_list(copy, Absence::Lapsed(now + Duration::from_secs(2)));
         let used = || {
-            let target = targets.get("t-1").filter(|t| t.takes(now))?;
+            let target = targets.get("t-1").filter(|t| t.accepts_work(now))?;
             target.holding().map(|held| held.layers.1)
         };
         assert_eq!(used(), case.used, "{}", case.name);
         // Written again, it is what it says.
-        targets.reach(Position { era: 2, next: 10 });
-        assert_ne!(targets.put(TargetRecord { life: 3, ..named(1, 8) }), News::Same);
+        targets.advance_to(Position { era: 2, next: 10 });
+        assert_ne!(
+            targets.upsert(TargetRecord { life: 3, ..named(1, 8) }),
+            RecordChange::Unchanged
+        );
         let written = targets.get("t-1").and_then(Target::holding).map(|held| held.layers.1);
         assert_eq!(written, Some(8), "{}", case.name);
     }
--- a/crates/roseshore_core/tests/gateway/peers.rs
+++ b/crates/roseshore_core/tests/gateway/peers.rs
@@ -3,12 +3,12 @@
 use proptest::prelude::*;
 use roseshore_core::gateway::Fingerprint;
 use roseshore_core::gateway::Position;
-use roseshore_core::gateway::fatal::{EndNote, FatalNote, TOLD_BYTES};
-use roseshore_core::gateway::paces::PaceNote;
+use roseshore_core::gateway::fatal::{CrashReport, FatalReport, REPORT_BYTES};
+use roseshore_core::gateway::paces::PaceReport;
 use roseshore_core::gateway::peers::{
-    Beat, HoldNote, LimitNote, ListMark, LoadNote, Own, Peers, mark,
+    Heartbeat, HoldingReport, LimitReport, ListVersion, LocalState, Peers, TargetLoad, name_hash,
 };
-use roseshore_core::gateway::targets::Word;
+use roseshore_core::gateway::targets::LayersReport;
 use roseshore_core::prelude::*;
 use std::net::SocketAddr;
 
@@ -24,12 +24,12 @@
     Duration::from_millis(n)
 }
 
-fn own() -> Own {
-    Own { config: 1, ..Own::default() }
+fn own() -> LocalState {
+    LocalState { config: 1, ..LocalState::default() }
 }
 
 /// The heartbeat that one of them sends to an address, if one is due.
-fn sent(from: &mut Peers, to: u8, own: &Own, now: Instant) -> Option<Beat> {
+fn sent(from: &mut Peers, to: u8, own: &LocalState, now: Instant) -> Option<Heartbeat> {
     from.due(own, now).into_iter().find(|(hearer, _)| *hearer == addr(to)).map(|(_, beat)| beat)
 }
 
@@ -43,29 +43,29 @@
             let due = hosts[usize::from(from)].due(&own(), at);
             for (to, beat) in due {
                 let hearer = (1..=4).find(|n| addr(*n) == to).expect("a known address");
-                hosts[usize::from(hearer) - 1].hear(addr(from + 1), beat, at);
+                hosts[usize::from(hearer) - 1].receive(addr(from + 1), beat, at);
             }
         }
     }
     let end = now + ms(50 * 40);
-    let places: Vec<usize> = hosts.iter().map(|h| h.place(end)).collect();
+    let places: Vec<usize> = hosts.iter().map(|h| h.rank_in_centre(end)).collect();
     assert_eq!(places, [0, 1, 2, 3]);
-    assert!(hosts.iter().all(|h| h.hosts() == 4 && h.near(end) == 3));
+    assert!(hosts.iter().all(|h| h.hosts() == 4 && h.near_alive(end) == 3));
 }
 
 #[test]
 fn a_silent_host_no_longer_counts() {
     let now = Instant::now();
     let (mut a, mut b) = (peers(1, "north", &[], now), peers(2, "north", &[addr(1)], now));
-    let loads = vec![LoadNote { target: mark("t"), own: 3, held: 7, down: true }];
-    let beat = sent(&mut b, 1, &Own { loads, ..own() }, now).expect("a first contact");
-    assert!(a.hear(addr(2), beat.clone(), now).expect("news").joined);
-    let note = a.loads(now)[&mark("t")];
+    let loads = vec![TargetLoad { target: name_hash("t"), own: 3, held: 7, down: true }];
+    let beat = sent(&mut b, 1, &LocalState { loads, ..own() }, now).expect("a first contact");
+    assert!(a.receive(addr(2), beat.clone(), now).expect("news").joined);
+    let note = a.loads(now)[&name_hash("t")];
     assert_eq!((note.own, note.held, note.down), (3, 7, true));
-    assert_eq!(a.hear(addr(2), beat, now), None, "a repeat is no news");
+    assert_eq!(a.receive(addr(2), beat, now), None, "a repeat is no news");
     let later = now + ms(5000);
     assert!(a.loads(later).is_empty());
-    assert_eq!(a.near(later), 0);
+    assert_eq!(a.near_alive(later), 0);
     assert_eq!(a.hosts(), 2, "what it may still repeat counts on");
 }
 
@@ -75,12 +75,12 @@
     let mut b = peers(2, "north", &[addr(1)], now);
     let mut a = peers(1, "north", &[addr(2)], now);
     let beat = sent(&mut a, 2, &own(), now).expect("a first contact");
-    b.hear(addr(1), beat, now);
-    assert_eq!(b.place(now), 1);
-    let leaving = Own { leaving: true, ..own() };
+    b.receive(addr(1), beat, now);
+    assert_eq!(b.rank_in_centre(now), 1);
+    let leaving = LocalState { leaving: true, ..own() };
     let beat = sent(&mut a, 2, &leaving, now + ms(1100)).expect("a first contact");
-    b.hear(addr(1), beat, now + ms(1100));
-    assert_eq!(b.place(now + ms(1100)), 0);
+    b.receive(addr(1), beat, now + ms(1100));
+    assert_eq!(b.rank_in_centre(now + ms(1100)), 0);
 }
 
 #[test]
@@ -93,13 +93,13 @@
     for from in 0..4_u8 {
         for (to, beat) in hosts[usize::from(from)].due(&own(), now) {
             let hearer = (0..4).find(|n| addr(n + 1) == to).expect("a known address");
-            hosts[usize::from(hearer)].hear(addr(from + 1), beat, now);
+            hosts[usize::from(hearer)].receive(addr(from + 1), beat, now);
         }
     }
-    let places: Vec<usize> = hosts.iter().map(|h| h.reading_place(now)).collect();
+    let places: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
     assert_eq!(places, [0, 1, 1, 2]);
     let later = now + ms(5000);
-    assert!(hosts.iter().all(|h| h.reading_place(later) == 0), "alone, each reads");
+    assert!(hosts.iter().all(|h| h.read_rank(later) == 0), "alone, each reads");
 }
 
 #[test]
@@ -107,12 +107,16 @@
     let now = Instant::now();
     let (mut a, mut b) = (peers(1, "north", &[addr(2)], now), peers(2, "north", &[addr(1)], now));
     let beat = sent(&mut a, 2, &own(), now).expect("a first contact");
-    b.hear(addr(1), beat, now + ms(3));
+    b.receive(addr(1), beat, now + ms(3));
     // Proofs of 40 ms before and 20 ms after the heartbeat was heard; telling takes a second.
-    let told = Own { proven: Some(now + ms(23)), listed: now.checked_sub(ms(37)), ..own() };
+    let told = LocalState {
+        config_proven: Some(now + ms(23)),
+        list_proven: now.checked_sub(ms(37)),
+        ..own()
+    };
     let beat = sent(&mut b, 1, &told, now + ms(60)).expect("a first contact");
-    let heard = a.hear(addr(2), beat, now + ms(1060)).expect("news");
-    let (config, list) = (heard.proven.expect("told"), heard.listed.expect("told"));
+    let heard = a.receive(addr(2), beat, now + ms(1060)).expect("news");
+    let (config, list) = (heard.config_proven.expect("told"), heard.list_proven.expect("told"));
     assert!(config <= now + ms(23) && config >= now + ms(19), "no later than it was made");
     assert!(list < now && list + ms(45) >= now, "no later than it was made");
     assert!(heard.near);
@@ -122,17 +126,17 @@
 fn a_far_host_s_word_that_a_target_is_down_does_not_count() {
     let now = Instant::now();
     let (mut a, mut b) = (peers(1, "north", &[], now), peers(2, "south", &[addr(1)], now));
-    let loads = vec![LoadNote { target: mark("t"), own: 1, held: 0, down: true }];
-    let beat = sent(&mut b, 1, &Own { loads, ..own() }, now).expect("a first contact");
-    assert!(!a.hear(addr(2), beat, now).expect("news").near);
-    assert!(!a.loads(now)[&mark("t")].down, "it may only be cut off from the target");
+    let loads = vec![TargetLoad { target: name_hash("t"), own: 1, held: 0, down: true }];
+    let beat = sent(&mut b, 1, &LocalState { loads, ..own() }, now).expect("a first contact");
+    assert!(!a.receive(addr(2), beat, now).expect("news").near);
+    assert!(!a.loads(now)[&name_hash("t")].down, "it may only be cut off from the target");
 }
 
 /// The longest word on a request that ends targets.
-fn worst(digest: u64, ends: usize) -> FatalNote {
+fn worst(digest: u64, ends: usize) -> FatalReport {
     let fingerprint = Fingerprint { organisation: u32::MAX, digest };
-    let end = |n| EndNote { target: u32::MAX - n, early: true, age: 600_000 };
-    FatalNote { fingerprint, ends: (0..ends as u32).map(end).collect(), well: Some(600_000) }
+    let end = |n| CrashReport { target: u32::MAX - n, early: true, age: 600_000 };
+    FatalReport { fingerprint, ends: (0..ends as u32).map(end).collect(), well: Some(600_000) }
 }
 
 #[test]
@@ -142,28 +146,29 @@
     for n in 2..200 {
         let mut other = peers(n, "north", &[addr(1)], now);
         let beat = sent(&mut other, 1, &own(), now).expect("a first contact");
-        a.hear(addr(n), beat, now);
+        a.receive(addr(n), beat, now);
     }
-    let note = |n: u32| LoadNote {
+    let note = |n: u32| TargetLoad {
         target: u32::MAX - n,
         own: 200,
         held: 50_000,
         down: n.is_multiple_of(2),
     };
     let loads = (0..500).map(note).collect();
-    let list = ListMark { next: Position { era: u64::MAX, next: u64::MAX }, digest: u64::MAX };
+    let list = ListVersion { next: Position { era: u64::MAX, next: u64::MAX }, digest: u64::MAX };
     // As many as the placing part tells of.
-    let holds = (0..16)
-        .map(|n| HoldNote {
+    let holdings = (0..16)
+        .map(|n| HoldingReport {
             target: n,
-            word: Word { number: 300, layers: (300, 400), listed: (300, 400) },
+            word: LayersReport { number: 300, layers: (300, 400), listed: (300, 400) },
             done: true,
         })
         .collect();
-    let paces = (0..12).map(|n| PaceNote { target: u32::MAX - n, pace: 6400, age: 2999 }).collect();
-    let most = TOLD_BYTES / worst(0, 1).bytes();
+    let paces =
+        (0..12).map(|n| PaceReport { target: u32::MAX - n, pace: 6400, age: 2999 }).collect();
+    let most = REPORT_BYTES / worst(0, 1).max_bytes();
     let fatal = (0..most).map(|n| worst(u64::MAX - n as u64, 1)).collect();
-    let limit = |n| LimitNote {
+    let limit = |n| LimitReport {
         target: u32::MAX - n,
         limit: 1e5,
         ended: false,
@@ -172,10 +177,19 @@
         wanted: u16::MAX,
     };
     let limits = (0..12).map(limit).collect();
-    let own = Own { loads, list, holds, paces, fatal, limits, proven: Some(now), ..own() };
+    let own = LocalState {
+        loads,
+        list,
+        holdings,
+        paces,
+        fatal,
+        limits,
+        config_proven: Some(now),
+        ..own()
+    };
     let beat = sent(&mut a, 2, &own, now + ms(5000)).expect("a heartbeat");
     let size = beat.loads.len() * 12
-        + beat.fatal.iter().map(FatalNote::bytes).sum::<usize>()
+        + beat.fatal.iter().map(FatalReport::max_bytes).sum::<usize>()
         + beat.limits.len() * 28
         + beat.holds.len() * 17
         + beat.named.len() * 8
@@ -194,16 +208,16 @@
         let mut a = peers(1, "north", &[addr(2)], start);
         let mut b = peers(2, "north", &[addr(1)], start + ms(37));
         let mut now = start + ms(40);
-        let mut proven = None;
-        let mut flying: Vec<(Instant, bool, Beat, Option<Instant>)> = Vec::new();
+        let mut config_proven = None;
+        let mut flying: Vec<(Instant, bool, Heartbeat, Option<Instant>)> = Vec::new();
         for (pause, delay, proves) in steps {
             now += ms(pause);
             if proves {
-                proven = Some(now);
+                config_proven = Some(now);
             }
-            let told = Own { proven, ..own() };
+            let told = LocalState { config_proven, ..own() };
             if let Some(beat) = sent(&mut b, 1, &told, now) {
-                flying.push((now + ms(delay), true, beat, proven));
+                flying.push((now + ms(delay), true, beat, config_proven));
             }
             if let Some(beat) = sent(&mut a, 2, &own(), now) {
                 flying.push((now + ms(delay / 3), false, beat, None));
@@ -211,8 +225,8 @@
             let (here, still): (Vec<_>, Vec<_>) = flying.into_iter().partition(|f| f.0 <= now);
             flying = still;
             for (_, to_a, beat, truth) in here {
-                let heard = if to_a { a.hear(addr(2), beat, now) } else { b.hear(addr(1), beat, now) };
-                if let (true, Some(claimed)) = (to_a, heard.and_then(|h| h.proven)) {
+                let heard = if to_a { a.receive(addr(2), beat, now) } else { b.receive(addr(1), beat, now) };
+                if let (true, Some(claimed)) = (to_a, heard.and_then(|h| h.config_proven)) {
                     let truth = truth.expect("a claim has a proof behind it");
                     prop_assert!(claimed <= truth, "claimed {:?} after the proof", claimed - truth);
                 }
@@ -241,13 +255,13 @@
         let seeds: Vec<SocketAddr> = (1..=3).map(addr).collect();
         let mut hosts: Vec<Peers> = (1..=3).map(|n| peers(n, "north", &seeds, now)).collect();
         for from in 0..3_u8 {
-            let own = Own { reading: case.reading[usize::from(from)], ..own() };
+            let own = LocalState { reading: case.reading[usize::from(from)], ..own() };
             for (to, beat) in hosts[usize::from(from)].due(&own, now) {
                 let hearer = (0..3).find(|n| addr(n + 1) == to).expect("a known address");
-                hosts[usize::from(hearer)].hear(addr(from + 1), beat, now);
+                hosts[usize::from(hearer)].receive(addr(from + 1), beat, now);
             }
         }
-        let places: Vec<usize> = hosts.iter().map(|h| h.reading_place(now)).collect();
+        let places: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
         assert_eq!(places, case.places, "{}", case.name);
     }
 }
@@ -258,9 +272,9 @@
     let mut small = peers(1, "north", &[addr(2)], now).with_capacity(120);
     let mut large = peers(2, "north", &[addr(1)], now).with_capacity(500);
     let beat = sent(&mut small, 2, &own(), now).expect("a first contact");
-    large.hear(addr(1), beat, now);
+    large.receive(addr(1), beat, now);
     let beat = sent(&mut large, 1, &own(), now).expect("a first contact");
-    small.hear(addr(2), beat, now);
-    assert_eq!((large.place(now), small.place(now)), (0, 1));
-    assert_eq!((large.reading_place(now), small.reading_place(now)), (0, 1));
+    small.receive(addr(2), beat, now);
+    assert_eq!((large.rank_in_centre(now), small.rank_in_centre(now)), (0, 1));
+    assert_eq!((large.read_rank(now), small.read_rank(now)), (0, 1));
 }
--- a/crates/roseshore_core/tests/gateway/targets.rs
+++ b/crates/roseshore_core/tests/gateway/targets.rs
@@ -1,8 +1,10 @@
 //! What is known of the targets.
 
 use proptest::prelude::*;
-use roseshore_core::gateway::peers::{LoadNote, mark, target_mark};
-use roseshore_core::gateway::targets::{Absence, Claim, Death, News, Target, Word};
+use roseshore_core::gateway::peers::{TargetLoad, name_hash, target_hash};
+use roseshore_core::gateway::targets::{
+    Absence, Claim, LayersReport, LivenessFailure, RecordChange, Target,
+};
 use roseshore_core::gateway::{Holding, Position, TargetRecord, Targets};
 use roseshore_core::prelude::*;
 use std::collections::HashMap;
@@ -27,17 +29,17 @@
 
 fn two() -> Targets {
     let mut targets = Targets::default();
-    targets.put(record("a", "north"));
-    targets.put(record("b", "south"));
+    targets.upsert(record("a", "north"));
+    targets.upsert(record("b", "south"));
     targets
 }
 
-fn claim(target: &str, held: f64) -> Claim {
-    Claim { target: target.to_owned(), held }
+fn claim(target: &str, kv_used: f64) -> Claim {
+    Claim { target: target.to_owned(), kv_used }
 }
 
 fn chosen(targets: &Targets, near: &str, avoid: &[TargetId], now: Instant) -> Option<String> {
-    targets.plain("plain", near, avoid, now).map(|t| t.record.id.clone())
+    targets.choose_plain("plain", near, avoid, now).map(|t| t.record.id.clone())
 }
 
 /// Something that happens to target `a`, and who is chosen then.
@@ -54,51 +56,64 @@
         Case {
             name: "it drains",
             happens: |t, _| {
-                t.put(TargetRecord { draining: true, ..record("a", "north") });
+                t.upsert(TargetRecord { draining: true, ..record("a", "north") });
             },
             chosen: "b",
         },
-        Case { name: "it left", happens: |t, _| assert!(t.drop("a", Absence::Left)), chosen: "b" },
+        Case {
+            name: "it left",
+            happens: |t, _| assert!(t.remove("a", Absence::Left)),
+            chosen: "b",
+        },
         Case {
             name: "its entry lapsed",
-            happens: |t, now| assert!(t.drop("a", Absence::Lapsed(now))),
+            happens: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
             chosen: "a",
         },
-        Case { name: "another has its address", happens: |t, _| t.replaced("a"), chosen: "b" },
-        Case { name: "it failed", happens: |t, now| assert!(t.failed("a", now)), chosen: "b" },
-        Case { name: "it is dead", happens: |t, _| assert!(t.died("a", Death::Dark)), chosen: "b" },
+        Case { name: "another has its address", happens: |t, _| t.mark_replaced("a"), chosen: "b" },
+        Case {
+            name: "it failed",
+            happens: |t, now| assert!(t.record_failure("a", now)),
+            chosen: "b",
+        },
+        Case {
+            name: "it is dead",
+            happens: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
+            chosen: "b",
+        },
         Case {
             name: "it answers again",
             happens: |t, _| {
-                t.died("a", Death::Reset);
-                t.answered("a");
+                t.liveness_failed("a", LivenessFailure::Reset);
+                t.liveness_passed("a");
             },
             chosen: "a",
         },
         Case {
             name: "it is dead for a neighbour",
             happens: |t, _| {
-                let note = LoadNote { target: mark("a"), down: true, ..LoadNote::default() };
-                t.others(&HashMap::from([(mark("a"), note)]));
+                let note =
+                    TargetLoad { target: name_hash("a"), down: true, ..TargetLoad::default() };
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), note)]));
             },
             chosen: "b",
         },
         Case {
             name: "it is busy",
-            happens: |t, _| (0..4).for_each(|_| t.begin(&claim("a", 0.0))),
+            happens: |t, _| (0..4).for_each(|_| t.reserve(&claim("a", 0.0))),
             chosen: "b",
         },
         Case {
             name: "others keep it busy",
             happens: |t, _| {
-                let note = LoadNote { target: mark("a"), own: 4, ..LoadNote::default() };
-                t.others(&HashMap::from([(mark("a"), note)]));
+                let note = TargetLoad { target: name_hash("a"), own: 4, ..TargetLoad::default() };
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), note)]));
             },
             chosen: "b",
         },
         Case {
             name: "it says that it is busy",
-            happens: |t, now| t.loaded("a", 6, 2, now),
+            happens: |t, now| t.record_load("a", 6, 2, now),
             chosen: "b",
         },
     ];
@@ -115,8 +130,8 @@
 fn when_all_have_failed_the_least_loaded_still_gets_work() {
     let now = Instant::now();
     let mut targets = two();
-    targets.failed("a", now);
-    targets.failed("b", now);
+    targets.record_failure("a", now);
+    targets.record_failure("b", now);
     assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"));
     assert_eq!(chosen(&targets, "north", &["a".to_owned()], now).as_deref(), Some("b"));
     assert_eq!(chosen(&targets, "north", &["a".to_owned(), "b".to_owned()], now), None);
@@ -124,24 +139,24 @@
 
 /// How both targets failed their checks, and whether one of them is tried all the same.
 struct Dead {
-    a: Death,
-    b: Death,
+    a: LivenessFailure,
+    b: LivenessFailure,
     tried: Option<&'static str>,
 }
 
 #[test]
 fn nothing_is_sent_into_the_dark() {
     let cases = [
-        Dead { a: Death::Reset, b: Death::Reset, tried: Some("a") },
-        Dead { a: Death::Dark, b: Death::Reset, tried: Some("b") },
-        Dead { a: Death::Dark, b: Death::Dark, tried: None },
+        Dead { a: LivenessFailure::Reset, b: LivenessFailure::Reset, tried: Some("a") },
+        Dead { a: LivenessFailure::Silent, b: LivenessFailure::Reset, tried: Some("b") },
+        Dead { a: LivenessFailure::Silent, b: LivenessFailure::Silent, tried: None },
     ];
     for case in cases {
         let now = Instant::now();
         let mut targets = two();
-        assert!(targets.died("a", case.a) && targets.died("b", case.b));
+        assert!(targets.liveness_failed("a", case.a) && targets.liveness_failed("b", case.b));
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), case.tried, "{:?}", case.a);
-        targets.answered("b");
+        targets.liveness_passed("b");
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("b"));
     }
 }
@@ -151,9 +166,9 @@
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
-    targets.drop("a", Absence::Lapsed(at(1900)));
-    targets.drop("b", Absence::Lapsed(at(1900)));
-    targets.put(record("b", "south"));
+    targets.remove("a", Absence::Lapsed(at(1900)));
+    targets.remove("b", Absence::Lapsed(at(1900)));
+    targets.upsert(record("b", "south"));
     assert!(targets.tick(at(1800)).is_empty());
     assert_eq!(targets.tick(at(1950)), ["a".to_owned()]);
     assert_eq!(chosen(&targets, "north", &[], at(1950)).as_deref(), Some("b"));
@@ -163,18 +178,18 @@
 fn a_digest_tells_lists_apart() {
     let now = Instant::now();
     let (mut left, mut right) = (two(), Targets::default());
-    right.put(record("b", "south"));
-    right.put(record("a", "north"));
-    assert_eq!(left.list_mark(at(5)).digest, right.list_mark(at(9)).digest);
-    left.put(TargetRecord { draining: true, ..record("a", "north") });
-    assert_ne!(left.list_mark(at(5)).digest, right.list_mark(at(9)).digest);
-    right.replaced("a");
-    right.failed("b", now);
+    right.upsert(record("b", "south"));
+    right.upsert(record("a", "north"));
+    assert_eq!(left.list_version(at(5)).digest, right.list_version(at(9)).digest);
+    left.upsert(TargetRecord { draining: true, ..record("a", "north") });
+    assert_ne!(left.list_version(at(5)).digest, right.list_version(at(9)).digest);
+    right.mark_replaced("a");
+    right.record_failure("b", now);
     let mut same = two();
-    same.put(record("a", "north"));
+    same.upsert(record("a", "north"));
     assert_eq!(
-        same.list_mark(at(0)).digest,
-        right.list_mark(at(0)).digest,
+        same.list_version(at(0)).digest,
+        right.list_version(at(0)).digest,
         "own experience is no list"
     );
 }
@@ -217,13 +232,13 @@
             match change {
                 Change::Put(id, draining, layers) => {
                     let holding = layers.map(|layers| Holding { layers });
-                    targets.put(TargetRecord { draining, holding, ..numbered(id) });
+                    targets.upsert(TargetRecord { draining, holding, ..numbered(id) });
                 }
                 Change::Drop(id, left) => {
-                    targets.drop(&format!("t-{id}"), absence(left));
+                    targets.remove(&format!("t-{id}"), absence(left));
                 }
                 Change::Whole(ids, left) => {
-                    targets.replace(ids.into_iter().map(numbered).collect(), absence(left));
+                    targets.replace_list(ids.into_iter().map(numbered).collect(), absence(left));
                 }
                 Change::Time(ms) => {
                     now += Duration::from_millis(ms);
@@ -231,13 +246,13 @@
                 }
             }
             let mut anew = Targets::default();
-            for record in targets.listed() {
-                anew.put(record);
+            for record in targets.listed_records() {
+                anew.upsert(record);
             }
-            prop_assert_eq!(targets.list_mark(at(0)), anew.list_mark(at(0)));
+            prop_assert_eq!(targets.list_version(at(0)), anew.list_version(at(0)));
             for id in (0..9).map(|id| numbered(id).id) {
                 let known = targets.get(&id).map(|t| &t.record.id);
-                prop_assert_eq!(targets.marked(mark(&id)), known);
+                prop_assert_eq!(targets.id_of(name_hash(&id)), known);
             }
         }
     }
@@ -253,50 +268,53 @@
 fn what_is_known_of_a_target_ends_with_its_life() {
     let holds = |targets: &Targets| targets.get("a").and_then(Target::holding);
     let living = |life: u64| TargetRecord { life, ..record("a", "north") };
-    let first = target_mark("a", 100);
+    let first = target_hash("a", 100);
     let cases = [
-        LifeCase { name: "it failed", known: |t, now| assert!(t.failed("a", now)) },
-        LifeCase { name: "it is dead", known: |t, _| assert!(t.died("a", Death::Dark)) },
-        LifeCase { name: "another has its address", known: |t, _| t.replaced("a") },
-        LifeCase { name: "it told its load", known: |t, now| t.loaded("a", 6, 9, now) },
+        LifeCase { name: "it failed", known: |t, now| assert!(t.record_failure("a", now)) },
+        LifeCase {
+            name: "it is dead",
+            known: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
+        },
+        LifeCase { name: "another has its address", known: |t, _| t.mark_replaced("a") },
+        LifeCase { name: "it told its load", known: |t, now| t.record_load("a", 6, 9, now) },
         LifeCase {
             name: "it reported layers",
             known: |t, now| {
-                let word = Word { number: 1, layers: (3, 9), listed: (0, 0) };
-                t.learned(target_mark("a", 100), word, now + Duration::from_secs(4));
+                let word = LayersReport { number: 1, layers: (3, 9), listed: (0, 0) };
+                t.apply_report(target_hash("a", 100), word, now + Duration::from_secs(4));
             },
         },
         LifeCase {
             name: "others told of it",
             known: |t, _| {
-                let target = target_mark("a", 100);
-                let note = LoadNote { target, own: 4, held: 7, down: true };
-                t.others(&HashMap::from([(target, note)]));
+                let target = target_hash("a", 100);
+                let note = TargetLoad { target, own: 4, held: 7, down: true };
+                t.set_remote_loads(&HashMap::from([(target, note)]));
             },
         },
         LifeCase {
             name: "its entry lapsed",
-            known: |t, now| assert!(t.drop("a", Absence::Lapsed(now))),
+            known: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
         },
     ];
     // The second life's clock may be ahead, or behind: the list is in order.
     for (case, second) in cases.iter().flat_map(|case| [(case, 170), (case, 30)]) {
         let now = Instant::now();
         let mut targets = two();
-        targets.put(living(100));
+        targets.upsert(living(100));
         (case.known)(&mut targets, now);
-        assert_eq!(targets.put(living(second)), News::Restarted, "{}", case.name);
+        assert_eq!(targets.upsert(living(second)), RecordChange::Restarted, "{}", case.name);
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
         assert_eq!(holds(&targets), None, "{}", case.name);
         assert!(targets.tick(now + Duration::from_secs(9)).is_empty(), "{}", case.name);
-        assert_eq!(targets.put(living(second)), News::Same, "the same life twice");
+        assert_eq!(targets.upsert(living(second)), RecordChange::Unchanged, "the same life twice");
         // The word of the former life comes late.
-        let note = LoadNote { target: first, own: 9, held: 9, down: true };
-        targets.others(&HashMap::from([(first, note)]));
-        let word = Word { number: 9, layers: (3, 9), listed: (0, 0) };
-        assert!(!targets.learned(first, word, now + Duration::from_secs(4)), "{}", case.name);
+        let note = TargetLoad { target: first, own: 9, held: 9, down: true };
+        targets.set_remote_loads(&HashMap::from([(first, note)]));
+        let word = LayersReport { number: 9, layers: (3, 9), listed: (0, 0) };
+        assert!(!targets.apply_report(first, word, now + Duration::from_secs(4)), "{}", case.name);
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
-        assert_eq!(targets.marked(first), None, "{}", case.name);
+        assert_eq!(targets.id_of(first), None, "{}", case.name);
     }
 }
 
@@ -304,11 +322,11 @@
 fn what_was_sent_to_a_former_life_still_ends() {
     let mut targets = two();
     let claim = claim("a", 500.0);
-    targets.begin(&claim);
-    targets.put(TargetRecord { life: 7, ..record("a", "north") });
-    let own = |targets: &Targets| targets.get("a").map(|t| (t.own, t.held));
+    targets.reserve(&claim);
+    targets.upsert(TargetRecord { life: 7, ..record("a", "north") });
+    let own = |targets: &Targets| targets.get("a").map(|t| (t.in_flight, t.kv_used));
     assert_eq!(own(&targets), Some((1, 500.0)));
-    targets.end(&claim);
+    targets.release(&claim);
     assert_eq!(own(&targets), Some((0, 0.0)));
 }
 
@@ -318,21 +336,21 @@
     const HOSTS: usize = 5;
     let now = Instant::now();
     let until = now + Duration::from_secs(4);
-    let target = mark("a");
+    let target = name_hash("a");
     let listed = TargetRecord { holding: Some(Holding { layers: (0, 9) }), ..record("a", "north") };
     let mut hosts: Vec<Targets> = (0..HOSTS).map(|_| Targets::default()).collect();
     let mut told = std::collections::VecDeque::new();
     for (n, host) in hosts.iter_mut().enumerate() {
-        host.put(listed.clone());
+        host.upsert(listed.clone());
         // Nothing, one range or another.
-        let word = host.next_word(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
-        assert!(host.learned(target, word, until));
+        let word = host.next_report(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
+        assert!(host.apply_report(target, word, until));
         told.push_back((n, word));
     }
     let mut passed_on = 0;
     while let Some((from, word)) = told.pop_front() {
         for to in (0..HOSTS).filter(|to| *to != from) {
-            if hosts[to].learned(target, word, until) {
+            if hosts[to].apply_report(target, word, until) {
                 passed_on += 1;
                 told.push_back((to, word));
             }
@@ -342,23 +360,23 @@
     let holds = |host: &Targets| host.get("a").and_then(Target::holding);
     assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all believe the same");
     // A list that is newer ends it, and the old word does not come back.
-    hosts[0].put(TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..listed });
-    let old = Word { number: 1, layers: (3, 9), listed: (0, 9) };
-    assert!(!hosts[0].learned(target, old, until));
+    hosts[0].upsert(TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..listed });
+    let old = LayersReport { number: 1, layers: (3, 9), listed: (0, 9) };
+    assert!(!hosts[0].apply_report(target, old, until));
     assert_eq!(holds(&hosts[0]), Some(Holding { layers: (1, 7) }));
     // Who has read the list only once takes the next word like who has read every change of it.
-    let word = hosts[0].next_word(target, (1, 4));
+    let word = hosts[0].next_report(target, (1, 4));
     let listed = TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..record("a", "north") };
     let mut late = Targets::default();
-    late.put(listed);
-    assert!(late.learned(target, word, until));
+    late.upsert(listed);
+    assert!(late.apply_report(target, word, until));
 }
 
 #[test]
 fn lists_of_two_lives_differ() {
     let (mut left, right) = (two(), two());
-    left.put(TargetRecord { life: 7, ..record("a", "north") });
-    assert_ne!(left.list_mark(at(5)).digest, right.list_mark(at(5)).digest);
+    left.upsert(TargetRecord { life: 7, ..record("a", "north") });
+    assert_ne!(left.list_version(at(5)).digest, right.list_version(at(5)).digest);
 }
 
 #[test]
@@ -366,12 +384,12 @@
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
-    targets.put(record("c", "north"));
+    targets.upsert(record("c", "north"));
     let ids: Vec<TargetId> = ["a", "b", "c"].map(str::to_owned).to_vec();
-    targets.progressed(ids.iter(), at(100));
-    targets.progressed([ids[1].clone()].iter(), at(300));
+    targets.record_progress(ids.iter(), at(100));
+    targets.record_progress([ids[1].clone()].iter(), at(300));
     assert_eq!(targets.suspects(&ids, at(100)), ["a".to_owned(), "c".to_owned()]);
-    targets.died("a", Death::Dark);
-    targets.progressed([ids[0].clone()].iter(), at(320));
+    targets.liveness_failed("a", LivenessFailure::Silent);
+    targets.record_progress([ids[0].clone()].iter(), at(320));
     assert!(targets.dead().is_empty(), "what brings something is alive");
 }
--- a/crates/roseshore_ports/src/entry.rs
+++ b/crates/roseshore_ports/src/entry.rs
@@ -4,7 +4,7 @@
 //! readiness loop carries the bytes.
 
 use quick_error::quick_error;
-use roseshore_core::gateway::limits::Naming;
+use roseshore_core::gateway::limits::AdvertisedLimit;
 use roseshore_core::gateway::{Holding, Hop, Snapshot, TargetRecord};
 use roseshore_core::ids::{Era, Incarnation};
 use std::net::SocketAddr;
@@ -170,7 +170,7 @@
     /// For how long the target wants nothing from this host, where it says so.
     pub rest: Option<Duration>,
     /// What it says of the requests that the target takes from all hosts together.
-    pub limit: Naming,
+    pub limit: AdvertisedLimit,
 }
 
 /// What a target reports of itself, some time late.
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -37,11 +37,11 @@
 use placing::Placing;
 use rand::RngExt;
 use rand::rngs::SmallRng;
-use roseshore_core::gateway::copies::COPY_TIME;
-use roseshore_core::gateway::leaving::Pace;
+use roseshore_core::gateway::copies::COPY_TIMEOUT;
+use roseshore_core::gateway::leaving::TokenPace;
 use roseshore_core::gateway::look::Look;
 use roseshore_core::gateway::{
-    Allowance, Copies, Currency, EntrySettings, Fatal, Peers, Shortage, Snapshot, Targets,
+    Allowance, Copies, Currency, EntrySettings, FatalRequests, Peers, Shortage, Snapshot, Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -140,9 +140,9 @@
     copies: Copies,
     placing: Placing,
     pacing: Pacing,
-    pace: Pace,
+    pace: TokenPace,
     shortage: Shortage,
-    fatal: Fatal,
+    fatal: FatalRequests,
     /// Sends that broke off, until it is known whether their targets ended.
     broken: Vec<Broken>,
     blocked: Blocked,
@@ -229,9 +229,9 @@
             copies: Copies::default(),
             placing: Placing::default(),
             pacing: Pacing::default(),
-            pace: Pace::default(),
+            pace: TokenPace::default(),
             shortage: Shortage::default(),
-            fatal: Fatal::new(now),
+            fatal: FatalRequests::new(now),
             broken: Vec::new(),
             blocked: Blocked::default(),
             random,
@@ -336,7 +336,7 @@
         self.ask_paces();
         self.recheck_dead();
         self.recheck_broken();
-        self.fatal.forget(self.now);
+        self.fatal.expire(self.now);
         self.forget_limits();
         self.drop_idle();
         self.judge_age();
@@ -380,7 +380,7 @@
             if caller {
                 self.watch_caller(key);
             } else if door == Door::Copies {
-                self.arm(self.now + COPY_TIME, Timer::Copy(key));
+                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
         }
     }
