--- a/crates/roseshore_relay/src/entry/answers.rs
+++ b/crates/roseshore_relay/src/entry/answers.rs
@@ -71,7 +71,7 @@
         send.status = head.status;
         (send.rest, send.leaving) = (said.rest, said.leaving);
         if let Some((running, waiting, _)) = said.load {
-            self.targets.loaded(&send.target, running, waiting, now);
+            self.targets.record_load(&send.target, running, waiting, now);
         }
         self.heed_answer(key, head.status, &said);
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Over };
@@ -115,7 +115,7 @@
                 self.disprove_held(&id, layers);
             } else if said.faulty.is_none() {
                 let target = send.target.clone();
-                self.targets.replaced(&target);
+                self.targets.mark_replaced(&target);
                 note!(self, TargetLeft, "target={target} state=replaced");
             }
         }
@@ -193,7 +193,7 @@
         let near = &self.settings.data_centre;
         let service = &exchange.service;
         service.engine.is_some()
-            || self.targets.plain(&service.name, near, &avoid, self.now).is_some()
+            || self.targets.choose_plain(&service.name, near, &avoid, self.now).is_some()
     }
 
     /// Passes a whole answer on.
@@ -228,7 +228,7 @@
 
     /// A whole answer came from a target; `key` is the request's.
     fn worked(&mut self, target: &str, key: Key) {
-        if !self.targets.worked(target, self.now) {
+        if !self.targets.record_success(target, self.now) {
             return;
         }
         let Some(exchange) = self.exchanges.get(key) else { return };
@@ -294,7 +294,7 @@
             exchange.out.first.get_or_insert(now);
             exchange.out.latest = Some(now);
             send.latest = now;
-            self.targets.progressed(send.path.iter().map(|(id, ..)| id), now);
+            self.targets.record_progress(send.path.iter().map(|(id, ..)| id), now);
             let mut out = Vec::with_capacity(taken.bytes.len() + 16);
             http::put_chunk(&mut out, &taken.bytes);
             self.net.send(caller, &out);
--- a/crates/roseshore_relay/src/entry/blocked.rs
+++ b/crates/roseshore_relay/src/entry/blocked.rs
@@ -5,7 +5,7 @@
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::{Entry, note};
 use roseshore_core::gateway::Fingerprint;
-use roseshore_core::gateway::fatal::{FatalRecord, Upkeep};
+use roseshore_core::gateway::fatal::{FatalRecord, RecordDiff};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
 use roseshore_ports::entry::{CallReply, Entry as Record, StoreFault};
@@ -33,7 +33,7 @@
         if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.away() {
             return;
         }
-        if self.snapshot.is_none() || self.peers.reading_place(now) > 0 {
+        if self.snapshot.is_none() || self.peers.read_rank(now) > 0 {
             return;
         }
         self.blocked.due = Some(now + EVERY);
@@ -88,8 +88,8 @@
     /// Writes records that are missing, and drops those of requests that are blocked no longer.
     fn keep_blocked(&mut self) {
         let wall = self.wall_ms();
-        let Upkeep { missing, outdated } =
-            self.fatal.upkeep(&self.blocked.recorded, wall, self.now);
+        let RecordDiff { missing, outdated } =
+            self.fatal.record_diff(&self.blocked.recorded, wall, self.now);
         if missing.is_empty() && outdated.is_empty() {
             return;
         }
--- a/crates/roseshore_relay/src/entry/copying.rs
+++ b/crates/roseshore_relay/src/entry/copying.rs
@@ -2,7 +2,7 @@
 
 use super::{Entry, Role, Timer, note};
 use crate::slab::Key;
-use roseshore_core::gateway::copies::{COPY_TIME, CopyRequest, Extent, Outcome, StoreCopy};
+use roseshore_core::gateway::copies::{COPY_TIMEOUT, CopyOutcome, CopyRequest, Extent, StoreCopy};
 use roseshore_core::prelude::*;
 use roseshore_wire::frame;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
     /// Asks a host for what it has read beyond this one; whether it was asked.
     pub(super) fn ask_copy(&mut self, from: SocketAddr) -> bool {
         let Some(own) = self.settings.peer else { return false };
-        let Some(until) = self.copies.ask(self.now) else { return false };
+        let Some(until) = self.copies.start(self.now) else { return false };
         let request = CopyRequest { from: own, known: self.extent() };
         let mut bytes = Vec::new();
         let asked = frame::write(&mut bytes, &request).map_err(|err| err.to_string());
@@ -24,7 +24,7 @@
                 true
             }
             Err(why) => {
-                self.copies.ended(Outcome::Failed, self.now);
+                self.copies.finish(CopyOutcome::Failed, self.now);
                 note!(self, CopyFailed, "host={from} why={why:?}");
                 false
             }
@@ -54,7 +54,7 @@
             Some(Role::CopySource(_, known)) if came > *known => {
                 // A large copy over a narrow link: 600 kB take 0.25 s where nothing else is sent.
                 *known = came;
-                self.arm(self.now + COPY_TIME, Timer::Copy(key));
+                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
             _ => self.copy_failed(key, "no answer in time"),
         }
@@ -65,20 +65,20 @@
         let Some(Role::CopySource(from, _)) = self.roles.get(&key) else { return };
         let from = *from;
         self.close(key);
-        self.copies.ended(Outcome::Failed, self.now);
+        self.copies.finish(CopyOutcome::Failed, self.now);
         note!(self, CopyFailed, "host={from} why={why:?}");
         self.read_now();
     }
 
     fn copy_came(&mut self, copy: StoreCopy) {
         if !copy.is_empty() {
-            self.copies.ended(Outcome::Came, self.now);
+            self.copies.finish(CopyOutcome::Received, self.now);
             return self.take_copy(copy);
         }
         let Some(other) = copy.instead else {
-            return self.copies.ended(Outcome::TurnedAway, self.now);
+            return self.copies.finish(CopyOutcome::Refused, self.now);
         };
-        self.copies.ended(Outcome::SentOn, self.now);
+        self.copies.finish(CopyOutcome::Redirected, self.now);
         self.ask_copy(other);
     }
 
@@ -132,10 +132,10 @@
         let mut bytes = Vec::new();
         let mut written = frame::write(&mut bytes, &copy);
         if written.is_ok() && !copy.is_empty() {
-            if self.copies.give(bytes.len(), self.now) {
-                self.copies.given_to(from, extent);
+            if self.copies.take_budget(bytes.len(), self.now) {
+                self.copies.record_recipient(from, extent);
             } else {
-                let instead = self.copies.owner(extent, from);
+                let instead = self.copies.redirect(extent, from);
                 bytes.clear();
                 written = frame::write(&mut bytes, &StoreCopy { instead, ..StoreCopy::default() });
             }
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -335,7 +335,7 @@
         if exchange.verdict == Verdict::Answered
             && let Some(engine) = &exchange.service.engine
         {
-            self.pace.ended(f64::from(exchange.out.events) * engine.stride, took);
+            self.pace.record_stream(f64::from(exchange.out.events) * engine.stride, took);
         }
         if let Some(first) = first {
             metrics::histogram!("roseshore_first_event_seconds").record(first.as_secs_f64());
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -8,9 +8,9 @@
 use super::send::Send;
 use super::{Entry, note};
 use crate::slab::Key;
-use roseshore_core::gateway::fatal::{Change, EARLY, FatalNote};
-use roseshore_core::gateway::peers::TargetMark;
-use roseshore_core::gateway::targets::Death;
+use roseshore_core::gateway::fatal::{EARLY, FatalChange, FatalReport};
+use roseshore_core::gateway::peers::TargetHash;
+use roseshore_core::gateway::targets::LivenessFailure;
 use roseshore_core::gateway::{Fault, Fingerprint};
 use roseshore_core::prelude::*;
 
@@ -26,7 +26,7 @@
     fingerprint: Fingerprint,
     attempt: String,
     /// The targets that it ran through, in the lives of then.
-    targets: Vec<(TargetId, TargetMark)>,
+    targets: Vec<(TargetId, TargetHash)>,
     early: bool,
     at: Instant,
 }
@@ -42,7 +42,7 @@
             Fault::Silent => targets.retain(|(id, _)| culprits.contains(id)),
             Fault::NotSent | Fault::Refused | Fault::Garbled | Fault::Failed => return,
         }
-        let announced = |id: &str| self.targets.get(id).is_none_or(|t| !t.open());
+        let announced = |id: &str| self.targets.get(id).is_none_or(|t| !t.is_available());
         targets.retain(|(id, _)| !announced(id));
         if targets.is_empty() {
             return;
@@ -65,12 +65,12 @@
         let fingerprint = exchange.fingerprint;
         let broken = self.broken.iter().filter(|b| b.fingerprint == fingerprint).count();
         let open = broken + self.beginning(fingerprint);
-        open > 0 && self.fatal.suspect(fingerprint, open)
+        open > 0 && self.fatal.near_limit(fingerprint, open)
     }
 
     /// Runs of a request under which a target has ended that have hardly begun.
     fn beginning(&self, fingerprint: Fingerprint) -> usize {
-        if self.fatal.ends(fingerprint) == 0 {
+        if self.fatal.crashes(fingerprint) == 0 {
             return 0;
         }
         let same = |key: &Key| {
@@ -114,55 +114,57 @@
     }
 
     /// Whether the process that was a target is gone.
-    fn life_ended(&self, id: &str, mark: TargetMark) -> bool {
+    fn life_ended(&self, id: &str, mark: TargetHash) -> bool {
         let Some(target) = self.targets.get(id) else { return false };
-        let another = self.targets.mark(id) != Some(mark);
-        another || target.death() == Some(Death::Reset)
+        let another = self.targets.hash(id) != Some(mark);
+        another || target.liveness_failure() == Some(LivenessFailure::Reset)
     }
 
     fn dark(&self, id: &str) -> bool {
-        self.targets.get(id).is_some_and(|target| target.death() == Some(Death::Dark))
+        self.targets
+            .get(id)
+            .is_some_and(|target| target.liveness_failure() == Some(LivenessFailure::Silent))
     }
 
-    fn ended_under(&mut self, broken: &Broken, id: &str, mark: TargetMark) {
+    fn ended_under(&mut self, broken: &Broken, id: &str, mark: TargetHash) {
         let Broken { fingerprint, attempt, early, .. } = broken;
-        let change = self.fatal.ended(*fingerprint, mark, *early, self.now);
+        let change = self.fatal.record_crash(*fingerprint, mark, *early, self.now);
         let after = self.now.saturating_duration_since(broken.at).as_millis();
         note!(
             self,
             TargetEnded,
             "request={attempt} fingerprint={fingerprint} target={id} early={early} ends={} \
              known_after_ms={after}",
-            self.fatal.ends(*fingerprint)
+            self.fatal.crashes(*fingerprint)
         );
         self.follow_change(*fingerprint, change, "own");
     }
 
     /// Takes another host's word of a request that ends targets, or a record's.
-    pub(super) fn hear_fatal(&mut self, note: &FatalNote, by: &str) {
-        let change = self.fatal.hear(note, self.now);
+    pub(super) fn hear_fatal(&mut self, note: &FatalReport, by: &str) {
+        let change = self.fatal.receive(note, self.now);
         self.follow_change(note.fingerprint, change, by);
     }
 
     /// A request ended whole, so it does not end its targets.
     pub(super) fn ended_whole(&mut self, fingerprint: Fingerprint) {
-        let change = self.fatal.worked(fingerprint, self.now);
+        let change = self.fatal.record_success(fingerprint, self.now);
         self.follow_change(fingerprint, change, "own");
     }
 
-    fn follow_change(&mut self, fingerprint: Fingerprint, change: Change, by: &str) {
+    fn follow_change(&mut self, fingerprint: Fingerprint, change: FatalChange, by: &str) {
         match change {
-            Change::None | Change::Ended => {}
+            FatalChange::None | FatalChange::Crashed => {}
             // Who does not speak for others has nobody to pass their words on to.
-            Change::EndedEarly if by == HEARD && !self.peers.speaking() => {}
-            Change::EndedEarly => self.tell_soon(),
-            Change::Cleared => {
+            FatalChange::CrashedEarly if by == HEARD && !self.peers.speaking() => {}
+            FatalChange::CrashedEarly => self.tell_soon(),
+            FatalChange::Cleared => {
                 note!(self, RequestCleared, "fingerprint={fingerprint} by={by}");
                 self.blocked_changed();
             }
-            Change::Blocked => {
-                let ends = self.fatal.ends(fingerprint);
-                let blocked = self.fatal.count();
+            FatalChange::Blocked => {
+                let ends = self.fatal.crashes(fingerprint);
+                let blocked = self.fatal.blocked_count();
                 note!(
                     self,
                     RequestBlocked,
--- a/crates/roseshore_relay/src/entry/following.rs
+++ b/crates/roseshore_relay/src/entry/following.rs
@@ -11,7 +11,7 @@
 use super::probes::millis;
 use super::{Entry, note};
 use roseshore_core::gateway::outage::Outage;
-use roseshore_core::gateway::peers::ListMark;
+use roseshore_core::gateway::peers::ListVersion;
 use roseshore_core::gateway::reading::{self, CONFIG_WAIT, TARGETS_EVERY};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
@@ -166,8 +166,8 @@
     /// Whether this host has just begun and may soon hear of one that has read the store.
     fn listens(&self) -> bool {
         let since = self.now.saturating_duration_since(self.begun);
-        let place = self.peers.starting_place(self.now);
-        !self.peers.alone() && since < reading::listening(self.settings.first_start, place)
+        let place = self.peers.startup_read_rank(self.now);
+        !self.peers.no_peers() && since < reading::listening(self.settings.first_start, place)
     }
 
     fn ask_store(&mut self, stream: Stream, wait: Duration) {
@@ -191,7 +191,7 @@
     /// no other host's word is late enough.
     fn note_asked(&mut self, stream: Stream) {
         let now = self.now;
-        let place = self.peers.reading_place(now);
+        let place = self.peers.read_rank(now);
         let config = millis(self.currency.age(now));
         let list = millis(self.list_age());
         let differs = self.following.list_differs;
@@ -205,7 +205,7 @@
 
     /// Whether neighbours have confirmed a stream lately enough for this host's place among them.
     fn confirmed(&self, stream: Stream) -> bool {
-        let place = self.peers.reading_place(self.now);
+        let place = self.peers.read_rank(self.now);
         let (age, patience) = match stream {
             Stream::Config => (self.config_age(), reading::config_patience(place)),
             Stream::Targets if self.following.list_differs => return false,
@@ -258,15 +258,15 @@
     }
 
     /// How far the list of targets was read here.
-    pub(super) fn list_mark(&self) -> ListMark {
-        self.targets.list_mark(self.following.list.unwrap_or_default())
+    pub(super) fn list_mark(&self) -> ListVersion {
+        self.targets.list_version(self.following.list.unwrap_or_default())
     }
 
     /// Compares the own list with that of a host that has read further.
     pub(super) fn compare_list(
         &mut self,
         from: SocketAddr,
-        theirs: ListMark,
+        theirs: ListVersion,
         listed: Option<Instant>,
     ) {
         let now = self.now;
@@ -290,7 +290,7 @@
         if theirs.next == own.next {
             return;
         }
-        if self.ask_copy(from) || self.copies.under_way() {
+        if self.ask_copy(from) || self.copies.in_progress() {
             return;
         }
         let follow = &mut self.following.targets;
@@ -422,7 +422,7 @@
             Stream::Targets => {
                 let next = Position { era: self.following.era, next };
                 self.following.list = Some(next);
-                self.targets.reach(next);
+                self.targets.advance_to(next);
                 for entry in reading.entries {
                     match entry {
                         Some(Record { key, value: Some(value) }) => self.take_record(&key, &value),
--- a/crates/roseshore_relay/src/entry/following/replies.rs
+++ b/crates/roseshore_relay/src/entry/following/replies.rs
@@ -48,7 +48,7 @@
             ReplyEra::Stale => {
                 let text = format!("stream={stream:?} era={told:?} asked={asked:?} known={known}");
                 note!(self, ReplyDropped, "{text}");
-                let place = self.peers.reading_place(self.now);
+                let place = self.peers.read_rank(self.now);
                 self.following.stream(stream).due = Some(self.now + reading::backoff(0, place));
                 false
             }
@@ -93,7 +93,7 @@
     fn store_failed(&mut self, stream: Stream, why: &str) {
         let now = self.now;
         let spread = 0.75 + 0.5 * self.random.random::<f64>();
-        let place = self.peers.reading_place(now);
+        let place = self.peers.read_rank(now);
         let follow = self.following.stream(stream);
         let wait = reading::backoff(follow.fails, place);
         follow.fails += 1;
--- a/crates/roseshore_relay/src/entry/heeding.rs
+++ b/crates/roseshore_relay/src/entry/heeding.rs
@@ -5,7 +5,7 @@
 
 use super::{Entry, note};
 use crate::slab::Key;
-use roseshore_core::gateway::peers::TargetMark;
+use roseshore_core::gateway::peers::TargetHash;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{Answered, CallReply};
 use std::net::SocketAddr;
@@ -46,20 +46,20 @@
     /// Takes what a target says beside its answer to a call.
     pub(super) fn heed_reply(&mut self, id: &TargetId, reply: &CallReply) {
         let said = self.platform.answered(&reply.fields);
-        if let Some(mark) = self.targets.mark(id).filter(|_| reply.status != MISDIRECTED) {
+        if let Some(mark) = self.targets.hash(id).filter(|_| reply.status != MISDIRECTED) {
             self.heed(id, mark, reply.status, &said, "call");
             // Whether such an answer would name a limit is not known: without one it shows nothing.
             self.heed_limit(id, mark, said.limit, None, "call");
         }
     }
 
-    fn heed(&mut self, id: &str, mark: TargetMark, status: u16, said: &Answered, by: &str) {
+    fn heed(&mut self, id: &str, mark: TargetHash, status: u16, said: &Answered, by: &str) {
         let now = self.now;
-        if said.leaving && self.targets.leaves(mark, now) {
+        if said.leaving && self.targets.mark_leaving(mark, now) {
             note!(self, TargetLeft, "target={id} state=leaving by=answer {by}");
         }
         let Some(rest) = said.rest.filter(|_| TURNED_AWAY.contains(&status)) else { return };
-        if let Some(given) = self.targets.wants_rest(mark, rest, now) {
+        if let Some(given) = self.targets.pause(mark, rest, now) {
             let (asked, given) = (rest.as_millis(), given.as_millis());
             let text = format!("target={id} status={status} rest_ms={given} asked_ms={asked} {by}");
             note!(self, TargetRests, "{text}");
@@ -68,7 +68,7 @@
 
     /// Where a target may be called now, if it takes anything from this host.
     pub(super) fn callable(&self, id: &str) -> Option<SocketAddr> {
-        let target = self.targets.get(id).filter(|t| t.takes(self.now));
+        let target = self.targets.get(id).filter(|t| t.accepts_work(self.now));
         target.map(|t| t.record.addr)
     }
 }
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -8,7 +8,7 @@
 use super::{Entry, Role, Timer, note};
 use crate::slab::Key;
 use roseshore_core::gateway::Fault;
-use roseshore_core::gateway::targets::Death;
+use roseshore_core::gateway::targets::LivenessFailure;
 use roseshore_core::prelude::*;
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -65,7 +65,7 @@
                 self.arm(now + CHECK_TIME, Timer::Liveness(key));
             }
             Err(err) if err.kind() == ErrorKind::ConnectionRefused => {
-                self.mark_dead(id, Death::Reset);
+                self.mark_dead(id, LivenessFailure::Reset);
             }
             Err(err) => note!(self, ReportFailed, "target={id} liveness=unsent why={err:?}"),
         }
@@ -83,12 +83,12 @@
             if let Some(check) = self.liveness.checks.get_mut(&id) {
                 check.unanswered = 0;
             }
-            if self.targets.answered(&id) {
+            if self.targets.liveness_passed(&id) {
                 note!(self, TargetBack, "target={id} by=liveness");
             }
             return;
         }
-        self.mark_dead(&id, Death::Reset);
+        self.mark_dead(&id, LivenessFailure::Reset);
     }
 
     /// The time of a check is over.
@@ -97,7 +97,7 @@
         let Some(check) = self.liveness.checks.get_mut(&id) else { return };
         check.unanswered += 1;
         if check.unanswered >= UNANSWERED {
-            self.mark_dead(&id, Death::Dark);
+            self.mark_dead(&id, LivenessFailure::Silent);
         } else {
             self.check_alive(&id);
         }
@@ -113,8 +113,8 @@
         Some(id)
     }
 
-    fn mark_dead(&mut self, id: &str, death: Death) {
-        if self.targets.died(id, death) {
+    fn mark_dead(&mut self, id: &str, death: LivenessFailure) {
+        if self.targets.liveness_failed(id, death) {
             note!(self, TargetLost, "target={id} liveness={}", death.name());
             self.beat_now(false);
         }
--- a/crates/roseshore_relay/src/entry/pacing.rs
+++ b/crates/roseshore_relay/src/entry/pacing.rs
@@ -2,7 +2,7 @@
 
 use super::calls::{CallFault, Purpose};
 use super::{Entry, note};
-use roseshore_core::gateway::paces::{ASK_EVERY, MOST_ASKED, Pace};
+use roseshore_core::gateway::paces::{EnginePace, MAX_POLLED, POLL_INTERVAL};
 use roseshore_core::gateway::targets::Target;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::CallReply;
@@ -34,14 +34,14 @@
             return;
         }
         self.pacing.turned = Some(now);
-        if self.peers.place(now) > 0 {
+        if self.peers.rank_in_centre(now) > 0 {
             self.pacing.queue.clear();
             return;
         }
         if self.pacing.queue.is_empty() {
             self.pacing.queue = self.used_engines();
-            let turns = ASK_EVERY.div_duration_f64(TURN).round() as usize;
-            self.pacing.each = self.pacing.queue.len().div_ceil(turns).min(MOST_ASKED);
+            let turns = POLL_INTERVAL.div_duration_f64(TURN).round() as usize;
+            self.pacing.each = self.pacing.queue.len().div_ceil(turns).min(MAX_POLLED);
         }
         for _ in 0..self.pacing.each {
             let Some(id) = self.pacing.queue.pop_front() else { break };
@@ -66,13 +66,13 @@
             Err(why) => return note!(self, ReportFailed, "target={id} pace=unknown why={why:?}"),
         };
         let Some(target) = self.targets.get(id) else { return };
-        let before = target.slowness(self.now);
-        let pace = Pace::reported(report.pace, self.now);
+        let before = target.slowdown(self.now);
+        let pace = EnginePace::reported(report.pace, self.now);
         if (pace.factor(self.now) - before).abs() >= NEWS {
             note!(self, PaceChanged, "target={id} pace={:.2} before={before:.2}", report.pace);
         }
-        if let Some(mark) = self.targets.mark(id) {
-            self.targets.paced(mark, pace);
+        if let Some(mark) = self.targets.hash(id) {
+            self.targets.record_pace(mark, pace);
         }
     }
 }
--- a/crates/roseshore_relay/src/entry/peering.rs
+++ b/crates/roseshore_relay/src/entry/peering.rs
@@ -3,9 +3,9 @@
 use super::fatal::HEARD;
 use super::{Entry, note};
 use roseshore_core::gateway::Allowance;
-use roseshore_core::gateway::fatal::URGENT_EVERY;
-use roseshore_core::gateway::paces::{Pace, PaceNote};
-use roseshore_core::gateway::peers::{Beat, CountNote, Datagram, Own, mark};
+use roseshore_core::gateway::fatal::MIN_URGENT_GAP;
+use roseshore_core::gateway::paces::{EnginePace, PaceReport};
+use roseshore_core::gateway::peers::{Datagram, Heartbeat, LocalState, ServiceCounts, name_hash};
 use roseshore_core::prelude::*;
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use std::net::SocketAddr;
@@ -38,20 +38,20 @@
         }
         if joined {
             // Who is new hears at once what others have.
-            self.fatal.tell_again(self.now);
+            self.fatal.repeat_blocked(self.now);
             self.beat();
         }
         self.view_others();
     }
 
     /// Takes a heartbeat; returns whether its sender has just joined.
-    fn hear_beat(&mut self, from: SocketAddr, mut beat: Beat) -> bool {
+    fn hear_beat(&mut self, from: SocketAddr, mut beat: Heartbeat) -> bool {
         let (now, config, list) = (self.now, beat.config, beat.list);
         let holds = std::mem::take(&mut beat.holds);
         let paces = std::mem::take(&mut beat.paces);
         let fatal = std::mem::take(&mut beat.fatal);
         let limits = beat.limits.clone();
-        let Some(heard) = self.peers.hear(from, beat, now) else { return false };
+        let Some(heard) = self.peers.receive(from, beat, now) else { return false };
         if heard.joined {
             note!(self, HostJoined, "host={from} near={} config_version={config}", heard.near);
         }
@@ -59,8 +59,8 @@
             self.take_hold(hold);
         }
         for note in paces {
-            if let Some(pace) = Pace::heard(&note, now) {
-                self.targets.paced(note.target, pace);
+            if let Some(pace) = EnginePace::from_report(&note, now) {
+                self.targets.record_pace(note.target, pace);
             }
         }
         for note in &fatal {
@@ -68,13 +68,13 @@
         }
         self.hear_limits(from, &limits);
         let known = self.config_version();
-        if let Some(proven) = heard.proven.filter(|_| config == known && known > 0) {
+        if let Some(proven) = heard.config_proven.filter(|_| config == known && known > 0) {
             self.currency.prove(proven);
         }
         if config > known && !self.ask_copy(from) && !self.awaits_copy() {
             self.read_config_now();
         }
-        self.compare_list(from, list, heard.listed);
+        self.compare_list(from, list, heard.list_proven);
         heard.joined
     }
 
@@ -92,26 +92,26 @@
         }
         self.viewed = Some(now);
         let view = self.peers.view(now);
-        self.targets.others(&view.loads);
+        self.targets.set_remote_loads(&view.loads);
         for (service, allowance) in &mut self.allowances {
-            allowance.others(view.counted(mark(service)), view.told, view.hosts);
+            allowance.others(view.counted(name_hash(service)), view.reporting, view.hosts);
         }
     }
 
     /// What engines reported of their pace, from who speaks for others: these hear only their speakers.
-    fn paces(&self) -> Vec<PaceNote> {
+    fn paces(&self) -> Vec<PaceReport> {
         if !self.peers.speaking() {
             return Vec::new();
         }
-        self.targets.pace_notes(PACES_TOLD, self.now)
+        self.targets.pace_reports(PACES_TOLD, self.now)
     }
 
-    fn counts(&mut self) -> Vec<CountNote> {
+    fn counts(&mut self) -> Vec<ServiceCounts> {
         let now = self.now;
         let note = |(service, allowance): (&ServiceId, &mut Allowance)| {
             let counted = allowance.counted(now);
             let (requests, repeats) = (counted.requests, counted.repeats);
-            CountNote { service: mark(service), requests, repeats }
+            ServiceCounts { service: name_hash(service), requests, repeats }
         };
         self.allowances.iter_mut().map(note).collect()
     }
@@ -129,7 +129,7 @@
 
     /// Tells what does not wait.
     pub(super) fn tell_urgent(&mut self) {
-        let late = |at| self.now.saturating_duration_since(at) >= URGENT_EVERY;
+        let late = |at| self.now.saturating_duration_since(at) >= MIN_URGENT_GAP;
         if self.urgent && self.told_urgent.is_none_or(late) {
             self.urgent = false;
             self.told_urgent = Some(self.now);
@@ -140,18 +140,18 @@
     /// Sends the heartbeats that are due.
     pub(super) fn beat(&mut self) {
         let age = self.currency.age(self.now);
-        let own = Own {
+        let own = LocalState {
             leaving: self.stopping.is_some(),
             reading: !self.following.outage.away(),
             config: self.config_version(),
-            proven: age.and_then(|age| self.now.checked_sub(age)),
+            config_proven: age.and_then(|age| self.now.checked_sub(age)),
             list: self.list_mark(),
-            listed: self.following.outage.confirmed(),
-            loads: self.targets.notes(),
+            list_proven: self.following.outage.confirmed(),
+            loads: self.targets.load_reports(),
             counts: self.counts(),
-            holds: self.holds(),
+            holdings: self.holds(),
             paces: self.paces(),
-            fatal: self.fatal.notes(self.now),
+            fatal: self.fatal.reports(self.now),
             limits: self.limit_notes(),
         };
         let due = self.peers.due(&own, self.now);
@@ -177,8 +177,8 @@
         let speaks = self.peers.speaking();
         if speaks != self.speaking {
             self.speaking = speaks;
-            let place = self.peers.place(self.now);
-            let near = self.peers.near(self.now);
+            let place = self.peers.rank_in_centre(self.now);
+            let near = self.peers.near_alive(self.now);
             note!(self, SpeakingChanged, "speaks={speaks} place={place} near={near}");
         }
     }
--- a/crates/roseshore_relay/src/entry/placing.rs
+++ b/crates/roseshore_relay/src/entry/placing.rs
@@ -10,7 +10,7 @@
 use super::calls::{CallFault, Purpose};
 use super::{Entry, note};
 use roseshore_core::gateway::EngineSpec;
-use roseshore_core::gateway::peers::HoldNote;
+use roseshore_core::gateway::peers::HoldingReport;
 use roseshore_core::gateway::plan::giving::{Need, Reported, judge, may_order, may_plan};
 use roseshore_core::gateway::plan::pressure::Pressure;
 use roseshore_core::gateway::plan::{
@@ -58,7 +58,7 @@
     /// Orders that were begun: what is to be held, and when to ask whether it is.
     begun: HashMap<TargetId, Begun>,
     /// What was learned that way, and when.
-    learned: Vec<(HoldNote, Instant)>,
+    learned: Vec<(HoldingReport, Instant)>,
     /// The first layers that no engine of the data centre holds, for each service.
     missing: HashMap<ServiceId, Option<Layers>>,
     /// How full the engines of each service are.
@@ -121,7 +121,7 @@
         for service in services {
             let Some(spec) = &service.engine else { continue };
             self.judge_layers(&service.name, spec);
-            if !may_plan(self.peers.place(now)) {
+            if !may_plan(self.peers.rank_in_centre(now)) {
                 continue;
             }
             let members = self.members(&service.name);
@@ -165,8 +165,8 @@
     /// The engines of the own data centre that take work.
     pub(super) fn live<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
         let near = &self.settings.data_centre;
-        let live = |t: &&Target| t.open() && !t.down() && t.record.data_centre == *near;
-        self.targets.of(service).filter(live)
+        let live = |t: &&Target| t.is_available() && !t.is_down() && t.record.data_centre == *near;
+        self.targets.of_service(service).filter(live)
     }
 
     /// The plan, worked out anew only when the engines differ from last time.
@@ -181,7 +181,7 @@
         pressure.measured(full);
         let unsettled = members.iter().filter(|m| m.layers != m.ready).count();
         let step = pressure.wants_step(unsettled)
-            && may_order(Need::Step, self.peers.place(self.now), Duration::ZERO);
+            && may_order(Need::Step, self.peers.rank_in_centre(self.now), Duration::ZERO);
         let known = self.placing.planned.get(service);
         if let Some(last) = known.filter(|p| p.members == members && p.step == step) {
             return last.placements.clone();
@@ -215,7 +215,7 @@
         let now = self.now;
         let since = *self.placing.wanted.get_or_insert(now);
         let waited = now.saturating_duration_since(since);
-        let due = may_order(Need::Repair, self.peers.place(now), waited);
+        let due = may_order(Need::Repair, self.peers.rank_in_centre(now), waited);
         let asked = &self.placing.asked;
         if !due || asked.contains_key(id) || asked.len() >= MOST_ASKED {
             return;
@@ -318,7 +318,7 @@
             layers.1,
             report.orders
         );
-        let target = self.targets.mark(id);
+        let target = self.targets.hash(id);
         self.placing.learned.retain(|(note, _)| Some(note.target) != target);
         self.believe(id, layers, BEGUN);
         let ask = now + self.load_time(id, layers);
--- a/crates/roseshore_relay/src/entry/placing/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placing/holdings.rs
@@ -2,9 +2,9 @@
 
 use super::super::{Entry, note};
 use super::LEARNED;
-use roseshore_core::gateway::peers::HoldNote;
+use roseshore_core::gateway::peers::HoldingReport;
 use roseshore_core::gateway::plan::{Layers, common};
-use roseshore_core::gateway::targets::{Target, Word};
+use roseshore_core::gateway::targets::{LayersReport, Target};
 use roseshore_core::prelude::*;
 
 /// Orders and loads that a heartbeat tells of; more do not fit a datagram beside the rest.
@@ -17,13 +17,13 @@
 impl Entry {
     /// Takes what a target said of its layers, and tells the data centre at once.
     pub(super) fn learn_held(&mut self, id: &str, layers: Layers) {
-        let Some(target) = self.targets.mark(id) else { return };
-        let word = self.targets.next_word(target, layers);
-        self.targets.learned(target, word, self.now + LEARNED);
-        self.tell_held(HoldNote { target, word, done: true });
+        let Some(target) = self.targets.hash(id) else { return };
+        let word = self.targets.next_report(target, layers);
+        self.targets.apply_report(target, word, self.now + LEARNED);
+        self.tell_held(HoldingReport { target, word, done: true });
     }
 
-    fn tell_held(&mut self, note: HoldNote) {
+    fn tell_held(&mut self, note: HoldingReport) {
         self.placing.learned.retain(|(old, _)| old.target != note.target);
         self.placing.learned.push((note, self.now));
         self.beat_now(false);
@@ -43,22 +43,22 @@
     }
 
     /// What was ordered, and learned, of targets' layers, for the other hosts.
-    pub(in crate::entry) fn holds(&self) -> Vec<HoldNote> {
+    pub(in crate::entry) fn holds(&self) -> Vec<HoldingReport> {
         let begun = self.placing.begun.iter();
         let ordered = begun.filter_map(|(id, b)| {
-            let target = self.targets.mark(id)?;
-            let listed = self.targets.get(id)?.record.listed();
-            let word = Word { number: 0, layers: b.layers, listed };
-            Some(HoldNote { target, word, done: false })
+            let target = self.targets.hash(id)?;
+            let listed = self.targets.get(id)?.record.listed_layers();
+            let word = LayersReport { number: 0, layers: b.layers, listed };
+            Some(HoldingReport { target, word, done: false })
         });
         let learned = self.placing.learned.iter().map(|(note, _)| *note);
         learned.chain(ordered).take(TOLD).collect()
     }
 
     /// Another host ordered layers, or learned that they are held.
-    pub(in crate::entry) fn take_hold(&mut self, hold: HoldNote) {
+    pub(in crate::entry) fn take_hold(&mut self, hold: HoldingReport) {
         if hold.done {
-            let news = self.targets.learned(hold.target, hold.word, self.now + ORDERED);
+            let news = self.targets.apply_report(hold.target, hold.word, self.now + ORDERED);
             if news && self.peers.speaking() {
                 // Hosts that are spoken to hear only their speakers.
                 self.tell_held(hold);
@@ -67,7 +67,7 @@
         }
         // Whoever orders is not to be helped out.
         self.placing.wanted = None;
-        let Some(id) = self.targets.marked(hold.target).cloned() else { return };
+        let Some(id) = self.targets.id_of(hold.target).cloned() else { return };
         if !self.placing.begun.contains_key(&id) {
             self.believe(&id, hold.word.layers, ORDERED);
         }
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -3,7 +3,7 @@
 
 use super::{Entry, note};
 use roseshore_core::gateway::copies::ListCopy;
-use roseshore_core::gateway::targets::{Absence, Changes, News, Replaced};
+use roseshore_core::gateway::targets::{Absence, ListDelta, ListUpdate, RecordChange};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Entry as Record;
@@ -26,17 +26,17 @@
         self.following.outage.told(Duration::from_millis(copy.lapse), self.now);
         self.following.outage.copied(self.now);
         let absence = self.following.outage.absence(self.now);
-        self.targets.reach(copy.next);
-        let Changes { records, dropped } = copy.changes;
+        self.targets.advance_to(copy.next);
+        let ListDelta { records, dropped } = copy.changes;
         let count = records.len();
         let whole = dropped.is_none();
         let replaced = match dropped {
-            Some(dropped) => self.targets.change(records, dropped, absence),
-            None if older => self.targets.go_back(records, absence),
-            None => self.targets.replace(records, absence),
+            Some(dropped) => self.targets.apply_delta(records, dropped, absence),
+            None if older => self.targets.apply_older_list(records, absence),
+            None => self.targets.replace_list(records, absence),
         };
         self.note_list(count, replaced, absence, if whole { "copy" } else { "changes" });
-        if self.targets.list_mark(copy.next).digest == copy.digest {
+        if self.targets.list_version(copy.next).digest == copy.digest {
             self.following.list_copied(copy.next);
         } else {
             // Something was missed on the way here: the next copy is to be whole.
@@ -54,18 +54,18 @@
         absence: Absence,
         back: bool,
     ) {
-        self.targets.reach(next);
+        self.targets.advance_to(next);
         let count = records.len();
         if back {
-            let replaced = self.targets.go_back(records, absence);
+            let replaced = self.targets.apply_older_list(records, absence);
             return self.note_list(count, replaced, absence, "older_store");
         }
-        let replaced = self.targets.replace(records, absence);
+        let replaced = self.targets.replace_list(records, absence);
         self.note_list(count, replaced, absence, "store");
     }
 
-    fn note_list(&mut self, count: usize, replaced: Replaced, absence: Absence, by: &str) {
-        let Replaced { lost, restarted } = replaced;
+    fn note_list(&mut self, count: usize, replaced: ListUpdate, absence: Absence, by: &str) {
+        let ListUpdate { lost, restarted } = replaced;
         note!(
             self,
             TargetListed,
@@ -92,8 +92,8 @@
     pub(super) fn list_copy(&self, known: Position) -> Option<ListCopy> {
         let next = self.following.list_next()?;
         let lapse = self.following.outage.lapse_left(self.now).as_millis() as u64;
-        let digest = self.targets.list_mark(next).digest;
-        Some(ListCopy { next, changes: self.targets.since(known), digest, lapse })
+        let digest = self.targets.list_version(next).digest;
+        Some(ListCopy { next, changes: self.targets.changes_since(known), digest, lapse })
     }
 
     /// Reads a record of the list; one that cannot be read names no target.
@@ -110,15 +110,15 @@
     pub(super) fn take_record(&mut self, id: &str, value: &[u8]) {
         let Some(record) = self.record(id, value) else {
             // As where the whole list is read, or copied from another host.
-            if self.targets.drop(id, Absence::Left) {
+            if self.targets.remove(id, Absence::Left) {
                 self.note_dropped(id, Absence::Left);
             }
             return;
         };
-        match self.targets.put(record) {
-            News::Same => {}
-            News::Changed => self.note_listed(id),
-            News::Restarted => {
+        match self.targets.upsert(record) {
+            RecordChange::Unchanged => {}
+            RecordChange::Changed => self.note_listed(id),
+            RecordChange::Restarted => {
                 self.note_listed(id);
                 self.target_restarted(id);
             }
@@ -141,7 +141,7 @@
 
     pub(super) fn drop_record(&mut self, id: &str) {
         let absence = self.following.outage.absence(self.now);
-        if self.targets.drop(id, absence) {
+        if self.targets.remove(id, absence) {
             self.note_dropped(id, absence);
         }
     }
--- a/crates/roseshore_relay/src/entry/send.rs
+++ b/crates/roseshore_relay/src/entry/send.rs
@@ -3,7 +3,7 @@
 use crate::http::{AnswerHead, Decoder};
 use crate::slab::Key;
 use roseshore_core::gateway::Hop;
-use roseshore_core::gateway::peers::TargetMark;
+use roseshore_core::gateway::peers::TargetHash;
 use roseshore_core::gateway::targets::Claim;
 use roseshore_core::prelude::*;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub(super) claims: Vec<Claim>,
     pub(super) sent: Instant,
     /// All targets that take part, in their lives of when it was sent.
-    pub(super) lives: Vec<(TargetId, TargetMark)>,
+    pub(super) lives: Vec<(TargetId, TargetHash)>,
     /// When something last came.
     pub(super) latest: Instant,
     /// When its first event came.
--- a/crates/roseshore_relay/src/entry/sends.rs
+++ b/crates/roseshore_relay/src/entry/sends.rs
@@ -47,7 +47,7 @@
     /// A target of a plain service.
     fn plain(target: TargetId, addr: SocketAddr) -> Choice {
         Choice {
-            claims: vec![Claim { target: target.clone(), held: 0.0 }],
+            claims: vec![Claim { target: target.clone(), kv_used: 0.0 }],
             target,
             addr,
             path: Vec::new(),
@@ -139,13 +139,13 @@
             exchange.asked.prompt,
             left.as_millis(),
         );
-        if let Some(mark) = self.targets.mark(&choice.target) {
-            self.limiting.limits.spend(mark, self.now);
+        if let Some(mark) = self.targets.hash(&choice.target) {
+            self.limiting.limits.consume(mark, self.now);
         }
         for claim in &choice.claims {
-            self.targets.begin(claim);
+            self.targets.reserve(claim);
         }
-        let life = |claim: &Claim| Some((claim.target.clone(), self.targets.mark(&claim.target)?));
+        let life = |claim: &Claim| Some((claim.target.clone(), self.targets.hash(&claim.target)?));
         let lives = choice.claims.iter().filter_map(life).collect();
         exchange.send = Some(Send {
             socket,
@@ -228,7 +228,7 @@
     /// Why nothing can be chosen for a request.
     fn hindrance(&mut self, key: Key) -> Hindrance {
         let Some(exchange) = self.exchanges.get(key) else { return Hindrance::Other };
-        let rests = self.targets.rest_ends(&exchange.service.name, self.now);
+        let rests = self.targets.pause_ends(&exchange.service.name, self.now);
         let shut = self.shut(&exchange.service.name);
         Hindrance::of(rests, !shut.is_empty(), self.now, |wish| {
             let heeded = if wish.limits { shut.as_slice() } else { &[] };
@@ -255,7 +255,7 @@
                 return None;
             }
             let avoid = [&avoid, shut].concat();
-            let target = self.targets.plain(&exchange.service.name, near, &avoid, at);
+            let target = self.targets.choose_plain(&exchange.service.name, near, &avoid, at);
             let record = &target?.record;
             return Some(Choice::plain(record.id.clone(), record.addr));
         };
@@ -274,8 +274,8 @@
         let path = path::choose(&parts, &need, &mut self.random)?;
         let tokens = need.tokens();
         let claim = |(id, _, hop): &(TargetId, SocketAddr, Hop)| {
-            let held = tokens * f64::from(hop.layers.1 - hop.layers.0);
-            Claim { target: id.clone(), held }
+            let kv_used = tokens * f64::from(hop.layers.1 - hop.layers.0);
+            Claim { target: id.clone(), kv_used }
         };
         let claims = path.hops.iter().map(claim).collect();
         let (target, addr, _) = path.hops.first().cloned()?;
@@ -349,11 +349,11 @@
         if blame == Blame::Unknown {
             return Some(now + AVOID_UNKNOWN_BLAME);
         }
-        if self.targets.failed(culprit, now) {
+        if self.targets.record_failure(culprit, now) {
             note!(self, TargetLost, "target={culprit} fault={}", fault.name());
         }
         // A busy target may be the only one that holds its layers, and has room again when other requests end.
-        self.targets.quarantine(culprit).filter(|_| blame == Blame::Busy)
+        self.targets.quarantine_end(culprit).filter(|_| blame == Blame::Busy)
     }
 
     /// Sends a request again or ends it.
@@ -378,7 +378,7 @@
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = exchange.send.take() else { return };
         for claim in &send.claims {
-            self.targets.end(claim);
+            self.targets.release(claim);
         }
         if keep && self.net.get(send.socket).is_some_and(|s| s.quiet()) {
             self.keep(send.socket, send.addr);
--- a/crates/roseshore_relay/src/entry/silence.rs
+++ b/crates/roseshore_relay/src/entry/silence.rs
@@ -50,7 +50,7 @@
         }
         let suspects = self.targets.suspects(&send.targets(), latest);
         let empty: Vec<TargetId> =
-            suspects.iter().filter(|id| self.targets.empty(id)).cloned().collect();
+            suspects.iter().filter(|id| self.targets.holds_no_layers(id)).cloned().collect();
         if !empty.is_empty() && exchange.may_move(now) {
             return self.failed_by(key, Fault::Silent, empty);
         }
--- a/crates/roseshore_relay/tests/crowd.rs
+++ b/crates/roseshore_relay/tests/crowd.rs
@@ -1,8 +1,8 @@
 //! Heartbeats among many hosts, in virtual time: what they cost, and how soon all know.
 
-use roseshore_core::gateway::fatal::{Change, URGENT_EVERY};
-use roseshore_core::gateway::peers::{Datagram, LoadNote, Own, mark};
-use roseshore_core::gateway::{Fatal, Fingerprint, Peers};
+use roseshore_core::gateway::fatal::{FatalChange, MIN_URGENT_GAP};
+use roseshore_core::gateway::peers::{Datagram, LocalState, TargetLoad, name_hash};
+use roseshore_core::gateway::{FatalRequests, Fingerprint, Peers};
 use roseshore_core::prelude::*;
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use std::collections::{BTreeMap, HashMap};
@@ -26,8 +26,8 @@
 
 struct Host {
     peers: Peers,
-    own: Own,
-    fatal: Fatal,
+    own: LocalState,
+    fatal: FatalRequests,
     urgent: bool,
     told_urgent: Option<Instant>,
     centre: usize,
@@ -81,15 +81,16 @@
         let seeds: Vec<SocketAddr> = (0..3).map(addr).collect();
         let capacity = if n / self.centres < 3 { 500 } else { 120 };
         let peers = Peers::new(addr(n), &format!("centre-{centre}"), life, &seeds, self.now);
-        let load = |k: usize| LoadNote {
-            target: mark(&format!("engine-{centre}-{}", (n * 7 + k) % ENGINES)),
+        let load = |k: usize| TargetLoad {
+            target: name_hash(&format!("engine-{centre}-{}", (n * 7 + k) % ENGINES)),
             own: 1,
             held: 13,
             down: false,
         };
-        let own = Own { config: 1, loads: (0..BUSY).map(load).collect(), ..Own::default() };
+        let own =
+            LocalState { config: 1, loads: (0..BUSY).map(load).collect(), ..LocalState::default() };
         let peers = peers.with_capacity(capacity);
-        let fatal = Fatal::new(self.now);
+        let fatal = FatalRequests::new(self.now);
         Host {
             peers,
             own,
@@ -126,7 +127,7 @@
         if !host.alive {
             return;
         }
-        host.own.fatal = host.fatal.notes(now);
+        host.own.fatal = host.fatal.reports(now);
         for (to, beat) in host.peers.due(&host.own, now) {
             let message = Datagram::Beat(Box::new(beat));
             let bytes = frame::encode(&message, MAX_DATAGRAM).expect("it fits a datagram");
@@ -166,20 +167,20 @@
             };
             let config = beat.config;
             for note in &beat.fatal {
-                match host.fatal.hear(note, at) {
-                    Change::Blocked => host.peers.make_due(true),
-                    Change::EndedEarly => host.urgent |= host.peers.speaking(),
-                    Change::None | Change::Ended | Change::Cleared => {}
+                match host.fatal.receive(note, at) {
+                    FatalChange::Blocked => host.peers.make_due(true),
+                    FatalChange::CrashedEarly => host.urgent |= host.peers.speaking(),
+                    FatalChange::None | FatalChange::Crashed | FatalChange::Cleared => {}
                 }
             }
-            let heard = host.peers.hear(addr(from), *beat, at);
+            let heard = host.peers.receive(addr(from), *beat, at);
             if heard.as_ref().is_some_and(|heard| heard.joined) {
-                host.fatal.tell_again(at);
+                host.fatal.repeat_blocked(at);
             }
             if heard.is_some() {
                 host.own.config = host.own.config.max(config);
             }
-            let late = |told: Instant| at - told >= URGENT_EVERY;
+            let late = |told: Instant| at - told >= MIN_URGENT_GAP;
             if host.urgent && host.told_urgent.is_none_or(late) {
                 self.now = at;
                 self.tell_urgent(to);
@@ -214,7 +215,7 @@
             if hosts <= 10 { hosts } else { 3 }
         };
         let few = (0..self.centres).all(|c| speakers(c) <= most(c));
-        let readers = self.living().filter(|h| h.peers.reading_place(self.now) == 0).count();
+        let readers = self.living().filter(|h| h.peers.read_rank(self.now) == 0).count();
         all && few && readers == 1
     }
 
@@ -312,7 +313,7 @@
             let loads = host.peers.loads(crowd.now);
             let own = &host.own.loads;
             for k in 0..ENGINES {
-                let target = mark(&format!("engine-{}-{k}", host.centre));
+                let target = name_hash(&format!("engine-{}-{k}", host.centre));
                 let all = crowd.hosts.iter().flat_map(|h| &h.own.loads);
                 let there = all.filter(|l| l.target == target).count();
                 let others = there - own.iter().filter(|l| l.target == target).count();
@@ -384,7 +385,7 @@
     crowd.until("settled", ms(8000), Crowd::settled);
     crowd.cut = Some(0);
     crowd.run(ms(6000));
-    let readers = crowd.living().filter(|h| h.peers.reading_place(crowd.now) == 0).count();
+    let readers = crowd.living().filter(|h| h.peers.read_rank(crowd.now) == 0).count();
     assert_eq!(readers, 2, "each side reads for itself");
     // Its speakers are lost meanwhile.
     crowd.kill(|n| n % 3 == 0 && n < 9);
@@ -403,14 +404,16 @@
     /// Each of three hosts, in different data centres where there are some, sees one target end under it.
     fn see_ends(&mut self) {
         for n in 0..3 {
-            self.hosts[n].fatal.ended(fatal_request(), n as u32, true, self.now);
+            self.hosts[n].fatal.record_crash(fatal_request(), n as u32, true, self.now);
         }
     }
 
     /// A target ends under a request of a host.
     fn see(&mut self, n: usize, request: Fingerprint, target: u32, early: bool) {
         let now = self.now;
-        if self.hosts[n].fatal.ended(request, target, early, now) == Change::EndedEarly {
+        if self.hosts[n].fatal.record_crash(request, target, early, now)
+            == FatalChange::CrashedEarly
+        {
             self.hosts[n].urgent = true;
         }
     }
@@ -478,7 +481,7 @@
     crowd.run(ms(3000));
     crowd.kill(|n| n % 3 == 0 && n > 20);
     for n in [0, 1, 3] {
-        crowd.hosts[n].fatal.ended(fatal_request(), n as u32, true, crowd.now);
+        crowd.hosts[n].fatal.record_crash(fatal_request(), n as u32, true, crowd.now);
     }
     crowd.run(ms(5000));
     crowd.cut = None;
--- a/crates/roseshore_relay/tests/limits.rs
+++ b/crates/roseshore_relay/tests/limits.rs
@@ -8,8 +8,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use roseshore_core::gateway::Peers;
-use roseshore_core::gateway::limits::{Issuer, Limits, Permit};
-use roseshore_core::gateway::peers::{AskNote, Datagram, GrantNote, Own};
+use roseshore_core::gateway::limits::{Issuer, Permit, TargetLimits};
+use roseshore_core::gateway::peers::{Datagram, LocalState, PermitGrant, PermitRequest};
 use roseshore_core::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 
 struct Host {
     peers: Peers,
-    limits: Limits,
+    limits: TargetLimits,
     issuer: Issuer,
     centre: usize,
     alive: bool,
@@ -92,7 +92,7 @@
         let seeds: Vec<SocketAddr> = (0..3).map(addr).collect();
         let centre = n % centres;
         let peers = Peers::new(addr(n), &format!("centre-{centre}"), life, &seeds, self.now);
-        let limits = Limits::new((n as u32) << 8 | life as u32);
+        let limits = TargetLimits::new((n as u32) << 8 | life as u32);
         Host { peers, limits, issuer: Issuer::default(), centre, alive: true }
     }
 
@@ -113,8 +113,8 @@
             return;
         }
         let issuer = &host.issuer;
-        let limits = host.limits.notes(12, |target| Some(issuer.wanted(target, now)), now);
-        let own = Own { config: 1, limits, ..Own::default() };
+        let limits = host.limits.reports(12, |target| Some(issuer.demand(target, now)), now);
+        let own = LocalState { config: 1, limits, ..LocalState::default() };
         for (to, beat) in host.peers.due(&own, now) {
             self.send(n, to, Datagram::Beat(Box::new(beat)));
         }
@@ -130,17 +130,17 @@
             Arrival::Message(from, message) => match *message {
                 Datagram::Beat(beat) => {
                     for note in &beat.limits {
-                        host.limits.heard(note, now);
+                        host.limits.receive(note, now);
                     }
-                    host.peers.hear(addr(from), *beat, now);
+                    host.peers.receive(addr(from), *beat, now);
                 }
                 Datagram::Ask(ask) => {
-                    host.limits.heard(&ask.limit, now);
+                    host.limits.receive(&ask.limit, now);
                     let grant = self.answer(to, &ask);
                     self.send(to, addr(from), Datagram::Grant(grant));
                 }
                 Datagram::Grant(grant) => {
-                    host.limits.granted(&grant, now);
+                    host.limits.apply_grant(&grant, now);
                     if host.limits.permit(grant.target, now) == Permit::Held {
                         self.reach(to, grant.target);
                     }
@@ -148,19 +148,19 @@
             },
             Arrival::Answer(target, _, true) => {
                 let first = host.limits.rate(target, now).is_none();
-                host.limits.named(target, LIMITS[target as usize], now);
+                host.limits.advertised(target, LIMITS[target as usize], now);
                 if first {
                     host.peers.make_due(false);
                     self.beat(to);
                 }
             }
             Arrival::Answer(target, sent, false) => {
-                host.limits.unnamed(target, sent, now);
+                host.limits.not_advertised(target, sent, now);
             }
         }
     }
 
-    fn answer(&mut self, n: usize, ask: &AskNote) -> GrantNote {
+    fn answer(&mut self, n: usize, ask: &PermitRequest) -> PermitGrant {
         let host = &mut self.hosts[n];
         host.issuer.answer(ask, &host.limits, &host.peers, host.centre == 0, self.now)
     }
@@ -168,7 +168,7 @@
     /// A request reaches a target, which answers.
     fn reach(&mut self, host: usize, target: u32) {
         let now = self.now;
-        self.hosts[host].limits.spend(target, now);
+        self.hosts[host].limits.consume(target, now);
         self.got[target as usize].push(now);
         self.serial += 1;
         let answer = Arrival::Answer(target, now, now < self.named_until);
@@ -186,14 +186,14 @@
             Permit::Unlimited | Permit::Held => self.reach(n, target),
             Permit::None => {}
             Permit::Ask => {
-                let ask = host.limits.ask(target, 1, now).expect("a limit is known");
+                let ask = host.limits.permit_request(target, 1, now).expect("a limit is known");
                 match host.peers.issuer(now) {
                     Some(issuer) if issuer == addr(n) => {
                         let grant = self.answer(n, &ask);
                         self.arrive(n, Arrival::Message(n, Box::new(Datagram::Grant(grant))));
                     }
                     Some(issuer) => self.send(n, issuer, Datagram::Ask(ask)),
-                    None => host.limits.unanswered(target, now),
+                    None => host.limits.request_failed(target, now),
                 }
             }
         }
@@ -255,7 +255,7 @@
     if let Some(killed) = case.killed {
         world.play(killed, case, &mut random);
         let first = (0..case.hosts)
-            .find(|n| n % case.centres == 0 && world.hosts[*n].peers.place(world.now) == 0)
+            .find(|n| n % case.centres == 0 && world.hosts[*n].peers.rank_in_centre(world.now) == 0)
             .expect("the first data centre has an issuer");
         world.hosts[first].alive = false;
         world.play(Duration::from_secs(5), case, &mut random);
--- a/crates/roseshore_wire/src/peer.rs
+++ b/crates/roseshore_wire/src/peer.rs
@@ -17,13 +17,13 @@
         /// The daemon's own heartbeat.
         heartbeat: Heartbeat,
         /// Reports polled since the last one, as many as fit.
-        notes: Vec<LoadNote>,
+        notes: Vec<TargetLoad>,
     },
 }
 
 /// A target's report on its way to the other daemons of the data centre.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LoadNote {
+pub struct TargetLoad {
     /// Its age when it was sent, milliseconds.
     pub age_ms: u32,
     /// What it says.
@@ -33,7 +33,7 @@
 /// Six bytes of a hash: short on the wire, and a data centre has a few hundred of them at most.
 pub type NoteKey = [u8; 6];
 
-/// The content of a [`LoadNote`].
+/// The content of a [`TargetLoad`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NoteContent {
     /// An engine's whole report.
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -10,7 +10,7 @@
 use roseshore_ports::inside::ReportContent;
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::frame::{self, MAX_DATAGRAM, MAX_FRAME};
-use roseshore_wire::peer::{Ask, Datagram, Digest, LoadNote, Summary};
+use roseshore_wire::peer::{Ask, Datagram, Digest, Summary, TargetLoad};
 use roseshored::loads::notes::{Packer, Unpacker};
 use std::hint::black_box;
 use std::net::{SocketAddr, UdpSocket};
@@ -175,7 +175,7 @@
     if short {
         content = packer.pack(&id, &load(200), now);
     }
-    frame::encode(&LoadNote { age_ms: 200, content }, MAX_DATAGRAM).expect("short").len() - 1
+    frame::encode(&TargetLoad { age_ms: 200, content }, MAX_DATAGRAM).expect("short").len() - 1
 }
 
 fn digest_bytes(view: &Membership, now: Instant) -> usize {
@@ -249,7 +249,7 @@
     let mut packer = Packer::default();
     let now = Instant::now();
     packer.pack(&target(0), &load(0), now);
-    let note = || LoadNote { age_ms: 200, content: packer.pack(&target(0), &load(1), now) };
+    let note = || TargetLoad { age_ms: 200, content: packer.pack(&target(0), &load(1), now) };
     let mut make = note;
     let notes = (0..size.targets.div_ceil(size.daemons)).map(|_| make()).collect();
     let datagram = Datagram::Beat { heartbeat: heartbeat(1, 1), notes };
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -11,7 +11,7 @@
 use roseshore_ports::inside::{Fleets, Member, MemberState, Members};
 use roseshore_ports::outside::{Datagrams, HostList, Received};
 use roseshore_wire::frame::MAX_DATAGRAM;
-use roseshore_wire::peer::{Datagram, LoadNote, NoteContent};
+use roseshore_wire::peer::{Datagram, NoteContent, TargetLoad};
 use roseshore_wire::platform::{HostState, Hosts};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     /// When they came.
     pub at: Instant,
     /// The reports.
-    pub notes: Vec<LoadNote>,
+    pub notes: Vec<TargetLoad>,
 }
 
 /// A report for the peers.
@@ -308,14 +308,14 @@
 }
 
 impl Fresh {
-    fn note(self, now: Instant) -> LoadNote {
+    fn note(self, now: Instant) -> TargetLoad {
         let age_ms = now.saturating_duration_since(self.seen).as_millis() as u32;
-        LoadNote { age_ms, content: self.content }
+        TargetLoad { age_ms, content: self.content }
     }
 }
 
 /// Splits notes so that each part fits a datagram; there is always at least one part.
-fn split(notes: impl Iterator<Item = LoadNote>) -> Vec<Vec<LoadNote>> {
+fn split(notes: impl Iterator<Item = TargetLoad>) -> Vec<Vec<TargetLoad>> {
     let mut parts = vec![Vec::new()];
     let mut used = 0;
     for note in notes {
