--- a/crates/roseshore_core/src/gateway/limits.rs
+++ b/crates/roseshore_core/src/gateway/limits.rs
@@ -10,18 +10,18 @@
 //! limit, they lie with hosts that have no request for them. The host that issues is the first by rank, as for other
 //! duties; nothing that it knows has to outlive it.
 //!
-//! What a target said is told to the other hosts ([`word`]), so that one which has not heard it keeps it too.
+//! What a target said is told to the other hosts ([`advertisement`]), so that one which has not heard it keeps it too.
 
+mod advertisement;
 pub mod issuer;
 pub mod share;
-mod word;
 
 use super::peers::{LimitReport, PermitGrant, PermitRequest, TargetHash};
 use crate::prelude::*;
+use advertisement::{Advertisement, Advertisements};
 pub use issuer::Issuer;
 pub use share::{PermitShare, RecentDemand};
 use std::collections::HashMap;
-use word::{Advertisement, Advertisements};
 
 /// How long an unused permit may be used: less than a second of a target's limit is late by it.
 const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
--- a/crates/roseshore_core/src/gateway/peers.rs
+++ b/crates/roseshore_core/src/gateway/peers.rs
@@ -4,7 +4,7 @@
 //! targets failed it, and how much of the store it has read. So a choice sees the load of all
 //! hosts, and one host's reads of the store serve its neighbours.
 //!
-//! [`audience`] says to whom a host tells how often, `telling` what, `order` which hosts speak, read
+//! [`relation`] says to whom a host tells how often, `sending` what, `ranking` which hosts speak, read
 //! the store and give orders, `view` what the others have. This module keeps who is there.
 //!
 //! Nothing here has to arrive. A heartbeat that is late must not pass for a fresh one, so a proof
@@ -12,12 +12,12 @@
 //! heard from the hearer, and how long after that its proof was made. A proof that comes through
 //! a speaker is placed on the speaker's clock first, and grows older with each step.
 
-pub mod audience;
 mod message;
-mod order;
 mod peer;
+mod ranking;
+pub mod relation;
+mod sending;
 mod sums;
-mod telling;
 mod view;
 
 use super::fatal::FatalReport;
@@ -29,9 +29,9 @@
     target_hash,
 };
 use peer::Peer;
+use sending::Urgency;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use telling::Urgency;
 pub use view::View;
 
 /// What a heartbeat brought.
--- a/crates/roseshore_core/src/gateway/peers/order.rs
+++ b/crates/roseshore_core/src/gateway/peers/ranking.rs
@@ -5,7 +5,7 @@
 
 use super::message::{CentreHash, KnownHost, TargetHash};
 use super::peer::{Peer, Rank, rank};
-use super::{Peers, audience};
+use super::{Peers, relation};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -53,7 +53,7 @@
     /// Whether this host speaks for its data centre.
     pub fn speaks(&self, now: Instant) -> bool {
         let ranks = self.ranked_near(now);
-        ranks.iter().take(audience::speakers(ranks.len())).any(|rank| *rank == self.rank())
+        ranks.iter().take(relation::speakers(ranks.len())).any(|rank| *rank == self.rank())
     }
 
     /// Hosts of the own data centre that live, this one left out.
--- a/crates/roseshore_core/src/gateway/peers/telling.rs
+++ b/crates/roseshore_core/src/gateway/peers/sending.rs
@@ -4,9 +4,9 @@
 //! loads, one that hears only speakers the sums of all hosts but itself, and a speaker of another data
 //! centre the sums of this one.
 
-use super::audience::{self, Relation};
 use super::message::{CentreHash, Echo, Heartbeat, KnownHost, Scope};
 use super::peer::{Peer, Rank};
+use super::relation::{self, Relation};
 use super::sums::{self, Sums, most_relevant};
 use super::{LocalState, Peers};
 use crate::prelude::*;
@@ -98,7 +98,7 @@
         let mut asked = self.ranked_near(now);
         let near = asked.len().saturating_sub(1).max(self.near_alive(now));
         let heard = self.near_alive(now) > 0;
-        asked.truncate(audience::asked(asked.len(), heard));
+        asked.truncate(relation::asked(asked.len(), heard));
         let mut far = BTreeMap::new();
         for peer in self.all.values().filter(|p| p.speaks && p.alive(false, now)) {
             *far.entry(peer.centre.unwrap_or_default()).or_insert(0) += 1;
--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -8,7 +8,7 @@
 //! What is asked for with every heartbeat and datagram is kept up with each change: worked out anew
 //! for each record, the digest of a list of thousands would make small hosts stand still for seconds.
 
-mod intake;
+mod availability;
 mod list;
 mod target;
 
@@ -19,8 +19,8 @@
 use super::position::Position;
 use super::routes::EngineSpec;
 use crate::prelude::*;
-pub use intake::Availability;
-use intake::StoredAvailability;
+pub use availability::Availability;
+use availability::StoredAvailability;
 use list::DroppedTargets;
 pub use list::{Absence, ListDelta, ListUpdate, RecordChange};
 use std::cmp::Reverse;
--- a/crates/roseshore_core/tests/gateway.rs
+++ b/crates/roseshore_core/tests/gateway.rs
@@ -2,6 +2,7 @@
 
 mod gateway {
     mod allowance;
+    mod availability;
     mod avoid;
     mod copies;
     mod failure;
@@ -11,7 +12,6 @@
     mod giving;
     mod hindrance;
     mod holdings;
-    mod intake;
     mod leaving;
     mod limit_ways;
     mod limits;
