--- a/crates/roseshore_core/src/gateway/peers/sums.rs
+++ b/crates/roseshore_core/src/gateway/peers/sums.rs
@@ -2,8 +2,8 @@
 
 use super::message::{ServiceCounts, TargetHash, TargetLoad};
 use super::peer::Peer;
-use crate::gateway::allowance::Counted;
 use crate::gateway::fatal::FatalReport;
+use crate::gateway::retry_budget::RetryCounts;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Sums {
     loads: HashMap<TargetHash, Sum>,
-    counts: HashMap<TargetHash, Counted>,
+    counts: HashMap<TargetHash, RetryCounts>,
     pub(super) hosts: usize,
 }
 
@@ -57,7 +57,7 @@
         for note in notes {
             let sum = self.counts.entry(note.service).or_default();
             sum.requests = sum.requests.saturating_add(note.requests);
-            sum.repeats = sum.repeats.saturating_add(note.repeats);
+            sum.retries = sum.retries.saturating_add(note.repeats);
         }
     }
 
@@ -75,7 +75,7 @@
         for note in &peer.counts {
             if let Some(sum) = rest.counts.get_mut(&note.service) {
                 sum.requests = sum.requests.saturating_sub(note.requests);
-                sum.repeats = sum.repeats.saturating_sub(note.repeats);
+                sum.retries = sum.retries.saturating_sub(note.repeats);
             }
         }
         rest
@@ -112,16 +112,16 @@
 
     /// The counts for a heartbeat.
     pub(super) fn service_counts(&self) -> Vec<ServiceCounts> {
-        let note = |(service, sum): (&TargetHash, &Counted)| ServiceCounts {
+        let note = |(service, sum): (&TargetHash, &RetryCounts)| ServiceCounts {
             service: *service,
             requests: sum.requests,
-            repeats: sum.repeats,
+            repeats: sum.retries,
         };
         self.counts.iter().map(note).collect()
     }
 
     /// What was counted for a service.
-    pub(super) fn counted(&self, service: TargetHash) -> Counted {
+    pub(super) fn counted(&self, service: TargetHash) -> RetryCounts {
         self.counts.get(&service).copied().unwrap_or_default()
     }
 }
--- a/crates/roseshore_core/src/gateway/peers/view.rs
+++ b/crates/roseshore_core/src/gateway/peers/view.rs
@@ -4,7 +4,7 @@
 use super::message::{CentreHash, Scope, TargetHash, TargetLoad};
 use super::peer::Peer;
 use super::sums::Sums;
-use crate::gateway::allowance::Counted;
+use crate::gateway::retry_budget::RetryCounts;
 use crate::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
@@ -22,7 +22,7 @@
 
 impl View {
     /// What they have counted for a service.
-    pub fn counted(&self, service: TargetHash) -> Counted {
+    pub fn counted(&self, service: TargetHash) -> RetryCounts {
         self.sums.counted(service)
     }
 }
--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -13,9 +13,9 @@
 mod target;
 
 use super::paces::{EnginePace, PaceReport};
-use super::path::{Part, PathNeed};
+use super::path::{Candidate, PathRequest};
 use super::peers::{TargetHash, TargetLoad};
-use super::plan::pressure::{Taken, fullest};
+use super::plan::pressure::{EngineUsage, peak_utilisation};
 use super::position::Position;
 use super::routes::EngineSpec;
 use crate::prelude::*;
@@ -94,23 +94,23 @@
     /// A send failed there; returns whether that put it out of use just now.
     pub fn record_failure(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let before = target.health.suspect();
-        target.health.failed(now);
+        let before = target.health.tripped();
+        target.health.record_failure(now);
         !before
     }
 
     /// Until when a target is out of use; none where it is not.
     pub fn quarantine_end(&self, id: &str) -> Option<Instant> {
-        self.all.get(id)?.health.quarantine()
+        self.all.get(id)?.health.open_until()
     }
 
     /// A whole answer came; returns whether that put it into use again.
     pub fn record_success(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let before = target.health.suspect();
-        target.health.worked(now);
-        target.health.forgive();
-        before && !target.health.suspect()
+        let before = target.health.tripped();
+        target.health.record_success(now);
+        target.health.forgive_failure();
+        before && !target.health.tripped()
     }
 
     /// Something came through these targets.
@@ -270,10 +270,10 @@
         &self,
         service: &str,
         spec: &EngineSpec,
-        need: &PathNeed<'_>,
+        need: &PathRequest<'_>,
         now: Instant,
-    ) -> Vec<Part> {
-        let usable = |t: &&Target| t.accepts_work(now) && !need.avoid.contains(&t.record.id);
+    ) -> Vec<Candidate> {
+        let usable = |t: &&Target| t.accepts_work(now) && !need.avoided.contains(&t.record.id);
         let all = self.of_service(service).filter(usable);
         all.filter_map(|t| Self::part(t, spec, need, now)).collect()
     }
@@ -285,10 +285,10 @@
             self.of_service(service).filter(|t| t.is_available() && t.record.data_centre == centre);
         let taken = near.filter_map(|t| {
             let layers = t.holding()?.layers;
-            let room = Self::kv_capacity(t, spec)?;
-            Some(Taken { layers, room, taken: t.total_kv_used() })
+            let capacity = Self::kv_capacity(t, spec)?;
+            Some(EngineUsage { layers, capacity, used: t.total_kv_used() })
         });
-        fullest(spec.layers, taken).max(self.first_layer_load(service, centre))
+        peak_utilisation(spec.layers, taken).max(self.first_layer_load(service, centre))
     }
 
     /// The share of the slots that are taken at the engines which requests may begin at.
@@ -308,32 +308,37 @@
     fn kv_capacity(t: &Target, spec: &EngineSpec) -> Option<f64> {
         let weights = t.weight_layers();
         let kind = spec.kind(t.record.kind.as_deref())?;
-        Some(spec.room(kind.size_mb, weights) * f64::from(weights))
+        Some(spec.kv_capacity(kind.memory_mb, weights) * f64::from(weights))
     }
 
-    fn part(t: &Target, spec: &EngineSpec, need: &PathNeed<'_>, now: Instant) -> Option<Part> {
+    fn part(
+        t: &Target,
+        spec: &EngineSpec,
+        need: &PathRequest<'_>,
+        now: Instant,
+    ) -> Option<Candidate> {
         let layers = t.holding()?.layers;
         let kind = spec.kind(t.record.kind.as_deref())?;
         let share = 1.0 / f64::from(spec.layers);
-        let busy = t.total_in_flight();
-        let context = spec.context_ms * (spec.prompt + spec.answer);
-        let step = spec.step_ms + (spec.per_seq_ms + context) * (busy + 1.0);
-        let room = Self::kv_capacity(t, spec)?;
+        let in_flight = t.total_in_flight();
+        let context = spec.context_ms * (spec.mean_prompt + spec.mean_answer);
+        let step = spec.step_ms + (spec.per_seq_ms + context) * (in_flight + 1.0);
+        let kv_capacity = Self::kv_capacity(t, spec)?;
         let slowness = t.slowdown(now);
-        let read_ms = slowness * kind.read * share / spec.read_per_ms;
-        Some(Part {
+        let prefill_ms = slowness * kind.prefill_factor * share / spec.prefill_per_ms;
+        Some(Candidate {
             id: t.record.id.clone(),
             addr: t.record.addr,
-            near: t.record.data_centre == need.near,
+            local: t.record.data_centre == need.data_centre,
             data_centre: t.record.data_centre.clone(),
             layers,
-            token_ms: slowness * step * kind.pace * share,
-            read_ms,
-            busy,
+            decode_ms: slowness * step * kind.step_factor * share,
+            prefill_ms,
+            in_flight,
             slots: f64::from(t.record.slots),
-            free: room - t.total_kv_used(),
-            room,
-            sound: t.is_healthy(now),
+            kv_free: kv_capacity - t.total_kv_used(),
+            kv_capacity,
+            healthy: t.is_healthy(now),
         })
     }
 }
--- a/crates/roseshore_core/src/gateway/targets/target.rs
+++ b/crates/roseshore_core/src/gateway/targets/target.rs
@@ -4,7 +4,7 @@
 use super::super::peers::{TargetHash, TargetLoad, target_hash};
 use super::super::position::Position;
 use super::Availability;
-use crate::load::health::Health;
+use crate::load::breaker::CircuitBreaker;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -139,7 +139,7 @@
     pub(super) changed_at: Position,
     /// What other hosts have there.
     pub(super) remote_load: TargetLoad,
-    pub(super) health: Health,
+    pub(super) health: CircuitBreaker,
     pub(super) reported_load: Option<(f64, Instant)>,
     /// How fast it runs.
     pub(super) pace: Option<EnginePace>,
@@ -170,7 +170,7 @@
             kv_used: 0.0,
             missing_until: None,
             replaced: false,
-            health: Health::default(),
+            health: CircuitBreaker::default(),
             reported_load: None,
             pace: None,
             reported_holding: None,
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -1,47 +1,47 @@
 //! An entry host's process: its state, its loop and its timers.
 
-mod answers;
-mod blocked;
+mod blocked_requests;
 mod callers;
 mod calls;
-mod copying;
+mod copies;
+mod dispatch;
 mod exchange;
 mod fatal;
-mod following;
-mod heeding;
-mod limiting;
+mod heartbeats;
+mod in_flight;
 mod liveness;
-mod pacing;
-mod peering;
-mod placing;
+mod pace_polling;
+mod placement;
 mod probes;
+mod rate_limits;
 mod records;
-mod send;
-mod sends;
-mod silence;
-mod stopping;
+mod responses;
+mod signals;
+mod store_sync;
+mod target_feedback;
+mod timeouts;
 
-use crate::journal::Journal;
+use crate::log_writer::Journal;
 use crate::net::{Door, Ended, Net, Notice};
 use crate::slab::{Key, Slab};
-use blocked::Blocked;
+use blocked_requests::Blocked;
 use callers::Caller;
 use calls::Call;
 use exchange::Exchange;
 use fatal::Broken;
-use following::Following;
-use limiting::Limiting;
 use liveness::Liveness;
 use metrics_exporter_prometheus::PrometheusHandle;
-use pacing::Pacing;
-use placing::Placing;
+use pace_polling::Pacing;
+use placement::Placing;
 use rand::RngExt;
 use rand::rngs::SmallRng;
+use rate_limits::Limiting;
 use roseshore_core::gateway::copies::COPY_TIMEOUT;
 use roseshore_core::gateway::leaving::TokenPace;
-use roseshore_core::gateway::look::Look;
+use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::gateway::{
-    Allowance, Copies, Currency, EntrySettings, FatalRequests, Peers, Shortage, Snapshot, Targets,
+    ConfigLease, Copies, EntrySettings, FatalRequests, Peers, RetryBudget, Shortage, Snapshot,
+    Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -53,6 +53,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
+use store_sync::Following;
 
 /// How often duties without a timer of their own are looked after.
 const TICK: Duration = Duration::from_millis(100);
@@ -62,11 +63,11 @@
 const USUAL_DESCRIPTORS: usize = 1024;
 
 /// What the process is started with.
-pub struct Start {
+pub struct EntryOptions {
     /// The settings.
     pub settings: EntrySettings,
     /// Reads the settings again.
-    pub reread: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
+    pub read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
     /// How the platform spells.
     pub platform: Box<dyn EntryPlatform>,
     /// The time; it counts what the machine was suspended for.
@@ -107,9 +108,9 @@
 }
 
 /// An entry host.
-pub struct Entry {
+pub struct EntryHost {
     settings: EntrySettings,
-    reread: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
+    read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
     platform: Box<dyn EntryPlatform>,
     clock: Box<dyn Clock>,
     rendered: Option<PrometheusHandle>,
@@ -123,7 +124,7 @@
     exchanges: Slab<Exchange>,
     calls: Slab<Call>,
     snapshot: Option<Arc<Snapshot>>,
-    currency: Currency,
+    currency: ConfigLease,
     targets: Targets,
     peers: Peers,
     /// Whether there is news that does not wait, and when such news was last told.
@@ -135,7 +136,7 @@
     speaking: bool,
     liveness: Liveness,
     limiting: Limiting,
-    allowances: HashMap<ServiceId, Allowance>,
+    allowances: HashMap<ServiceId, RetryBudget>,
     following: Following,
     copies: Copies,
     placing: Placing,
@@ -171,15 +172,24 @@
 }
 use note;
 
-impl Entry {
+impl EntryHost {
     /// Listens and is ready to run.
     ///
     /// # Errors
     /// When an address cannot be had.
-    pub fn new(start: Start) -> io::Result<Entry> {
-        let Start { mut settings, reread, platform, clock, metrics, stop, reload, quiet } = start;
+    pub fn new(options: EntryOptions) -> io::Result<EntryHost> {
+        let EntryOptions {
+            mut settings,
+            read_settings,
+            platform,
+            clock,
+            metrics,
+            stop,
+            reload,
+            quiet,
+        } = options;
         let now = clock.now();
-        let sockets = settings.sockets.unwrap_or(USUAL_DESCRIPTORS);
+        let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
         settings.callers = net.listen(Door::Callers, settings.callers)?;
         settings.probes = net.listen(Door::Probes, settings.probes)?;
@@ -199,10 +209,10 @@
         let centre = &settings.data_centre;
         let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
             .with_capacity(settings.capacity);
-        let mut entry = Entry {
-            currency: Currency::new(settings.bounds.revoke),
+        let mut entry = EntryHost {
+            currency: ConfigLease::new(settings.bounds.revoke),
             settings,
-            reread,
+            read_settings,
             platform,
             clock,
             rendered,
@@ -272,10 +282,11 @@
         let mut notices = Vec::new();
         loop {
             let began = self.clock.now();
-            let asked = self.next_timer().saturating_duration_since(began);
-            self.net.wait(asked, &mut notices)?;
-            let look = Look { before: self.now, began, asked, ended: self.clock.now() };
-            (self.now, self.came) = (look.ended, look.earliest());
+            let timeout = self.next_timer().saturating_duration_since(began);
+            self.net.wait(timeout, &mut notices)?;
+            let look =
+                PollTiming { previous_end: self.now, began, timeout, ended: self.clock.now() };
+            (self.now, self.came) = (look.ended, look.earliest_arrival());
             for notice in notices.drain(..) {
                 match notice {
                     Notice::Door(Door::Peers) => self.hear(),
--- a/crates/roseshore_relay/src/entry/blocked.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -3,7 +3,7 @@
 //! The host that reads the store for the others reads these, too, and writes what they lack.
 
 use super::calls::{CallFault, Purpose, STORE_TIME};
-use super::{Entry, note};
+use super::{EntryHost, note};
 use roseshore_core::gateway::Fingerprint;
 use roseshore_core::gateway::fatal::{FatalRecord, RecordDiff};
 use roseshore_core::prelude::*;
@@ -25,12 +25,13 @@
     recorded: Vec<Fingerprint>,
 }
 
-impl Entry {
+impl EntryHost {
     /// Reads the records when that is due, if this host reads for the others.
     pub(super) fn follow_blocked(&mut self) {
         let now = self.now;
         let early = self.blocked.due.is_some_and(|due| now < due);
-        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.away() {
+        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.is_down()
+        {
             return;
         }
         if self.snapshot.is_none() || self.peers.read_rank(now) > 0 {
--- a/crates/roseshore_relay/src/entry/peering.rs
+++ b/crates/roseshore_relay/src/entry/heartbeats.rs
@@ -1,8 +1,8 @@
 //! Heartbeats between hosts: loads, failures, and what each has read of the store.
 
 use super::fatal::HEARD;
-use super::{Entry, note};
-use roseshore_core::gateway::Allowance;
+use super::{EntryHost, note};
+use roseshore_core::gateway::RetryBudget;
 use roseshore_core::gateway::fatal::MIN_URGENT_GAP;
 use roseshore_core::gateway::paces::{EnginePace, PaceReport};
 use roseshore_core::gateway::peers::{Datagram, Heartbeat, LocalState, ServiceCounts, name_hash};
@@ -21,7 +21,7 @@
 /// Paces that a heartbeat tells of; more do not fit a datagram beside the rest.
 const PACES_TOLD: usize = 12;
 
-impl Entry {
+impl EntryHost {
     /// Takes the datagrams that came.
     pub(super) fn hear(&mut self) {
         let mut joined = false;
@@ -69,7 +69,7 @@
         self.hear_limits(from, &limits);
         let known = self.config_version();
         if let Some(proven) = heard.config_proven.filter(|_| config == known && known > 0) {
-            self.currency.prove(proven);
+            self.currency.renew(proven);
         }
         if config > known && !self.ask_copy(from) && !self.awaits_copy() {
             self.read_config_now();
@@ -94,7 +94,7 @@
         let view = self.peers.view(now);
         self.targets.set_remote_loads(&view.loads);
         for (service, allowance) in &mut self.allowances {
-            allowance.others(view.counted(name_hash(service)), view.reporting, view.hosts);
+            allowance.set_peer_counts(view.counted(name_hash(service)), view.reporting, view.hosts);
         }
     }
 
@@ -108,9 +108,9 @@
 
     fn counts(&mut self) -> Vec<ServiceCounts> {
         let now = self.now;
-        let note = |(service, allowance): (&ServiceId, &mut Allowance)| {
-            let counted = allowance.counted(now);
-            let (requests, repeats) = (counted.requests, counted.repeats);
+        let note = |(service, allowance): (&ServiceId, &mut RetryBudget)| {
+            let counted = allowance.counts(now);
+            let (requests, repeats) = (counted.requests, counted.retries);
             ServiceCounts { service: name_hash(service), requests, repeats }
         };
         self.allowances.iter_mut().map(note).collect()
@@ -142,11 +142,11 @@
         let age = self.currency.age(self.now);
         let own = LocalState {
             leaving: self.stopping.is_some(),
-            reading: !self.following.outage.away(),
+            reading: !self.following.outage.is_down(),
             config: self.config_version(),
             config_proven: age.and_then(|age| self.now.checked_sub(age)),
             list: self.list_mark(),
-            list_proven: self.following.outage.confirmed(),
+            list_proven: self.following.outage.last_confirmed(),
             loads: self.targets.load_reports(),
             counts: self.counts(),
             holdings: self.holds(),
