--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -21,8 +21,8 @@
 mod target_feedback;
 mod timeouts;
 
-use crate::log_writer::Journal;
-use crate::net::{Door, Ended, Net, Notice};
+use crate::log_writer::LogWriter;
+use crate::net::{Ended, Endpoint, Net, SocketChange};
 use crate::slab::{Key, Slab};
 use blocked_requests::Blocked;
 use callers::Caller;
@@ -116,7 +116,7 @@
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
     net: Net,
-    journal: Journal,
+    log: LogWriter,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     roles: HashMap<Key, Role>,
     idle: HashMap<SocketAddr, Vec<(Key, Instant)>>,
@@ -164,7 +164,7 @@
 macro_rules! note {
     ($entry:expr, $event:ident, $($text:tt)+) => {{
         let now = $entry.now;
-        $entry.journal.line(now, Event::$event, format_args!($($text)+));
+        $entry.log.log(now, Event::$event, format_args!($($text)+));
         metrics::counter!("roseshore_events_total", "event" => Event::$event.number().to_string())
             .increment(1);
     }};
@@ -190,18 +190,18 @@
         let now = clock.now();
         let sockets = settings.sockets.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
-        settings.callers = net.listen(Door::Callers, settings.callers)?;
-        settings.probes = net.listen(Door::Probes, settings.probes)?;
+        settings.callers = net.listen(Endpoint::Callers, settings.callers)?;
+        settings.probes = net.listen(Endpoint::Probes, settings.probes)?;
         let rendered = match metrics {
             Some((addr, handle)) => {
-                net.listen(Door::Metrics, addr)?;
+                net.listen(Endpoint::Metrics, addr)?;
                 Some(handle)
             }
             None => None,
         };
         if let Some(peer) = settings.peer {
-            settings.peer = Some(net.hear(peer)?);
-            net.listen(Door::Copies, peer)?;
+            settings.peer = Some(net.bind_datagrams(peer)?);
+            net.listen(Endpoint::Copies, peer)?;
         }
         let mut random: SmallRng = rand::make_rng();
         let own = settings.peer.unwrap_or(settings.callers);
@@ -218,7 +218,7 @@
             stop,
             reload,
             net,
-            journal: Journal::new(now, quiet),
+            log: LogWriter::new(now, quiet),
             timers: BinaryHeap::new(),
             roles: HashMap::new(),
             idle: HashMap::new(),
@@ -282,14 +282,14 @@
         loop {
             let began = self.clock.now();
             let asked = self.next_timer().saturating_duration_since(began);
-            self.net.wait(asked, &mut notices)?;
+            self.net.poll(asked, &mut notices)?;
             let look = Look { before: self.now, began, asked, ended: self.clock.now() };
             (self.now, self.came) = (look.ended, look.earliest());
             for notice in notices.drain(..) {
                 match notice {
-                    Notice::Door(Door::Peers) => self.hear(),
-                    Notice::Door(door) => self.accept(door),
-                    Notice::Socket(key) => self.socket_changed(key),
+                    SocketChange::Endpoint(Endpoint::Peers) => self.hear(),
+                    SocketChange::Endpoint(door) => self.accept(door),
+                    SocketChange::Socket(key) => self.socket_changed(key),
                 }
             }
             self.fire_timers();
@@ -300,10 +300,10 @@
                 self.ticked = self.now;
                 self.tick();
             }
-            self.journal.flush();
+            self.log.flush();
             if let Some(cut) = self.ended() {
                 note!(self, Stopped, "cut={cut}");
-                self.journal.close(Duration::from_millis(100));
+                self.log.close(Duration::from_millis(100));
                 return Ok(cut);
             }
         }
@@ -376,19 +376,19 @@
         }
     }
 
-    fn accept(&mut self, door: Door) {
+    fn accept(&mut self, door: Endpoint) {
         while let Some(key) = self.net.accept(door) {
             let role = match door {
-                Door::Callers => Role::Caller(Caller::new(self.now)),
-                Door::Probes => Role::Probe,
-                Door::Metrics | Door::Peers => Role::Metrics,
-                Door::Copies => Role::CopyAsker,
+                Endpoint::Callers => Role::Caller(Caller::new(self.now)),
+                Endpoint::Probes => Role::Probe,
+                Endpoint::Metrics | Endpoint::Peers => Role::Metrics,
+                Endpoint::Copies => Role::CopyAsker,
             };
             let caller = matches!(role, Role::Caller(_));
             self.roles.insert(key, role);
             if caller {
                 self.watch_caller(key);
-            } else if door == Door::Copies {
+            } else if door == Endpoint::Copies {
                 self.arm(self.now + COPY_TIME, Timer::Copy(key));
             }
         }
@@ -402,7 +402,7 @@
 
     /// Closes a connection when all that was to be sent has left.
     fn finish_socket(&mut self, key: Key) {
-        self.net.finish(key);
+        self.net.close_flushed(key);
         if self.net.get(key).is_none() {
             self.roles.remove(&key);
         }
@@ -411,7 +411,7 @@
     /// A kept connection to an address, or a new one; says whether it was kept.
     fn connection(&mut self, addr: SocketAddr, fresh: bool) -> io::Result<(Key, bool)> {
         while let Some((key, _)) = self.idle.get_mut(&addr).filter(|_| !fresh).and_then(Vec::pop) {
-            if self.net.get(key).is_some_and(|s| s.quiet()) {
+            if self.net.get(key).is_some_and(|s| s.reusable()) {
                 return Ok((key, true));
             }
             self.close(key);
@@ -428,7 +428,7 @@
 
     /// A kept connection that says something, or ends, is of no more use.
     fn check_idle(&mut self, key: Key, addr: SocketAddr) {
-        if !self.net.get(key).is_some_and(|s| s.quiet()) {
+        if !self.net.get(key).is_some_and(|s| s.reusable()) {
             if let Some(kept) = self.idle.get_mut(&addr) {
                 kept.retain(|(k, _)| *k != key);
             }
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -380,7 +380,7 @@
         for claim in &send.claims {
             self.targets.end(claim);
         }
-        if keep && self.net.get(send.socket).is_some_and(|s| s.quiet()) {
+        if keep && self.net.get(send.socket).is_some_and(|s| s.reusable()) {
             self.keep(send.socket, send.addr);
         } else {
             self.close(send.socket);
--- a/crates/roseshore_relay/src/entry/heartbeats.rs
+++ b/crates/roseshore_relay/src/entry/heartbeats.rs
@@ -25,7 +25,7 @@
     /// Takes the datagrams that came.
     pub(super) fn hear(&mut self) {
         let mut joined = false;
-        while let Some((from, bytes)) = self.net.datagram() {
+        while let Some((from, bytes)) = self.net.receive_datagram() {
             match frame::decode(bytes) {
                 Ok(Datagram::Beat(beat)) => joined |= self.hear_beat(from, *beat),
                 Ok(Datagram::Ask(ask)) => self.hear_ask(from, &ask),
--- a/crates/roseshore_relay/src/http.rs
+++ b/crates/roseshore_relay/src/http.rs
@@ -1,96 +1,98 @@
-//! HTTP/1.1 as bytes: heads in and out, and the framing of bodies.
+//! HTTP/1.1 parsing and serialization: message heads, and the framing of bodies.
 //!
-//! Nothing here holds a socket. A head is read from the front of a buffer once it is whole; a
-//! [`BodyDecoder`] then takes the body off the same buffer as it comes and says when it is complete.
+//! Nothing here owns a socket. A head is parsed from the front of a buffer once it is complete; a
+//! [`BodyDecoder`] then consumes the body from the same buffer as it arrives.
 
 use quick_error::quick_error;
 use roseshore_ports::entry::Field;
 use std::io::Write;
 
-/// Header fields that a head may hold.
+/// Maximum number of header fields in a head.
 const MAX_FIELDS: usize = 64;
-/// Digits of a chunk's size.
-const MAX_SIZE_LINE: usize = 64;
+/// Maximum bytes of an incomplete line in a chunked body: a chunk size with its extensions, or a
+/// trailer field.
+const MAX_CHUNK_LINE: usize = 64;
 
 quick_error! {
-    /// Why bytes are no message.
+    /// Why bytes are not a valid HTTP message.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum HttpError {
-        /// They break the protocol.
+        /// The bytes violate the protocol.
         Malformed { display("the bytes are no HTTP message") }
-        /// The head is larger than allowed.
+        /// The head exceeds the maximum size.
         HeadTooLarge { display("the head is too large") }
-        /// The body's length is given twice or in two ways.
+        /// Two `Content-Length` fields, or a `Transfer-Encoding` other than `chunked` or beside a
+        /// `Content-Length`. Guessing the length would allow request smuggling.
         Ambiguous { display("the length of the body is ambiguous") }
     }
 }
 
-/// How a body ends.
+/// How the end of a received body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body is chunked and ends with the last chunk and its trailer.
     Chunked,
-    /// With the connection.
+    /// The body ends when the peer closes the connection.
     UntilClose,
 }
 
 /// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The method, such as `POST`.
     pub method: String,
-    /// Path and query as sent.
+    /// Path and query as received.
     pub path: String,
     /// The fields.
     pub fields: Vec<Field>,
     /// How the body ends.
     pub framing: Framing,
-    /// Whether the connection is to be kept.
+    /// Whether the client wants the connection to stay open.
     pub keep_alive: bool,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// The reason phrase.
+    /// The reason phrase; may be empty.
     pub reason: String,
     /// The fields.
     pub fields: Vec<Field>,
     /// How the body ends.
     pub framing: Framing,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused for another request.
     pub keep_alive: bool,
 }
 
-/// The first value of a field.
+/// The trimmed value of the first header field with this name (case-insensitive), if it is UTF-8.
 pub fn field<'a>(fields: &'a [Field], name: &str) -> Option<&'a str> {
     let found = fields.iter().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(&found.1).ok().map(str::trim)
 }
 
-fn says(fields: &[Field], name: &str, word: &str) -> bool {
+fn has_token(fields: &[Field], name: &str, token: &str) -> bool {
     let all = fields.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name));
     let values = all.filter_map(|(_, v)| std::str::from_utf8(v).ok());
-    values.flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+    values.flat_map(|v| v.split(',')).any(|w| w.trim().eq_ignore_ascii_case(token))
 }
 
-/// The body's length by its fields; `None` when none of them says.
+/// Body framing according to the header fields; `None` if no field determines it.
 fn framing(fields: &[Field]) -> Result<Option<Framing>, HttpError> {
     let mut lengths = fields.iter().filter(|(n, _)| n.eq_ignore_ascii_case("content-length"));
     let length = lengths.next();
     if lengths.next().is_some() {
         return Err(HttpError::Ambiguous);
     }
-    let coded = fields.iter().any(|(n, _)| n.eq_ignore_ascii_case("transfer-encoding"));
-    if coded {
+    let has_encoding = fields.iter().any(|(n, _)| n.eq_ignore_ascii_case("transfer-encoding"));
+    if has_encoding {
         let chunked = field(fields, "transfer-encoding")
             .is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
-        let clear = length.is_none() && chunked;
-        return if clear { Ok(Some(Framing::Chunked)) } else { Err(HttpError::Ambiguous) };
+        let valid = length.is_none() && chunked;
+        return if valid { Ok(Some(Framing::Chunked)) } else { Err(HttpError::Ambiguous) };
     }
     let Some((_, value)) = length else { return Ok(None) };
     let digits = std::str::from_utf8(value).ok().map(str::trim);
@@ -99,30 +101,34 @@
     Ok(Some(Framing::Length(number)))
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Vec<Field> {
+fn copy_fields(headers: &[httparse::Header<'_>]) -> Vec<Field> {
     headers.iter().map(|h| (h.name.to_owned(), h.value.to_vec())).collect()
 }
 
-/// Reads a request's head off the front of a buffer; `None` while it is not whole.
+/// Removes a request head from the front of a buffer; `None` while it is incomplete.
 ///
 /// # Errors
-/// When the bytes are no head, or more than `most` of them.
-pub fn parse_request(buffer: &mut Vec<u8>, most: usize) -> Result<Option<RequestHead>, HttpError> {
+/// If the bytes are not a request head, the head exceeds `max_size` bytes, or the body length is
+/// ambiguous.
+pub fn parse_request(
+    buffer: &mut Vec<u8>,
+    max_size: usize,
+) -> Result<Option<RequestHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut headers);
     let parsed = request.parse(buffer).map_err(|_| HttpError::Malformed)?;
     let httparse::Status::Complete(used) = parsed else {
-        return if buffer.len() > most { Err(HttpError::HeadTooLarge) } else { Ok(None) };
+        return if buffer.len() > max_size { Err(HttpError::HeadTooLarge) } else { Ok(None) };
     };
-    if used > most {
+    if used > max_size {
         return Err(HttpError::HeadTooLarge);
     }
-    let fields = owned(request.headers);
-    let newer = request.version == Some(1);
-    let keep_alive = if newer {
-        !says(&fields, "connection", "close")
+    let fields = copy_fields(request.headers);
+    let http11 = request.version == Some(1);
+    let keep_alive = if http11 {
+        !has_token(&fields, "connection", "close")
     } else {
-        says(&fields, "connection", "keep-alive")
+        has_token(&fields, "connection", "keep-alive")
     };
     let framing = framing(&fields)?.unwrap_or(Framing::Length(0));
     let (Some(method), Some(path)) = (request.method, request.path) else {
@@ -139,41 +145,43 @@
     Ok(Some(head))
 }
 
-/// Reads an answer's head off the front of a buffer; `None` while it is not whole.
+/// Removes a response head from the front of a buffer; `None` while it is incomplete. Interim
+/// responses (1xx) are skipped.
 ///
 /// # Errors
-/// When the bytes are no head, or more than `most` of them.
+/// If the bytes are not a response head, an incomplete head exceeds `max_size` bytes, or the body
+/// length is ambiguous.
 pub fn parse_response(
     buffer: &mut Vec<u8>,
-    most: usize,
+    max_size: usize,
 ) -> Result<Option<ResponseHead>, HttpError> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
-        let mut answer = httparse::Response::new(&mut headers);
-        let parsed = answer.parse(buffer).map_err(|_| HttpError::Malformed)?;
+        let mut response = httparse::Response::new(&mut headers);
+        let parsed = response.parse(buffer).map_err(|_| HttpError::Malformed)?;
         let httparse::Status::Complete(used) = parsed else {
-            return if buffer.len() > most { Err(HttpError::HeadTooLarge) } else { Ok(None) };
+            return if buffer.len() > max_size { Err(HttpError::HeadTooLarge) } else { Ok(None) };
         };
-        let fields = owned(answer.headers);
-        let status = answer.code.ok_or(HttpError::Malformed)?;
-        let reason = answer.reason.unwrap_or("").to_owned();
-        let newer = answer.version == Some(1);
+        let fields = copy_fields(response.headers);
+        let status = response.code.ok_or(HttpError::Malformed)?;
+        let reason = response.reason.unwrap_or("").to_owned();
+        let http11 = response.version == Some(1);
         buffer.drain(..used);
         if (100..200).contains(&status) {
             continue;
         }
-        let none = status == 204 || status == 304;
+        let bodiless = status == 204 || status == 304;
         let framing = framing(&fields)?.unwrap_or(Framing::UntilClose);
-        let framing = if none { Framing::Length(0) } else { framing };
-        let close = says(&fields, "connection", "close");
-        let keep_alive = newer && !close && framing != Framing::UntilClose;
+        let framing = if bodiless { Framing::Length(0) } else { framing };
+        let close = has_token(&fields, "connection", "close");
+        let keep_alive = http11 && !close && framing != Framing::UntilClose;
         return Ok(Some(ResponseHead { status, reason, fields, framing, keep_alive }));
     }
 }
 
-/// What is left of a body.
+/// The next element expected in a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum DecoderState {
     Length(u64),
     ChunkSize,
     ChunkData(u64),
@@ -183,76 +191,85 @@
     Done,
 }
 
-/// Takes a body off a buffer.
+/// Incremental decoder of a body.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
-    state: State,
+    state: DecoderState,
 }
 
 impl BodyDecoder {
-    /// A decoder at the body's start.
+    /// A decoder positioned at the start of a body.
     pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
-            Framing::Length(0) => State::Done,
-            Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::ChunkSize,
-            Framing::UntilClose => State::UntilClose,
+            Framing::Length(0) => DecoderState::Done,
+            Framing::Length(length) => DecoderState::Length(length),
+            Framing::Chunked => DecoderState::ChunkSize,
+            Framing::UntilClose => DecoderState::UntilClose,
         };
         BodyDecoder { state }
     }
 
     /// Whether the body is complete.
     pub fn done(&self) -> bool {
-        self.state == State::Done
+        self.state == DecoderState::Done
     }
 
-    /// Whether an orderly end of the connection completes the body.
+    /// Whether the body is complete when the peer closes the connection in order.
     pub fn ends_with_connection(&self) -> bool {
-        self.state == State::UntilClose
+        self.state == DecoderState::UntilClose
     }
 
-    /// Moves what belongs to the body from `input` to `body`.
+    /// Moves decoded body bytes from `input` to `body`, up to the end of the body.
     ///
     /// # Errors
-    /// When the framing is broken.
+    /// If the framing is malformed.
     pub fn decode(&mut self, input: &mut Vec<u8>, body: &mut Vec<u8>) -> Result<(), HttpError> {
         loop {
             match self.state {
-                State::Done => return Ok(()),
-                State::UntilClose => {
+                DecoderState::Done => return Ok(()),
+                DecoderState::UntilClose => {
                     body.append(input);
                     return Ok(());
                 }
-                State::Length(left) => {
+                DecoderState::Length(left) => {
                     let left = take_bytes(left, input, body);
-                    self.state = if left == 0 { State::Done } else { State::Length(left) };
+                    self.state =
+                        if left == 0 { DecoderState::Done } else { DecoderState::Length(left) };
                     if left > 0 {
                         return Ok(());
                     }
                 }
-                State::ChunkData(left) => {
+                DecoderState::ChunkData(left) => {
                     let left = take_bytes(left, input, body);
-                    self.state = if left == 0 { State::ChunkEnd } else { State::ChunkData(left) };
+                    self.state = if left == 0 {
+                        DecoderState::ChunkEnd
+                    } else {
+                        DecoderState::ChunkData(left)
+                    };
                     if left > 0 {
                         return Ok(());
                     }
                 }
-                State::ChunkSize => {
+                DecoderState::ChunkSize => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
                     let size = chunk_size(&line).ok_or(HttpError::Malformed)?;
-                    self.state = if size == 0 { State::Trailer } else { State::ChunkData(size) };
+                    self.state = if size == 0 {
+                        DecoderState::Trailer
+                    } else {
+                        DecoderState::ChunkData(size)
+                    };
                 }
-                State::ChunkEnd => {
+                DecoderState::ChunkEnd => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
                     if !line.is_empty() {
                         return Err(HttpError::Malformed);
                     }
-                    self.state = State::ChunkSize;
+                    self.state = DecoderState::ChunkSize;
                 }
-                State::Trailer => {
+                DecoderState::Trailer => {
                     let Some(line) = take_line(input)? else { return Ok(()) };
                     if line.is_empty() {
-                        self.state = State::Done;
+                        self.state = DecoderState::Done;
                     }
                 }
             }
@@ -268,7 +285,7 @@
 
 fn take_line(input: &mut Vec<u8>) -> Result<Option<Vec<u8>>, HttpError> {
     let Some(end) = input.iter().position(|b| *b == b'\n') else {
-        return if input.len() > MAX_SIZE_LINE { Err(HttpError::Malformed) } else { Ok(None) };
+        return if input.len() > MAX_CHUNK_LINE { Err(HttpError::Malformed) } else { Ok(None) };
     };
     let mut line: Vec<u8> = input.drain(..=end).collect();
     line.pop();
@@ -281,11 +298,12 @@
 fn chunk_size(line: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(line).ok()?;
     let digits = text.split(';').next()?.trim();
-    let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
+    let valid = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_hexdigit());
+    valid.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// Writes the head of a request.
+/// Appends a request head to `out`. `body` is the body's length in bytes; `Content-Length` is left out
+/// for a `GET` without a body.
 pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, fields: &[Field], body: usize) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "{method} {path} HTTP/1.1\r\n");
@@ -296,28 +314,28 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// How an answer's body is sent.
+/// How the body of an outgoing response is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// At once, with its length.
+    /// With a `Content-Length` of this many bytes.
     Length(usize),
-    /// In chunks.
+    /// Chunked.
     Chunked,
 }
 
-/// Writes the head of an answer.
+/// Appends a response head to `out`.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
     reason: &str,
     fields: &[Field],
-    sent: BodyFraming,
+    framing: BodyFraming,
     close: bool,
 ) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "HTTP/1.1 {status} {reason}\r\n");
     put_fields(out, fields);
-    let _ = match sent {
+    let _ = match framing {
         BodyFraming::Length(length) => write!(out, "Content-Length: {length}\r\n"),
         BodyFraming::Chunked => write!(out, "Transfer-Encoding: chunked\r\n"),
     };
@@ -336,7 +354,8 @@
     }
 }
 
-/// Writes one chunk of a body.
+/// Appends one chunk of a body to `out`; nothing if `bytes` is empty, since an empty chunk would end the
+/// body.
 pub fn write_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
@@ -347,10 +366,10 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// The end of a body in chunks.
+/// Ends a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// The usual reason phrase of a status.
+/// The reason phrase of a status code that this host sends.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/roseshore_relay/src/lib.rs
+++ b/crates/roseshore_relay/src/lib.rs
@@ -1,8 +1,8 @@
-//! The readiness loop of an entry host.
+//! The event loop of an entry host, the reverse proxy between callers and targets.
 //!
-//! One thread holds all sockets: callers', targets', the store's and the balancer's. Decisions are
-//! in [`roseshore_core::gateway`]; how things are spelled on the wire is behind
-//! [`roseshore_ports::entry::EntryPlatform`]; this crate carries bytes between the two.
+//! One thread owns all sockets: those of callers, targets, the store and the load balancer. Routing
+//! and retry decisions are made in [`roseshore_core::gateway`]; wire formats of the platform are
+//! behind [`roseshore_ports::entry::EntryPlatform`]. This crate does the I/O between the two.
 
 pub mod entry;
 pub mod http;
--- a/crates/roseshore_relay/src/log_writer.rs
+++ b/crates/roseshore_relay/src/log_writer.rs
@@ -1,27 +1,27 @@
-//! Structured log lines on standard output, bounded and never waited for.
+//! Writes structured log lines to standard output without blocking.
 //!
-//! A line is `milliseconds-since-start EVENT key=value ...`. Lines are kept in a small buffer and
-//! written only while the pipe takes them at once. Lines beyond a rate, or for which the buffer has
-//! no room, are counted and told of later.
+//! A line is `milliseconds-since-start EVENT key=value ...`. Lines are buffered and written only
+//! while the pipe is writable. Lines beyond the rate limit, or for which the buffer has no room, are
+//! dropped and counted; the next line is preceded by an event with their number.
 
 use roseshore_core::event::{Event, Level};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::fmt::{Arguments, Write};
 use std::time::{Duration, Instant};
 
-/// Bytes that may wait for the pipe.
-const BUFFER: usize = 128 << 10;
-/// Bytes written at a time: what a pipe that is ready takes without waiting.
-const WRITE: usize = 4096;
-/// Lines a second; five for each request that a host is sized for.
-const RATE: f64 = 250.0;
-/// Lines that may come at once.
-const BURST: f64 = 500.0;
+/// Bytes that may be buffered; lines are dropped beyond this.
+const MAX_BUFFER: usize = 128 << 10;
+/// Bytes per write: a pipe that polls as writable accepts this many without blocking.
+const WRITE_SIZE: usize = 4096;
+/// Sustained lines per second: five for each request that a host is sized for.
+const LINES_PER_SECOND: f64 = 250.0;
+/// Lines that may be logged at once after a quiet period.
+const BURST_LINES: f64 = 500.0;
 
-/// The lines that wait to be written.
+/// Buffers log lines and applies a token-bucket rate limit.
 #[derive(Debug)]
-pub struct Journal {
-    begun: Instant,
+pub struct LogWriter {
+    started: Instant,
     buffer: Vec<u8>,
     dropped: u64,
     credit: f64,
@@ -29,23 +29,24 @@
     quiet: bool,
 }
 
-impl Journal {
-    /// An empty journal of a process that began at `now`; a quiet one keeps nothing.
-    pub fn new(now: Instant, quiet: bool) -> Journal {
-        let (buffer, dropped, credit) = (Vec::new(), 0, BURST);
-        Journal { begun: now, buffer, dropped, credit, refilled: now, quiet }
+impl LogWriter {
+    /// A writer for a process that started at `now`. With `quiet` all lines are discarded.
+    pub fn new(now: Instant, quiet: bool) -> LogWriter {
+        let (buffer, dropped, credit) = (Vec::new(), 0, BURST_LINES);
+        LogWriter { started: now, buffer, dropped, credit, refilled: now, quiet }
     }
 
-    /// Adds a line.
-    pub fn line(&mut self, now: Instant, event: Event, text: Arguments<'_>) {
+    /// Buffers a line. Info and debug lines are rate limited; warnings and errors are dropped only
+    /// while the buffer is full.
+    pub fn log(&mut self, now: Instant, event: Event, text: Arguments<'_>) {
         if self.quiet {
             return;
         }
         let since = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.refilled = now;
-        self.credit = (self.credit + since * RATE).min(BURST);
-        let small = matches!(event.level(), Level::Info | Level::Debug);
-        if self.buffer.len() >= BUFFER || (self.credit < 1.0 && small) {
+        self.credit = (self.credit + since * LINES_PER_SECOND).min(BURST_LINES);
+        let limited = matches!(event.level(), Level::Info | Level::Debug);
+        if self.buffer.len() >= MAX_BUFFER || (self.credit < 1.0 && limited) {
             self.dropped += 1;
             return;
         }
@@ -58,14 +59,14 @@
     }
 
     fn write(&mut self, now: Instant, event: Event, text: Arguments<'_>) {
-        let at = now.saturating_duration_since(self.begun).as_millis();
+        let at = now.saturating_duration_since(self.started).as_millis();
         let mut line = String::with_capacity(160);
         // Writing to a string cannot fail.
         let _ = writeln!(line, "{at} {event} {text}");
         self.buffer.extend_from_slice(line.as_bytes());
     }
 
-    /// Writes what the pipe takes without waiting.
+    /// Writes buffered lines for as long as that does not block.
     pub fn flush(&mut self) {
         while !self.buffer.is_empty() {
             let out = rustix::stdio::stdout();
@@ -76,7 +77,7 @@
             if !writable {
                 return;
             }
-            let count = self.buffer.len().min(WRITE);
+            let count = self.buffer.len().min(WRITE_SIZE);
             match rustix::io::write(out, &self.buffer[..count]) {
                 Ok(written) => drop(self.buffer.drain(..written)),
                 Err(_) => return,
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Writes what is left, for the end of the process; gives up after `most`.
-    pub fn close(&mut self, most: Duration) {
-        let until = Instant::now() + most;
-        while !self.buffer.is_empty() && Instant::now() < until {
+    /// Writes the remaining lines before the process exits; gives up after `timeout`.
+    pub fn close(&mut self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        while !self.buffer.is_empty() && Instant::now() < deadline {
             self.flush();
             std::thread::sleep(Duration::from_millis(1));
         }
--- a/crates/roseshore_relay/src/net.rs
+++ b/crates/roseshore_relay/src/net.rs
@@ -1,4 +1,4 @@
-//! Sockets that are ready or not: buffers around them, nothing decided.
+//! Non-blocking sockets with their input and output buffers, over a readiness poll.
 
 use crate::slab::{Key, Slab};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
@@ -7,47 +7,49 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Bytes read at a time.
-const READ: usize = 16 << 10;
-/// Readiness events taken at a time.
-const EVENTS: usize = 512;
-/// Connections that may wait to be accepted; a burst of a second's new callers at the peak.
+/// Bytes per read.
+const READ_SIZE: usize = 16 << 10;
+/// Readiness events per poll.
+const MAX_EVENTS: usize = 512;
+/// Length of the accept queue: the new callers of one second at peak load.
 const BACKLOG: i32 = 1024;
-/// Bytes that may wait for a peer which does not read.
+/// Bytes that may be buffered for a peer that does not read; beyond this the connection is treated as
+/// broken.
 const MAX_OUTPUT: usize = 8 << 20;
 
-/// A listener's place among the readiness tokens.
+/// A listening socket or the datagram socket. Its discriminant determines its `mio` token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
-    /// Callers.
+pub enum Endpoint {
+    /// HTTP connections of callers.
     Callers,
-    /// The balancer's question.
+    /// Health probes of the load balancer.
     Probes,
-    /// Metrics.
+    /// Scrapes of metrics.
     Metrics,
-    /// Other hosts' datagrams.
+    /// Datagrams of other hosts.
     Peers,
-    /// Other hosts that ask for copies.
+    /// Other hosts that request a copy of the store data.
     Copies,
 }
 
-const DOORS: [Door; 5] = [Door::Callers, Door::Probes, Door::Metrics, Door::Peers, Door::Copies];
+const ENDPOINTS: [Endpoint; 5] =
+    [Endpoint::Callers, Endpoint::Probes, Endpoint::Metrics, Endpoint::Peers, Endpoint::Copies];
 
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// In order: the peer sends nothing more.
+    /// The peer closed its sending side in order.
     Orderly,
-    /// By a reset or another error.
+    /// A reset, another error, or too much unread output.
     Broken,
 }
 
-/// What became of a socket.
+/// A socket that needs attention after [`Net::poll`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
-    /// A listener has connections to accept.
-    Door(Door),
-    /// Something changed at a socket: look at its input, at `connected` and at `ended`.
+pub enum SocketChange {
+    /// An endpoint has connections to accept or datagrams to receive.
+    Endpoint(Endpoint),
+    /// A connection changed: its `input`, `connected` or `ended`.
     Socket(Key),
 }
 
@@ -55,57 +57,57 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    /// Bytes that came and were not taken yet.
+    /// Bytes received and not yet consumed.
     pub input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
-    /// Whether the connection stands.
+    /// Whether the connection is established.
     pub connected: bool,
-    /// How it ended, if it did.
+    /// How the connection ended; `None` while it is open.
     pub ended: Option<Ended>,
     closing: bool,
 }
 
 impl Socket {
-    /// Whether all that was to be sent has left.
+    /// Whether all output has been written to the socket.
     pub fn flushed(&self) -> bool {
         self.written == self.output.len()
     }
 
-    /// Whether it neither ended nor has said anything that was not taken.
-    pub fn quiet(&self) -> bool {
+    /// Whether the connection is open and has no unconsumed input, so that it can be reused.
+    pub fn reusable(&self) -> bool {
         self.ended.is_none() && self.input.is_empty()
     }
 }
 
-/// The poll and its sockets.
+/// The readiness poll with its listeners, datagram socket and connections.
 #[derive(Debug)]
 pub struct Net {
     poll: Poll,
     events: Events,
     sockets: Slab<Socket>,
-    doors: Vec<(Door, TcpListener)>,
+    listeners: Vec<(Endpoint, TcpListener)>,
     datagrams: Option<UdpSocket>,
-    most: usize,
+    max_connections: usize,
     scratch: Vec<u8>,
 }
 
 impl Net {
-    /// No sockets yet; at most `most` connections.
+    /// A poll without sockets, for at most `max_connections` connections.
     ///
     /// # Errors
-    /// When the system gives no readiness queue.
-    pub fn new(most: usize) -> io::Result<Net> {
-        let (poll, events) = (Poll::new()?, Events::with_capacity(EVENTS));
-        let (sockets, doors, scratch) = (Slab::default(), Vec::new(), vec![0; READ]);
-        Ok(Net { poll, events, sockets, doors, datagrams: None, most, scratch })
+    /// If the system cannot create a readiness queue.
+    pub fn new(max_connections: usize) -> io::Result<Net> {
+        let (poll, events) = (Poll::new()?, Events::with_capacity(MAX_EVENTS));
+        let (sockets, listeners, scratch) = (Slab::default(), Vec::new(), vec![0; READ_SIZE]);
+        Ok(Net { poll, events, sockets, listeners, datagrams: None, max_connections, scratch })
     }
 
-    /// Listens.
+    /// Opens a TCP listener and returns its address, with the port that the system chose for port 0.
     ///
     /// # Errors
-    /// When the address cannot be had.
-    pub fn listen(&mut self, door: Door, addr: SocketAddr) -> io::Result<SocketAddr> {
+    /// If the address cannot be bound.
+    pub fn listen(&mut self, endpoint: Endpoint, addr: SocketAddr) -> io::Result<SocketAddr> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(addr),
             socket2::Type::STREAM,
@@ -116,40 +118,41 @@
         socket.bind(&addr.into())?;
         socket.listen(BACKLOG)?;
         let mut listener = TcpListener::from_std(socket.into());
-        let token = Token(usize::MAX - door as usize);
+        let token = Token(usize::MAX - endpoint as usize);
         self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
         let bound = listener.local_addr()?;
-        self.doors.push((door, listener));
+        self.listeners.push((endpoint, listener));
         Ok(bound)
     }
 
-    /// Hears datagrams.
+    /// Opens the UDP socket and returns its address, with the port that the system chose for port 0.
     ///
     /// # Errors
-    /// When the address cannot be had.
-    pub fn hear(&mut self, addr: SocketAddr) -> io::Result<SocketAddr> {
+    /// If the address cannot be bound.
+    pub fn bind_datagrams(&mut self, addr: SocketAddr) -> io::Result<SocketAddr> {
         let mut socket = UdpSocket::bind(addr)?;
-        let token = Token(usize::MAX - Door::Peers as usize);
+        let token = Token(usize::MAX - Endpoint::Peers as usize);
         self.poll.registry().register(&mut socket, token, Interest::READABLE)?;
         let bound = socket.local_addr()?;
         self.datagrams = Some(socket);
         Ok(bound)
     }
 
-    /// Takes a datagram that came.
-    pub fn datagram(&mut self) -> Option<(SocketAddr, &[u8])> {
+    /// The next received datagram and its sender; `None` when there is none.
+    pub fn receive_datagram(&mut self) -> Option<(SocketAddr, &[u8])> {
         let socket = self.datagrams.as_ref()?;
         loop {
             match socket.recv_from(&mut self.scratch) {
                 Ok((count, from)) => return Some((from, &self.scratch[..count])),
                 Err(err) if err.kind() == ErrorKind::WouldBlock => return None,
-                // An earlier datagram met a closed port; this one is read next.
+                // The system reports that an earlier datagram hit a closed port. Received datagrams
+                // are still queued.
                 Err(_) => {}
             }
         }
     }
 
-    /// Sends a datagram; it may be lost.
+    /// Sends a datagram, without a guarantee of delivery.
     pub fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
         let Some(socket) = &self.datagrams else { return };
         if socket.send_to(bytes, to).is_err() {
@@ -157,43 +160,45 @@
         }
     }
 
-    /// Waits for notices, at most so long.
+    /// Waits for readiness for at most `timeout`, does the pending I/O and appends the sockets that
+    /// changed to `changes`.
     ///
     /// # Errors
-    /// When the readiness queue fails.
-    pub fn wait(&mut self, most: Duration, notices: &mut Vec<Notice>) -> io::Result<()> {
-        match self.poll.poll(&mut self.events, Some(most)) {
+    /// If the readiness queue fails.
+    pub fn poll(&mut self, timeout: Duration, changes: &mut Vec<SocketChange>) -> io::Result<()> {
+        match self.poll.poll(&mut self.events, Some(timeout)) {
             Err(err) if err.kind() == ErrorKind::Interrupted => return Ok(()),
             other => other?,
         }
         let mut ready = Vec::with_capacity(16);
         for event in &self.events {
             let number = event.token().0;
-            if let Some(door) = DOORS.iter().find(|d| usize::MAX - **d as usize == number) {
-                notices.push(Notice::Door(*door));
+            if let Some(endpoint) = ENDPOINTS.iter().find(|e| usize::MAX - **e as usize == number) {
+                changes.push(SocketChange::Endpoint(*endpoint));
             } else {
                 let key = Key::from_number(number);
                 ready.push((key, event.is_writable(), event.is_read_closed()));
             }
         }
-        for (key, writable, closed) in ready {
-            self.progress(key, writable, closed);
-            notices.push(Notice::Socket(key));
+        for (key, writable, read_closed) in ready {
+            self.handle_ready(key, writable, read_closed);
+            changes.push(SocketChange::Socket(key));
         }
         Ok(())
     }
 
-    /// Takes a new connection; `None` when none waits or the bound is reached.
-    pub fn accept(&mut self, door: Door) -> Option<Key> {
+    /// Accepts a connection; `None` when none is pending. Connections beyond the maximum are closed
+    /// and counted.
+    pub fn accept(&mut self, endpoint: Endpoint) -> Option<Key> {
         loop {
-            let (_, listener) = self.doors.iter().find(|(d, _)| *d == door)?;
+            let (_, listener) = self.listeners.iter().find(|(e, _)| *e == endpoint)?;
             let (stream, _) = match listener.accept() {
                 Ok(accepted) => accepted,
                 Err(err) if err.kind() == ErrorKind::Interrupted => continue,
                 Err(err) if err.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(_) => return None,
             };
-            if self.sockets.len() >= self.most {
+            if self.sockets.len() >= self.max_connections {
                 metrics::counter!("roseshore_connections_refused_total").increment(1);
                 continue;
             }
@@ -203,12 +208,12 @@
         }
     }
 
-    /// Opens a connection; it is not up yet.
+    /// Starts to open a connection; [`Socket::connected`] tells when it is established.
     ///
     /// # Errors
-    /// When the system refuses at once or the bound is reached.
+    /// If the system refuses immediately, or the maximum number of connections is reached.
     pub fn connect(&mut self, addr: SocketAddr) -> io::Result<Key> {
-        if self.sockets.len() >= self.most {
+        if self.sockets.len() >= self.max_connections {
             return Err(io::Error::other("too many connections"));
         }
         self.add(TcpStream::connect(addr)?, false)
@@ -228,7 +233,8 @@
         let token = Token(key.to_number());
         let interest = Interest::READABLE | Interest::WRITABLE;
         if let Some(socket) = self.sockets.get_mut(key) {
-            // Events are small; the option is missing on no system we run on.
+            // Events are small and must not wait for more output. All supported systems have the
+            // option.
             let _ = socket.stream.set_nodelay(true);
             if let Err(err) = self.poll.registry().register(&mut socket.stream, token, interest) {
                 self.sockets.remove(key);
@@ -238,12 +244,12 @@
         Ok(key)
     }
 
-    /// A socket.
+    /// A connection; `None` once it was closed.
     pub fn get(&mut self, key: Key) -> Option<&mut Socket> {
         self.sockets.get_mut(key)
     }
 
-    /// Sends bytes, now or as soon as the peer takes them.
+    /// Queues bytes and writes as many as the socket accepts now.
     pub fn send(&mut self, key: Key, bytes: &[u8]) {
         let Some(socket) = self.sockets.get_mut(key) else { return };
         if socket.output.len() - socket.written + bytes.len() > MAX_OUTPUT {
@@ -256,8 +262,8 @@
         }
     }
 
-    /// Closes when all that was to be sent has left.
-    pub fn finish(&mut self, key: Key) {
+    /// Closes the connection once all output has been written, or now if it has ended.
+    pub fn close_flushed(&mut self, key: Key) {
         let Some(socket) = self.sockets.get_mut(key) else { return };
         socket.closing = true;
         if socket.flushed() || socket.ended.is_some() {
@@ -265,15 +271,15 @@
         }
     }
 
-    /// Closes at once.
+    /// Closes the connection now and discards its output.
     pub fn close(&mut self, key: Key) {
         if let Some(mut socket) = self.sockets.remove(key) {
-            // The descriptor is closed next, which takes it out of the queue in any case.
+            // An error is harmless: closing the descriptor, which follows, also deregisters it.
             let _ = self.poll.registry().deregister(&mut socket.stream);
         }
     }
 
-    fn progress(&mut self, key: Key, writable: bool, closed: bool) {
+    fn handle_ready(&mut self, key: Key, writable: bool, read_closed: bool) {
         let Some(socket) = self.sockets.get_mut(key) else { return };
         if !socket.connected && writable {
             match socket.stream.take_error() {
@@ -284,7 +290,7 @@
         }
         if socket.connected {
             flush(socket);
-            read(socket, &mut self.scratch, closed);
+            read(socket, &mut self.scratch, read_closed);
         }
         if socket.closing && (socket.flushed() || socket.ended == Some(Ended::Broken)) {
             self.close(key);
@@ -309,15 +315,16 @@
     socket.written = 0;
 }
 
-/// Reads what is there. After a short read nothing is left, and the next byte brings a new notice;
-/// but the peer's end that is already known of (`closed`) brings none.
-fn read(socket: &mut Socket, scratch: &mut [u8], closed: bool) {
+/// Reads all available bytes. Readiness is edge-triggered: after a short read nothing is left, and the
+/// next byte brings a new event. If the peer has already closed its sending side (`read_closed`), no
+/// further event follows, so reading goes on until the end of the stream.
+fn read(socket: &mut Socket, scratch: &mut [u8], read_closed: bool) {
     while socket.ended.is_none() {
         match socket.stream.read(scratch) {
             Ok(0) => socket.ended = Some(Ended::Orderly),
             Ok(count) => {
                 socket.input.extend_from_slice(&scratch[..count]);
-                if count < scratch.len() && !closed {
+                if count < scratch.len() && !read_closed {
                     return;
                 }
             }
--- a/crates/roseshore_relay/src/sse.rs
+++ b/crates/roseshore_relay/src/sse.rs
@@ -1,30 +1,31 @@
-//! A stream of events, cut at event borders.
+//! Splits a server-sent event stream at event boundaries.
 //!
-//! Only whole events go to the caller, so that an answer whose target dies inside an event can go
-//! on with the next one from elsewhere.
+//! Only complete events are forwarded to the caller, so that a stream whose target dies in the
+//! middle of an event can be resumed at the next event by another target.
 
-/// The blank line that ends an event.
-const END: &[u8] = b"\n\n";
+/// Terminates an event.
+const TERMINATOR: &[u8] = b"\n\n";
 
-/// Whole events taken off a buffer.
+/// Complete events taken from a buffer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes, those already seen left out.
+    /// The bytes of the events, without events that were forwarded before.
     pub bytes: Vec<u8>,
-    /// The id of the last one.
+    /// The id of the last event; `None` if no event so far had one.
     pub last: Option<u64>,
-    /// How many there are.
+    /// Number of events in `bytes`.
     pub count: u32,
-    /// Whether an id did not rise by one where that was to be expected.
+    /// Whether an id was not one more than the id before it, so that events are missing.
     pub gap: bool,
 }
 
-/// Takes the whole events off the front of `buffer`; those up to `after` were seen before.
+/// Removes complete events from the front of `buffer`; those with ids up to `after` were forwarded
+/// before and are discarded. An incomplete event stays in `buffer`.
 pub fn take_events(buffer: &mut Vec<u8>, after: Option<u64>) -> CompleteEvents {
     let mut taken = CompleteEvents { last: after, ..CompleteEvents::default() };
     let mut from = 0;
-    while let Some(at) = find(&buffer[from..], END) {
-        let end = from + at + END.len();
+    while let Some(at) = find_subslice(&buffer[from..], TERMINATOR) {
+        let end = from + at + TERMINATOR.len();
         let event = &buffer[from..end];
         from = end;
         let id = event_id(event);
@@ -42,8 +43,8 @@
     taken
 }
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|w| w == what)
+fn find_subslice(bytes: &[u8], needle: &[u8]) -> Option<usize> {
+    bytes.windows(needle.len()).position(|w| w == needle)
 }
 
 fn event_id(event: &[u8]) -> Option<u64> {
--- a/crates/roseshore_relay/tests/http.rs
+++ b/crates/roseshore_relay/tests/http.rs
@@ -1,9 +1,9 @@
-//! Heads, framing and events as bytes.
+//! Parsing of HTTP heads, body framing and server-sent events.
 
 use roseshore_relay::http::{BodyDecoder, Framing, HttpError, parse_request, parse_response};
 use roseshore_relay::sse::take_events;
 
-const MOST: usize = 400;
+const MAX_HEAD: usize = 400;
 
 struct HeadCase {
     name: &'static str,
@@ -63,18 +63,18 @@
     ];
     for case in cases {
         let mut buffer = case.bytes.as_bytes().to_vec();
-        let got = parse_request(&mut buffer, MOST).map(|head| head.map(|h| h.framing));
+        let got = parse_request(&mut buffer, MAX_HEAD).map(|head| head.map(|h| h.framing));
         assert_eq!(got, case.framing, "{}", case.name);
     }
-    let mut long = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(MOST)).into_bytes();
-    assert_eq!(parse_request(&mut long, MOST), Err(HttpError::HeadTooLarge));
+    let mut long = format!("GET / HTTP/1.1\r\nx: {}", "y".repeat(MAX_HEAD)).into_bytes();
+    assert_eq!(parse_request(&mut long, MAX_HEAD), Err(HttpError::HeadTooLarge));
 }
 
 #[test]
 fn an_interim_answer_is_passed_over() {
     let bytes = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
     let mut buffer = bytes.as_bytes().to_vec();
-    let head = parse_response(&mut buffer, MOST).expect("well formed").expect("whole");
+    let head = parse_response(&mut buffer, MAX_HEAD).expect("well formed").expect("whole");
     assert_eq!((head.status, head.framing, head.keep_alive), (200, Framing::Length(2), true));
     assert_eq!(buffer, b"ok");
 }
@@ -89,7 +89,7 @@
         ("HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\n", false),
     ] {
         let mut buffer = bytes.as_bytes().to_vec();
-        let head = parse_response(&mut buffer, MOST).expect("well formed").expect("whole");
+        let head = parse_response(&mut buffer, MAX_HEAD).expect("well formed").expect("whole");
         assert_eq!(head.keep_alive, keep, "{bytes:?}");
     }
 }
@@ -98,8 +98,8 @@
     name: &'static str,
     framing: Framing,
     bytes: &'static str,
-    /// The body, whether it is whole, and what is left; `None` when the framing is broken.
-    got: Option<(&'static str, bool, &'static str)>,
+    /// The decoded body, whether it is complete, and the remaining input; `None` if the framing is malformed.
+    expected: Option<(&'static str, bool, &'static str)>,
 }
 
 #[test]
@@ -109,54 +109,54 @@
             name: "length",
             framing: Framing::Length(3),
             bytes: "abcdef",
-            got: Some(("abc", true, "def")),
+            expected: Some(("abc", true, "def")),
         },
         BodyCase {
             name: "length, short",
             framing: Framing::Length(9),
             bytes: "abc",
-            got: Some(("abc", false, "")),
+            expected: Some(("abc", false, "")),
         },
         BodyCase {
             name: "chunks",
             framing: Framing::Chunked,
             bytes: "3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nt: u\r\n\r\nrest",
-            got: Some(("abcde", true, "rest")),
+            expected: Some(("abcde", true, "rest")),
         },
         BodyCase {
             name: "chunks, no end",
             framing: Framing::Chunked,
             bytes: "3\r\nabc\r\n",
-            got: Some(("abc", false, "")),
+            expected: Some(("abc", false, "")),
         },
         BodyCase {
             name: "a chunk that is longer than it says",
             framing: Framing::Chunked,
             bytes: "3\r\nabcd\r\n0\r\n\r\n",
-            got: None,
+            expected: None,
         },
-        BodyCase { name: "no size", framing: Framing::Chunked, bytes: "xyz\r\n", got: None },
+        BodyCase { name: "no size", framing: Framing::Chunked, bytes: "xyz\r\n", expected: None },
         BodyCase {
             name: "a signed size",
             framing: Framing::Chunked,
             bytes: "+3\r\nabc",
-            got: None,
+            expected: None,
         },
         BodyCase {
             name: "a bare newline",
             framing: Framing::Chunked,
             bytes: "3\nabc\r\n",
-            got: None,
+            expected: None,
         },
         BodyCase {
             name: "close",
             framing: Framing::UntilClose,
             bytes: "abc",
-            got: Some(("abc", false, "")),
+            expected: Some(("abc", false, "")),
         },
     ];
     for case in cases {
-        // However the bytes are cut on their way, the result is the same.
+        // The result does not depend on how the input is split.
         for step in [1, 2, 5, case.bytes.len()] {
             let (mut input, mut body) = (Vec::new(), Vec::new());
             let mut decoder = BodyDecoder::new(case.framing);
@@ -169,8 +169,10 @@
                 .collect();
             let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
             let got = taken.ok().map(|_| (text(&body), decoder.done(), text(&input)));
-            let wanted = case.got.map(|(b, done, left)| (b.to_owned(), done, left.to_owned()));
-            assert_eq!(got, wanted, "{} in steps of {step}", case.name);
+            let expected = case
+                .expected
+                .map(|(b, done, remaining)| (b.to_owned(), done, remaining.to_owned()));
+            assert_eq!(got, expected, "{} in steps of {step}", case.name);
         }
     }
 }
@@ -179,10 +181,10 @@
     name: &'static str,
     bytes: &'static str,
     after: Option<u64>,
-    passed: &'static str,
+    forwarded: &'static str,
     last: Option<u64>,
     gap: bool,
-    left: &'static str,
+    remaining: &'static str,
 }
 
 #[test]
@@ -192,44 +194,44 @@
             name: "two and a half",
             bytes: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda",
             after: None,
-            passed: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
+            forwarded: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
             last: Some(2),
             gap: false,
-            left: "id: 3\nda",
+            remaining: "id: 3\nda",
         },
         EventCase {
             name: "seen before",
             bytes: "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
             after: Some(1),
-            passed: "id: 2\ndata: b\n\n",
+            forwarded: "id: 2\ndata: b\n\n",
             last: Some(2),
             gap: false,
-            left: "",
+            remaining: "",
         },
         EventCase {
             name: "one is missing",
             bytes: "id: 4\ndata: a\n\n",
             after: Some(2),
-            passed: "id: 4\ndata: a\n\n",
+            forwarded: "id: 4\ndata: a\n\n",
             last: Some(4),
             gap: true,
-            left: "",
+            remaining: "",
         },
         EventCase {
             name: "without an id",
             bytes: "data: a\n\n",
             after: Some(2),
-            passed: "data: a\n\n",
+            forwarded: "data: a\n\n",
             last: Some(2),
             gap: false,
-            left: "",
+            remaining: "",
         },
     ];
     for case in cases {
         let mut buffer = case.bytes.as_bytes().to_vec();
         let taken = take_events(&mut buffer, case.after);
-        assert_eq!(String::from_utf8_lossy(&taken.bytes), case.passed, "{}", case.name);
+        assert_eq!(String::from_utf8_lossy(&taken.bytes), case.forwarded, "{}", case.name);
         assert_eq!((taken.last, taken.gap), (case.last, case.gap), "{}", case.name);
-        assert_eq!(String::from_utf8_lossy(&buffer), case.left, "{}", case.name);
+        assert_eq!(String::from_utf8_lossy(&buffer), case.remaining, "{}", case.name);
     }
 }
