--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -38,9 +38,9 @@
 use rate_limits::Limiting;
 use roseshore_core::gateway::copies::COPY_TIME;
 use roseshore_core::gateway::leaving::Pace;
-use roseshore_core::gateway::look::Look;
+use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::gateway::{
-    Allowance, Copies, Currency, EntrySettings, Fatal, Peers, Shortage, Snapshot, Targets,
+    ConfigLease, Copies, EntrySettings, Fatal, Peers, RetryBudget, Shortage, Snapshot, Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -123,7 +123,7 @@
     exchanges: Slab<Exchange>,
     calls: Slab<Call>,
     snapshot: Option<Arc<Snapshot>>,
-    currency: Currency,
+    currency: ConfigLease,
     targets: Targets,
     peers: Peers,
     /// Whether there is news that does not wait, and when such news was last told.
@@ -135,7 +135,7 @@
     speaking: bool,
     liveness: Liveness,
     limiting: Limiting,
-    allowances: HashMap<ServiceId, Allowance>,
+    allowances: HashMap<ServiceId, RetryBudget>,
     following: Following,
     copies: Copies,
     placing: Placing,
@@ -188,10 +188,10 @@
             quiet,
         } = options;
         let now = clock.now();
-        let sockets = settings.sockets.unwrap_or(USUAL_DESCRIPTORS);
+        let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
-        settings.callers = net.listen(Endpoint::Callers, settings.callers)?;
-        settings.probes = net.listen(Endpoint::Probes, settings.probes)?;
+        settings.caller_addr = net.listen(Endpoint::Callers, settings.caller_addr)?;
+        settings.probe_addr = net.listen(Endpoint::Probes, settings.probe_addr)?;
         let rendered = match metrics {
             Some((addr, handle)) => {
                 net.listen(Endpoint::Metrics, addr)?;
@@ -199,17 +199,17 @@
             }
             None => None,
         };
-        if let Some(peer) = settings.peer {
-            settings.peer = Some(net.bind_datagrams(peer)?);
+        if let Some(peer) = settings.peer_addr {
+            settings.peer_addr = Some(net.bind_datagrams(peer)?);
             net.listen(Endpoint::Copies, peer)?;
         }
         let mut random: SmallRng = rand::make_rng();
-        let own = settings.peer.unwrap_or(settings.callers);
+        let own = settings.peer_addr.unwrap_or(settings.caller_addr);
         let centre = &settings.data_centre;
         let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
-            .with_capacity(settings.capacity);
+            .with_capacity(settings.millicores);
         let mut entry = EntryHost {
-            currency: Currency::new(settings.bounds.revoke),
+            currency: ConfigLease::new(settings.bounds.revoke),
             settings,
             read_settings,
             platform,
@@ -261,8 +261,8 @@
             entry,
             Started,
             "host={host} data_centre={centre} callers={} store={} wall_ms={}",
-            entry.settings.callers,
-            entry.settings.store,
+            entry.settings.caller_addr,
+            entry.settings.store_addr,
             wall
         );
         Ok(entry)
@@ -270,7 +270,7 @@
 
     /// Where callers come in, and where probes do.
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
-        (self.settings.callers, self.settings.probes)
+        (self.settings.caller_addr, self.settings.probe_addr)
     }
 
     /// Runs until the stop signal has been obeyed; returns how many requests were cut off.
@@ -281,10 +281,11 @@
         let mut notices = Vec::new();
         loop {
             let began = self.clock.now();
-            let asked = self.next_timer().saturating_duration_since(began);
-            self.net.poll(asked, &mut notices)?;
-            let look = Look { before: self.now, began, asked, ended: self.clock.now() };
-            (self.now, self.came) = (look.ended, look.earliest());
+            let timeout = self.next_timer().saturating_duration_since(began);
+            self.net.poll(timeout, &mut notices)?;
+            let look =
+                PollTiming { previous_end: self.now, began, timeout, ended: self.clock.now() };
+            (self.now, self.came) = (look.ended, look.earliest_arrival());
             for notice in notices.drain(..) {
                 match notice {
                     SocketChange::Endpoint(Endpoint::Peers) => self.hear(),
