--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -2,20 +2,20 @@
 
 // A part of it is unused in each test program, since both share it.
 #[allow(dead_code)]
-#[path = "once/world.rs"]
-mod world;
+#[path = "once/simulation.rs"]
+mod simulation;
 
 use roseshore_core::once::partition::Decision;
 use roseshore_core::prelude::*;
-use world::*;
+use simulation::*;
 
 /// What the last decided attempt was told.
 fn told(world: &World) -> String {
     match world.decisions.last().map(|(_, decision)| decision) {
         None => "nothing".into(),
         Some(Decision::Won(_)) => "won".into(),
-        Some(Decision::Repeat(_)) => "repeat".into(),
-        Some(Decision::Stored(..)) => "stored".into(),
+        Some(Decision::Replay(_)) => "repeat".into(),
+        Some(Decision::ReadFromLog(..)) => "stored".into(),
         Some(Decision::AskOwner(owner, refusal)) => {
             format!("ask {} or {}", owner.host, refusal.code)
         }
