--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -76,7 +76,7 @@
             self.token_ms,
             self.expected,
             self.fill.0,
-            self.fill.1
+            self.fill.1,
         )
     }
 }
@@ -101,7 +101,7 @@
         if !self.may_repeat(key) {
             return self.end_without(key, Code::RetryBudget, "no more sends may be repeated");
         }
-        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.idempotent());
+        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.is_idempotent());
         let (socket, kept) = match self.connection(choice.addr, fresh) {
             Ok(connection) => connection,
             Err(err) => {
@@ -137,7 +137,7 @@
             exchange.sends,
             choice.line(),
             exchange.asked.prompt,
-            left.as_millis()
+            left.as_millis(),
         );
         if let Some(mark) = self.targets.hash(&choice.target) {
             self.limiting.limits.consume(mark, self.now);
@@ -317,7 +317,7 @@
             send.status,
             millis(send.rest),
             send.leaving,
-            culprits.join(",")
+            culprits.join(","),
         );
         exchange.refused += u32::from(fault == Fault::Refused);
         if fault == Fault::NotSent {
@@ -380,7 +380,7 @@
         for claim in &send.claims {
             self.targets.release(claim);
         }
-        if keep && self.net.get(send.socket).is_some_and(|s| s.quiet()) {
+        if keep && self.net.get(send.socket).is_some_and(|s| s.reusable()) {
             self.keep(send.socket, send.addr);
         } else {
             self.close(send.socket);
