--- a/crates/roseshore_core/src/gateway.rs
+++ b/crates/roseshore_core/src/gateway.rs
@@ -44,7 +44,7 @@
 pub use config_lease::ConfigLease;
 pub use copies::Copies;
 pub use failure::{Fault, NextStep, RetryState};
-pub use fatal::Fatal;
+pub use fatal::FatalRequests;
 pub use fingerprint::Fingerprint;
 pub use outage::StoreOutage;
 pub use path::{Candidate, Hop, PathRequest};
--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -36,11 +36,12 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use rate_limits::Limiting;
-use roseshore_core::gateway::copies::COPY_TIME;
-use roseshore_core::gateway::leaving::Pace;
+use roseshore_core::gateway::copies::COPY_TIMEOUT;
+use roseshore_core::gateway::leaving::TokenPace;
 use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::gateway::{
-    ConfigLease, Copies, EntrySettings, Fatal, Peers, RetryBudget, Shortage, Snapshot, Targets,
+    ConfigLease, Copies, EntrySettings, FatalRequests, Peers, RetryBudget, Shortage, Snapshot,
+    Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -140,9 +141,9 @@
     copies: Copies,
     placing: Placing,
     pacing: Pacing,
-    pace: Pace,
+    pace: TokenPace,
     shortage: Shortage,
-    fatal: Fatal,
+    fatal: FatalRequests,
     /// Sends that broke off, until it is known whether their targets ended.
     broken: Vec<Broken>,
     blocked: Blocked,
@@ -238,9 +239,9 @@
             copies: Copies::default(),
             placing: Placing::default(),
             pacing: Pacing::default(),
-            pace: Pace::default(),
+            pace: TokenPace::default(),
             shortage: Shortage::default(),
-            fatal: Fatal::new(now),
+            fatal: FatalRequests::new(now),
             broken: Vec::new(),
             blocked: Blocked::default(),
             random,
@@ -346,7 +347,7 @@
         self.ask_paces();
         self.recheck_dead();
         self.recheck_broken();
-        self.fatal.forget(self.now);
+        self.fatal.expire(self.now);
         self.forget_limits();
         self.drop_idle();
         self.judge_age();
@@ -390,7 +391,7 @@
             if caller {
                 self.watch_caller(key);
             } else if door == Endpoint::Copies {
-                self.arm(self.now + COPY_TIME, Timer::Copy(key));
+                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
         }
     }
