--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -5,7 +5,7 @@
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::{EntryHost, note};
 use roseshore_core::gateway::Fingerprint;
-use roseshore_core::gateway::fatal::{FatalRecord, Upkeep};
+use roseshore_core::gateway::fatal::{FatalRecord, RecordDiff};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
 use roseshore_ports::entry::{CallReply, Entry as Record, StoreFault};
@@ -30,10 +30,11 @@
     pub(super) fn follow_blocked(&mut self) {
         let now = self.now;
         let early = self.blocked.due.is_some_and(|due| now < due);
-        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.away() {
+        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.is_down()
+        {
             return;
         }
-        if self.snapshot.is_none() || self.peers.reading_place(now) > 0 {
+        if self.snapshot.is_none() || self.peers.read_rank(now) > 0 {
             return;
         }
         self.blocked.due = Some(now + EVERY);
@@ -50,7 +51,7 @@
     fn ask_blocked(&mut self) {
         self.blocked.busy = true;
         let request = self.platform.blocked(self.blocked.since.as_deref());
-        self.call(Purpose::Blocked, self.settings.store, &request, STORE_TIME);
+        self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIME);
     }
 
     /// A page of the records came, or did not.
@@ -88,8 +89,8 @@
     /// Writes records that are missing, and drops those of requests that are blocked no longer.
     fn keep_blocked(&mut self) {
         let wall = self.wall_ms();
-        let Upkeep { missing, outdated } =
-            self.fatal.upkeep(&self.blocked.recorded, wall, self.now);
+        let RecordDiff { missing, outdated } =
+            self.fatal.record_diff(&self.blocked.recorded, wall, self.now);
         if missing.is_empty() && outdated.is_empty() {
             return;
         }
@@ -105,7 +106,7 @@
         note!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
         self.blocked.busy = true;
         let request = self.platform.put_blocked(&records);
-        self.call(Purpose::PutBlocked, self.settings.store, &request, STORE_TIME);
+        self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIME);
     }
 
     /// Records were written, or may not have been; the next round looks again.
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -7,10 +7,10 @@
 use super::{EntryHost, Role, Timer, note};
 use crate::http;
 use crate::slab::Key;
-use roseshore_core::gateway::failure::{self, Blame, Fault, Next};
-use roseshore_core::gateway::path::{self, PathNeed};
+use roseshore_core::gateway::failure::{self, Blame, Fault, NextStep};
+use roseshore_core::gateway::path::{self, PathRequest};
 use roseshore_core::gateway::targets::Claim;
-use roseshore_core::gateway::{Hindrance, Hop};
+use roseshore_core::gateway::{Hop, Unavailable};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::Carried;
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
     /// A target of a plain service.
     fn plain(target: TargetId, addr: SocketAddr) -> Choice {
         Choice {
-            claims: vec![Claim { target: target.clone(), held: 0.0 }],
+            claims: vec![Claim { target: target.clone(), kv_used: 0.0 }],
             target,
             addr,
             path: Vec::new(),
@@ -101,7 +101,7 @@
         if !self.may_repeat(key) {
             return self.end_without(key, Code::RetryBudget, "no more sends may be repeated");
         }
-        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.idempotent());
+        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.is_idempotent());
         let (socket, kept) = match self.connection(choice.addr, fresh) {
             Ok(connection) => connection,
             Err(err) => {
@@ -139,13 +139,13 @@
             exchange.asked.prompt,
             left.as_millis(),
         );
-        if let Some(mark) = self.targets.mark(&choice.target) {
-            self.limiting.limits.spend(mark, self.now);
+        if let Some(mark) = self.targets.hash(&choice.target) {
+            self.limiting.limits.consume(mark, self.now);
         }
         for claim in &choice.claims {
-            self.targets.begin(claim);
+            self.targets.reserve(claim);
         }
-        let life = |claim: &Claim| Some((claim.target.clone(), self.targets.mark(&claim.target)?));
+        let life = |claim: &Claim| Some((claim.target.clone(), self.targets.hash(&claim.target)?));
         let lives = choice.claims.iter().filter_map(life).collect();
         exchange.send = Some(Send {
             socket,
@@ -192,7 +192,7 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key).filter(|e| e.arrived) else { return true };
         let service = exchange.service.name.clone();
-        self.allowance(&service).repeat(now)
+        self.allowance(&service).try_retry(now)
     }
 
     /// Keeps a request until a target has room; a stream that has begun for longer, since breaking
@@ -208,11 +208,11 @@
         let left = (since + most).saturating_duration_since(now);
         if best.is_none() && !begun {
             match self.hindrance(key) {
-                Hindrance::Rest(rest) if !engine || rest >= left => {
+                Unavailable::BackingOff(rest) if !engine || rest >= left => {
                     return self.end_by_rest(key, rest);
                 }
-                Hindrance::Limit => return self.end_by_limit(key),
-                Hindrance::Rest(_) | Hindrance::Other => {}
+                Unavailable::RateLimited => return self.end_by_limit(key),
+                Unavailable::BackingOff(_) | Unavailable::Other => {}
             }
         }
         if !engine || left.is_zero() {
@@ -226,12 +226,12 @@
     }
 
     /// Why nothing can be chosen for a request.
-    fn hindrance(&mut self, key: Key) -> Hindrance {
-        let Some(exchange) = self.exchanges.get(key) else { return Hindrance::Other };
-        let rests = self.targets.rest_ends(&exchange.service.name, self.now);
+    fn hindrance(&mut self, key: Key) -> Unavailable {
+        let Some(exchange) = self.exchanges.get(key) else { return Unavailable::Other };
+        let rests = self.targets.pause_ends(&exchange.service.name, self.now);
         let shut = self.shut(&exchange.service.name);
-        Hindrance::of(rests, !shut.is_empty(), self.now, |wish| {
-            let heeded = if wish.limits { shut.as_slice() } else { &[] };
+        Unavailable::of(rests, !shut.is_empty(), self.now, |wish| {
+            let heeded = if wish.enforce_limits { shut.as_slice() } else { &[] };
             self.choose_at(key, wish.at, heeded).is_some()
         })
     }
@@ -244,43 +244,43 @@
     }
 
     /// The same by what is known now of a moment, and without the targets that take no more.
-    fn choose_at(&mut self, key: Key, at: Instant, shut: &[TargetId]) -> Option<Choice> {
+    fn choose_at(&mut self, key: Key, at: Instant, excluded_first: &[TargetId]) -> Option<Choice> {
         let exchange = self.exchanges.get(key)?;
-        let near = self.settings.data_centre.as_str();
+        let data_centre = self.settings.data_centre.as_str();
         let bound = exchange.at_bound();
-        let starts = bound.then_some(exchange.sent_to.as_slice());
+        let allowed_first = bound.then_some(exchange.sent_to.as_slice());
         let avoid = exchange.avoid.list(at);
         let Some(spec) = exchange.service.engine.as_ref() else {
             if bound {
                 return None;
             }
-            let avoid = [&avoid, shut].concat();
-            let target = self.targets.plain(&exchange.service.name, near, &avoid, at);
+            let avoid = [&avoid, excluded_first].concat();
+            let target = self.targets.choose_plain(&exchange.service.name, data_centre, &avoid, at);
             let record = &target?.record;
             return Some(Choice::plain(record.id.clone(), record.addr));
         };
-        let written = f64::from(exchange.out.events) * spec.stride;
-        let expected = expected_tokens(exchange, spec.answer);
-        let need = PathNeed {
+        let written = f64::from(exchange.out.events) * spec.event_tokens;
+        let expected = expected_tokens(exchange, spec.mean_answer);
+        let need = PathRequest {
             layers: spec.layers,
-            prompt: f64::from(exchange.asked.prompt) + written,
-            answer: (expected - written).max(spec.stride),
-            near,
-            avoid: &avoid,
-            shut,
-            starts,
+            prompt_tokens: f64::from(exchange.asked.prompt) + written,
+            answer_tokens: (expected - written).max(spec.event_tokens),
+            data_centre,
+            avoided: &avoid,
+            excluded_first,
+            allowed_first,
         };
         let parts = self.targets.parts(&exchange.service.name, spec, &need, at);
         let path = path::choose(&parts, &need, &mut self.random)?;
-        let tokens = need.tokens();
+        let tokens = need.kv_tokens();
         let claim = |(id, _, hop): &(TargetId, SocketAddr, Hop)| {
-            let held = tokens * f64::from(hop.layers.1 - hop.layers.0);
-            Claim { target: id.clone(), held }
+            let kv_used = tokens * f64::from(hop.layers.1 - hop.layers.0);
+            Claim { target: id.clone(), kv_used }
         };
         let claims = path.hops.iter().map(claim).collect();
         let (target, addr, _) = path.hops.first().cloned()?;
-        let (first_ms, token_ms, roomy) = (path.first_ms, path.token_ms, path.roomy);
-        let (fill, expected) = ((path.fill, path.fullest), need.answer);
+        let (first_ms, token_ms, roomy) = (path.ttft_ms, path.token_ms, path.suitable);
+        let (fill, expected) = ((path.utilisation, path.bottleneck), need.answer_tokens);
         let path = path.hops;
         Some(Choice { target, addr, path, claims, first_ms, token_ms, roomy, expected, fill })
     }
@@ -330,7 +330,7 @@
         self.look_into(key, fault, &culprits);
         for culprit in &culprits {
             // What the first target says of a later one does not show that that one lives.
-            if !(fault.shows_life() && *culprit == first) {
+            if !(fault.proves_alive() && *culprit == first) {
                 self.check_alive(culprit);
             }
             let until = self.record_fault(culprit, blame, fault);
@@ -349,18 +349,18 @@
         if blame == Blame::Unknown {
             return Some(now + AVOID_UNKNOWN_BLAME);
         }
-        if self.targets.failed(culprit, now) {
+        if self.targets.record_failure(culprit, now) {
             note!(self, TargetLost, "target={culprit} fault={}", fault.name());
         }
         // A busy target may be the only one that holds its layers, and has room again when other requests end.
-        self.targets.quarantine(culprit).filter(|_| blame == Blame::Busy)
+        self.targets.quarantine_end(culprit).filter(|_| blame == Blame::Busy)
     }
 
     /// Sends a request again or ends it.
     fn follow_fault(&mut self, key: Key, fault: Fault) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key) else { return };
-        if failure::next(&exchange.standing(now)) == Next::Again {
+        if failure::next_step(&exchange.standing(now)) == NextStep::Retry {
             return self.dispatch(key);
         }
         let (code, why) = match fault {
@@ -378,9 +378,9 @@
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = exchange.send.take() else { return };
         for claim in &send.claims {
-            self.targets.end(claim);
+            self.targets.release(claim);
         }
-        if keep && self.net.get(send.socket).is_some_and(|s| s.quiet()) {
+        if keep && self.net.get(send.socket).is_some_and(|s| s.reusable()) {
             self.keep(send.socket, send.addr);
         } else {
             self.close(send.socket);
--- a/crates/roseshore_relay/src/entry/signals.rs
+++ b/crates/roseshore_relay/src/entry/signals.rs
@@ -2,7 +2,7 @@
 
 use super::{EntryHost, Role, note};
 use crate::slab::Key;
-use roseshore_core::gateway::{Allowance, Currency};
+use roseshore_core::gateway::{ConfigLease, RetryBudget};
 use roseshore_core::prelude::*;
 use std::sync::atomic::Ordering;
 
@@ -36,26 +36,28 @@
                 return;
             }
         };
-        let changed = fresh.bounds != self.settings.bounds || fresh.store != self.settings.store;
+        let changed =
+            fresh.bounds != self.settings.bounds || fresh.store_addr != self.settings.store_addr;
         if changed || asked {
             note!(self, Reloaded, "signal={asked} changed={changed}");
         }
         if fresh.bounds != self.settings.bounds {
             let age = self.currency.age(self.now);
-            self.currency = Currency::new(fresh.bounds.revoke);
+            self.currency = ConfigLease::new(fresh.bounds.revoke);
             if let Some(proven) = age.and_then(|age| self.now.checked_sub(age)) {
-                self.currency.prove(proven);
+                self.currency.renew(proven);
             }
             self.allowances.clear();
         }
         self.settings.bounds = fresh.bounds;
-        self.settings.store = fresh.store;
+        self.settings.store_addr = fresh.store_addr;
     }
 
     /// The allowance of a service.
-    pub(super) fn allowance(&mut self, service: &str) -> &mut Allowance {
+    pub(super) fn allowance(&mut self, service: &str) -> &mut RetryBudget {
         let bounds = &self.settings.bounds;
-        let fresh = || Allowance::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
+        let fresh =
+            || RetryBudget::new(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
         self.allowances.entry(service.to_owned()).or_insert_with(fresh)
     }
 
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -10,9 +10,9 @@
 use super::calls::{CallFault, Purpose, STORE_TIME};
 use super::probes::millis;
 use super::{EntryHost, note};
-use roseshore_core::gateway::outage::Outage;
-use roseshore_core::gateway::peers::ListMark;
-use roseshore_core::gateway::reading::{self, CONFIG_WAIT, TARGETS_EVERY};
+use roseshore_core::gateway::outage::StoreOutage;
+use roseshore_core::gateway::peers::ListVersion;
+use roseshore_core::gateway::store_reads::{self, CONFIG_LONG_POLL, TARGETS_INTERVAL};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
@@ -52,7 +52,7 @@
     list: Option<Position>,
     /// The store holds an older configuration than the one in force, so it proves nothing.
     config_behind: bool,
-    pub(super) outage: Outage,
+    pub(super) outage: StoreOutage,
     /// The list differs from a neighbour's, whose copy could not be had.
     list_differs: bool,
     /// The last copy of changes did not lead to the list of the host that gave it.
@@ -70,7 +70,7 @@
     /// that hangs would outlast the outage.
     fn wait(&self, stream: Stream) -> Duration {
         match stream {
-            Stream::Config if !self.outage.away() => CONFIG_WAIT,
+            Stream::Config if !self.outage.is_down() => CONFIG_LONG_POLL,
             Stream::Config | Stream::Targets => Duration::ZERO,
         }
     }
@@ -143,7 +143,7 @@
         let now = self.now;
         // A read that waits proves nothing until it is answered; what was long not proven is read
         // at once.
-        let old = self.currency.age(now).is_none_or(|age| age > reading::NO_WAIT);
+        let old = self.currency.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
         let wait = if old { Duration::ZERO } else { self.following.wait(stream) };
         let known = match stream {
             Stream::Config => self.snapshot.is_some(),
@@ -153,7 +153,7 @@
         if follow.busy || follow.due.is_some_and(|due| now < due) {
             return;
         }
-        if stream == Stream::Targets && known && self.following.outage.away() {
+        if stream == Stream::Targets && known && self.following.outage.is_down() {
             // One question shows whether the store is back.
             return;
         }
@@ -166,13 +166,14 @@
     /// Whether this host has just begun and may soon hear of one that has read the store.
     fn listens(&self) -> bool {
         let since = self.now.saturating_duration_since(self.begun);
-        let place = self.peers.starting_place(self.now);
-        !self.peers.alone() && since < reading::listening(self.settings.first_start, place)
+        let place = self.peers.startup_read_rank(self.now);
+        !self.peers.no_peers()
+            && since < store_reads::startup_delay(self.settings.first_start, place)
     }
 
     fn ask_store(&mut self, stream: Stream, wait: Duration) {
         self.note_asked(stream);
-        let (store, era) = (self.settings.store, self.following.era);
+        let (store, era) = (self.settings.store_addr, self.following.era);
         let follow = self.following.stream(stream);
         follow.busy = true;
         if let Some(next) = follow.next {
@@ -191,7 +192,7 @@
     /// no other host's word is late enough.
     fn note_asked(&mut self, stream: Stream) {
         let now = self.now;
-        let place = self.peers.reading_place(now);
+        let place = self.peers.read_rank(now);
         let config = millis(self.currency.age(now));
         let list = millis(self.list_age());
         let differs = self.following.list_differs;
@@ -205,11 +206,11 @@
 
     /// Whether neighbours have confirmed a stream lately enough for this host's place among them.
     fn confirmed(&self, stream: Stream) -> bool {
-        let place = self.peers.reading_place(self.now);
+        let place = self.peers.read_rank(self.now);
         let (age, patience) = match stream {
-            Stream::Config => (self.config_age(), reading::config_patience(place)),
+            Stream::Config => (self.config_age(), store_reads::config_max_age(place)),
             Stream::Targets if self.following.list_differs => return false,
-            Stream::Targets => (self.list_age(), reading::list_patience(place)),
+            Stream::Targets => (self.list_age(), store_reads::list_max_age(place)),
         };
         age.zip(patience).is_some_and(|(age, most)| age < most)
     }
@@ -224,7 +225,7 @@
 
     /// Time since the list at hand was last confirmed, by this host or another.
     fn list_age(&self) -> Option<Duration> {
-        let confirmed = self.following.outage.confirmed();
+        let confirmed = self.following.outage.last_confirmed();
         confirmed.map(|at| self.now.saturating_duration_since(at))
     }
 
@@ -258,15 +259,15 @@
     }
 
     /// How far the list of targets was read here.
-    pub(super) fn list_mark(&self) -> ListMark {
-        self.targets.list_mark(self.following.list.unwrap_or_default())
+    pub(super) fn list_mark(&self) -> ListVersion {
+        self.targets.list_version(self.following.list.unwrap_or_default())
     }
 
     /// Compares the own list with that of a host that has read further.
     pub(super) fn compare_list(
         &mut self,
         from: SocketAddr,
-        theirs: ListMark,
+        theirs: ListVersion,
         listed: Option<Instant>,
     ) {
         let now = self.now;
@@ -283,14 +284,14 @@
         }
         if theirs.digest == own.digest {
             self.following.list_reached(theirs.next);
-            self.following.outage.confirm(listed);
+            self.following.outage.record_confirmation(listed);
             self.following.list_differs = false;
             return;
         }
         if theirs.next == own.next {
             return;
         }
-        if self.ask_copy(from) || self.copies.under_way() {
+        if self.ask_copy(from) || self.copies.in_progress() {
             return;
         }
         let follow = &mut self.following.targets;
@@ -351,8 +352,8 @@
                 let absence = self.following.outage.absence(now);
                 self.take_list(next, records, absence, back);
                 self.following.list = Some(next);
-                self.following.targets.due = Some(now + TARGETS_EVERY);
-                self.following.outage.confirm(Some(sent));
+                self.following.targets.due = Some(now + TARGETS_INTERVAL);
+                self.following.outage.record_confirmation(Some(sent));
                 self.following.list_differs = false;
                 self.following.list_missed = false;
             }
@@ -400,8 +401,8 @@
         let caught_up = next >= reading.end;
         follow.next = Some(next);
         if stream == Stream::Targets && caught_up {
-            follow.due = Some(now + TARGETS_EVERY);
-            self.following.outage.confirm(Some(sent));
+            follow.due = Some(now + TARGETS_INTERVAL);
+            self.following.outage.record_confirmation(Some(sent));
             self.following.list_differs = false;
         }
         match stream {
@@ -422,7 +423,7 @@
             Stream::Targets => {
                 let next = Position { era: self.following.era, next };
                 self.following.list = Some(next);
-                self.targets.reach(next);
+                self.targets.advance_to(next);
                 for entry in reading.entries {
                     match entry {
                         Some(Record { key, value: Some(value) }) => self.take_record(&key, &value),
