--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -21,8 +21,8 @@
 mod target_feedback;
 mod timeouts;
 
-use crate::log_writer::Journal;
-use crate::net::{Door, Ended, Net, Notice};
+use crate::log_writer::LogWriter;
+use crate::net::{Ended, Endpoint, Net, SocketChange};
 use crate::slab::{Key, Slab};
 use blocked_requests::Blocked;
 use callers::Caller;
@@ -36,11 +36,12 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 use rate_limits::Limiting;
-use roseshore_core::gateway::copies::COPY_TIME;
-use roseshore_core::gateway::leaving::Pace;
+use roseshore_core::gateway::copies::COPY_TIMEOUT;
+use roseshore_core::gateway::leaving::TokenPace;
 use roseshore_core::gateway::poll_timing::PollTiming;
 use roseshore_core::gateway::{
-    ConfigLease, Copies, EntrySettings, Fatal, Peers, RetryBudget, Shortage, Snapshot, Targets,
+    ConfigLease, Copies, EntrySettings, FatalRequests, Peers, RetryBudget, Shortage, Snapshot,
+    Targets,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -116,7 +117,7 @@
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
     net: Net,
-    journal: Journal,
+    log: LogWriter,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     roles: HashMap<Key, Role>,
     idle: HashMap<SocketAddr, Vec<(Key, Instant)>>,
@@ -140,9 +141,9 @@
     copies: Copies,
     placing: Placing,
     pacing: Pacing,
-    pace: Pace,
+    pace: TokenPace,
     shortage: Shortage,
-    fatal: Fatal,
+    fatal: FatalRequests,
     /// Sends that broke off, until it is known whether their targets ended.
     broken: Vec<Broken>,
     blocked: Blocked,
@@ -164,7 +165,7 @@
 macro_rules! note {
     ($entry:expr, $event:ident, $($text:tt)+) => {{
         let now = $entry.now;
-        $entry.journal.line(now, Event::$event, format_args!($($text)+));
+        $entry.log.log(now, Event::$event, format_args!($($text)+));
         metrics::counter!("roseshore_events_total", "event" => Event::$event.number().to_string())
             .increment(1);
     }};
@@ -190,18 +191,18 @@
         let now = clock.now();
         let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
         let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
-        settings.caller_addr = net.listen(Door::Callers, settings.caller_addr)?;
-        settings.probe_addr = net.listen(Door::Probes, settings.probe_addr)?;
+        settings.caller_addr = net.listen(Endpoint::Callers, settings.caller_addr)?;
+        settings.probe_addr = net.listen(Endpoint::Probes, settings.probe_addr)?;
         let rendered = match metrics {
             Some((addr, handle)) => {
-                net.listen(Door::Metrics, addr)?;
+                net.listen(Endpoint::Metrics, addr)?;
                 Some(handle)
             }
             None => None,
         };
         if let Some(peer) = settings.peer_addr {
-            settings.peer_addr = Some(net.hear(peer)?);
-            net.listen(Door::Copies, peer)?;
+            settings.peer_addr = Some(net.bind_datagrams(peer)?);
+            net.listen(Endpoint::Copies, peer)?;
         }
         let mut random: SmallRng = rand::make_rng();
         let own = settings.peer_addr.unwrap_or(settings.caller_addr);
@@ -218,7 +219,7 @@
             stop,
             reload,
             net,
-            journal: Journal::new(now, quiet),
+            log: LogWriter::new(now, quiet),
             timers: BinaryHeap::new(),
             roles: HashMap::new(),
             idle: HashMap::new(),
@@ -238,9 +239,9 @@
             copies: Copies::default(),
             placing: Placing::default(),
             pacing: Pacing::default(),
-            pace: Pace::default(),
+            pace: TokenPace::default(),
             shortage: Shortage::default(),
-            fatal: Fatal::new(now),
+            fatal: FatalRequests::new(now),
             broken: Vec::new(),
             blocked: Blocked::default(),
             random,
@@ -282,15 +283,15 @@
         loop {
             let began = self.clock.now();
             let timeout = self.next_timer().saturating_duration_since(began);
-            self.net.wait(timeout, &mut notices)?;
+            self.net.poll(timeout, &mut notices)?;
             let look =
                 PollTiming { previous_end: self.now, began, timeout, ended: self.clock.now() };
             (self.now, self.came) = (look.ended, look.earliest_arrival());
             for notice in notices.drain(..) {
                 match notice {
-                    Notice::Door(Door::Peers) => self.hear(),
-                    Notice::Door(door) => self.accept(door),
-                    Notice::Socket(key) => self.socket_changed(key),
+                    SocketChange::Endpoint(Endpoint::Peers) => self.hear(),
+                    SocketChange::Endpoint(door) => self.accept(door),
+                    SocketChange::Socket(key) => self.socket_changed(key),
                 }
             }
             self.fire_timers();
@@ -301,10 +302,10 @@
                 self.ticked = self.now;
                 self.tick();
             }
-            self.journal.flush();
+            self.log.flush();
             if let Some(cut) = self.ended() {
                 note!(self, Stopped, "cut={cut}");
-                self.journal.close(Duration::from_millis(100));
+                self.log.close(Duration::from_millis(100));
                 return Ok(cut);
             }
         }
@@ -346,7 +347,7 @@
         self.ask_paces();
         self.recheck_dead();
         self.recheck_broken();
-        self.fatal.forget(self.now);
+        self.fatal.expire(self.now);
         self.forget_limits();
         self.drop_idle();
         self.judge_age();
@@ -377,20 +378,20 @@
         }
     }
 
-    fn accept(&mut self, door: Door) {
+    fn accept(&mut self, door: Endpoint) {
         while let Some(key) = self.net.accept(door) {
             let role = match door {
-                Door::Callers => Role::Caller(Caller::new(self.now)),
-                Door::Probes => Role::Probe,
-                Door::Metrics | Door::Peers => Role::Metrics,
-                Door::Copies => Role::CopyAsker,
+                Endpoint::Callers => Role::Caller(Caller::new(self.now)),
+                Endpoint::Probes => Role::Probe,
+                Endpoint::Metrics | Endpoint::Peers => Role::Metrics,
+                Endpoint::Copies => Role::CopyAsker,
             };
             let caller = matches!(role, Role::Caller(_));
             self.roles.insert(key, role);
             if caller {
                 self.watch_caller(key);
-            } else if door == Door::Copies {
-                self.arm(self.now + COPY_TIME, Timer::Copy(key));
+            } else if door == Endpoint::Copies {
+                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
         }
     }
@@ -403,7 +404,7 @@
 
     /// Closes a connection when all that was to be sent has left.
     fn finish_socket(&mut self, key: Key) {
-        self.net.finish(key);
+        self.net.close_flushed(key);
         if self.net.get(key).is_none() {
             self.roles.remove(&key);
         }
@@ -412,7 +413,7 @@
     /// A kept connection to an address, or a new one; says whether it was kept.
     fn connection(&mut self, addr: SocketAddr, fresh: bool) -> io::Result<(Key, bool)> {
         while let Some((key, _)) = self.idle.get_mut(&addr).filter(|_| !fresh).and_then(Vec::pop) {
-            if self.net.get(key).is_some_and(|s| s.quiet()) {
+            if self.net.get(key).is_some_and(|s| s.reusable()) {
                 return Ok((key, true));
             }
             self.close(key);
@@ -429,7 +430,7 @@
 
     /// A kept connection that says something, or ends, is of no more use.
     fn check_idle(&mut self, key: Key, addr: SocketAddr) {
-        if !self.net.get(key).is_some_and(|s| s.quiet()) {
+        if !self.net.get(key).is_some_and(|s| s.reusable()) {
             if let Some(kept) = self.idle.get_mut(&addr) {
                 kept.retain(|(k, _)| *k != key);
             }
