--- a/crates/roseshore_core/src/ledger/history.rs
+++ b/crates/roseshore_core/src/ledger/history.rs
@@ -1,77 +1,77 @@
-//! One daemon's memory of its requests.
+//! One daemon's history of its requests.
 //!
-//! What runs is held in full; it is bounded by admission. Of what ended, the newest rows of each
-//! kind are held, so that a flood of refusals does not push out the late answers.
+//! Running requests are all kept; admission bounds their number. Of ended requests, the newest of
+//! each kind are kept, so that a flood of refusals does not displace the late answers.
 
 use crate::prelude::*;
 use std::collections::{HashMap, VecDeque};
 
-/// Ended requests of one kind that are remembered.
+/// The number of ended requests of each kind that are kept.
 pub const MAX_ENDED: usize = 4096;
 
-/// Whose request it is.
+/// Identifies a request, and what and whom it is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestMeta {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
     /// The service.
     pub service: ServiceId,
-    /// The customer.
+    /// The organisation.
     pub organisation: OrganisationId,
 }
 
 /// A request in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunningRequest {
-    /// Whose it is.
+    /// The request.
     pub meta: RequestMeta,
-    /// When it came in.
+    /// When it arrived.
     pub started: SystemTime,
-    /// When its answer must be whole.
+    /// When its answer must be complete.
     pub deadline: SystemTime,
 }
 
-/// A request that has its final verdict.
+/// A request with its final verdict.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedRequest {
-    /// Whose it was.
+    /// The request.
     pub meta: RequestMeta,
     /// When it ended.
     pub ended_at: SystemTime,
-    /// How long past its deadline it ended; zero when in time.
+    /// How long after its deadline it ended; zero if it ended in time.
     pub late_by: Duration,
-    /// What the caller was told.
+    /// The verdict that the caller was given.
     pub verdict: Verdict,
-    /// Why it was refused, if it was, or that the answer is "not found".
+    /// Why it was refused, or that the answer is "not found"; `None` for other answers.
     pub code: Option<Code>,
     /// Whether a recorded answer was given again.
     pub repeated: bool,
-    /// Whether the caller left first.
+    /// Whether the caller disconnected first.
     pub caller_left: bool,
-    /// Re-routes it took.
+    /// The number of times it was rerouted.
     pub reroutes: u32,
-    /// Whether it is advisory work that ended without a whole answer in time.
+    /// Whether it was advisory and ended without a complete answer within its deadline.
     pub missed: bool,
 }
 
 impl EndedRequest {
-    /// Whether it was answered, but after its deadline.
+    /// Whether it was answered after its deadline.
     pub fn was_late(&self) -> bool {
         self.verdict == Verdict::Answered && !self.late_by.is_zero()
     }
 
-    /// Whether the caller was told that it got no answer.
+    /// Whether the caller was told that it gets no answer.
     pub fn was_refused(&self) -> bool {
         self.verdict != Verdict::Answered
     }
 }
 
-/// What became of a request, as far as this daemon remembers.
+/// The state of a request, as far as this daemon remembers it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// It runs.
+    /// It is running.
     Running(RunningRequest),
-    /// It ended.
+    /// It has ended.
     Ended(EndedRequest),
 }
 
@@ -85,55 +85,56 @@
 }
 
 impl RequestHistory {
-    /// A request has come in.
+    /// Adds a request that has arrived.
     pub fn begin(&mut self, running: RunningRequest) {
         self.running.insert(running.meta.request.clone(), running);
     }
 
-    /// A request got its final verdict.
+    /// Replaces a running request by its final verdict.
     pub fn end(&mut self, ended: EndedRequest) {
         self.running.remove(&ended.meta.request);
-        let rows = if ended.was_late() {
+        let list = if ended.was_late() {
             &mut self.late
         } else if ended.was_refused() {
             &mut self.refused
         } else {
             &mut self.answered
         };
-        if rows.len() == MAX_ENDED {
-            rows.pop_front();
+        if list.len() == MAX_ENDED {
+            list.pop_front();
         }
-        rows.push_back(ended);
+        list.push_back(ended);
     }
 
-    /// What runs, in no order.
+    /// The running requests, in no particular order.
     pub fn running(&self) -> impl Iterator<Item = &RunningRequest> {
         self.running.values()
     }
 
-    /// Answers that came after their deadline, oldest first.
+    /// Answers after their deadline, the oldest first.
     pub fn late(&self) -> impl Iterator<Item = &EndedRequest> {
         self.late.iter()
     }
 
-    /// Requests that got no answer, oldest first.
+    /// Requests that got no answer, the oldest first.
     pub fn refused(&self) -> impl Iterator<Item = &EndedRequest> {
         self.refused.iter()
     }
 
-    /// What became of a request, by its whole id or its caller's part; `None` when this daemon never had it or has forgotten it.
+    /// The state of a request, by its full id or the caller's part of it. `None` if this daemon
+    /// never had it or no longer keeps it.
     pub fn find(&self, request: &str) -> Option<RequestState> {
-        let known = |it: &&RunningRequest| request_id_matches(&it.meta.request, request);
-        if let Some(running) = self.running.values().find(known) {
+        let matches = |it: &&RunningRequest| request_id_matches(&it.meta.request, request);
+        if let Some(running) = self.running.values().find(matches) {
             return Some(RequestState::Running(running.clone()));
         }
-        // A caller may use an id again; the newest use is the one it asks about.
+        // A caller may reuse an id; the newest request with it is the one asked about.
         let ended = [&self.answered, &self.late, &self.refused];
-        let found = ended.into_iter().filter_map(|rows| newest(rows, request));
+        let found = ended.into_iter().filter_map(|list| find_newest(list, request));
         found.max_by_key(|e| e.ended_at).cloned().map(RequestState::Ended)
     }
 }
 
-fn newest<'a>(rows: &'a VecDeque<EndedRequest>, request: &str) -> Option<&'a EndedRequest> {
-    rows.iter().rev().find(|e| request_id_matches(&e.meta.request, request))
+fn find_newest<'a>(list: &'a VecDeque<EndedRequest>, request: &str) -> Option<&'a EndedRequest> {
+    list.iter().rev().find(|e| request_id_matches(&e.meta.request, request))
 }
--- a/crates/roseshore_core/src/lookup.rs
+++ b/crates/roseshore_core/src/lookup.rs
@@ -1,15 +1,15 @@
-//! One lookup over the sources of a service, in declared order.
+//! A lookup of one name over the sources of a service, in declared order.
 //!
-//! The outcome is read off the sources in their order: sources that said "missing" are passed
-//! over, and the first other one decides. If it holds the name, its record is the answer; if it
-//! was given up on, the lookup is refused, since it may hold the name and a later source's record
-//! would then be wrong; if it is still being asked, the lookup waits. "Not found" is left when
-//! every source said "missing". So no order of replies can produce an answer that contradicts the
-//! declared order, or a "not found" that a source did not say.
+//! The outcome is determined by going through the sources in order. Sources that replied "missing"
+//! are skipped, and the first other one decides: if it has the name, its record is the answer; if
+//! it was given up on, the lookup is refused, because the source may have the name and a later
+//! source's record would then be wrong; if its reply is pending, the lookup waits. The outcome is
+//! "not found" only if every source replied "missing". So no order of replies can produce an answer
+//! that contradicts the declared order, or a "not found" that a source did not confirm.
 //!
-//! Sources are asked in stages: the next one when all before it said "missing", or when they are
-//! slow. A source that is slow is asked a second time at another replica (a hedge), and a source
-//! that failed is asked again (a retry), each within a [`Budget`].
+//! Sources are asked in stages: the next one when all before it replied "missing", or when they are
+//! slow. A slow source is asked a second time at another replica (a hedge), and a source that
+//! failed is asked again (a retry), each within a [`RetryBudget`](crate::retry::RetryBudget).
 
 mod latency;
 mod types;
@@ -23,8 +23,8 @@
 #[derive(Clone, Debug)]
 enum State<T> {
     Unasked,
-    Asking,
-    Waiting(Instant),
+    Pending,
+    RetryAt(Instant),
     Found(T),
     Missing,
     Failed,
@@ -46,7 +46,7 @@
     hedged: bool,
 }
 
-/// The state of one lookup.
+/// The state machine of one lookup.
 #[derive(Clone, Debug)]
 pub struct Lookup<T> {
     sources: Vec<Source<T>>,
@@ -58,7 +58,8 @@
 }
 
 impl<T: Clone + PartialEq> Lookup<T> {
-    /// A lookup over so many sources that must end by the deadline; [`Lookup::tick`] starts it.
+    /// A lookup over this number of sources that must end by the deadline. [`Lookup::tick`] starts
+    /// it.
     pub fn new(sources: usize, policy: Policy, deadline: Instant) -> Lookup<T> {
         let fresh = Source { state: State::Unasked, asked: 0 };
         Lookup {
@@ -71,26 +72,27 @@
         }
     }
 
-    /// Takes what an attempt brought, and lets time pass.
+    /// Handles the result of an attempt, and then the passage of time.
     pub fn on_reply(
         &mut self,
         attempt: usize,
-        said: SourceReply<T>,
+        reply: SourceReply<T>,
         now: Instant,
         budgets: &mut Budgets,
     ) -> Vec<Action<T>> {
-        let mut actions = self.record_reply(attempt, said, now, budgets);
+        let mut actions = self.record_reply(attempt, reply, now, budgets);
         actions.extend(self.tick(now, budgets));
         actions
     }
 
-    /// Takes what an attempt brought; [`Lookup::tick`] is to follow.
+    /// Handles the result of an attempt; [`Lookup::tick`] must follow.
     ///
-    /// A driver that takes all it has before it lets time pass gets the most certain verdict.
+    /// A driver that passes on all results it has before it calls `tick` gets the most precise
+    /// verdict.
     pub fn record_reply(
         &mut self,
         attempt: usize,
-        said: SourceReply<T>,
+        reply: SourceReply<T>,
         now: Instant,
         budgets: &mut Budgets,
     ) -> Vec<Action<T>> {
@@ -98,16 +100,16 @@
         let source = known.source;
         known.open = false;
         let mut actions = Vec::new();
-        match said {
+        match reply {
             SourceReply::Found(record) => {
-                self.earn(budgets);
+                self.on_definite_reply(budgets);
                 actions.extend(self.conflicts(source, Some(&record)));
                 if !matches!(self.sources[source].state, State::Found(_)) {
                     self.sources[source].state = State::Found(record);
                 }
             }
             SourceReply::Missing => {
-                self.earn(budgets);
+                self.on_definite_reply(budgets);
                 actions.extend(self.conflicts(source, None));
                 if !matches!(self.sources[source].state, State::Found(_)) {
                     self.sources[source].state = State::Missing;
@@ -115,14 +117,14 @@
             }
             SourceReply::Failed(verdict) => {
                 self.verdict = self.verdict.join(verdict);
-                self.failed(source, now, budgets);
+                self.on_failure(source, now, budgets);
             }
-            SourceReply::NoReplica => self.unasked(attempt, now, budgets),
+            SourceReply::NoReplica => self.on_no_replica(attempt, now, budgets),
         }
         actions
     }
 
-    /// Lets time pass, starting what is due.
+    /// Handles the passage of time and returns what to do now.
     pub fn tick(&mut self, now: Instant, budgets: &mut Budgets) -> Vec<Action<T>> {
         let mut actions = Vec::new();
         if self.done {
@@ -134,9 +136,9 @@
             actions.push(Action::Done(outcome));
             return actions;
         }
-        self.begin(now, budgets, &mut actions);
-        self.again(now, &mut actions);
-        self.hedge(now, budgets, &mut actions);
+        self.ask_next_sources(now, budgets, &mut actions);
+        self.retry_due(now, &mut actions);
+        self.hedge_slow(now, budgets, &mut actions);
         actions
     }
 
@@ -150,29 +152,29 @@
             }
         }
         for source in &self.sources {
-            if let State::Waiting(due) = source.state {
+            if let State::RetryAt(due) = source.state {
                 wake = wake.min(due);
             }
         }
         wake
     }
 
-    /// Whether the caller has been told.
+    /// Whether the outcome has been returned.
     pub fn done(&self) -> bool {
         self.done
     }
 
-    /// Whether all sources were asked at once, to compare them.
+    /// Whether all sources are asked at once, to compare their replies.
     pub fn compares(&self) -> bool {
         self.policy.compare
     }
 
-    /// Whether an attempt has brought nothing yet.
+    /// Whether an attempt is still without a result.
     pub fn has_open_attempts(&self) -> bool {
         self.attempts.iter().any(|a| a.open)
     }
 
-    fn earn(&mut self, budgets: &mut Budgets) {
+    fn on_definite_reply(&mut self, budgets: &mut Budgets) {
         self.verdict = self.verdict.join(Verdict::MayHaveRun);
         budgets.retries.record_success();
         budgets.hedges.record_success();
@@ -184,39 +186,40 @@
                 State::Missing => {}
                 State::Found(record) => return Some(Outcome::Found(index, record.clone())),
                 State::Failed => return Some(Outcome::Unavailable(index, self.verdict())),
-                State::Unasked | State::Asking | State::Waiting(_) => return None,
+                State::Unasked | State::Pending | State::RetryAt(_) => return None,
             }
         }
         Some(Outcome::NotFound)
     }
 
-    /// An open attempt may run yet.
+    /// An open attempt may still run.
     fn verdict(&self) -> Verdict {
         if self.has_open_attempts() { self.verdict.join(Verdict::MayHaveRun) } else { self.verdict }
     }
 
-    fn failed(&mut self, source: SourceIndex, now: Instant, budgets: &mut Budgets) {
+    fn on_failure(&mut self, source: SourceIndex, now: Instant, budgets: &mut Budgets) {
         let others = self.attempts.iter().any(|a| a.open && a.source == source);
         let known = &mut self.sources[source];
-        if others || !matches!(known.state, State::Asking) {
+        if others || !matches!(known.state, State::Pending) {
             return;
         }
         let due = now + backoff(known.asked.saturating_sub(1), self.policy.unit_random);
-        let again = known.asked < self.policy.attempts
+        let retry = known.asked < self.policy.attempts
             && due < self.deadline
             && !self.done
             && budgets.retries.try_spend(now);
-        known.state = if again { State::Waiting(due) } else { State::Failed };
+        known.state = if retry { State::RetryAt(due) } else { State::Failed };
     }
 
-    /// Without any replica a retry is of no use; without a second one for a hedge, it may be.
-    fn unasked(&mut self, attempt: usize, now: Instant, budgets: &mut Budgets) {
+    /// With no replica at all, a retry is useless. A hedge only found no second replica, so a retry
+    /// may still help.
+    fn on_no_replica(&mut self, attempt: usize, now: Instant, budgets: &mut Budgets) {
         let Attempt { source, reason, .. } = self.attempts[attempt];
         let known = &mut self.sources[source];
         if reason == Reason::Hedge {
             known.asked -= 1;
-            self.failed(source, now, budgets);
-        } else if matches!(known.state, State::Asking) {
+            self.on_failure(source, now, budgets);
+        } else if matches!(known.state, State::Pending) {
             known.state = State::Failed;
         }
     }
@@ -228,7 +231,7 @@
                 known.open = false;
                 let source = known.source;
                 self.verdict = self.verdict.join(Verdict::MayHaveRun);
-                self.failed(source, now, budgets);
+                self.on_failure(source, now, budgets);
             }
         }
         if self.deadline <= now {
@@ -240,35 +243,41 @@
         }
     }
 
-    fn begin(&mut self, now: Instant, budgets: &mut Budgets, actions: &mut Vec<Action<T>>) {
-        let mut passed = true;
+    fn ask_next_sources(
+        &mut self,
+        now: Instant,
+        budgets: &mut Budgets,
+        actions: &mut Vec<Action<T>>,
+    ) {
+        let mut all_missing = true;
         for index in 0..self.sources.len() {
             if matches!(self.sources[index].state, State::Unasked) {
-                let free = passed || self.policy.compare;
-                let due = free || (self.slow(index - 1, now) && budgets.hedges.try_spend(now));
+                let at_once = all_missing || self.policy.compare;
+                let due =
+                    at_once || (self.is_slow(index - 1, now) && budgets.hedges.try_spend(now));
                 if !due {
                     return;
                 }
-                self.ask(index, Reason::First, now, actions);
+                self.start_attempt(index, Reason::First, now, actions);
             }
-            passed &= matches!(self.sources[index].state, State::Missing);
+            all_missing &= matches!(self.sources[index].state, State::Missing);
         }
     }
 
-    fn slow(&self, source: SourceIndex, now: Instant) -> bool {
+    fn is_slow(&self, source: SourceIndex, now: Instant) -> bool {
         let first = self.attempts.iter().find(|a| a.source == source);
         first.is_some_and(|a| a.started + self.policy.hedge_after <= now)
     }
 
-    fn again(&mut self, now: Instant, actions: &mut Vec<Action<T>>) {
+    fn retry_due(&mut self, now: Instant, actions: &mut Vec<Action<T>>) {
         for index in 0..self.sources.len() {
-            if matches!(self.sources[index].state, State::Waiting(due) if due <= now) {
-                self.ask(index, Reason::Retry, now, actions);
+            if matches!(self.sources[index].state, State::RetryAt(due) if due <= now) {
+                self.start_attempt(index, Reason::Retry, now, actions);
             }
         }
     }
 
-    fn hedge(&mut self, now: Instant, budgets: &mut Budgets, actions: &mut Vec<Action<T>>) {
+    fn hedge_slow(&mut self, now: Instant, budgets: &mut Budgets, actions: &mut Vec<Action<T>>) {
         for index in 0..self.attempts.len() {
             let known = &mut self.attempts[index];
             let due = known.open && !known.hedged && known.started + self.policy.hedge_after <= now;
@@ -277,15 +286,15 @@
             }
             known.hedged = true;
             let source = known.source;
-            let asking = matches!(self.sources[source].state, State::Asking);
-            let left = self.sources[source].asked < self.policy.attempts;
-            if asking && left && budgets.hedges.try_spend(now) {
-                self.ask(source, Reason::Hedge, now, actions);
+            let pending = matches!(self.sources[source].state, State::Pending);
+            let may_ask = self.sources[source].asked < self.policy.attempts;
+            if pending && may_ask && budgets.hedges.try_spend(now) {
+                self.start_attempt(source, Reason::Hedge, now, actions);
             }
         }
     }
 
-    fn ask(
+    fn start_attempt(
         &mut self,
         source: SourceIndex,
         reason: Reason,
@@ -296,12 +305,12 @@
         let attempt = self.attempts.len();
         let hedged = reason == Reason::Hedge;
         self.attempts.push(Attempt { source, started: now, limit, reason, open: true, hedged });
-        self.sources[source].state = State::Asking;
+        self.sources[source].state = State::Pending;
         self.sources[source].asked += 1;
         actions.push(Action::Ask { source, attempt, reason, limit });
     }
 
-    /// Contradictions between a new reply of `source` and what is known.
+    /// The contradictions between a new reply of `source` and the earlier replies.
     fn conflicts(&self, source: SourceIndex, record: Option<&T>) -> Vec<Action<T>> {
         let mut found = Vec::new();
         for (index, other) in self.sources.iter().enumerate() {
--- a/crates/roseshore_core/src/lookup/types.rs
+++ b/crates/roseshore_core/src/lookup/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a lookup and what comes out.
+//! The inputs and outputs of the [`Lookup`](super::Lookup) state machine.
 
 use crate::prelude::*;
 use crate::retry::RetryBudget;
@@ -6,20 +6,20 @@
 /// The index of a source in the declared order.
 pub type SourceIndex = usize;
 
-/// How a lookup goes about it.
+/// The timing and limits of a lookup.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// When a silent attempt is hedged and the next source is asked beside it, from its start.
+    /// How long after its start an attempt is hedged, and the next source is asked as well.
     pub hedge_after: Duration,
-    /// When an attempt is given up, from its start.
+    /// How long after its start an attempt is given up.
     pub attempt_limit: Duration,
-    /// Attempts at one source, hedges included.
+    /// The most attempts at one source, hedges included.
     pub attempts: u32,
-    /// When a caller that was refused should come back.
+    /// When a refused caller is told to retry.
     pub retry_after: Duration,
-    /// Whether all sources are asked at once, to compare them.
+    /// Whether all sources are asked at once, to compare their replies.
     pub compare: bool,
-    /// A random number in `0.0..1.0` that spreads retries out.
+    /// A random number in `0.0..1.0` that spreads out retries.
     pub unit_random: f64,
 }
 
@@ -36,71 +36,72 @@
     }
 }
 
-/// What extra attempts are paid from.
+/// The budgets for extra attempts.
 #[derive(Clone, Debug, Default)]
 pub struct Budgets {
     /// For attempts after a failure.
     pub retries: RetryBudget,
-    /// For attempts beside a slow one.
+    /// For attempts in parallel with a slow one.
     pub hedges: RetryBudget,
 }
 
-/// What one attempt at a source brought.
+/// The result of one attempt at a source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceReply<T> {
-    /// The source holds the name, with this record.
+    /// The source has the name, with this record.
     Found(T),
-    /// The source certainly does not hold the name.
+    /// The source certainly does not have the name.
     Missing,
-    /// The source could not say; the verdict tells whether it may have worked on it.
+    /// The source did not answer the question. The verdict tells whether it may have run the
+    /// lookup.
     Failed(Verdict),
-    /// No replica could be asked.
+    /// There was no replica to ask.
     NoReplica,
 }
 
 /// Why an attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// It is the first at its source.
+    /// It is the first one at its source.
     First,
-    /// The ones before failed; another replica is better, the same will do.
+    /// The earlier ones failed. Another replica is preferred, but the same one will do.
     Retry,
-    /// The one before is slow; only another replica makes sense.
+    /// The earlier one is slow. Only another replica is of use.
     Hedge,
 }
 
-/// What the driver does next.
+/// What the driver must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action<T> {
-    /// Ask a source, and tell what came of it with the number of the attempt.
+    /// Ask a source, and pass the result on with the number of the attempt.
     Ask {
         /// The source.
         source: SourceIndex,
         /// The number of the attempt, unique within the lookup.
         attempt: usize,
-        /// Why.
+        /// Why the attempt is made.
         reason: Reason,
-        /// When to give the attempt up.
+        /// When to give up the attempt.
         limit: Instant,
     },
-    /// Tell the caller; said once.
+    /// Pass the outcome on to the caller; occurs once.
     Done(Outcome<T>),
     /// Two sources, or two replicas of one source, contradict each other.
     Conflict {
         /// The earlier source in declared order.
         earlier: SourceIndex,
-        /// The later one, or the same.
+        /// The later source, or the same one.
         later: SourceIndex,
     },
 }
 
-/// How a lookup ended.
+/// The outcome of a lookup.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome<T> {
-    /// The first source in order that holds the name, and its record.
+    /// The first source in order that has the name, and its record.
     Found(SourceIndex, T),
-    /// Every source said that it does not hold the name.
+    /// Every source replied that it does not have the name.
     NotFound,
-    /// A source that could hold the name was given up on.
+    /// A source that may have the name was given up on.
     Unavailable(SourceIndex, Verdict),
 }
--- a/crates/roseshore_core/src/once.rs
+++ b/crates/roseshore_core/src/once.rs
@@ -22,8 +22,8 @@
 /// The number of partitions of a fleet. It is not configurable: two daemons that disagree on it
 /// would judge one key by two streams, and the key could run twice.
 ///
-/// One append goes to one stream, so more partitions mean smaller batches. `docs/design/once.md` has
-/// the figures, and describes how to raise the number.
+/// One append goes to one stream, so more partitions mean smaller batches. `docs/design/once.md`
+/// has the figures, and describes how to raise the number.
 pub const PARTITIONS: usize = 1;
 
 /// The partition that a key belongs to, from 0 to `count - 1`.
--- a/crates/roseshore_core/src/once/batch.rs
+++ b/crates/roseshore_core/src/once/batch.rs
@@ -86,8 +86,8 @@
         });
     }
 
-    /// Withdraws a claim or an operator's settlement. `true` when it certainly is not in the log and
-    /// never will be.
+    /// Withdraws a claim or an operator's settlement. `true` when it certainly is not in the log
+    /// and never will be.
     pub fn revoke(&mut self, nonce: Nonce) -> bool {
         let is_match = |queued: &QueuedRecord| queued.revocable && queued.nonce == nonce;
         if let Some(sent) = self.in_flight.iter_mut().find(|queued| is_match(queued)) {
@@ -108,7 +108,8 @@
         self.queue.is_empty() && self.in_flight.is_empty()
     }
 
-    /// The records to append now. Empty while an append is in flight or the next one is not yet due.
+    /// The records to append now. Empty while an append is in flight or the next one is not yet
+    /// due.
     pub fn take(&mut self, now: Instant) -> Vec<String> {
         let early = self.due.is_some_and(|due| now < due);
         if early || !self.in_flight.is_empty() {
--- a/crates/roseshore_core/src/once/key_time.rs
+++ b/crates/roseshore_core/src/once/key_time.rs
@@ -1,8 +1,9 @@
 //! The creation time that a key carries.
 //!
 //! It is part of the key itself, so that it cannot differ between repeats of a request: a version 7
-//! UUID, or any text followed by `@` and the milliseconds since the Unix epoch. Text that only might
-//! be a time is not taken for one: a ULID, for example, looks like any other word of its length.
+//! UUID, or any text followed by `@` and the milliseconds since the Unix epoch. Text that only
+//! might be a time is not taken for one: a ULID, for example, looks like any other word of its
+//! length.
 
 use std::time::Duration;
 
--- a/crates/roseshore_core/src/once/keys.rs
+++ b/crates/roseshore_core/src/once/keys.rs
@@ -311,8 +311,9 @@
         }
     }
 
-    /// A settlement names the claim that it is about, so that one that lands late cannot void a later
-    /// claim. It takes effect only when the claimant can no longer dispatch, by the log's own times.
+    /// A settlement names the claim that it is about, so that one that lands late cannot void a
+    /// later claim. It takes effect only when the claimant can no longer dispatch, by the log's own
+    /// times.
     fn settle(&mut self, at: &Position, settlement: &Settlement) {
         if self.void_nonces.contains(&at.nonce) {
             return;
--- a/crates/roseshore_core/src/once/partition.rs
+++ b/crates/roseshore_core/src/once/partition.rs
@@ -1,10 +1,10 @@
 //! One daemon's state machine for one claim stream.
 //!
-//! Inputs are callers' attempts and the results of appends and reads; outputs are appends, reads and
-//! decisions. Only the log's order decides: an attempt has won when its claim has been read back as
-//! the holder of its key. It is then dispatched or abandoned in one step of this machine, and never
-//! both. An attempt that is given up while its claim is or may still get into the log leaves an
-//! abandonment, which is sent until the log has taken it.
+//! Inputs are callers' attempts and the results of appends and reads; outputs are appends, reads
+//! and decisions. Only the log's order decides: an attempt has won when its claim has been read
+//! back as the holder of its key. It is then dispatched or abandoned in one step of this machine,
+//! and never both. An attempt that is given up while its claim is or may still get into the log
+//! leaves an abandonment, which is sent until the log has taken it.
 
 mod decide;
 mod settle;
@@ -36,8 +36,8 @@
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Milliseconds over which the retries of callers that are refused together are spread.
 const RETRY_SPREAD_MS: u64 = 2000;
-/// How long a daemon appends nothing before it appends a mark, so that the log's retention window is
-/// never empty.
+/// How long a daemon appends nothing before it appends a mark, so that the log's retention window
+/// is never empty.
 pub const MARK_INTERVAL: Duration = Duration::from_mins(10);
 
 #[derive(Debug)]
@@ -139,8 +139,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Partition::tick`] is due at the latest if nothing else happens; `None` if it need not be
-    /// called.
+    /// When [`Partition::tick`] is due at the latest if nothing else happens; `None` if it need not
+    /// be called.
     pub fn due(&self, now: Instant) -> Option<Instant> {
         let ends = self.running.values().filter_map(|run| match run.phase {
             Phase::Waiting(_) => Some(run.give_up_at()),
@@ -168,8 +168,8 @@
         id
     }
 
-    /// Whether the attempt that won at this offset may send its first byte now. After `true` it cannot
-    /// be abandoned any more; after `false` it has been abandoned.
+    /// Whether the attempt that won at this offset may send its first byte now. After `true` it
+    /// cannot be abandoned any more; after `false` it has been abandoned.
     pub fn dispatch(&mut self, offset: Offset, now: Instant) -> bool {
         let won = |run: &&mut RunningAttempt| run.phase == Phase::Won(offset);
         let Some(run) = self.running.values_mut().find(won) else { return false };
--- a/crates/roseshore_core/src/once/partition/decide.rs
+++ b/crates/roseshore_core/src/once/partition/decide.rs
@@ -136,8 +136,8 @@
         let Some(run) = self.running.remove(&id) else { return };
         let is_void = self.keys.is_void(&run.attempt.key, run.nonce);
         let claimed = run.phase == Phase::Waiting(true);
-        // A claim that was read back as void needs no abandonment; one that may yet get into the log
-        // does.
+        // A claim that was read back as void needs no abandonment; one that may yet get into the
+        // log does.
         if claimed && !self.batch.revoke(run.nonce) && !is_void {
             self.batch.push(&run.abandonment());
         }
--- a/crates/roseshore_core/src/once/partition/settle.rs
+++ b/crates/roseshore_core/src/once/partition/settle.rs
@@ -161,9 +161,9 @@
 }
 
 impl Partition {
-    /// Queries the status of a key. The answer comes once the end of the log has been read, or at the
-    /// deadline. With `mark`, a mark is appended and read back first, so that the answer contains the
-    /// log's current time.
+    /// Queries the status of a key. The answer comes once the end of the log has been read, or at
+    /// the deadline. With `mark`, a mark is appended and read back first, so that the answer
+    /// contains the log's current time.
     pub fn query_key(&mut self, key: Key, mark: bool, deadline: Instant) -> AttemptId {
         let id = self.next_id;
         let nonce = self.next_nonce();
@@ -217,8 +217,8 @@
         ));
     }
 
-    /// A settlement was read back: reports the result to its sender, and ends the attempt whose claim
-    /// it voids.
+    /// A settlement was read back: reports the result to its sender, and ends the attempt whose
+    /// claim it voids.
     pub(super) fn on_settlement(&mut self, record: &Record, at: Offset) {
         self.batch.revoke(record.nonce);
         let key = &record.key;
--- a/crates/roseshore_core/src/once/partition/types.rs
+++ b/crates/roseshore_core/src/once/partition/types.rs
@@ -26,8 +26,8 @@
     Won(Offset),
     /// The outcome of the key is recorded, and is to be given again.
     Replay(Arc<Outcome>),
-    /// The outcome of the key is recorded, and is to be read at this offset. The refusal is the reply
-    /// if it cannot be read.
+    /// The outcome of the key is recorded, and is to be read at this offset. The refusal is the
+    /// reply if it cannot be read.
     ReadFromLog(Offset, Refusal),
     /// The claimant may know the outcome. The refusal is the reply if it does not tell.
     AskOwner(Owner, Refusal),
--- a/crates/roseshore_core/src/once/record.rs
+++ b/crates/roseshore_core/src/once/record.rs
@@ -27,8 +27,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Act {
-    /// The claimant wants to dispatch the request. It holds the key if the key is free at this point
-    /// of the log.
+    /// The claimant wants to dispatch the request. It holds the key if the key is free at this
+    /// point of the log.
     Claim {
         /// The daemon that claims.
         owner: Owner,
@@ -51,8 +51,8 @@
     },
     /// An operator has checked the target and says whether the request ran.
     Settle(Settlement),
-    /// Says nothing of any key. It keeps the log's retention window from being empty while no claims
-    /// arrive, so that a daemon that starts then learns how far back the stream reaches.
+    /// Says nothing of any key. It keeps the log's retention window from being empty while no
+    /// claims arrive, so that a daemon that starts then learns how far back the stream reaches.
     Mark,
 }
 
@@ -65,7 +65,8 @@
     pub note: String,
     /// Whether the request ran.
     pub ran: bool,
-    /// The claim that the settlement is about, and no later one; `None` for a key that nobody holds.
+    /// The claim that the settlement is about, and no later one; `None` for a key that nobody
+    /// holds.
     pub claim: Option<Nonce>,
 }
 
--- a/crates/roseshore_core/src/polling.rs
+++ b/crates/roseshore_core/src/polling.rs
@@ -1,12 +1,13 @@
 //! Which daemon polls which target, and when.
 //!
-//! The first daemon in rendezvous order for a target polls it; the others are told the reports.
-//! Whoever has heard nothing of a target for a while polls it too, those further down the order
-//! later: that covers a poller that died, and one that lives but whose word does not get here.
-//! Each target has at most one poll under way, and all targets together a bounded number.
+//! The first daemon in rendezvous order for a target polls it and sends the reports to the others.
+//! A daemon that has had no report about a target for a while polls it too, later the further down
+//! the order it is. That covers both a poller that has died and one that runs but whose reports do
+//! not arrive. Each target has at most one poll in flight, and the number over all targets is
+//! bounded.
 //!
-//! A poll that fails is repeated at once; after the second failure the target is out of use, which
-//! is said at once, and it is probed ever more slowly until it answers.
+//! A poll that fails is repeated shortly after. After the second failure the target is down, which
+//! is reported at once, and it is probed with increasing intervals until it answers.
 
 mod cache_cursors;
 
@@ -15,29 +16,31 @@
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// When to poll.
+/// The timing and limits of polling.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The time between polls of one target.
     pub period: Duration,
-    /// The time to the second try after a poll that failed.
+    /// The time from the first failed poll of a target to the next poll. It doubles with each
+    /// further failure once the target is down.
     pub retry_delay: Duration,
-    /// The longest time between probes of a target that is out of use.
+    /// The longest time between polls of a target that is down.
     pub max_probe: Duration,
-    /// Missing reports, in periods, after which the second in order polls.
+    /// The number of periods without a report after which the second daemon in order polls.
     pub silent_periods: u32,
-    /// What each further place in the order waits more.
+    /// How much longer each further daemon in order waits.
     pub stagger: Duration,
-    /// Failed polls after which a target is out of use.
+    /// The number of consecutive failed polls after which a target is down.
     pub max_failures: u32,
-    /// How often a target that another daemon polls is looked at.
+    /// How often to check whether a target that another daemon polls needs a poll from here.
     pub recheck: Duration,
-    /// Polls under way at once.
+    /// The most polls in flight.
     pub max_polls: usize,
-    /// A poll of which nothing was heard for so long is no longer under way.
+    /// How long a poll may be in flight before it is taken for lost.
     pub poll_timeout: Duration,
     /// The most declared targets of a fleet that every data centre polls in full, so that it can
-    /// use the others' when its own are lost; in a larger one it polls its own only.
+    /// use the targets of others when its own are lost. In a larger fleet it polls its own targets
+    /// only.
     pub full_limit: usize,
 }
 
@@ -58,164 +61,170 @@
     }
 }
 
-/// What is to be done.
+/// What the driver must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the target for its report, and come back with [`Polling::on_answer`] or
-    /// [`Polling::on_failure`].
+    /// Poll the target, and pass the result to [`Polling::on_answer`] or [`Polling::on_failure`].
     Poll(TargetId),
     /// Tell the router and the peers that the target does not answer.
     Unresponsive(TargetId),
-    /// The target is out of use, for the log.
+    /// Log that the target is down.
     Down(TargetId),
-    /// The target is in use again, for the log.
+    /// Log that the target is up again.
     Up(TargetId),
 }
 
+/// What this daemon knows of one target.
 #[derive(Clone, Debug)]
-struct Watch {
+struct TargetState {
     seen: Instant,
     due: Instant,
-    asked: Option<Instant>,
+    polled_at: Option<Instant>,
     failures: u32,
-    lost: bool,
+    down: bool,
 }
 
 /// The polls of one daemon.
 pub struct Polling {
     settings: Settings,
-    watches: BTreeMap<TargetId, Watch>,
+    targets: BTreeMap<TargetId, TargetState>,
 }
 
 impl Polling {
-    /// No targets yet.
+    /// A state without targets.
     pub fn new(settings: Settings) -> Polling {
-        Polling { settings, watches: BTreeMap::new() }
+        Polling { settings, targets: BTreeMap::new() }
     }
 
-    /// Sets the time between polls; it grows with the number of daemons to tell.
+    /// Sets the time between polls. It grows with the number of daemons that get the reports.
     pub fn set_period(&mut self, period: Duration) {
         self.settings.period = period;
     }
 
-    /// Sets the targets; known ones keep their state.
-    pub fn set_targets(&mut self, targets: impl IntoIterator<Item = TargetId>, now: Instant) {
-        let mut old = std::mem::take(&mut self.watches);
-        for target in targets {
-            let watch = old.remove(&target).unwrap_or_else(|| Watch {
+    /// Sets the targets; those that are already known keep their state.
+    pub fn set_targets(&mut self, ids: impl IntoIterator<Item = TargetId>, now: Instant) {
+        let mut previous = std::mem::take(&mut self.targets);
+        for target in ids {
+            let state = previous.remove(&target).unwrap_or_else(|| TargetState {
                 seen: now,
-                due: now + self.phase(&target),
-                asked: None,
+                due: now + self.initial_delay(&target),
+                polled_at: None,
                 failures: 0,
-                lost: false,
+                down: false,
             });
-            self.watches.insert(target, watch);
+            self.targets.insert(target, state);
         }
     }
 
-    /// What is due. `place` is this daemon's place in the order for a target, `None` if it is not
-    /// to poll at all; call it with a view that is not stale.
-    pub fn tick(&mut self, now: Instant, place: impl Fn(&str) -> Option<usize>) -> Vec<Action> {
-        for watch in self.watches.values_mut() {
+    /// The polls to start now. `rank` gives this daemon's position in the order for a target, or
+    /// `None` if it must not poll. Call it only with a current view of the members.
+    pub fn tick(&mut self, now: Instant, rank: impl Fn(&str) -> Option<usize>) -> Vec<Action> {
+        for state in self.targets.values_mut() {
             let timeout = self.settings.poll_timeout;
-            watch.asked = watch.asked.filter(|at| now.saturating_duration_since(*at) < timeout);
+            state.polled_at =
+                state.polled_at.filter(|at| now.saturating_duration_since(*at) < timeout);
         }
-        let busy = self.watches.values().filter(|w| w.asked.is_some()).count();
-        let mut room = self.settings.max_polls.saturating_sub(busy);
-        let mut due: Vec<_> = self.watches.iter_mut().filter(|(_, w)| w.ready(now)).collect();
+        let in_flight = self.targets.values().filter(|w| w.polled_at.is_some()).count();
+        let mut free = self.settings.max_polls.saturating_sub(in_flight);
+        let mut due: Vec<_> = self.targets.iter_mut().filter(|(_, w)| w.is_due(now)).collect();
         due.sort_by_key(|(_, w)| w.due);
         let mut actions = Vec::new();
-        for (target, watch) in due {
-            if !watch.turn(&self.settings, place(target), now) {
-                watch.due = now + self.settings.recheck;
+        for (target, state) in due {
+            if !state.should_poll(&self.settings, rank(target), now) {
+                state.due = now + self.settings.recheck;
                 continue;
             }
-            if room == 0 {
+            if free == 0 {
                 break;
             }
-            room -= 1;
-            watch.asked = Some(now);
+            free -= 1;
+            state.polled_at = Some(now);
             actions.push(Action::Poll(target.clone()));
         }
         actions
     }
 
-    /// A target answered a poll.
+    /// Handles a poll that the target answered.
     pub fn on_answer(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
         let period = self.settings.period;
-        let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
-        let begun = watch.asked.take().unwrap_or(now);
-        watch.due = (begun + period).max(now);
-        watch.failures = 0;
-        watch.heard(target, false, now)
+        let Some(state) = self.targets.get_mut(target) else { return Vec::new() };
+        let started = state.polled_at.take().unwrap_or(now);
+        state.due = (started + period).max(now);
+        state.failures = 0;
+        state.record_report(target, false, now)
     }
 
-    /// A poll of a target failed.
+    /// Handles a poll that failed.
     pub fn on_failure(&mut self, target: &TargetId, now: Instant) -> Vec<Action> {
         let Settings { retry_delay, max_probe, max_failures, .. } = self.settings;
-        let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
-        watch.asked = None;
-        watch.failures += 1;
-        if watch.failures < max_failures {
-            watch.due = now + retry_delay;
+        let Some(state) = self.targets.get_mut(target) else { return Vec::new() };
+        state.polled_at = None;
+        state.failures += 1;
+        if state.failures < max_failures {
+            state.due = now + retry_delay;
             return Vec::new();
         }
-        let doublings = (watch.failures - max_failures).min(MAX_DOUBLINGS);
-        watch.due = now + (retry_delay * 2u32.pow(doublings)).min(max_probe);
-        let mut actions = watch.heard(target, true, now);
+        let doublings = (state.failures - max_failures).min(MAX_DOUBLINGS);
+        state.due = now + (retry_delay * 2u32.pow(doublings)).min(max_probe);
+        let mut actions = state.record_report(target, true, now);
         actions.push(Action::Unresponsive(target.clone()));
         actions
     }
 
-    /// A peer told a report of a target that it polled at `seen`.
+    /// Handles a report of a peer, which polled the target at `seen`.
     pub fn on_peer_report(
         &mut self,
         target: &TargetId,
-        silent: bool,
+        unresponsive: bool,
         seen: Instant,
     ) -> Vec<Action> {
-        let Some(watch) = self.watches.get_mut(target) else { return Vec::new() };
-        if seen <= watch.seen {
+        let Some(state) = self.targets.get_mut(target) else { return Vec::new() };
+        if seen <= state.seen {
             return Vec::new();
         }
-        watch.heard(target, silent, seen)
+        state.record_report(target, unresponsive, seen)
     }
 
-    /// Whether a target is out of use.
+    /// Whether a target is down.
     pub fn is_down(&self, target: &TargetId) -> bool {
-        self.watches.get(target).is_some_and(|w| w.lost)
+        self.targets.get(target).is_some_and(|w| w.down)
     }
 
-    /// Spreads the first polls of many targets over a period.
-    fn phase(&self, target: &str) -> Duration {
+    /// Spreads the first polls of many targets over one period.
+    fn initial_delay(&self, target: &str) -> Duration {
         let hash = crate::membership::weight("phase", target);
         self.settings.period.mul_f64(hash as f64 / u64::MAX as f64)
     }
 }
 
-/// Bounds the exponent of the probe's wait, far above what [`Settings::max_probe`] lets through.
+/// Bounds the exponent of the probe interval, far above what [`Settings::max_probe`] allows.
 const MAX_DOUBLINGS: u32 = 16;
 
-impl Watch {
-    fn ready(&self, now: Instant) -> bool {
-        self.asked.is_none() && self.due <= now
+impl TargetState {
+    fn is_due(&self, now: Instant) -> bool {
+        self.polled_at.is_none() && self.due <= now
     }
 
-    /// Whether this daemon, with its place in the order, is to poll now.
-    fn turn(&self, settings: &Settings, place: Option<usize>, now: Instant) -> bool {
-        let Some(place) = place else { return false };
-        if place == 0 {
+    /// Whether this daemon, at its position in the order, must poll now.
+    fn should_poll(&self, settings: &Settings, rank: Option<usize>, now: Instant) -> bool {
+        let Some(rank) = rank else { return false };
+        if rank == 0 {
             return true;
         }
-        let usual = if self.lost { settings.max_probe } else { settings.period };
-        let wait = usual * settings.silent_periods + settings.stagger * (place as u32 - 1);
+        let interval = if self.down { settings.max_probe } else { settings.period };
+        let wait = interval * settings.silent_periods + settings.stagger * (rank as u32 - 1);
         now.saturating_duration_since(self.seen) >= wait
     }
 
-    fn heard(&mut self, target: &TargetId, silent: bool, seen: Instant) -> Vec<Action> {
+    fn record_report(
+        &mut self,
+        target: &TargetId,
+        unresponsive: bool,
+        seen: Instant,
+    ) -> Vec<Action> {
         self.seen = self.seen.max(seen);
-        let was = std::mem::replace(&mut self.lost, silent);
-        match (was, silent) {
+        let was_down = std::mem::replace(&mut self.down, unresponsive);
+        match (was_down, unresponsive) {
             (false, true) => vec![Action::Down(target.clone())],
             (true, false) => vec![Action::Up(target.clone())],
             _ => Vec::new(),
--- a/crates/roseshore_core/tests/ledger.rs
+++ b/crates/roseshore_core/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The record of requests and the weekly account.
+//! The request history and the weekly account.
 
 use proptest::prelude::*;
 use roseshore_core::ledger::account::{
@@ -101,32 +101,32 @@
 }
 
 #[test]
-fn every_end_is_listed_and_counted_once() {
+fn every_ended_request_is_listed_and_counted_once() {
     for case in cases() {
-        let mut book = RequestHistory::default();
+        let mut history = RequestHistory::default();
         let mut counter = Counter::new("h".into(), 1);
         let meta = case.ended.meta.clone();
-        book.begin(RunningRequest { meta, started: at(0), deadline: at(1) });
-        assert!(matches!(book.find("r"), Some(RequestState::Running(_))), "{}", case.name);
-        book.end(case.ended.clone());
+        history.begin(RunningRequest { meta, started: at(0), deadline: at(1) });
+        assert!(matches!(history.find("r"), Some(RequestState::Running(_))), "{}", case.name);
+        history.end(case.ended.clone());
         counter.count(&case.ended);
-        assert_eq!(book.running().count(), 0, "{}", case.name);
-        assert_eq!(book.late().count(), case.late, "{}", case.name);
-        assert_eq!(book.refused().count(), case.refused, "{}", case.name);
-        assert_eq!(book.find("r"), Some(RequestState::Ended(case.ended)), "{}", case.name);
-        let part = counter.next_delta().expect("something was counted");
-        assert_eq!(part.rows[0].counts, case.counts, "{}", case.name);
+        assert_eq!(history.running().count(), 0, "{}", case.name);
+        assert_eq!(history.late().count(), case.late, "{}", case.name);
+        assert_eq!(history.refused().count(), case.refused, "{}", case.name);
+        assert_eq!(history.find("r"), Some(RequestState::Ended(case.ended)), "{}", case.name);
+        let delta = counter.next_delta().expect("something was counted");
+        assert_eq!(delta.rows[0].counts, case.counts, "{}", case.name);
     }
 }
 
 #[test]
 fn a_flood_of_refusals_does_not_push_out_late_answers() {
-    let mut book = RequestHistory::default();
-    book.end(ended("late", Verdict::Answered, 5));
+    let mut history = RequestHistory::default();
+    history.end(ended("late", Verdict::Answered, 5));
     for i in 0..MAX_ENDED + 10 {
-        book.end(ended(&i.to_string(), Verdict::NotRun, 0));
+        history.end(ended(&i.to_string(), Verdict::NotRun, 0));
     }
-    assert_eq!((book.late().count(), book.refused().count()), (1, MAX_ENDED));
+    assert_eq!((history.late().count(), history.refused().count()), (1, MAX_ENDED));
 }
 
 #[test]
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_part_without_a_reply_is_given_again_under_its_number() {
+fn a_delta_without_a_reply_is_repeated_under_its_number() {
     let mut counter = Counter::new("h".into(), 1);
     counter.count(&ended("a", Verdict::Answered, 1));
     let first = counter.next_delta().expect("due");
@@ -152,7 +152,7 @@
     assert_eq!(
         counter.next_delta().as_ref(),
         Some(&first),
-        "unchanged until it is known to be there"
+        "unchanged until it is known to be in the log"
     );
     counter.appended();
     let second = counter.next_delta().expect("due");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn too_many_rows_of_a_week_are_added_up() {
+fn excess_rows_of_a_week_are_merged() {
     let mut fold = Fold::default();
     let mut counter = Counter::new("h".into(), 1);
     for i in 0..2 * MAX_ROWS {
@@ -174,20 +174,20 @@
     let rows: Vec<_> = fold.rows().collect();
     assert_eq!(rows.len(), MAX_ROWS + 1);
     let late: u64 = rows.iter().map(|r| r.counts.late).sum();
-    assert_eq!(late, 2 * MAX_ROWS as u64, "nothing is lost by adding up");
+    assert_eq!(late, 2 * MAX_ROWS as u64, "merging loses no counts");
     assert!(rows.iter().any(|r| r.key.organisation == OTHERS));
 }
 
-/// One step of two daemons that write to one stream.
+/// One step of two daemons that append to one stream.
 #[derive(Clone, Debug)]
 enum Step {
     /// A request ends at a daemon.
     End { daemon: usize, late: bool },
-    /// A daemon appends what is due; the record may be lost, and the reply.
+    /// A daemon appends its next delta; the record or the reply may be lost.
     Append { daemon: usize, kept: bool, replied: bool },
-    /// A daemon is replaced; what it had not appended is lost with it.
+    /// A daemon is replaced; the counts that it has not appended are lost.
     Replace { daemon: usize },
-    /// A reader starts anew from a summary of the reader before it.
+    /// A new reader resumes from a summary of the previous one.
     Summary,
 }
 
@@ -206,10 +206,10 @@
 
     #[test]
     fn the_account_counts_each_answer_once(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut lives = [1_u64, 1];
+        let mut incarnations = [1_u64, 1];
         let mut counters: Vec<Counter> = (0..2).map(|i| Counter::new(format!("h{i}"), 1)).collect();
-        // What each daemon counted and has not put into the log: late, in time.
-        let mut open = [(0_u64, 0_u64); 2];
+        // The counts that each daemon has not yet put into a delta: late, in time.
+        let mut unlogged = [(0_u64, 0_u64); 2];
         let mut pending: [Option<(AccountDelta, (u64, u64))>; 2] = [None, None];
         let mut expected = (0_u64, 0_u64);
         let mut log: Vec<AccountDelta> = Vec::new();
@@ -218,29 +218,30 @@
             match step {
                 Step::End { daemon, late } => {
                     counters[daemon].count(&ended("r", Verdict::Answered, u64::from(late)));
-                    let counts = &mut open[daemon];
+                    let counts = &mut unlogged[daemon];
                     if late { counts.0 += 1 } else { counts.1 += 1 }
                 }
                 Step::Append { daemon, kept, replied } => {
-                    let Some(part) = counters[daemon].next_delta() else { continue };
-                    if pending[daemon].as_ref().is_none_or(|(p, _)| *p != part) {
-                        pending[daemon] = Some((part.clone(), std::mem::take(&mut open[daemon])));
+                    let Some(delta) = counters[daemon].next_delta() else { continue };
+                    if pending[daemon].as_ref().is_none_or(|(p, _)| *p != delta) {
+                        pending[daemon] =
+                            Some((delta.clone(), std::mem::take(&mut unlogged[daemon])));
                     }
                     if kept {
-                        if !log.contains(&part) {
+                        if !log.contains(&delta) {
                             let (_, counts) = pending[daemon].as_ref().expect("is pending");
                             expected = (expected.0 + counts.0, expected.1 + counts.1);
                         }
-                        log.push(part);
+                        log.push(delta);
                     }
                     if replied {
                         counters[daemon].appended();
                     }
                 }
                 Step::Replace { daemon } => {
-                    lives[daemon] += 1;
-                    counters[daemon] = Counter::new(format!("h{daemon}"), lives[daemon]);
-                    open[daemon] = (0, 0);
+                    incarnations[daemon] += 1;
+                    counters[daemon] = Counter::new(format!("h{daemon}"), incarnations[daemon]);
+                    unlogged[daemon] = (0, 0);
                     pending[daemon] = None;
                 }
                 Step::Summary => {
@@ -249,8 +250,8 @@
                     fold = next;
                 }
             }
-            for (offset, part) in log.iter().enumerate().skip(fold.next() as usize) {
-                fold.apply(offset as Offset, Some(part));
+            for (offset, delta) in log.iter().enumerate().skip(fold.next() as usize) {
+                fold.apply(offset as Offset, Some(delta));
             }
             let late: u64 = fold.rows().map(|r| r.counts.late).sum();
             let answered: u64 = fold.rows().map(|r| r.counts.answered).sum();
--- a/crates/roseshore_core/tests/lookup.rs
+++ b/crates/roseshore_core/tests/lookup.rs
@@ -1,4 +1,4 @@
-//! Lookups over several sources: tables of scripts, then any order of events.
+//! Lookups over several sources: scripted cases, then arbitrary orders of events.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -14,7 +14,7 @@
     Duration::from_millis(ms)
 }
 
-/// Fixed times: hedge after 30 ms, attempts end after 1 s, retries come 10 ms to 20 ms later.
+/// Fixed timing: hedges after 30 ms, attempts end after 1 s, retries start 10 ms to 20 ms later.
 fn policy() -> Policy {
     Policy { hedge_after: ms(30), attempt_limit: ms(1000), attempts: 3, ..Policy::default() }
 }
@@ -29,55 +29,55 @@
 /// An event, at a time in milliseconds from the start.
 enum Step {
     Tick(u64),
-    Say(u64, usize, SourceReply<&'static str>),
+    Reply(u64, usize, SourceReply<&'static str>),
 }
 
 #[derive(Default)]
-struct Seen {
+struct Observed {
     asked: Vec<(usize, Reason)>,
-    ended: Option<(u64, Outcome<&'static str>)>,
+    outcome: Option<(u64, Outcome<&'static str>)>,
     conflicts: Vec<(usize, usize)>,
 }
 
-fn play(
+fn run_script(
     mut lookup: Lookup<&'static str>,
     budgets: &mut Budgets,
     steps: Vec<Step>,
     t0: Instant,
-) -> Seen {
-    let mut seen = Seen::default();
+) -> Observed {
+    let mut observed = Observed::default();
     let start = std::iter::once(Step::Tick(0));
     for step in start.chain(steps) {
         let (at, actions) = match step {
             Step::Tick(at) => (at, lookup.tick(t0 + ms(at), budgets)),
-            Step::Say(at, attempt, said) => {
-                (at, lookup.on_reply(attempt, said, t0 + ms(at), budgets))
+            Step::Reply(at, attempt, reply) => {
+                (at, lookup.on_reply(attempt, reply, t0 + ms(at), budgets))
             }
         };
         for action in actions {
             match action {
                 Action::Ask { source, reason, attempt, .. } => {
-                    assert_eq!(attempt, seen.asked.len(), "attempts are numbered as they come");
-                    seen.asked.push((source, reason));
+                    assert_eq!(attempt, observed.asked.len(), "attempts are numbered in order");
+                    observed.asked.push((source, reason));
                 }
                 Action::Done(outcome) => {
-                    assert!(seen.ended.is_none(), "told twice");
-                    seen.ended = Some((at, outcome));
+                    assert!(observed.outcome.is_none(), "the outcome was returned twice");
+                    observed.outcome = Some((at, outcome));
                 }
-                Action::Conflict { earlier, later } => seen.conflicts.push((earlier, later)),
+                Action::Conflict { earlier, later } => observed.conflicts.push((earlier, later)),
             }
         }
     }
-    seen
+    observed
 }
 
-// One table, which is read best in one piece.
+// One table, which is easiest to read as a whole.
 #[allow(clippy::too_many_lines)]
 #[test]
 fn scripts() {
     use Reason::{First, Hedge, Retry};
     use SourceReply::{Failed, Found, Missing, NoReplica};
-    use Step::{Say, Tick};
+    use Step::{Reply, Tick};
     use Verdict::{MayHaveRun, NotRun};
     struct Case {
         name: &'static str,
@@ -86,56 +86,56 @@
         compare: bool,
         steps: Vec<Step>,
         asked: Vec<(usize, Reason)>,
-        ended: Option<(u64, Outcome<&'static str>)>,
+        outcome: Option<(u64, Outcome<&'static str>)>,
         conflicts: Vec<(usize, usize)>,
     }
-    let base = |name, sources, steps, asked, ended| Case {
+    let base = |name, sources, steps, asked, outcome| Case {
         name,
         sources,
         burst: 10.0,
         compare: false,
         steps,
         asked,
-        ended,
+        outcome,
         conflicts: vec![],
     };
     let found = |at, index, record| Some((at, Outcome::Found(index, record)));
-    let silent = |at, index, verdict| Some((at, Outcome::Unavailable(index, verdict)));
+    let unavailable = |at, index, verdict| Some((at, Outcome::Unavailable(index, verdict)));
     let firsts = || vec![(0, First), (1, First), (2, First)];
     let cases = [
-        base("first holds", 3, vec![Say(1, 0, Found("a"))], vec![(0, First)], found(1, 0, "a")),
+        base("first holds", 3, vec![Reply(1, 0, Found("a"))], vec![(0, First)], found(1, 0, "a")),
         base(
             "second holds",
             3,
-            vec![Say(1, 0, Missing), Say(2, 1, Found("b"))],
+            vec![Reply(1, 0, Missing), Reply(2, 1, Found("b"))],
             vec![(0, First), (1, First)],
             found(2, 1, "b"),
         ),
         base(
             "every source says missing",
             3,
-            vec![Say(1, 0, Missing), Say(2, 1, Missing), Say(3, 2, Missing)],
+            vec![Reply(1, 0, Missing), Reply(2, 1, Missing), Reply(3, 2, Missing)],
             firsts(),
             Some((3, Outcome::NotFound)),
         ),
         base(
             "last source silent",
             3,
-            vec![Say(1, 0, Missing), Say(2, 1, Missing), Say(3, 2, NoReplica)],
+            vec![Reply(1, 0, Missing), Reply(2, 1, Missing), Reply(3, 2, NoReplica)],
             firsts(),
-            silent(3, 2, MayHaveRun),
+            unavailable(3, 2, MayHaveRun),
         ),
         base(
             "no replica of the only source",
             1,
-            vec![Say(0, 0, NoReplica)],
+            vec![Reply(0, 0, NoReplica)],
             vec![(0, First)],
-            silent(0, 0, NotRun),
+            unavailable(0, 0, NotRun),
         ),
         base(
             "retry after a failure",
             1,
-            vec![Say(1, 0, Failed(MayHaveRun)), Tick(30), Say(31, 1, Found("a"))],
+            vec![Reply(1, 0, Failed(MayHaveRun)), Tick(30), Reply(31, 1, Found("a"))],
             vec![(0, First), (0, Retry)],
             found(31, 0, "a"),
         ),
@@ -143,36 +143,36 @@
             "every attempt refused unstarted",
             1,
             vec![
-                Say(1, 0, Failed(NotRun)),
+                Reply(1, 0, Failed(NotRun)),
                 Tick(30),
-                Say(31, 1, Failed(NotRun)),
+                Reply(31, 1, Failed(NotRun)),
                 Tick(80),
-                Say(81, 2, Failed(NotRun)),
+                Reply(81, 2, Failed(NotRun)),
             ],
             vec![(0, First), (0, Retry), (0, Retry)],
-            silent(81, 0, NotRun),
+            unavailable(81, 0, NotRun),
         ),
         base(
             "one of the attempts may have run",
             1,
             vec![
-                Say(1, 0, Failed(MayHaveRun)),
+                Reply(1, 0, Failed(MayHaveRun)),
                 Tick(30),
-                Say(31, 1, Failed(NotRun)),
+                Reply(31, 1, Failed(NotRun)),
                 Tick(80),
-                Say(81, 2, Failed(NotRun)),
+                Reply(81, 2, Failed(NotRun)),
             ],
             vec![(0, First), (0, Retry), (0, Retry)],
-            silent(81, 0, MayHaveRun),
+            unavailable(81, 0, MayHaveRun),
         ),
         Case {
             burst: 0.0,
             ..base(
                 "no budget: given up at once, long before the deadline",
                 1,
-                vec![Say(1, 0, Failed(MayHaveRun))],
+                vec![Reply(1, 0, Failed(MayHaveRun))],
                 vec![(0, First)],
-                silent(1, 0, MayHaveRun),
+                unavailable(1, 0, MayHaveRun),
             )
         },
         Case {
@@ -182,34 +182,34 @@
                 1,
                 vec![Tick(999), Tick(1000)],
                 vec![(0, First)],
-                silent(1000, 0, MayHaveRun),
+                unavailable(1000, 0, MayHaveRun),
             )
         },
         base(
             "hedge answers",
             1,
-            vec![Tick(30), Say(35, 1, Found("a"))],
+            vec![Tick(30), Reply(35, 1, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(35, 0, "a"),
         ),
         base(
             "slow one answers after the hedge failed",
             1,
-            vec![Tick(30), Say(35, 1, Failed(MayHaveRun)), Say(40, 0, Found("a"))],
+            vec![Tick(30), Reply(35, 1, Failed(MayHaveRun)), Reply(40, 0, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(40, 0, "a"),
         ),
         base(
             "hedge without a second replica",
             1,
-            vec![Tick(30), Say(30, 1, NoReplica), Say(40, 0, Found("a"))],
+            vec![Tick(30), Reply(30, 1, NoReplica), Reply(40, 0, Found("a"))],
             vec![(0, First), (0, Hedge)],
             found(40, 0, "a"),
         ),
         base(
-            "slow first source: the second's record waits for the first's word",
+            "slow first source: the second's record waits for the first's reply",
             2,
-            vec![Tick(30), Say(31, 1, Found("b")), Say(500, 0, Missing)],
+            vec![Tick(30), Reply(31, 1, Found("b")), Reply(500, 0, Missing)],
             vec![(0, First), (1, First), (0, Hedge)],
             found(500, 1, "b"),
         ),
@@ -218,8 +218,8 @@
             2,
             vec![
                 Tick(30),
-                Say(31, 1, Found("b")),
-                Say(32, 2, NoReplica),
+                Reply(31, 1, Found("b")),
+                Reply(32, 2, NoReplica),
                 Tick(1000),
                 Tick(1030),
                 Tick(2030),
@@ -227,12 +227,12 @@
                 Tick(3080),
             ],
             vec![(0, First), (1, First), (0, Hedge), (0, Retry), (0, Retry)],
-            silent(3080, 0, MayHaveRun),
+            unavailable(3080, 0, MayHaveRun),
         ),
         base(
             "later source silent, earlier one holds: answered",
             2,
-            vec![Tick(30), Say(31, 1, NoReplica), Say(32, 0, Found("a"))],
+            vec![Tick(30), Reply(31, 1, NoReplica), Reply(32, 0, Found("a"))],
             vec![(0, First), (1, First), (0, Hedge)],
             found(32, 0, "a"),
         ),
@@ -241,7 +241,7 @@
             1,
             vec![Tick(DEADLINE)],
             vec![(0, First)],
-            silent(DEADLINE, 0, MayHaveRun),
+            unavailable(DEADLINE, 0, MayHaveRun),
         ),
         Case {
             compare: true,
@@ -249,7 +249,7 @@
             ..base(
                 "sources that differ, the first in order goes first",
                 3,
-                vec![Say(1, 1, Found("b")), Say(2, 0, Found("a")), Say(3, 2, Missing)],
+                vec![Reply(1, 1, Found("b")), Reply(2, 0, Found("a")), Reply(3, 2, Missing)],
                 firsts(),
                 found(2, 0, "a"),
             )
@@ -260,7 +260,7 @@
             ..base(
                 "sources that differ, the later one after the answer",
                 3,
-                vec![Say(1, 0, Found("a")), Say(2, 1, Missing), Say(3, 2, Found("c"))],
+                vec![Reply(1, 0, Found("a")), Reply(2, 1, Missing), Reply(3, 2, Found("c"))],
                 firsts(),
                 found(1, 0, "a"),
             )
@@ -270,7 +270,7 @@
             ..base(
                 "equal records are no conflict",
                 3,
-                vec![Say(1, 2, Found("a")), Say(2, 1, Found("a")), Say(3, 0, Found("a"))],
+                vec![Reply(1, 2, Found("a")), Reply(2, 1, Found("a")), Reply(3, 0, Found("a"))],
                 firsts(),
                 found(3, 0, "a"),
             )
@@ -280,7 +280,7 @@
             ..base(
                 "replicas of one source differ: the record goes before its absence",
                 2,
-                vec![Tick(30), Say(31, 2, Missing), Say(32, 0, Found("a"))],
+                vec![Tick(30), Reply(31, 2, Missing), Reply(32, 0, Found("a"))],
                 vec![(0, First), (1, First), (0, Hedge)],
                 found(32, 0, "a"),
             )
@@ -290,54 +290,54 @@
         let t0 = Instant::now();
         let policy = Policy { compare: case.compare, ..policy() };
         let lookup = Lookup::new(case.sources, policy, t0 + ms(DEADLINE));
-        let seen = play(lookup, &mut budgets(case.burst), case.steps, t0);
-        assert_eq!(seen.asked, case.asked, "asked, {}", case.name);
-        assert_eq!(seen.ended, case.ended, "ended, {}", case.name);
-        assert_eq!(seen.conflicts, case.conflicts, "conflicts, {}", case.name);
+        let observed = run_script(lookup, &mut budgets(case.burst), case.steps, t0);
+        assert_eq!(observed.asked, case.asked, "asked, {}", case.name);
+        assert_eq!(observed.outcome, case.outcome, "ended, {}", case.name);
+        assert_eq!(observed.conflicts, case.conflicts, "conflicts, {}", case.name);
     }
 }
 
-/// The same cases in every run.
+/// A fixed seed, so that every run has the same cases.
 fn config(cases: u32) -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(1);
     ProptestConfig { cases, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-/// What an attempt brings: the source's truth, or a failure.
+/// The result of an attempt: the source's true answer, or a failure.
 #[derive(Clone, Copy, Debug)]
-enum Luck {
-    Truth,
+enum AttemptResult {
+    Answer,
     NotRun,
-    Lost,
+    ReplyLost,
     NoReplica,
 }
 
 #[derive(Clone, Debug)]
-enum Move {
-    /// The attempt of this index among the open ones brings this.
-    Reply(prop::sample::Index, Luck),
-    /// An attempt that was given up brings something late.
-    Late(prop::sample::Index, Luck),
-    Pass(u64),
+enum Event {
+    /// The open attempt at this index gets this result.
+    Deliver(prop::sample::Index, AttemptResult),
+    /// An attempt that already had a result gets another one.
+    Late(prop::sample::Index, AttemptResult),
+    Advance(u64),
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
-    let luck = prop_oneof![
-        4 => Just(Luck::Truth),
-        1 => Just(Luck::NotRun),
-        2 => Just(Luck::Lost),
-        1 => Just(Luck::NoReplica)
+fn events() -> impl Strategy<Value = Vec<Event>> {
+    let result = prop_oneof![
+        4 => Just(AttemptResult::Answer),
+        1 => Just(AttemptResult::NotRun),
+        2 => Just(AttemptResult::ReplyLost),
+        1 => Just(AttemptResult::NoReplica)
     ];
     let any = any::<prop::sample::Index>;
-    let reply = (any(), luck.clone()).prop_map(|(i, l)| Move::Reply(i, l));
-    let late = (any(), luck).prop_map(|(i, l)| Move::Late(i, l));
-    let one = prop_oneof![5 => reply, 1 => late, 4 => (0_u64..1200).prop_map(Move::Pass)];
+    let reply = (any(), result.clone()).prop_map(|(i, l)| Event::Deliver(i, l));
+    let late = (any(), result).prop_map(|(i, l)| Event::Late(i, l));
+    let one = prop_oneof![5 => reply, 1 => late, 4 => (0_u64..1200).prop_map(Event::Advance)];
     prop::collection::vec(one, 0..40)
 }
 
-/// What a driver would have seen of one lookup.
+/// The course of one lookup, as its driver sees it.
 #[derive(Default)]
-struct Run {
+struct Trace {
     asks: Vec<(usize, Reason)>,
     replied: Vec<bool>,
     missing: Vec<bool>,
@@ -347,7 +347,7 @@
     outcome: Option<Outcome<usize>>,
 }
 
-impl Run {
+impl Trace {
     fn take(&mut self, actions: Vec<Action<usize>>) {
         for action in actions {
             match action {
@@ -357,7 +357,7 @@
                     self.replied.push(false);
                 }
                 Action::Done(outcome) => {
-                    assert!(self.outcome.is_none(), "told twice");
+                    assert!(self.outcome.is_none(), "the outcome was returned twice");
                     self.check(&outcome);
                     self.outcome = Some(outcome);
                 }
@@ -382,13 +382,18 @@
         }
     }
 
-    fn said(&mut self, attempt: usize, luck: Luck, truth: &[bool]) -> SourceReply<usize> {
+    fn reply(
+        &mut self,
+        attempt: usize,
+        result: AttemptResult,
+        truth: &[bool],
+    ) -> SourceReply<usize> {
         let source = self.asks[attempt].0;
         let first = !std::mem::replace(&mut self.replied[attempt], true);
-        let told = matches!(luck, Luck::Truth | Luck::Lost);
-        self.ran |= told || !first;
-        match luck {
-            Luck::Truth => {
+        let reached = matches!(result, AttemptResult::Answer | AttemptResult::ReplyLost);
+        self.ran |= reached || !first;
+        match result {
+            AttemptResult::Answer => {
                 self.successes += 1.0;
                 if truth[source] {
                     self.holds[source] = true;
@@ -398,9 +403,9 @@
                     SourceReply::Missing
                 }
             }
-            Luck::NotRun => SourceReply::Failed(Verdict::NotRun),
-            Luck::Lost => SourceReply::Failed(Verdict::MayHaveRun),
-            Luck::NoReplica => SourceReply::NoReplica,
+            AttemptResult::NotRun => SourceReply::Failed(Verdict::NotRun),
+            AttemptResult::ReplyLost => SourceReply::Failed(Verdict::MayHaveRun),
+            AttemptResult::NoReplica => SourceReply::NoReplica,
         }
     }
 }
@@ -413,7 +418,7 @@
         truth in prop::collection::vec(any::<bool>(), 1..5),
         compare in any::<bool>(),
         burst in 0.0_f64..4.0,
-        moves in moves(),
+        events in events(),
     ) {
         let t0 = Instant::now();
         let mut now = t0;
@@ -421,61 +426,62 @@
         let mut budgets = budgets(burst);
         let sources = truth.len();
         let mut lookup = Lookup::new(sources, Policy { compare, ..policy() }, deadline);
-        let mut run = Run {
+        let mut trace = Trace {
             missing: vec![false; sources],
             holds: vec![false; sources],
-            ..Run::default()
+            ..Trace::default()
         };
-        run.take(lookup.tick(now, &mut budgets));
-        for step in moves {
-            let (late, index, luck) = match step {
-                Move::Pass(wait) => {
+        trace.take(lookup.tick(now, &mut budgets));
+        for step in events {
+            let (late, index, result) = match step {
+                Event::Advance(wait) => {
                     now += ms(wait);
                     prop_assert!(lookup.done() || lookup.next_wake() <= deadline);
-                    run.take(lookup.tick(now, &mut budgets));
+                    trace.take(lookup.tick(now, &mut budgets));
                     continue;
                 }
-                Move::Reply(index, luck) => (false, index, luck),
-                Move::Late(index, luck) => (true, index, luck),
+                Event::Deliver(index, result) => (false, index, result),
+                Event::Late(index, result) => (true, index, result),
             };
-            let fit: Vec<usize> = (0..run.asks.len()).filter(|a| run.replied[*a] == late).collect();
-            if !fit.is_empty() && (!late || matches!(luck, Luck::Truth)) {
-                let attempt = *index.get(&fit);
-                let said = run.said(attempt, luck, &truth);
-                run.take(lookup.on_reply(attempt, said, now, &mut budgets));
+            let matching: Vec<usize> =
+                (0..trace.asks.len()).filter(|a| trace.replied[*a] == late).collect();
+            if !matching.is_empty() && (!late || matches!(result, AttemptResult::Answer)) {
+                let attempt = *index.get(&matching);
+                let reply = trace.reply(attempt, result, &truth);
+                trace.take(lookup.on_reply(attempt, reply, now, &mut budgets));
             }
         }
-        run.take(lookup.tick(deadline.max(now), &mut budgets));
-        prop_assert!(run.outcome.is_some(), "not ended at the deadline");
-        let paid = |reason| run.asks.iter().filter(|(_, r)| *r == reason).count() as f64;
-        let bound = burst + 0.1 * run.successes;
-        prop_assert!(paid(Reason::Retry) <= bound && paid(Reason::Hedge) <= bound);
+        trace.take(lookup.tick(deadline.max(now), &mut budgets));
+        prop_assert!(trace.outcome.is_some(), "not ended at the deadline");
+        let count = |reason| trace.asks.iter().filter(|(_, r)| *r == reason).count() as f64;
+        let bound = burst + 0.1 * trace.successes;
+        prop_assert!(count(Reason::Retry) <= bound && count(Reason::Hedge) <= bound);
         for source in 0..sources {
-            let asks = run.asks.iter().filter(|(s, _)| *s == source).count();
+            let asks = trace.asks.iter().filter(|(s, _)| *s == source).count();
             prop_assert!(asks <= 5, "asked {asks} times");
         }
     }
 }
 
 #[test]
-fn pace_follows_replies_within_bounds() {
+fn hedge_delay_follows_replies_within_bounds() {
     struct Case {
         name: &'static str,
-        took: Vec<u64>,
-        least: u64,
-        most: u64,
+        reply_times: Vec<u64>,
+        min: u64,
+        max: u64,
     }
     let cases = [
-        Case { name: "unknown", took: vec![], least: 30, most: 30 },
-        Case { name: "even", took: vec![20; 100], least: 20, most: 21 },
-        Case { name: "never under the shortest", took: vec![0; 10], least: 5, most: 5 },
-        Case { name: "never over the longest", took: vec![4000; 10], least: 300, most: 300 },
-        Case { name: "wide", took: [10, 40].repeat(50), least: 50, most: 150 },
+        Case { name: "unknown", reply_times: vec![], min: 30, max: 30 },
+        Case { name: "even", reply_times: vec![20; 100], min: 20, max: 21 },
+        Case { name: "never below the minimum", reply_times: vec![0; 10], min: 5, max: 5 },
+        Case { name: "never above the maximum", reply_times: vec![4000; 10], min: 300, max: 300 },
+        Case { name: "wide", reply_times: [10, 40].repeat(50), min: 50, max: 150 },
     ];
     for case in cases {
-        let mut pace = LatencyEstimate::default();
-        case.took.iter().for_each(|t| pace.observe(ms(*t)));
-        let after = pace.hedge_after();
-        assert!(ms(case.least) <= after && after <= ms(case.most), "{}: {after:?}", case.name);
+        let mut estimate = LatencyEstimate::default();
+        case.reply_times.iter().for_each(|t| estimate.observe(ms(*t)));
+        let after = estimate.hedge_after();
+        assert!(ms(case.min) <= after && after <= ms(case.max), "{}: {after:?}", case.name);
     }
 }
--- a/crates/roseshore_core/tests/once.rs
+++ b/crates/roseshore_core/tests/once.rs
@@ -1,5 +1,5 @@
-//! At-most-once execution: the folded state of a key, and any interleaving of daemons, faults of the
-//! log and callers.
+//! At-most-once execution: the folded state of a key, and any interleaving of daemons, faults of
+//! the log and callers.
 
 // Shared by two test programs, each of which leaves a part of it unused.
 #[allow(dead_code)]
--- a/crates/roseshore_core/tests/once_reused.rs
+++ b/crates/roseshore_core/tests/once_reused.rs
@@ -23,8 +23,8 @@
         self.machine.begin(Attempt { key, digest, deadline }, self.now);
     }
 
-    /// Carries out actions for several rounds, and returns the last decision. Without `append`, appends
-    /// are not carried out.
+    /// Carries out actions for several rounds, and returns the last decision. Without `append`,
+    /// appends are not carried out.
     fn run(&mut self, append: bool) -> Option<Decision> {
         let mut last = None;
         for _ in 0..8 {
@@ -68,7 +68,8 @@
     code: Option<Code>,
 }
 
-/// The same body gets the answer and another one is refused, whether or not the outcome is recorded.
+/// The same body gets the answer and another one is refused, whether or not the outcome is
+/// recorded.
 #[test]
 fn reused() {
     let cases = [
--- a/crates/roseshore_core/tests/once_settle.rs
+++ b/crates/roseshore_core/tests/once_settle.rs
@@ -1,4 +1,5 @@
-//! Operators' settlements of keys: their effect at any place in the stream, and when they may be sent.
+//! Operators' settlements of keys: their effect at any place in the stream, and when they may be
+//! sent.
 
 use roseshore_core::once::Outcome;
 use roseshore_core::once::keys::{Keys, State};
--- a/crates/roseshore_core/tests/polling.rs
+++ b/crates/roseshore_core/tests/polling.rs
@@ -1,4 +1,4 @@
-//! Polling: tables for one daemon, and a small world of several for who polls what.
+//! Polling: scripted cases for one daemon, and a simulation of several that share targets.
 
 use proptest::prelude::*;
 use roseshore_core::membership::weight;
@@ -13,14 +13,14 @@
 /// One event of a case about one target.
 #[derive(Clone, Copy)]
 enum Step {
-    /// So many milliseconds later, with this place in the order, a poll is due or not.
+    /// This many milliseconds later, at this position in the order, whether a poll is due.
     At(u64, Option<usize>, bool),
     /// The poll was answered.
     Answer(&'static [&'static str]),
     /// The poll failed.
-    Miss(&'static [&'static str]),
-    /// A peer told a report so old, silent or not.
-    Told(u64, bool, &'static [&'static str]),
+    Failure(&'static [&'static str]),
+    /// A peer reports a poll this many milliseconds old, and whether the target was unresponsive.
+    PeerReport(u64, bool, &'static [&'static str]),
 }
 use Step::*;
 
@@ -45,65 +45,65 @@
         steps: &[At(250, Some(0), true), At(1000, Some(0), false), At(1000, Some(0), true)],
     },
     Case {
-        name: "a miss is tried again at once, two are silence",
+        name: "one failure is retried, two mean that the target is down",
         steps: &[
             At(250, Some(0), true),
-            Miss(&[]),
+            Failure(&[]),
             At(40, Some(0), false),
             At(10, Some(0), true),
-            Miss(&["lost", "silent"]),
+            Failure(&["down", "unresponsive"]),
             At(50, Some(0), true),
-            Miss(&["silent"]),
+            Failure(&["unresponsive"]),
             At(50, Some(0), false),
             At(50, Some(0), true),
-            Answer(&["back"]),
+            Answer(&["up"]),
         ],
     },
     Case {
-        name: "an answer between two misses",
+        name: "an answer between two failures",
         steps: &[
             At(250, Some(0), true),
-            Miss(&[]),
+            Failure(&[]),
             At(50, Some(0), true),
             Answer(&[]),
             At(250, Some(0), true),
-            Miss(&[]),
+            Failure(&[]),
         ],
     },
     Case {
-        name: "the others poll only what nobody tells of",
+        name: "others poll only targets without reports",
         steps: &[
             At(250, Some(1), false),
             At(400, Some(1), false),
-            Told(0, false, &[]),
+            PeerReport(0, false, &[]),
             At(700, Some(1), false),
             At(100, Some(1), true),
         ],
     },
     Case {
-        name: "further places wait longer",
+        name: "daemons further down the order wait longer",
         steps: &[At(800, Some(3), false), At(100, Some(3), false), At(100, Some(3), true)],
     },
     Case {
-        name: "one that is leaving or stale polls nothing",
+        name: "a leaving daemon or one with a stale view polls nothing",
         steps: &[At(10_000, None, false), At(60, Some(0), true)],
     },
     Case {
-        name: "a peer's silence is taken over, an old word of it is not",
+        name: "a peer's report of silence counts, an outdated report does not",
         steps: &[
             At(250, Some(0), true),
             Answer(&[]),
-            Told(100, true, &[]),
+            PeerReport(100, true, &[]),
             At(100, Some(1), false),
-            Told(0, true, &["lost"]),
-            Told(50, false, &[]),
+            PeerReport(0, true, &["down"]),
+            PeerReport(50, false, &[]),
             At(100, Some(1), false),
-            Told(0, false, &["back"]),
+            PeerReport(0, false, &["up"]),
         ],
     },
     Case {
-        name: "taking over a poller's place",
-        steps: &[At(250, Some(1), false), Told(0, false, &[]), At(60, Some(0), true)],
+        name: "a new first in order polls at once",
+        steps: &[At(250, Some(1), false), PeerReport(0, false, &[]), At(60, Some(0), true)],
     },
 ];
 
@@ -116,36 +116,36 @@
         for (i, step) in case.steps.iter().enumerate() {
             let at = format!("{}, step {i}", case.name);
             let target = &"t".to_owned();
-            let (got, want) = match *step {
-                At(time, place, due) => {
+            let (actual, expected) = match *step {
+                At(time, rank, due) => {
                     now += ms(time);
-                    let got = polling.tick(now, |_| place);
-                    assert_eq!(got.len(), usize::from(due), "{at}");
+                    let actual = polling.tick(now, |_| rank);
+                    assert_eq!(actual.len(), usize::from(due), "{at}");
                     continue;
                 }
-                Answer(want) => (polling.on_answer(target, now), want),
-                Miss(want) => (polling.on_failure(target, now), want),
-                Told(age, silent, want) => {
+                Answer(expected) => (polling.on_answer(target, now), expected),
+                Failure(expected) => (polling.on_failure(target, now), expected),
+                PeerReport(age, silent, expected) => {
                     let seen = now.checked_sub(ms(age)).expect("a clock that has run a while");
-                    (polling.on_peer_report(target, silent, seen), want)
+                    (polling.on_peer_report(target, silent, seen), expected)
                 }
             };
-            assert_eq!(got.iter().map(word).collect::<Vec<_>>(), want, "{at}");
+            assert_eq!(actual.iter().map(action_name).collect::<Vec<_>>(), expected, "{at}");
         }
     }
 }
 
-fn word(action: &Action) -> &'static str {
+fn action_name(action: &Action) -> &'static str {
     match action {
         Action::Poll(_) => "poll",
-        Action::Unresponsive(_) => "silent",
-        Action::Down(_) => "lost",
-        Action::Up(_) => "back",
+        Action::Unresponsive(_) => "unresponsive",
+        Action::Down(_) => "down",
+        Action::Up(_) => "up",
     }
 }
 
 #[test]
-fn polls_under_way_are_bounded_and_none_starves() {
+fn polls_in_flight_are_bounded_and_no_target_starves() {
     let mut now = Instant::now();
     let settings = Settings { max_polls: 4, ..Settings::default() };
     let mut polling = Polling::new(settings);
@@ -164,94 +164,98 @@
     assert!(seen.len() == 20 && seen.values().all(|n| *n == 4), "{seen:?}");
 }
 
-const STEP: u64 = 10;
+const STEP_MS: u64 = 10;
 const TARGETS: usize = 6;
 
-/// Daemons with what each thinks of the others; ones that died are noticed late.
-struct World {
+/// Several daemons, each with its own view of the others; a daemon's death is noticed late.
+struct Simulation {
     now: Instant,
     polls: Vec<Polling>,
-    /// When each died, by its number.
-    dead: Vec<Option<Instant>>,
-    /// Pairs of a speaker and one who does not hear it.
-    cut: Vec<(usize, usize)>,
-    /// Polls so far, by target and daemon.
-    count: BTreeMap<(String, usize), u32>,
-    /// When each target was last heard of, by daemon and target.
-    known: BTreeMap<(usize, String), Instant>,
+    /// When each daemon died.
+    died_at: Vec<Option<Instant>>,
+    /// Pairs of a sender and a receiver that its reports do not reach.
+    cut_links: Vec<(usize, usize)>,
+    /// The number of polls, by target and daemon.
+    poll_counts: BTreeMap<(String, usize), u32>,
+    /// The time of the newest report, by daemon and target.
+    last_report: BTreeMap<(usize, String), Instant>,
 }
 
-impl World {
-    fn new(size: usize, cut: Vec<(usize, usize)>) -> World {
+impl Simulation {
+    fn new(size: usize, cut_links: Vec<(usize, usize)>) -> Simulation {
         let now = Instant::now();
         let targets: Vec<_> = (0..TARGETS).map(|n| format!("t{n}")).collect();
-        let one = || {
+        let new_polling = || {
             let mut polling = Polling::new(Settings::default());
             polling.set_targets(targets.clone(), now);
             polling
         };
-        let polls = (0..size).map(|_| one()).collect();
-        World {
+        let polls = (0..size).map(|_| new_polling()).collect();
+        Simulation {
             now,
             polls,
-            dead: vec![None; size],
-            cut,
-            count: BTreeMap::new(),
-            known: BTreeMap::new(),
+            died_at: vec![None; size],
+            cut_links,
+            poll_counts: BTreeMap::new(),
+            last_report: BTreeMap::new(),
         }
     }
 
-    /// Whether `a` thinks that `b` lives; a cut was there from the beginning.
-    fn counts(&self, a: usize, b: usize) -> bool {
-        let noticed = self.dead[b].is_some_and(|at| self.now - at >= ms(600));
-        !noticed && !self.cut.contains(&(b, a))
+    /// Whether `a` counts `b` as a member. Cuts exist from the start, so `a` never learns of a
+    /// daemon whose reports do not reach it.
+    fn counts_as_member(&self, a: usize, b: usize) -> bool {
+        let noticed = self.died_at[b].is_some_and(|at| self.now - at >= ms(600));
+        !noticed && !self.cut_links.contains(&(b, a))
     }
 
-    fn place(&self, own: usize, target: &str) -> usize {
+    fn rank(&self, own: usize, target: &str) -> usize {
         let mine = weight(target, &own.to_string());
-        let others = (0..self.polls.len()).filter(|b| *b != own && self.counts(own, *b));
+        let others = (0..self.polls.len()).filter(|b| *b != own && self.counts_as_member(own, *b));
         others.filter(|b| weight(target, &b.to_string()) > mine).count()
     }
 
     fn step(&mut self) {
-        self.now += ms(STEP);
+        self.now += ms(STEP_MS);
         for own in 0..self.polls.len() {
-            if self.dead[own].is_some() {
+            if self.died_at[own].is_some() {
                 continue;
             }
-            let places: BTreeMap<_, _> = (0..TARGETS)
+            let ranks: BTreeMap<_, _> = (0..TARGETS)
                 .map(|t| format!("t{t}"))
-                .map(|t| (t.clone(), self.place(own, &t)))
+                .map(|t| (t.clone(), self.rank(own, &t)))
                 .collect();
-            for action in self.polls[own].tick(self.now, |t| places.get(t).copied()) {
+            for action in self.polls[own].tick(self.now, |t| ranks.get(t).copied()) {
                 let Action::Poll(target) = action else { continue };
                 self.polls[own].on_answer(&target, self.now);
-                self.tell(own, &target);
+                self.share_report(own, &target);
             }
         }
     }
 
-    fn tell(&mut self, own: usize, target: &str) {
-        *self.count.entry((target.to_owned(), own)).or_insert(0) += 1;
-        self.known.insert((own, target.to_owned()), self.now);
+    fn share_report(&mut self, own: usize, target: &str) {
+        *self.poll_counts.entry((target.to_owned(), own)).or_insert(0) += 1;
+        self.last_report.insert((own, target.to_owned()), self.now);
         for other in 0..self.polls.len() {
-            if other != own && self.dead[other].is_none() && !self.cut.contains(&(own, other)) {
+            if other != own
+                && self.died_at[other].is_none()
+                && !self.cut_links.contains(&(own, other))
+            {
                 self.polls[other].on_peer_report(&target.to_owned(), false, self.now);
-                self.known.insert((other, target.to_owned()), self.now);
+                self.last_report.insert((other, target.to_owned()), self.now);
             }
         }
     }
 
-    fn run(&mut self, time: u64, mut check: impl FnMut(&World)) {
-        self.count.clear();
-        for _ in 0..time / STEP {
+    fn run(&mut self, time: u64, mut check: impl FnMut(&Simulation)) {
+        self.poll_counts.clear();
+        for _ in 0..time / STEP_MS {
             self.step();
             check(self);
         }
     }
 
     fn pollers(&self, target: &str) -> usize {
-        self.count.keys().filter(|(t, _)| t == target).count()
+        self.poll_counts.keys().filter(|(t, _)| t == target).count()
     }
 }
 
@@ -264,68 +268,70 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(60) })]
 
     #[test]
-    fn one_polls_when_views_agree(size in 1..8usize) {
-        let mut world = World::new(size, Vec::new());
-        world.run(5000, |_| ());
-        world.run(5000, |_| ());
+    fn one_daemon_polls_when_views_agree(size in 1..8usize) {
+        let mut sim = Simulation::new(size, Vec::new());
+        sim.run(5000, |_| ());
+        sim.run(5000, |_| ());
         for t in (0..TARGETS).map(|t| format!("t{t}")) {
-            prop_assert_eq!(world.pollers(&t), 1, "{}", t);
-            let polls: u32 = world.count.iter().filter(|((x, _), _)| *x == t).map(|(_, n)| n).sum();
+            prop_assert_eq!(sim.pollers(&t), 1, "{}", t);
+            let polls: u32 =
+                sim.poll_counts.iter().filter(|((x, _), _)| *x == t).map(|(_, n)| n).sum();
             prop_assert!((19..=21).contains(&polls), "{} polls in 20 periods", polls);
         }
     }
 
     #[test]
-    fn the_next_takes_over((size, victims) in (2..7usize).prop_flat_map(|s| (Just(s), 1..s))) {
-        let mut world = World::new(size, Vec::new());
-        world.run(2000, |_| ());
-        (0..victims).for_each(|v| world.dead[v] = Some(world.now));
-        let died = world.now;
-        world.run(1000, |_| ());
+    fn the_next_in_order_takes_over((size, victims) in (2..7usize).prop_flat_map(|s| (Just(s), 1..s))) {
+        let mut sim = Simulation::new(size, Vec::new());
+        sim.run(2000, |_| ());
+        (0..victims).for_each(|v| sim.died_at[v] = Some(sim.now));
+        let died = sim.now;
+        sim.run(1000, |_| ());
         for own in victims..size {
             for t in (0..TARGETS).map(|t| format!("t{t}")) {
-                prop_assert!(world.known[&(own, t.clone())] > died, "{} within a second", t);
+                prop_assert!(sim.last_report[&(own, t.clone())] > died, "{} within a second", t);
             }
         }
     }
 
     #[test]
-    fn cuts_one_way_leave_nobody_blind((size, cuts) in size_and_cuts()) {
+    fn one_way_cuts_leave_no_daemon_without_reports((size, cuts) in size_and_cuts()) {
         let cuts: Vec<_> = cuts.into_iter().filter(|(a, b)| a != b).collect();
-        let mut world = World::new(size, cuts);
-        let late = ms(750 + 100 * size as u64 + 100);
-        world.run(2000, |_| ());
-        let mut blind = None;
-        world.run(5000, |w| {
+        let mut sim = Simulation::new(size, cuts);
+        let max_silence = ms(750 + 100 * size as u64 + 100);
+        sim.run(2000, |_| ());
+        let mut uninformed = None;
+        sim.run(5000, |w| {
             for own in 0..size {
                 for t in (0..TARGETS).map(|t| format!("t{t}")) {
-                    if w.now - w.known[&(own, t.clone())] > late {
-                        blind = Some((own, t));
+                    if w.now - w.last_report[&(own, t.clone())] > max_silence {
+                        uninformed = Some((own, t));
                     }
                 }
             }
         });
-        prop_assert_eq!(blind, None);
-        let polls: u32 = world.count.values().sum();
+        prop_assert_eq!(uninformed, None);
+        let polls: u32 = sim.poll_counts.values().sum();
         let bound = (TARGETS * size * 5000 / 250 + TARGETS * size) as u32;
         prop_assert!(polls <= bound, "{} polls, at most one per daemon, target and period", polls);
     }
 }
 
-/// Who is asked for cache events: the number of each engine's life, then what is due.
+/// Which engine is asked for cache events, and from which event on.
 #[test]
 fn cache_readers() {
     type Numbered = (&'static str, u64);
     type Engines = &'static [Numbered];
     struct Case {
         name: &'static str,
-        /// Milliseconds after the last step, engines with their lives, those restarted, what is due.
+        /// Milliseconds after the last step, engines with their incarnations, the restarted
+        /// engines, and the engine and event that are due.
         steps: &'static [(u64, Engines, &'static [&'static str], Option<Numbered>)],
     }
     let cases = [
-        Case { name: "nobody", steps: &[(0, &[], &[], None)] },
+        Case { name: "no engines", steps: &[(0, &[], &[], None)] },
         Case {
-            name: "in turn, each after a rest, from where it was read",
+            name: "in turn, each after the interval, from its last event read",
             steps: &[
                 (0, &[("a", 1), ("b", 1)], &[], Some(("a", 0))),
                 (200, &[("a", 1), ("b", 1)], &[], Some(("b", 0))),
@@ -335,14 +341,14 @@
             ],
         },
         Case {
-            name: "a restarted one from its first event",
+            name: "a restarted engine from its first event",
             steps: &[
                 (0, &[("a", 1)], &[], Some(("a", 0))),
                 (2000, &[("a", 2)], &["a"], Some(("a", 0))),
             ],
         },
         Case {
-            name: "one that left and came back from its first event",
+            name: "an engine that was removed and added again from its first event",
             steps: &[
                 (0, &[("a", 1)], &[], Some(("a", 0))),
                 (200, &[], &[], None),
@@ -355,11 +361,12 @@
         let mut now = Instant::now();
         for (i, &(after, engines, restarted, due)) in case.steps.iter().enumerate() {
             now += ms(after);
-            let lives = engines.iter().map(|&(id, life)| (id.to_owned(), life));
-            assert_eq!(caches.set_engines(lives), restarted, "{}, step {i}", case.name);
+            let incarnations =
+                engines.iter().map(|&(id, incarnation)| (id.to_owned(), incarnation));
+            assert_eq!(caches.set_engines(incarnations), restarted, "{}, step {i}", case.name);
             let asked = caches.due(now);
-            let want = due.map(|(id, from)| (id.to_owned(), from));
-            assert_eq!(asked, want, "{}, step {i}", case.name);
+            let expected = due.map(|(id, from)| (id.to_owned(), from));
+            assert_eq!(asked, expected, "{}, step {i}", case.name);
             if let Some((target, from)) = asked {
                 caches.advance(&target, from + 10);
             }
