--- a/crates/roseshore_core/examples/gateway_cost.rs
+++ b/crates/roseshore_core/examples/gateway_cost.rs
@@ -1,5 +1,5 @@
-//! What the decisions of an entry host cost, by the number of engines of a data centre:
-//! `cargo run --release -p roseshore_core --example gateway_cost`.
+//! Measures the cost of an entry host's decisions by the number of engines of a data centre, of
+//! listed targets and of hosts: `cargo run --release -p roseshore_core --example gateway_cost`.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -12,13 +12,14 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Engines of a data centre: today's, the grown sites', and those of sizes ahead.
+/// Engines of a data centre: as many as at present, as at larger sites, and as at sites of sizes to
+/// come.
 const ENGINES: [usize; 7] = [12, 29, 45, 91, 180, 368, 1000];
-/// Hosts that a host hears of.
+/// Hosts that exchange heartbeats.
 const HOSTS: [u16; 5] = [8, 30, 85, 200, 390];
-/// Targets of all data centres together that a list holds.
+/// Targets of all data centres in a list.
 const LISTED: [usize; 4] = [100, 300, 1000, 3000];
-/// Data centres that they are dealt out to.
+/// Data centres among which these targets are distributed.
 const CENTRES: [&str; 3] = ["north", "south", "west"];
 /// Layers of the model.
 const LAYERS: Layer = 80;
@@ -51,8 +52,8 @@
     }
 }
 
-/// Kinds in the proportions of today's sites.
-fn members(count: usize) -> Vec<EngineState> {
+/// Empty engines with accelerator kinds in the proportions of present sites.
+fn engines(count: usize) -> Vec<EngineState> {
     let kind = |i: usize| match i % 12 {
         0 => "a100",
         1..=4 => "l40s",
@@ -68,7 +69,7 @@
     (0..count).map(one).collect()
 }
 
-/// Median of a few runs, microseconds.
+/// Median time of a few runs, microseconds.
 fn micros(runs: usize, mut run: impl FnMut()) -> f64 {
     let mut times: Vec<f64> = (0..runs)
         .map(|_| {
@@ -85,27 +86,27 @@
     let spec = spec();
     println!("engines  fresh plan us  plan after a loss us  next step us  path us  parts of it");
     for count in ENGINES {
-        let mut all = members(count);
+        let mut all = engines(count);
         let runs = if count > 100 { 3 } else { 9 };
         let fresh = micros(runs, || drop(std::hint::black_box(plan(&spec, &all))));
         for (id, layers) in plan(&spec, &all) {
-            if let Some(member) = all.iter_mut().find(|m| m.id == id) {
-                member.layers = Some(layers);
+            if let Some(engine) = all.iter_mut().find(|m| m.id == id) {
+                engine.layers = Some(layers);
             }
         }
         let mut lost = all.clone();
         lost.remove(0);
         let again = micros(runs, || drop(std::hint::black_box(plan(&spec, &lost))));
-        for member in &mut lost {
-            (member.assured, member.ready) = (member.layers, member.layers);
+        for engine in &mut lost {
+            (engine.assured, engine.ready) = (engine.layers, engine.layers);
         }
         let step = micros(runs, || drop(std::hint::black_box(next_improvement(&spec, &lost))));
-        let (path, hops) = path(&spec, &all);
+        let (path, hops) = path_cost(&spec, &all);
         println!("{count:7}  {fresh:13.0}  {again:20.0}  {step:12.0}  {path:7.1}  {hops}");
     }
     println!("listed  whole list us  one record us  loads us  notes us  path us");
     for count in LISTED {
-        let cost = list(&spec, count);
+        let cost = list_cost(&spec, count);
         println!(
             "{count:6}  {:13.0}  {:13.1}  {:8.1}  {:8.1}  {:7.1}",
             cost.whole, cost.record, cost.loads, cost.notes, cost.path
@@ -113,28 +114,28 @@
     }
     println!("hosts  heartbeats due us  heard us");
     for hosts in HOSTS {
-        let (due, heard) = beats(hosts);
+        let (due, heard) = heartbeat_cost(hosts);
         println!("{hosts:5}  {due:17.1}  {heard:8.2}");
     }
 }
 
-/// What the list of targets costs, microseconds.
+/// Costs of operations on the list of targets, microseconds.
 struct ListCost {
-    /// A whole list that differs in one record.
+    /// Replacing the whole list by one that differs in one record.
     whole: f64,
-    /// One record that changed.
+    /// Taking in one changed record.
     record: f64,
-    /// What other hosts have in flight at each target.
+    /// Taking in what other hosts have in flight at each target.
     loads: f64,
-    /// What the own host has in flight.
+    /// Collecting what this host has in flight.
     notes: f64,
-    /// A path in the own data centre.
+    /// Choosing a path in the own data centre.
     path: f64,
 }
 
-fn list(spec: &EngineSpec, count: usize) -> ListCost {
+fn list_cost(spec: &EngineSpec, count: usize) -> ListCost {
     let now = Instant::now();
-    let engines = members(count / CENTRES.len());
+    let engines = engines(count / CENTRES.len());
     let placed: HashMap<TargetId, (Layer, Layer)> = plan(spec, &engines).into_iter().collect();
     let record = |i: usize| TargetRecord {
         id: format!("i-{i:04}"),
@@ -176,16 +177,16 @@
         targets.reserve(&Claim { target: record.id.clone(), kv_used: 1000.0 });
     }
     let notes = micros(51, || drop(std::hint::black_box(targets.load_reports())));
-    let need = need();
+    let request = request();
     let mut random = SmallRng::seed_from_u64(1);
     let path = micros(101, || {
-        let parts = targets.parts("models", spec, &need, now);
-        std::hint::black_box(choose(&parts, &need, &mut random));
+        let candidates = targets.parts("models", spec, &request, now);
+        std::hint::black_box(choose(&candidates, &request, &mut random));
     });
     ListCost { whole, record, loads, notes, path }
 }
 
-fn need() -> PathRequest<'static> {
+fn request() -> PathRequest<'static> {
     PathRequest {
         layers: LAYERS,
         prompt_tokens: 774.0,
@@ -197,34 +198,37 @@
     }
 }
 
-fn path(spec: &EngineSpec, members: &[EngineState]) -> (f64, usize) {
+/// Median time to choose a path in a data centre of these engines, and the segments of the path.
+fn path_cost(spec: &EngineSpec, engines: &[EngineState]) -> (f64, usize) {
     let now = Instant::now();
     let mut targets = Targets::default();
-    for (i, member) in members.iter().enumerate() {
+    for (i, engine) in engines.iter().enumerate() {
         let record = TargetRecord {
-            id: member.id.clone(),
+            id: engine.id.clone(),
             life: 0,
             service: "models".to_owned(),
             addr: SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80)),
             data_centre: "north".to_owned(),
             slots: 192,
             draining: false,
-            kind: Some(member.kind.clone()),
-            holding: member.layers.map(|layers| Holding { layers }),
+            kind: Some(engine.kind.clone()),
+            holding: engine.layers.map(|layers| Holding { layers }),
         };
         targets.upsert(record);
     }
-    let need = need();
+    let request = request();
     let mut random = SmallRng::seed_from_u64(1);
     let mut hops = 0;
     let time = micros(201, || {
-        let parts = targets.parts("models", spec, &need, now);
-        hops = choose(&parts, &need, &mut random).map_or(0, |p| p.hops.len());
+        let candidates = targets.parts("models", spec, &request, now);
+        hops = choose(&candidates, &request, &mut random).map_or(0, |p| p.hops.len());
     });
     (time, hops)
 }
 
-fn beats(hosts: u16) -> (f64, f64) {
+/// Median times to make the heartbeats that are due and to take in those of another host,
+/// microseconds.
+fn heartbeat_cost(hosts: u16) -> (f64, f64) {
     let now = Instant::now();
     let addr = |n: u16| SocketAddr::from(([10, 0, (n >> 8) as u8, n as u8], 7000));
     let mut own = Peers::new(addr(0), "north", 1, &[], now);
--- a/crates/roseshore_core/tests/gateway.rs
+++ b/crates/roseshore_core/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The decisions of an entry host.
+//! Tests of the decisions of an entry host.
 
 mod gateway {
     mod availability;
--- a/crates/roseshore_core/tests/gateway/avoid.rs
+++ b/crates/roseshore_core/tests/gateway/avoid.rs
@@ -1,13 +1,13 @@
-//! Which targets a request is not sent to again, and for how long.
+//! Tests of which targets a request is not sent to again, and for how long.
 
 use roseshore_core::gateway::AvoidedTargets;
 use std::time::{Duration, Instant};
 
 struct Case {
     name: &'static str,
-    /// For how long each target is avoided, ms; none for the rest of the request.
+    /// Targets and for how long each is avoided, ms; `None` for the rest of the request.
     added: Vec<(&'static str, Option<u64>)>,
-    /// What is avoided after so many ms.
+    /// The targets avoided after so many ms.
     then: Vec<(u64, Vec<&'static str>)>,
 }
 
@@ -16,12 +16,12 @@
     let cases = [
         Case { name: "nothing", added: vec![], then: vec![(0, vec![])] },
         Case {
-            name: "it failed",
+            name: "failed",
             added: vec![("a", None)],
             then: vec![(0, vec!["a"]), (3_600_000, vec!["a"])],
         },
         Case {
-            name: "it had no room",
+            name: "no capacity",
             added: vec![("a", Some(250))],
             then: vec![(0, vec!["a"]), (249, vec!["a"]), (250, vec![])],
         },
@@ -31,7 +31,7 @@
             then: vec![(0, vec!["a", "b"]), (300, vec!["b"])],
         },
         Case {
-            name: "no room, then failed",
+            name: "no capacity, then failed",
             added: vec![("a", Some(250)), ("a", None)],
             then: vec![(300, vec!["a"])],
         },
--- a/crates/roseshore_core/tests/gateway/failure.rs
+++ b/crates/roseshore_core/tests/gateway/failure.rs
@@ -1,4 +1,4 @@
-//! What follows a failed send.
+//! Tests of the next step after a failed send.
 
 use roseshore_core::gateway::failure::{
     Blame, FailureReply, Fault, MAX_SENDS, NextStep, RetryState, next_step,
@@ -24,15 +24,15 @@
 fn only_what_cannot_run_twice_is_sent_again() {
     let end = NextStep::Fail;
     let cases = [
-        case("not sent, once only", Fault::NotSent, false, NextStep::Retry),
-        case("refused, once only", Fault::Refused, false, NextStep::Retry),
-        case("lost, once only", Fault::Lost, false, end(FailureReply::Unknown)),
-        case("garbled, once only", Fault::Garbled, false, end(FailureReply::Unknown)),
-        case("cut, once only", Fault::Cut, false, end(FailureReply::Unknown)),
-        case("silent, once only", Fault::Silent, false, end(FailureReply::Unknown)),
-        case("failed, once only", Fault::Failed, false, end(FailureReply::Unknown)),
-        case("lost, may be repeated", Fault::Lost, true, NextStep::Retry),
-        case("silent, may be repeated", Fault::Silent, true, NextStep::Retry),
+        case("not sent, not repeatable", Fault::NotSent, false, NextStep::Retry),
+        case("refused, not repeatable", Fault::Refused, false, NextStep::Retry),
+        case("lost, not repeatable", Fault::Lost, false, end(FailureReply::Unknown)),
+        case("garbled, not repeatable", Fault::Garbled, false, end(FailureReply::Unknown)),
+        case("cut, not repeatable", Fault::Cut, false, end(FailureReply::Unknown)),
+        case("silent, not repeatable", Fault::Silent, false, end(FailureReply::Unknown)),
+        case("failed, not repeatable", Fault::Failed, false, end(FailureReply::Unknown)),
+        case("lost, repeatable", Fault::Lost, true, NextStep::Retry),
+        case("silent, repeatable", Fault::Silent, true, NextStep::Retry),
         Case {
             sends: MAX_SENDS,
             ..case("last send lost", Fault::Lost, true, end(FailureReply::Unknown))
@@ -52,7 +52,7 @@
         Case { begun: true, ..case("begun, cut", Fault::Cut, true, NextStep::Retry) },
         Case {
             begun: true,
-            ..case("begun, once only", Fault::Cut, false, end(FailureReply::Abort))
+            ..case("begun, not repeatable", Fault::Cut, false, end(FailureReply::Abort))
         },
         Case {
             begun: true,
--- a/crates/roseshore_core/tests/gateway/fixtures.rs
+++ b/crates/roseshore_core/tests/gateway/fixtures.rs
@@ -1,4 +1,4 @@
-//! Figures like those of the users' engines.
+//! An engine specification with figures like those of the users' engines.
 
 use roseshore_core::gateway::{AcceleratorKind, EngineSpec};
 
--- a/crates/roseshore_core/tests/gateway/plan.rs
+++ b/crates/roseshore_core/tests/gateway/plan.rs
@@ -1,4 +1,4 @@
-//! Which layers engines hold.
+//! Tests of the plan that decides which layers engines hold.
 
 use super::fixtures::spec;
 use proptest::prelude::*;
@@ -11,16 +11,16 @@
 
 const KINDS: [&str; 3] = ["large", "middle", "small"];
 
-/// What is wanted at a moment: repairs, or else the next step to a better placement.
-fn plan(spec: &EngineSpec, members: &[EngineState]) -> Vec<Placement> {
-    let mut wanted = repairs(spec, members);
+/// The placements wanted at a moment: repairs, or else the next step to a better placement.
+fn plan(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Placement> {
+    let mut wanted = repairs(spec, engines);
     if wanted.is_empty() {
-        wanted.extend(next_improvement(spec, members));
+        wanted.extend(next_improvement(spec, engines));
     }
     wanted
 }
 
-fn members(counts: [usize; 3]) -> Vec<EngineState> {
+fn engines(counts: [usize; 3]) -> Vec<EngineState> {
     let one = |kind: &str, i: usize| EngineState {
         id: format!("{kind}-{i:02}"),
         kind: kind.to_owned(),
@@ -32,12 +32,12 @@
     all.flat_map(|(kind, count)| (0..count).map(move |i| one(kind, i))).collect()
 }
 
-fn apply(members: &mut [EngineState], placements: &[Placement]) {
+fn apply(engines: &mut [EngineState], placements: &[Placement]) {
     for (id, layers) in placements {
-        let member = members.iter_mut().find(|m| m.id == *id).expect("a known engine");
-        member.layers = Some(*layers);
-        member.assured = member.layers;
-        member.ready = member.layers;
+        let engine = engines.iter_mut().find(|m| m.id == *id).expect("a known engine");
+        engine.layers = Some(*layers);
+        engine.assured = engine.layers;
+        engine.ready = engine.layers;
     }
 }
 
@@ -45,21 +45,22 @@
     EngineState { id: id.to_owned(), kind: kind.to_owned(), layers, assured: layers, ready: layers }
 }
 
-/// How many hold each layer.
-fn holders(members: &[EngineState]) -> Vec<usize> {
+/// The number of engines that hold each layer.
+fn holders(engines: &[EngineState]) -> Vec<usize> {
     let held = |layer: Layer| {
         let holds =
             |m: &&EngineState| m.layers.is_some_and(|(from, to)| from <= layer && layer < to);
-        members.iter().filter(holds).count()
+        engines.iter().filter(holds).count()
     };
     (0..spec().layers).map(held).collect()
 }
 
-fn fit(members: &[EngineState]) -> bool {
-    members.iter().all(|m| {
-        let size = spec().kind(Some(&m.kind)).expect("a known kind").memory_mb;
+/// Whether every engine has memory for the weights of its layers.
+fn fit(engines: &[EngineState]) -> bool {
+    engines.iter().all(|m| {
+        let memory_mb = spec().kind(Some(&m.kind)).expect("a known kind").memory_mb;
         m.layers.is_none_or(|(from, to)| {
-            from < to && to <= 80 && f64::from(to - from) * spec().layer_mb < size
+            from < to && to <= 80 && f64::from(to - from) * spec().layer_mb < memory_mb
         })
     })
 }
@@ -67,12 +68,12 @@
 struct Case {
     name: &'static str,
     counts: [usize; 3],
-    /// Whole copies that the fresh plan has.
+    /// Complete copies that the first plan has.
     copies: usize,
 }
 
 #[test]
-fn a_fresh_data_centre_gets_whole_copies() {
+fn an_empty_data_centre_gets_complete_copies() {
     let cases = [
         Case { name: "one large, three middle, eight small", counts: [1, 3, 8], copies: 2 },
         Case { name: "one large, six middle, five small", counts: [1, 6, 5], copies: 2 },
@@ -82,7 +83,7 @@
         Case { name: "none", counts: [0, 0, 0], copies: 0 },
     ];
     for case in cases {
-        let mut all = members(case.counts);
+        let mut all = engines(case.counts);
         let placements = plan(&spec(), &all);
         apply(&mut all, &placements);
         assert!(fit(&all), "{}: {all:?}", case.name);
@@ -92,16 +93,16 @@
 }
 
 #[test]
-fn a_placement_that_is_there_is_left_alone() {
-    let mut all = members([1, 3, 8]);
+fn a_complete_placement_is_not_changed() {
+    let mut all = engines([1, 3, 8]);
     let placements = plan(&spec(), &all);
     apply(&mut all, &placements);
     assert_eq!(plan(&spec(), &all), Vec::new());
 }
 
 #[test]
-fn every_host_works_out_the_same() {
-    let all = members([2, 2, 5]);
+fn every_host_plans_the_same_placement() {
+    let all = engines([2, 2, 5]);
     let mut turned = all.clone();
     turned.reverse();
     let sorted = |mut p: Vec<Placement>| {
@@ -112,8 +113,8 @@
 }
 
 #[test]
-fn a_hole_that_its_neighbours_cannot_fill_moves_every_border() {
-    let mut all = members([1, 3, 0]);
+fn a_gap_that_its_neighbours_cannot_fill_moves_every_boundary() {
+    let mut all = engines([1, 3, 0]);
     let placements = plan(&spec(), &all);
     apply(&mut all, &placements);
     all.pop().expect("the last middle one");
@@ -124,8 +125,8 @@
 }
 
 #[test]
-fn a_hole_is_dealt_out_and_nobody_gives_up_what_it_holds() {
-    // The engine that held 36 to 52 is gone, and an empty one is there.
+fn a_gap_is_shared_out_and_no_engine_gives_up_layers() {
+    // The engine that held layers 36 to 52 is gone, and there is an empty one.
     let mut all = vec![
         engine("l-0", "large", Some((0, 20))),
         engine("l-1", "large", Some((20, 36))),
@@ -145,7 +146,7 @@
     }
 }
 
-/// Ranges that are held, and the first gap.
+/// Ranges that are held, and the first gap between them.
 struct Gap {
     held: &'static [LayerRange],
     gap: Option<LayerRange>,
@@ -166,7 +167,7 @@
     }
 }
 
-/// An order to an engine, and which layers can be counted on soon.
+/// An order to an engine, and which of its layers will be held soon.
 struct Order {
     held: Option<LayerRange>,
     ordered: LayerRange,
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn what_is_given_up_holds_an_order_up() {
+fn layers_to_give_up_delay_an_order() {
     let cases = [
         Order { held: None, ordered: (20, 30), soon: Some((20, 30)) },
         Order { held: Some((20, 25)), ordered: (20, 30), soon: Some((20, 30)) },
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn an_empty_engine_fills_a_hole_that_another_has_to_clear_itself_for() {
+fn an_empty_engine_fills_a_gap_that_another_must_first_give_up_layers_for() {
     let moved =
         EngineState { assured: None, ready: None, ..engine("s-7", "small", Some((20, 30))) };
     let mut all = vec![
@@ -208,25 +209,25 @@
     let placements = plan(&spec(), &all);
     let mut filled = all.clone();
     filled.remove(1);
-    for member in &mut filled {
-        member.layers = member.assured;
+    for engine in &mut filled {
+        engine.layers = engine.assured;
     }
     apply(&mut filled, &placements);
     assert_eq!(holders(&filled).into_iter().min(), Some(1), "{placements:?}");
     let widest = placements.iter().map(|(_, (from, to))| to - from).max();
-    assert!(widest < Some(25), "what is asked for is soon loaded: {placements:?}");
-    // One that loads without giving anything up is waited for.
+    assert!(widest < Some(25), "the ordered layers load soon: {placements:?}");
+    // An engine that loads without giving up layers is waited for.
     all[1].assured = all[1].layers;
     let wide = plan(&spec(), &all);
     assert!(wide.len() == 1 && wide[0].0 == "l-0" && wide != placements, "{wide:?}");
 }
 
 #[test]
-fn an_empty_engine_goes_where_room_is_least() {
-    let mut all = members([1, 3, 0]);
+fn an_empty_engine_goes_where_capacity_is_least() {
+    let mut all = engines([1, 3, 0]);
     let placements = plan(&spec(), &all);
     apply(&mut all, &placements);
-    all.extend(members([0, 0, 1]));
+    all.extend(engines([0, 0, 1]));
     let moves = plan(&spec(), &all);
     assert_eq!(moves.len(), 1, "{moves:?}");
     assert_eq!(moves[0].0, "small-00");
@@ -235,8 +236,8 @@
 }
 
 #[test]
-fn a_narrow_place_is_widened() {
-    // After a repair one small engine holds ten layers of an otherwise roomy copy.
+fn a_narrow_layer_is_widened() {
+    // After a repair one small engine holds ten layers of a copy that has ample capacity elsewhere.
     let held = |id: &str, kind: &str, layers| engine(id, kind, Some(layers));
     let all = vec![
         held("l-0", "large", (0, 19)),
@@ -253,20 +254,20 @@
         let moves = plan(&spec(), &all);
         apply(&mut all, &moves);
         assert!(fit(&all), "{moves:?}");
-        assert_eq!(holders(&all).into_iter().min(), Some(1), "no layer is ever without holder");
+        assert_eq!(holders(&all).into_iter().min(), Some(1), "no layer is ever without a holder");
         if moves.is_empty() {
             break;
         }
         orders += moves.len();
-        assert!(orders < 8, "it comes to an end");
+        assert!(orders < 8, "the steps end");
     }
     let widest = all.iter().filter(|m| m.kind == "small").filter_map(|m| m.layers);
     let widest = widest.map(|(from, to)| to - from).max();
     assert!(widest < Some(10), "{all:?}");
 }
 
-/// Engines of which the middle kind holds few layers, so that a loss leaves narrow places.
-fn thin_spec() -> EngineSpec {
+/// Engines of which the middle kind holds few layers, so that a loss leaves narrow layers.
+fn small_middle_spec() -> EngineSpec {
     let mut spec = spec();
     spec.kv_bytes = 590_000.0;
     spec.prefill_per_ms = 164.0;
@@ -279,19 +280,19 @@
     spec
 }
 
-/// Room of the narrowest layer, tokens.
-fn narrowest(spec: &EngineSpec, all: &[EngineState]) -> f64 {
-    let mut rooms = vec![0.0; usize::from(spec.layers)];
-    for member in all {
-        let Some((from, to)) = member.layers else { continue };
-        let size = spec.kind(Some(&member.kind)).expect("a known kind").memory_mb;
-        let room = spec.kv_capacity(size, to - from);
-        rooms[usize::from(from)..usize::from(to)].iter_mut().for_each(|r| *r += room);
+/// KV capacity of the narrowest layer, tokens.
+fn min_capacity(spec: &EngineSpec, all: &[EngineState]) -> f64 {
+    let mut capacities = vec![0.0; usize::from(spec.layers)];
+    for engine in all {
+        let Some((from, to)) = engine.layers else { continue };
+        let memory_mb = spec.kind(Some(&engine.kind)).expect("a known kind").memory_mb;
+        let capacity = spec.kv_capacity(memory_mb, to - from);
+        capacities[usize::from(from)..usize::from(to)].iter_mut().for_each(|r| *r += capacity);
     }
-    rooms.into_iter().fold(f64::INFINITY, f64::min)
+    capacities.into_iter().fold(f64::INFINITY, f64::min)
 }
 
-/// Follows plans until nothing more is wanted; returns how many orders that took.
+/// Applies plans until nothing more is wanted; returns how many orders that took.
 fn settle(spec: &EngineSpec, all: &mut [EngineState]) -> usize {
     let mut orders = 0;
     loop {
@@ -305,18 +306,18 @@
     }
 }
 
-/// A fleet that loses engines one after the other, each chosen by its place in the list.
+/// A data centre that loses engines one after another, each given by its index in the list.
 struct Losses {
     counts: [usize; 3],
     lost: [usize; 3],
 }
 
-/// After each loss, the room of the narrowest layer over that of a fresh placement of the engines
-/// that are left, on average over these losses: 0.55 when a step had to raise the narrowest layer
-/// at once, 0.85 with steps that raise what is carried.
+/// Guards against steps that must raise the narrowest layer at once. The capacity of the narrowest
+/// layer after each loss, over that of a first placement of the engines that are left, is 0.55 on
+/// average over these losses with such steps, and 0.85 with steps that raise the throughput.
 #[test]
-fn after_losses_the_narrowest_layer_gets_back_what_the_engines_could_give() {
-    let spec = thin_spec();
+fn after_losses_the_narrowest_layer_regains_most_of_its_capacity() {
+    let spec = small_middle_spec();
     let cases = [
         Losses { counts: [1, 10, 4], lost: [3, 6, 11] },
         Losses { counts: [1, 10, 4], lost: [10, 2, 5] },
@@ -328,29 +329,29 @@
     ];
     let (mut shares, mut count) = (0.0, 0.0);
     for case in cases {
-        let mut all = members(case.counts);
+        let mut all = engines(case.counts);
         settle(&spec, &mut all);
         for place in case.lost {
             all.remove(place);
             settle(&spec, &mut all);
             assert!(fit(&all), "{all:?}");
             let mut fresh = all.clone();
-            for member in &mut fresh {
-                (member.layers, member.assured, member.ready) = (None, None, None);
+            for engine in &mut fresh {
+                (engine.layers, engine.assured, engine.ready) = (None, None, None);
             }
             let placements = repairs(&spec, &fresh);
             apply(&mut fresh, &placements);
-            shares += narrowest(&spec, &all) / narrowest(&spec, &fresh).max(1.0);
+            shares += min_capacity(&spec, &all) / min_capacity(&spec, &fresh).max(1.0);
             count += 1.0;
         }
     }
     let share = shares / count;
-    println!("share of a fresh placement's narrowest layer: {share:.2}");
+    println!("capacity of the narrowest layer, as a share of a first placement's: {share:.2}");
     assert!(share > 0.8, "{share:.2}");
 }
 
 #[test]
-fn no_step_is_taken_while_engines_hold_layers_that_the_model_has_not() {
+fn no_step_is_taken_while_engines_hold_layers_that_the_model_lacks() {
     let all = [
         engine("l-0", "large", Some((0, 38))),
         engine("l-1", "large", Some((38, 76))),
@@ -361,14 +362,14 @@
 }
 
 proptest! {
-    // A case plays up to 60 steps.
+    // A case takes up to 60 steps.
     #![proptest_config(ProptestConfig::with_cases(24))]
     #[test]
-    fn steps_keep_a_whole_copy_and_end(
+    fn steps_keep_a_complete_copy_and_end(
         large in 1_usize..3, middle in 2_usize..8, small in 2_usize..8, lost in 0_usize..12,
     ) {
-        let spec = thin_spec();
-        let mut all = members([large, middle, small]);
+        let spec = small_middle_spec();
+        let mut all = engines([large, middle, small]);
         let placements = repairs(&spec, &all);
         apply(&mut all, &placements);
         if lost < all.len() {
@@ -381,10 +382,10 @@
         let whole = holders(&all).into_iter().min() > Some(0);
         let mut steps = 0;
         while let Some((id, layers)) = next_improvement(&spec, &all) {
-            // While it loads, an engine holds what it keeps.
-            let member = all.iter_mut().find(|m| m.id == id).expect("a known engine");
-            member.layers = member.layers.map(|(a, b)| (a.max(layers.0), b.min(layers.1)));
-            member.layers = member.layers.filter(|(a, b)| a < b);
+            // While it loads, an engine holds only the layers that it keeps.
+            let engine = all.iter_mut().find(|m| m.id == id).expect("a known engine");
+            engine.layers = engine.layers.map(|(a, b)| (a.max(layers.0), b.min(layers.1)));
+            engine.layers = engine.layers.filter(|(a, b)| a < b);
             prop_assert!(!whole || holders(&all).into_iter().min() > Some(0), "{id} {layers:?}");
             apply(&mut all, &[(id, layers)]);
             prop_assert!(fit(&all));
@@ -396,11 +397,11 @@
 
 proptest! {
     #[test]
-    fn plans_fit_and_leave_no_hole_that_could_be_filled(
+    fn plans_fit_and_leave_no_gap_that_could_be_filled(
         large in 0_usize..4, middle in 0_usize..8, small in 0_usize..10,
         lost in proptest::collection::vec(0_usize..22, 0..4),
     ) {
-        let mut all = members([large, middle, small]);
+        let mut all = engines([large, middle, small]);
         let placements = plan(&spec(), &all);
         apply(&mut all, &placements);
         prop_assert!(fit(&all), "{placements:?}");
@@ -415,12 +416,12 @@
             apply(&mut all, &moves);
             prop_assert!(fit(&all), "{moves:?}");
         }
-        // What is left could hold the model twice over: then it holds it once at least.
+        // Engines with memory for the weights of three copies hold the model at least once.
         let layers = |m: &EngineState| {
             (spec().kind(Some(&m.kind)).expect("known").memory_mb / spec().layer_mb) as usize
         };
-        let able: usize = all.iter().map(layers).sum();
-        if whole && able >= 240 {
+        let holdable: usize = all.iter().map(layers).sum();
+        if whole && holdable >= 240 {
             prop_assert!(holders(&all).into_iter().min() > Some(0), "{all:?}");
         }
     }
--- a/crates/roseshore_core/tests/gateway/pressure.rs
+++ b/crates/roseshore_core/tests/gateway/pressure.rs
@@ -1,4 +1,4 @@
-//! When a better placement is worth the orders.
+//! Tests of when a better placement is worth its orders.
 
 use roseshore_core::gateway::plan::pressure::{EngineUsage, Pressure, peak_utilisation};
 
@@ -18,7 +18,7 @@
         Case { name: "none", engines: vec![], share: 0.0 },
         Case { name: "one", engines: vec![engine((0, 10), 1000.0, 400.0)], share: 0.4 },
         Case {
-            name: "a narrow one beside it",
+            name: "a wide one and a full narrow one",
             engines: vec![engine((0, 8), 1600.0, 400.0), engine((8, 10), 100.0, 90.0)],
             share: 0.9,
         },
@@ -39,7 +39,8 @@
     }
 }
 
-/// Measurements 200 ms apart, engines under an order, and whether a step is taken.
+/// Measurements 200 ms apart as values and how often each comes, engines under an order, and
+/// whether a step is taken.
 struct Load {
     name: &'static str,
     shares: &'static [(f64, usize)],
@@ -70,7 +71,7 @@
             unsettled: 5,
             step: false,
         },
-        Load { name: "over", shares: &[(2.0, 50), (0.5, 10)], unsettled: 0, step: false },
+        Load { name: "no longer full", shares: &[(2.0, 50), (0.5, 10)], unsettled: 0, step: false },
     ];
     for case in cases {
         let mut pressure = Pressure::default();
--- a/crates/roseshore_core/tests/gateway/retry_budget.rs
+++ b/crates/roseshore_core/tests/gateway/retry_budget.rs
@@ -1,4 +1,4 @@
-//! How many sends may be repeated.
+//! Tests of how many sends may be retries.
 
 use roseshore_core::gateway::RetryBudget;
 use roseshore_core::gateway::retry_budget::RetryCounts;
@@ -11,17 +11,17 @@
 }
 
 #[test]
-fn hosts_that_all_repeat_at_once_stay_within_the_bound() {
+fn hosts_that_all_retry_at_once_stay_within_the_bound() {
     const HOSTS: usize = 8;
     const RATIO: f64 = 0.2;
     const SLACK: f64 = 200.0;
     let start = Instant::now();
     let mut hosts: Vec<RetryBudget> =
         (0..HOSTS).map(|_| RetryBudget::new(RATIO, SLACK, WINDOW)).collect();
-    let (mut requests, mut repeats) = (0_u32, 0_u32);
+    let (mut requests, mut retries) = (0_u32, 0_u32);
     for step in 0..90 {
         let now = start + ms(step * 100);
-        // Each hears of the others with every fourth step.
+        // Every fourth step, each host receives the counts of the others.
         if step % 4 == 0 {
             let all: Vec<RetryCounts> = hosts.iter_mut().map(|h| h.counts(now)).collect();
             for (i, host) in hosts.iter_mut().enumerate() {
@@ -36,17 +36,17 @@
         for host in &mut hosts {
             host.record_request(now);
             requests += 1;
-            // Far more wants than the bound.
-            repeats += (0..5).filter(|_| host.try_retry(now)).count() as u32;
+            // Far more attempts than the bound permits.
+            retries += (0..5).filter(|_| host.try_retry(now)).count() as u32;
         }
     }
     let bound = RATIO * f64::from(requests) + SLACK;
-    assert!(f64::from(repeats) <= bound, "{repeats} of {bound}");
-    assert!(f64::from(repeats) >= 0.5 * bound, "{repeats} of {bound}: most of it can be used");
+    assert!(f64::from(retries) <= bound, "{retries} of {bound}");
+    assert!(f64::from(retries) >= 0.5 * bound, "{retries} of {bound}: most of it can be used");
 }
 
 #[test]
-fn what_was_counted_is_forgotten_after_the_window() {
+fn counts_expire_after_the_window() {
     let start = Instant::now();
     let mut host = RetryBudget::new(0.0, 10.0, WINDOW);
     let spent = (0..100).filter(|_| host.try_retry(start)).count();
@@ -56,39 +56,40 @@
 }
 
 #[test]
-fn a_host_that_hears_nobody_keeps_to_its_part() {
+fn a_host_that_hears_from_no_other_keeps_to_its_share() {
     let now = Instant::now();
     let mut host = RetryBudget::new(0.0, 160.0, WINDOW);
     host.set_peer_counts(RetryCounts::default(), 1, 8);
     let spent = (0..100).filter(|_| host.try_retry(now)).count();
     assert_eq!(spent, 16);
-    // Its own requests are all that it hears of, and still only its part.
+    // Its own requests are the only ones it knows of, and still it gets no more than its share.
     let mut busy = RetryBudget::new(0.0, 160.0, WINDOW);
     busy.set_peer_counts(RetryCounts::default(), 1, 8);
     (0..50).for_each(|_| busy.record_request(now));
     assert_eq!((0..100).filter(|_| busy.try_retry(now)).count(), 16);
 }
 
-/// Sixty-four hosts, of which some have five times the requests of others, lose streams by their requests at
-/// the same moment. Of 384 streams 272 may go on when all hosts have the same share, all of them by requests.
+/// Guards against equal shares of the budget. Sixty-four hosts, some with five times the requests
+/// of others, lose streams in proportion to their requests at the same moment. Of 384 streams only
+/// 272 could continue if all hosts had the same share; with shares by requests all of them can.
 #[test]
-fn a_host_with_more_requests_may_repeat_more() {
+fn a_host_with_more_requests_may_retry_more() {
     const HOSTS: u32 = 64;
     let now = Instant::now();
     let requests = |host: u32| if host.is_multiple_of(4) { 75 } else { 15 };
     let all: u32 = (0..HOSTS).map(requests).sum();
-    let (mut wanted, mut repeated) = (0, 0);
+    let (mut wanted, mut retried) = (0, 0);
     for host in 0..HOSTS {
         let own = requests(host);
-        let mut allowance = RetryBudget::new(0.2, 312.0, WINDOW);
-        (0..own).for_each(|_| allowance.record_request(now));
+        let mut budget = RetryBudget::new(0.2, 312.0, WINDOW);
+        (0..own).for_each(|_| budget.record_request(now));
         let others = RetryCounts { requests: all - own, retries: 0 };
-        allowance.set_peer_counts(others, HOSTS as usize, HOSTS as usize);
+        budget.set_peer_counts(others, HOSTS as usize, HOSTS as usize);
         let lost = own / 4 - own / 20;
         wanted += lost;
-        repeated += (0..lost).filter(|_| allowance.try_retry(now)).count() as u32;
+        retried += (0..lost).filter(|_| budget.try_retry(now)).count() as u32;
     }
     let bound = 0.2 * f64::from(all) + 312.0;
-    assert!(f64::from(repeated) <= 0.8 * bound, "{repeated} of {bound}");
-    assert_eq!((wanted, repeated), (384, 384));
+    assert!(f64::from(retried) <= 0.8 * bound, "{retried} of {bound}");
+    assert_eq!((wanted, retried), (384, 384));
 }
--- a/crates/roseshore_core/tests/gateway/routes.rs
+++ b/crates/roseshore_core/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, keys, and the lease on the configuration.
+//! Tests of routes, keys and the lease on the configuration.
 
 use roseshore_core::gateway::routes::Denied;
 use roseshore_core::gateway::{
@@ -97,12 +97,12 @@
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut lease = ConfigLease::new(Duration::from_secs(5));
-    assert!(!lease.is_valid(at(0)), "nothing is proven yet");
+    assert!(!lease.is_valid(at(0)), "no read has renewed it yet");
     lease.renew(at(1000));
     assert!(lease.is_valid(at(5000)));
-    assert!(!lease.is_valid(at(5300)), "a margin is kept for requests on their way");
+    assert!(!lease.is_valid(at(5300)), "a margin is kept for requests in flight");
     lease.renew(at(500));
-    assert_eq!(lease.age(at(2000)), Some(Duration::from_secs(1)), "older proofs change nothing");
+    assert_eq!(lease.age(at(2000)), Some(Duration::from_secs(1)), "older reads change nothing");
     lease.renew(at(6000));
     assert!(lease.is_valid(at(6100)));
 }
--- a/crates/roseshore_core/tests/gateway/shortage.rs
+++ b/crates/roseshore_core/tests/gateway/shortage.rs
@@ -1,11 +1,11 @@
-//! When refused callers come back.
+//! Tests of when refused callers should try again.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use roseshore_core::gateway::Shortage;
 use roseshore_core::prelude::*;
 
-/// Refusals at these moments, and when the last one's caller should come back.
+/// The moments of refusals, ms, and after what time the last caller should try again.
 struct Case {
     name: &'static str,
     at_ms: &'static [u64],
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn callers_come_back_later_the_longer_room_has_been_short() {
+fn callers_come_back_later_the_longer_capacity_has_been_short() {
     let cases = [
-        Case { name: "the first", at_ms: &[0], back_ms: 2_400 },
-        Case { name: "a second of them", at_ms: &[0, 500, 1_000], back_ms: 3_400 },
+        Case { name: "the first refusal", at_ms: &[0], back_ms: 2_400 },
+        Case { name: "one second of refusals", at_ms: &[0, 500, 1_000], back_ms: 3_400 },
         Case { name: "a long shortage", at_ms: &[0, 1_900, 3_800, 5_000], back_ms: 7_400 },
         Case { name: "the longest time", at_ms: &[0, 2_000, 4_000, 6_000, 8_000], back_ms: 9_000 },
         Case { name: "another shortage", at_ms: &[0, 1_000, 3_100], back_ms: 2_400 },
@@ -30,33 +30,35 @@
     }
 }
 
-/// Callers who come back once, at a service that is short of a quarter of its room for `short_s`.
+/// Callers who try again once, at a service that lacks a quarter of its capacity for `short_s`
+/// seconds.
 struct Load {
     short_s: f64,
-    /// Of those who came back, the share refused again with 2.4 s each time.
+    /// Share of the returning callers that are refused again if each is told 2.4 s.
     before: f64,
+    /// The same with times that grow with the shortage.
     after: f64,
 }
 
-/// Fifty callers a second, 37 of whom can be served while room is short; whoever comes is served in
-/// the order of coming, and who is refused comes back once. Returns the share of those who came
-/// back that were refused again.
+/// Simulates fifty callers a second, of whom 37 can be served during the shortage. Callers are
+/// served in the order in which they come, and each refused one comes back once. Returns the share
+/// of those who came back that were refused again.
 fn refused_again(short_s: f64, mut back: impl FnMut(Instant) -> Duration) -> f64 {
     let mut random = SmallRng::seed_from_u64(7);
     let start = Instant::now();
     let at = |ms: u64| start + Duration::from_millis(ms);
     let mut returning: Vec<u64> = Vec::new();
     let (mut came, mut again) = (0.0_f64, 0.0);
-    let mut room = 0.0;
+    let mut capacity = 0.0;
     for ms in 0..120_000_u64 {
         let short = (ms as f64) < short_s * 1000.0;
-        room = f64::min(room + if short { 0.037 } else { 0.2 }, 3.0);
+        capacity = f64::min(capacity + if short { 0.037 } else { 0.2 }, 3.0);
         let due = returning.iter().filter(|due| **due == ms).count();
         let fresh = usize::from(random.random::<f64>() < 0.05);
         for caller in 0..due + fresh {
             came += f64::from(u8::from(caller < due));
-            if room >= 1.0 {
-                room -= 1.0;
+            if capacity >= 1.0 {
+                capacity -= 1.0;
             } else if caller < due {
                 again += 1.0;
             } else {
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn fewer_of_those_who_come_back_are_refused_again() {
+fn fewer_returning_callers_are_refused_again() {
     let cases = [
         Load { short_s: 4.0, before: 0.11, after: 0.13 },
         Load { short_s: 10.0, before: 0.35, after: 0.15 },
--- a/crates/roseshore_core/tests/gateway/unavailable.rs
+++ b/crates/roseshore_core/tests/gateway/unavailable.rs
@@ -1,4 +1,4 @@
-//! Why no target can be chosen, and when there is a way again.
+//! Tests of the reason why no target can be chosen, and of when one can be again.
 
 use roseshore_core::gateway::{SelectionConditions, Unavailable};
 use std::time::{Duration, Instant};
@@ -10,87 +10,98 @@
 /// A service without a target that can be chosen now.
 struct Case {
     name: &'static str,
-    /// When its targets' rests end, ms from now.
-    rests: &'static [u64],
+    /// When the back-offs of its targets end, ms from now.
+    backoff_ends: &'static [u64],
     limited: bool,
-    /// Whether there is a way after a time, with limits heeded or not.
-    way: fn(Duration, bool) -> bool,
+    /// Whether a target can be chosen after a time, with limits enforced or not.
+    selectable: fn(Duration, bool) -> bool,
     want: Unavailable,
 }
 
 const NOTHING: Case = Case {
-    name: "layers that nobody holds",
-    rests: &[],
+    name: "layers that no engine holds",
+    backoff_ends: &[],
     limited: false,
-    way: |_, _| false,
+    selectable: |_, _| false,
     want: Unavailable::Other,
 };
 
 #[test]
-fn a_refusal_gives_what_really_binds() {
+fn a_refusal_gives_the_reason_that_really_binds() {
     let cases = [
         NOTHING,
-        Case { name: "layers are missing, another target rests", rests: &[900], ..NOTHING },
         Case {
-            name: "layers are missing, others rest and are limited",
-            rests: &[900],
+            name: "layers are missing, another target backs off",
+            backoff_ends: &[900],
+            ..NOTHING
+        },
+        Case {
+            name: "layers are missing, others back off and are limited",
+            backoff_ends: &[900],
             limited: true,
             ..NOTHING
         },
         Case {
-            name: "the only target rests",
-            rests: &[900],
-            way: |at, _| at >= ms(900),
+            name: "the only target backs off",
+            backoff_ends: &[900],
+            selectable: |at, _| at >= ms(900),
             want: Unavailable::BackingOff(ms(900)),
             ..NOTHING
         },
         Case {
-            name: "two rest, the first is enough",
-            rests: &[900, 300],
-            way: |at, _| at >= ms(300),
+            name: "two back off, the first is enough",
+            backoff_ends: &[900, 300],
+            selectable: |at, _| at >= ms(300),
             want: Unavailable::BackingOff(ms(300)),
             ..NOTHING
         },
         Case {
-            name: "two rest, a path needs both",
-            rests: &[300, 900],
-            way: |at, _| at >= ms(900),
+            name: "two back off, a path needs both",
+            backoff_ends: &[300, 900],
+            selectable: |at, _| at >= ms(900),
             want: Unavailable::BackingOff(ms(900)),
             ..NOTHING
         },
         Case {
-            name: "the only target takes no more",
+            name: "the only target is at its limit",
             limited: true,
-            way: |_, limits| !limits,
+            selectable: |_, enforce_limits| !enforce_limits,
             want: Unavailable::RateLimited,
             ..NOTHING
         },
         Case {
-            name: "one rests, another takes no more",
-            rests: &[900],
+            name: "one backs off, another is at its limit",
+            backoff_ends: &[900],
             limited: true,
-            way: |at, limits| at >= ms(900) || !limits,
+            selectable: |at, enforce_limits| at >= ms(900) || !enforce_limits,
             want: Unavailable::BackingOff(ms(900)),
         },
         Case {
-            name: "one rests without which nothing helps, and it takes no more",
-            rests: &[900],
+            name: "one backs off that is needed, and it is at its limit",
+            backoff_ends: &[900],
             limited: true,
-            way: |at, limits| at >= ms(900) && !limits,
+            selectable: |at, enforce_limits| at >= ms(900) && !enforce_limits,
             want: Unavailable::BackingOff(ms(900)),
         },
         Case {
-            name: "a target takes no more, and one rests that is not needed",
-            rests: &[900],
+            name: "a target is at its limit, and one backs off that is not needed",
+            backoff_ends: &[900],
             limited: true,
-            way: |_, limits| !limits,
+            selectable: |_, enforce_limits| !enforce_limits,
             want: Unavailable::RateLimited,
         },
     ];
     let now = Instant::now();
     for case in cases {
-        let rests = case.rests.iter().map(|rest| now + ms(*rest)).collect();
-        let way = |wish: SelectionConditions| (case.way)(wish.at - now, wish.enforce_limits);
-        assert_eq!(Unavailable::of(rests, case.limited, now, way), case.want, "{}", case.name);
+        let backoff_ends = case.backoff_ends.iter().map(|end| now + ms(*end)).collect();
+        let selectable = |conditions: SelectionConditions| {
+            (case.selectable)(conditions.at - now, conditions.enforce_limits)
+        };
+        assert_eq!(
+            Unavailable::of(backoff_ends, case.limited, now, selectable),
+            case.want,
+            "{}",
+            case.name
+        );
     }
 }
