--- a/crates/roseshore_core/src/admit.rs
+++ b/crates/roseshore_core/src/admit.rs
@@ -211,7 +211,7 @@
 
     fn displace(&mut self, service: &str, item: &fair::Item, spread: f64) -> WaitOutcome {
         self.waiting.remove(&item.waiter);
-        self.request_left(item.org);
+        self.close_request(item.org);
         let queue = self.queues.get(service);
         let wait = queue.map_or(Duration::ZERO, |queue| queue.predicted_wait(item));
         WaitOutcome { waiter: item.waiter, result: Err(queue_full(service, wait, spread)) }
@@ -219,7 +219,7 @@
 
     /// Returns a slot; the result lists the waiting requests that are now admitted or refused.
     pub fn release(&mut self, slot: Slot, now: Instant, spread: f64) -> Vec<WaitOutcome> {
-        self.request_left(slot.org);
+        self.close_request(slot.org);
         if let Some(queue) = self.queues.get_mut(&slot.service) {
             queue.release(slot.org, slot.cost, now.saturating_duration_since(slot.begun));
         }
@@ -232,14 +232,14 @@
         let queue = self.queues.get_mut(&service)?;
         let item = queue.remove(waiter)?;
         let wait = queue.predicted_wait(&item);
-        self.request_left(item.org);
+        self.close_request(item.org);
         Some(too_late(&service, wait, spread))
     }
 
     /// Admits waiting requests while the service's limit allows.
     pub fn admit_waiting(&mut self, service: &str, now: Instant, spread: f64) -> Vec<WaitOutcome> {
         let mut outcomes = Vec::new();
-        while let Some(item) = self.queues.get_mut(service).and_then(ServiceQueue::call_next) {
+        while let Some(item) = self.queues.get_mut(service).and_then(ServiceQueue::dequeue) {
             self.waiting.remove(&item.waiter);
             let result = self.admit_waiter(service, &item, now, spread);
             outcomes.push(WaitOutcome { waiter: item.waiter, result });
@@ -258,10 +258,10 @@
             let service = service.to_owned();
             return Ok(Slot { service, org: item.org, cost: item.cost, begun: now });
         }
-        self.request_left(item.org);
+        self.close_request(item.org);
         let queue = self.queues.get_mut(service);
         let wait = queue.map_or(Duration::ZERO, |queue| {
-            queue.cancel_turn(item.org);
+            queue.cancel(item.org);
             queue.predicted_wait(item)
         });
         Err(too_late(service, wait, spread))
@@ -343,7 +343,7 @@
         Some(index)
     }
 
-    fn request_left(&mut self, org: OrgIndex) {
+    fn close_request(&mut self, org: OrgIndex) {
         if let Some(org) = self.orgs[org as usize].as_mut() {
             org.open_requests -= 1;
         }
--- a/crates/roseshore_core/src/admit/queue.rs
+++ b/crates/roseshore_core/src/admit/queue.rs
@@ -59,7 +59,7 @@
         self.count < limit - if over { limit / RESERVE_DIVISOR } else { 0 }
     }
 
-    fn enter(&mut self, item: &Item) {
+    fn add(&mut self, item: &Item) {
         self.count += 1;
         let own = self.orgs.entry(item.org).or_insert(OrgInFlight { count: 0, share: item.share });
         if own.count == 0 {
@@ -68,7 +68,7 @@
         own.count += 1;
     }
 
-    fn leave(&mut self, org: OrgIndex) {
+    fn remove(&mut self, org: OrgIndex) {
         self.count -= 1;
         let Some(own) = self.orgs.get_mut(&org) else { return };
         own.count -= 1;
@@ -104,7 +104,7 @@
             return JoinResult::TooLate(Duration::ZERO);
         };
         if self.queue.is_empty() && self.in_flight.has_room(&item, self.limit.value()) {
-            self.in_flight.enter(&item);
+            self.in_flight.add(&item);
             return JoinResult::Admitted;
         }
         let wait = self.drain_time(self.queue.work_ahead(&item, now) + item.cost);
@@ -132,24 +132,24 @@
     }
 
     /// Dequeues and counts the next request if there is a free slot.
-    pub fn call_next(&mut self) -> Option<Item> {
+    pub fn dequeue(&mut self) -> Option<Item> {
         let limit = self.limit.value();
         if self.in_flight.count >= limit {
             return None;
         }
         let item = self.queue.pop(|item| self.in_flight.has_room(item, limit))?;
-        self.in_flight.enter(&item);
+        self.in_flight.add(&item);
         Some(item)
     }
 
     /// Frees the slot of a dequeued request that was not admitted after all.
-    pub fn cancel_turn(&mut self, org: OrgIndex) {
-        self.in_flight.leave(org);
+    pub fn cancel(&mut self, org: OrgIndex) {
+        self.in_flight.remove(org);
     }
 
     /// Frees the slot of a request that ended after `took`.
     pub fn release(&mut self, org: OrgIndex, cost: f64, took: Duration) {
-        self.in_flight.leave(org);
+        self.in_flight.remove(org);
         let took = took.as_secs_f64();
         if self.mean_cost == 0.0 {
             self.mean_time = took;
--- a/crates/roseshore_core/src/answer/machine.rs
+++ b/crates/roseshore_core/src/answer/machine.rs
@@ -106,7 +106,8 @@
     stages: Vec<Stage>,
     /// For each stage, whether it failed to answer the last probe in time; `None` without a result.
     silent: Vec<Option<bool>>,
-    /// Stages of earlier routes whose work is not cancelled yet; the next route may use their caches.
+    /// Stages of earlier routes whose work is not cancelled yet, because the next route may use
+    /// their caches.
     cached: Vec<CachedStage>,
     tokens: Vec<String>,
     window: ReorderBuffer,
@@ -198,8 +199,8 @@
 
     /// When [`Input::Tick`] is due if no other event comes first.
     pub fn next_tick(&self) -> Instant {
-        let wake = self.job.deadline.min(self.timeout_at);
-        self.probe_at.map_or(wake, |p| p.min(wake))
+        let due = self.job.deadline.min(self.timeout_at);
+        self.probe_at.map_or(due, |p| p.min(due))
     }
 
     /// Restarts the silence timeout after the driver was blocked on the caller, so that the time
@@ -240,11 +241,11 @@
             }
             Input::Opened(epoch) if self.is_current(epoch) => self.opened(now),
             Input::OpenFailed(epoch, failure) if self.is_current(epoch) => {
-                self.unopened(now, failure, out);
+                self.open_failed(now, failure, out);
             }
             Input::Ended(epoch, failure) if self.is_current(epoch) => self.ended(now, failure, out),
-            Input::Probed(epoch, target, health) if self.is_current(epoch) => {
-                self.probed(now, &target, health, out);
+            Input::Probed(epoch, target, result) if self.is_current(epoch) => {
+                self.probed(now, &target, result, out);
             }
             Input::Moved(epoch, done) if self.is_current(epoch) => self.moved(now, done, out),
             _ => {}
@@ -276,15 +277,15 @@
             Phase::Moving => self.open(now, false, out),
             Phase::Opening => {
                 self.began = true;
-                self.give_up(now, Cause::Silent, Blame::At(0), out);
+                self.abandon_route(now, Cause::Silent, Blame::At(0), out);
             }
             Phase::Prefill | Phase::Decode => {
-                self.give_up(now, Cause::Silent, Blame::Silent, out);
+                self.abandon_route(now, Cause::Silent, Blame::Silent, out);
             }
             Phase::Routing => {
                 // The router itself excludes the targets that are still out of use.
                 self.avoid.clear();
-                self.ask_route(false, out);
+                self.request_route(false, out);
             }
             Phase::Finished => {}
         }
--- a/crates/roseshore_core/src/answer/machine/recover.rs
+++ b/crates/roseshore_core/src/answer/machine/recover.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 
 impl Answer {
-    pub(super) fn give_up(
+    pub(super) fn abandon_route(
         &mut self,
         now: Instant,
         cause: Cause,
@@ -34,7 +34,7 @@
             return self.refuse(Refusal::not_run(cause.code(), why), out);
         }
         let charge_budget = cause == Cause::Silent && blamed == 0;
-        self.ask_route(charge_budget, out);
+        self.request_route(charge_budget, out);
     }
 
     /// Attributes a failure to stages; returns how many are known to have failed.
--- a/crates/roseshore_core/src/answer/machine/route.rs
+++ b/crates/roseshore_core/src/answer/machine/route.rs
@@ -33,11 +33,11 @@
     }
 
     pub(super) fn adopt(&mut self, now: Instant, route: Route, out: &mut Vec<Action>) {
-        let held = self.job.prompt + self.window.next();
+        let tokens = self.job.prompt + self.window.next();
         let plan = cost::plan(
             &self.cached,
             &route.stages,
-            held,
+            tokens,
             route.first_token,
             &self.settings.move_cost,
         );
@@ -93,7 +93,7 @@
             return;
         }
         if self.avoid.relax() {
-            self.ask_route(false, out);
+            self.request_route(false, out);
             return;
         }
         let deadline = *self.chain_deadline.get_or_insert(now + self.settings.chain_wait);
@@ -118,7 +118,7 @@
         true
     }
 
-    pub(super) fn ask_route(&mut self, charge_budget: bool, out: &mut Vec<Action>) {
+    pub(super) fn request_route(&mut self, charge_budget: bool, out: &mut Vec<Action>) {
         self.phase = Phase::Routing;
         self.timeout_at = self.job.deadline;
         out.push(Action::Route { avoid: self.avoid.list(), retry: true, charge_budget });
--- a/crates/roseshore_core/src/answer/machine/stream.rs
+++ b/crates/roseshore_core/src/answer/machine/stream.rs
@@ -27,7 +27,12 @@
         self.probe_at = Some(now + bound.mul_f64(PROBE_AFTER_FRACTION));
     }
 
-    pub(super) fn unopened(&mut self, now: Instant, failure: StreamFailure, out: &mut Vec<Action>) {
+    pub(super) fn open_failed(
+        &mut self,
+        now: Instant,
+        failure: StreamFailure,
+        out: &mut Vec<Action>,
+    ) {
         if self.phase != Phase::Opening {
             return;
         }
@@ -43,7 +48,7 @@
             StreamFailure::Malformed => Cause::Malformed,
         };
         self.began |= matches!(failure, StreamFailure::Lost | StreamFailure::Malformed);
-        self.give_up(now, cause, Blame::At(0), out);
+        self.abandon_route(now, cause, Blame::At(0), out);
     }
 
     pub(super) fn line(&mut self, now: Instant, line: StreamLine, out: &mut Vec<Action>) {
@@ -58,7 +63,7 @@
             StreamLine::Done { count, reason, cached } => {
                 let next = self.window.next();
                 if count < next || count > self.job.limit {
-                    return self.give_up(now, Cause::Malformed, Blame::At(0), out);
+                    return self.abandon_route(now, Cause::Malformed, Blame::At(0), out);
                 }
                 self.ending = Some((count, Finish { reason, cached }));
                 self.finish(out);
@@ -77,7 +82,7 @@
             Some(at) => Blame::At(at),
             None => Blame::Any,
         };
-        self.give_up(now, Cause::StageLost, blame, out);
+        self.abandon_route(now, Cause::StageLost, blame, out);
     }
 
     pub(super) fn token(
@@ -88,31 +93,31 @@
         stamps: &[Stamp],
         out: &mut Vec<Action>,
     ) {
-        if let Err(broken) = self.check(stamps) {
-            let text = format!("position {position}: {broken}");
+        if let Err(error) = self.check(stamps) {
+            let text = format!("position {position}: {error}");
             out.push(Action::Log(Event::LineageBroken, text));
-            let blame = broken.stage().map_or(Blame::Any, Blame::At);
-            return self.give_up(now, Cause::Lineage(broken), blame, out);
+            let blame = error.stage().map_or(Blame::Any, Blame::At);
+            return self.abandon_route(now, Cause::Lineage(error), blame, out);
         }
         let end = self.ending.as_ref().map_or(self.job.limit, |e| e.0);
         if position >= end {
-            return self.give_up(now, Cause::Malformed, Blame::At(0), out);
+            return self.abandon_route(now, Cause::Malformed, Blame::At(0), out);
         }
         match self.window.insert(position, text) {
             Insertion::Held => self.deliver(now, out),
             Insertion::Duplicate => self.counters.duplicates += 1,
-            Insertion::Overflow => self.give_up(now, Cause::Overflow, Blame::At(0), out),
+            Insertion::Overflow => self.abandon_route(now, Cause::Overflow, Blame::At(0), out),
         }
     }
 
     pub(super) fn check(&self, stamps: &[Stamp]) -> Result<(), LineageError> {
-        let want = ExpectedLineage {
+        let expected = ExpectedLineage {
             stages: &self.stages,
             layers: self.job.layers,
             epoch: self.epoch,
             version: &self.job.version,
         };
-        lineage::check(stamps, &want)
+        lineage::check(stamps, &expected)
     }
 
     pub(super) fn deliver(&mut self, now: Instant, out: &mut Vec<Action>) {
@@ -168,11 +173,11 @@
             return;
         }
         if failure == Some(StreamFailure::Malformed) || self.ending.is_some() {
-            return self.give_up(now, Cause::Malformed, Blame::At(0), out);
+            return self.abandon_route(now, Cause::Malformed, Blame::At(0), out);
         }
         self.cuts += 1;
         let blame = if self.cuts > 1 { Blame::At(0) } else { Blame::None };
-        self.give_up(now, Cause::Cut, blame, out);
+        self.abandon_route(now, Cause::Cut, blame, out);
     }
 
     /// Records a probe result. Once every stage has one, the route is abandoned without further
@@ -185,7 +190,7 @@
         self.silent[at] = Some(silent);
         let all = self.silent.iter().all(Option::is_some);
         if all && self.silent.contains(&Some(true)) {
-            self.give_up(now, Cause::Silent, Blame::Silent, out);
+            self.abandon_route(now, Cause::Silent, Blame::Silent, out);
         }
     }
 
@@ -193,7 +198,7 @@
         &mut self,
         now: Instant,
         target: &TargetId,
-        health: ProbeResult,
+        result: ProbeResult,
         out: &mut Vec<Action>,
     ) {
         let Some(at) = self.stages.iter().position(|s| s.target == *target) else {
@@ -202,10 +207,10 @@
         if !self.streaming() {
             return;
         }
-        match health {
-            ProbeResult::Dead => self.give_up(now, Cause::Dead, Blame::At(at), out),
+        match result {
+            ProbeResult::Dead => self.abandon_route(now, Cause::Dead, Blame::At(at), out),
             ProbeResult::Alive(incarnation) if incarnation != self.stages[at].incarnation => {
-                self.give_up(now, Cause::Restarted, Blame::At(at), out);
+                self.abandon_route(now, Cause::Restarted, Blame::At(at), out);
             }
             ProbeResult::Alive(_) => self.record_probe(now, at, false, out),
             ProbeResult::Silent => self.record_probe(now, at, true, out),
--- a/crates/roseshore_core/src/load.rs
+++ b/crates/roseshore_core/src/load.rs
@@ -37,8 +37,8 @@
 /// With own requests in flight but no progress, a target's slowdown is at least the time since its
 /// last progress divided by this.
 const SILENCE_UNIT: Duration = Duration::from_millis(250);
-/// Standard deviation of a step's time, relative to it. Steps of one answer are correlated, so this
-/// is set as large as for several of them together.
+/// Standard deviation of a step's time, relative to it. Steps of one answer are correlated, so the
+/// value is larger than the deviation of a single step.
 const RELATIVE_NOISE: f64 = 1.0;
 
 /// Weight of a step that took longer than expected, relative to one that was faster.
@@ -173,8 +173,8 @@
 
     /// Index of a data centre; a new one gets the next free index.
     pub fn data_centre_index(&mut self, id: &str) -> DataCentreIndex {
-        if let Some(zone) = self.data_centres.iter().position(|z| z == id) {
-            return zone as DataCentreIndex;
+        if let Some(index) = self.data_centres.iter().position(|known| known == id) {
+            return index as DataCentreIndex;
         }
         self.data_centres.push(id.to_owned());
         (self.data_centres.len() - 1) as DataCentreIndex
--- a/crates/roseshore_core/src/lookup.rs
+++ b/crates/roseshore_core/src/lookup.rs
@@ -9,7 +9,7 @@
 //!
 //! Sources are asked in stages: the next one when all before it said "missing", or when they are
 //! slow. A source that is slow is asked a second time at another replica (a hedge), and a source
-//! that failed is asked again (a retry), each within a [`Budget`].
+//! that failed is asked again (a retry), each within a [`crate::retry::RetryBudget`].
 
 mod latency;
 mod types;
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -104,7 +104,7 @@
 }
 
 impl Router {
-    /// Creates a router for a daemon in the data centre `own`.
+    /// Creates a router for a daemon in the data centre `local`.
     pub fn new(local: &str, sample_sizes: SampleSizes, random: SmallRng) -> Router {
         let mut loads = LoadTable::default();
         let local = loads.data_centre_index(local);
@@ -202,7 +202,7 @@
         self.hits.clear();
         self.prefixes.find(request.prefixes, &mut self.hits);
         let work = Work { prompt: request.prompt, expected: request.expected };
-        let step = ChainSearch {
+        let search = ChainSearch {
             loads,
             links: &self.links,
             local: self.local,
@@ -212,7 +212,8 @@
             idle_time: pools.idle_time.predict(work),
             now,
         };
-        let choice = step.choose(pools, self.sample_sizes, &mut self.random, &mut self.scratch)?;
+        let choice =
+            search.choose(pools, self.sample_sizes, &mut self.random, &mut self.scratch)?;
         pools.idle_time.learn(work, choice.idle_secs);
         self.record_prefixes(request, &choice);
         Some(choice)
@@ -230,14 +231,14 @@
         self.avoid.extend(avoid.iter().filter_map(|id| loads.find(id)));
         let context = PoolContext { loads, links: &self.links, local: self.local, now };
         let list = self.replicas.get(&context, serves);
-        let pick = replica::ReplicaSearch {
+        let search = replica::ReplicaSearch {
             loads,
             links: &self.links,
             local: self.local,
             avoid: &self.avoid,
             now,
         };
-        pick.choose(list, self.sample_sizes, &mut self.random)
+        search.choose(list, self.sample_sizes, &mut self.random)
     }
 
     /// Versions and layer ranges of a model that the usable engines hold.
--- a/crates/roseshore_core/src/route/chain.rs
+++ b/crates/roseshore_core/src/route/chain.rs
@@ -2,7 +2,7 @@
 
 use super::cost::{self, StageTime, StageWork, Work};
 use super::links::LinkDelays;
-use super::pool::{ChainPools, PieceGroup, Pool};
+use super::pool::{ChainPools, Pool, RangeGroup};
 use super::prefix::PrefixHit;
 use super::weighted::WeightedSampler;
 use super::{ChainChoice, SampleSizes, StageChoice};
@@ -10,8 +10,8 @@
 use crate::prelude::*;
 use rand::rngs::SmallRng;
 
-/// Extra draws per candidate: each unusable or duplicate one is redrawn up to this often before the
-/// group goes with fewer candidates.
+/// Extra draws per candidate, to replace draws that hit an unusable or duplicate target; after them
+/// the group has fewer candidates.
 const REDRAWS: usize = 2;
 /// Marks the last node of a path.
 const END: u32 = u32::MAX;
@@ -63,7 +63,7 @@
         random: &mut SmallRng,
         scratch: &mut Scratch,
     ) -> Option<ChainChoice> {
-        let drawn = |group: &PieceGroup, nodes: &mut Vec<Node>| {
+        let drawn = |group: &RangeGroup, nodes: &mut Vec<Node>| {
             self.draw(group, &group.near, sizes.near, random, nodes);
             let far = if group.near.rows().is_empty() { sizes.near + sizes.far } else { sizes.far };
             self.draw(group, &group.far, far, random, nodes);
@@ -80,7 +80,7 @@
         &self,
         pool: &Pool,
         scratch: &mut Scratch,
-        mut fill: impl FnMut(&PieceGroup, &mut Vec<Node>),
+        mut fill: impl FnMut(&RangeGroup, &mut Vec<Node>),
     ) -> Option<ChainChoice> {
         let nodes = &mut scratch.nodes;
         nodes.clear();
@@ -154,7 +154,7 @@
 
     fn draw(
         &self,
-        group: &PieceGroup,
+        group: &RangeGroup,
         from: &WeightedSampler,
         count: usize,
         random: &mut SmallRng,
@@ -177,7 +177,7 @@
         }
     }
 
-    fn add_hits(&self, group: &PieceGroup, nodes: &mut Vec<Node>) {
+    fn add_hits(&self, group: &RangeGroup, nodes: &mut Vec<Node>) {
         for hit in self.hits {
             let engine = self.loads.row(hit.row).engine.as_ref();
             if engine.is_some_and(|engine| engine.layers == group.layers) && group.has(hit.row) {
@@ -186,14 +186,14 @@
         }
     }
 
-    fn add_all(&self, group: &PieceGroup, nodes: &mut Vec<Node>) {
+    fn add_all(&self, group: &RangeGroup, nodes: &mut Vec<Node>) {
         for &row in group.near.rows().iter().chain(group.far.rows()) {
             self.add(group, row, nodes);
         }
     }
 
     /// Adds a candidate unless it is unusable or already present.
-    fn add(&self, group: &PieceGroup, row: TargetIndex, nodes: &mut Vec<Node>) {
+    fn add(&self, group: &RangeGroup, row: TargetIndex, nodes: &mut Vec<Node>) {
         let known = nodes.iter().rev().take_while(|node| node.layers == group.layers);
         if known.into_iter().any(|node| node.row == row) {
             return;
@@ -219,7 +219,7 @@
     }
 }
 
-impl PieceGroup {
+impl RangeGroup {
     fn has(&self, row: TargetIndex) -> bool {
         self.near.rows().contains(&row) || self.far.rows().contains(&row)
     }
--- a/crates/roseshore_core/src/route/pool.rs
+++ b/crates/roseshore_core/src/route/pool.rs
@@ -21,7 +21,7 @@
 
 /// Engines that can run the same layer range.
 #[derive(Clone, Debug)]
-pub struct PieceGroup {
+pub struct RangeGroup {
     /// The layer range, as `first..end`.
     pub layers: (Layer, Layer),
     /// Engines in the own data centre.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     /// Layer ranges that lie on some complete path, the last layers first.
-    pub groups: Vec<PieceGroup>,
+    pub groups: Vec<RangeGroup>,
     /// Number of layers of the model.
     pub layers: Layer,
 }
@@ -141,12 +141,12 @@
     engines.sort_by(|&a, &b| loads.row(a).id.cmp(&loads.row(b).id));
     let range = |i: TargetIndex| loads.row(i).engine.as_ref().map(|e| e.layers);
     let exact = engines.iter().filter_map(|&i| Some((range(i)?, i)));
-    let mut borders: Vec<Layer> = vec![0];
-    borders.extend(engines.iter().filter_map(|&i| Some(range(i)?.1)));
-    borders.sort_unstable();
-    borders.dedup();
+    let mut boundaries: Vec<Layer> = vec![0];
+    boundaries.extend(engines.iter().filter_map(|&i| Some(range(i)?.1)));
+    boundaries.sort_unstable();
+    boundaries.dedup();
     let trimmed = engines.iter().filter_map(|&i| Some((range(i)?, i))).flat_map(|((a, b), i)| {
-        borders.iter().filter(move |&&u| a <= u && u < b).map(move |&u| ((u, b), i))
+        boundaries.iter().filter(move |&&u| a <= u && u < b).map(move |&u| ((u, b), i))
     });
     ChainPools {
         exact: context.graph(request.layers, exact),
@@ -185,25 +185,25 @@
     fn graph(
         &self,
         layers: Layer,
-        pieces: impl Iterator<Item = ((Layer, Layer), TargetIndex)>,
+        ranges: impl Iterator<Item = ((Layer, Layer), TargetIndex)>,
     ) -> Pool {
         let mut groups: BTreeMap<(Layer, Layer), Vec<TargetIndex>> = BTreeMap::new();
-        for (piece, row) in pieces {
-            groups.entry(piece).or_default().push(row);
+        for (layer_range, row) in ranges {
+            groups.entry(layer_range).or_default().push(row);
         }
         let kept = on_path(layers, &groups);
-        let groups = groups.into_iter().rev().filter(|(piece, _)| kept.contains(piece));
-        let groups = groups.map(|(piece, rows)| self.group(piece, rows)).collect();
+        let groups = groups.into_iter().rev().filter(|(layer_range, _)| kept.contains(layer_range));
+        let groups = groups.map(|(layer_range, rows)| self.group(layer_range, rows)).collect();
         Pool { groups, layers }
     }
 
-    fn group(&self, layers: (Layer, Layer), rows: Vec<TargetIndex>) -> PieceGroup {
+    fn group(&self, layers: (Layer, Layer), rows: Vec<TargetIndex>) -> RangeGroup {
         let data_centre = |i: &TargetIndex| self.loads.row(*i).data_centre;
         let (near, mut far): (Vec<_>, Vec<_>) =
             rows.into_iter().partition(|i| data_centre(i) == self.local);
         let delay = |i: &TargetIndex| self.links.delay(self.local, data_centre(i));
         far.sort_by(|a, b| delay(a).total_cmp(&delay(b)));
-        PieceGroup { layers, near: WeightedSampler::new(near), far: WeightedSampler::new(far) }
+        RangeGroup { layers, near: WeightedSampler::new(near), far: WeightedSampler::new(far) }
     }
 }
 
