--- a/crates/roseshore_core/src/gateway/targets.rs
+++ b/crates/roseshore_core/src/gateway/targets.rs
@@ -1,12 +1,14 @@
-//! What is known of the targets that declared routes lead to.
+//! State of the targets that configured routes lead to.
 //!
-//! Three sources meet: the platform's list, what targets said of themselves in answers, and how
-//! this host's own sends fared. Leaving in the list means no new work at once. A target that drops
-//! out of the list is gone, unless the store was out of reach a moment ago: then heartbeats may
-//! have lapsed for no fault of the target, and it stays for the time in which it would come back.
+//! It combines three sources: the platform's target list, what targets report about themselves in
+//! responses, and the outcome of this host's own requests. A target that is listed as draining gets
+//! no new work at once. A target that disappears from the list is removed, unless the store was
+//! unreachable shortly before: heartbeats may then have lapsed through no fault of the target, so
+//! it is kept for the time in which its entry would come back.
 //!
-//! What is asked for with every heartbeat and datagram is kept up with each change: worked out anew
-//! for each record, the digest of a list of thousands would make small hosts stand still for seconds.
+//! Values needed for every heartbeat and datagram, such as the list digest and the index by hash,
+//! are updated incrementally. Recomputing the digest of a list of thousands for each record would
+//! stall small hosts for seconds.
 
 mod availability;
 mod list;
@@ -28,54 +30,54 @@
 use target::ReportedHolding;
 pub use target::{Claim, Holding, LayersReport, LivenessFailure, Target, TargetRecord};
 
-/// All targets.
+/// All known targets, by id.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     all: BTreeMap<TargetId, Target>,
-    /// The target with each mark.
+    /// Ids of the targets in their current incarnation, by hash.
     ids: HashMap<TargetHash, TargetId>,
-    /// Of what is listed.
+    /// XOR of the record digests of all listed targets.
     digest: u64,
-    /// How far the list has been read.
+    /// Position up to which the list has been read.
     position: Position,
-    /// What dropped out of the list of late.
+    /// Targets that were recently removed from the list.
     dropped: DroppedTargets,
-    /// What targets said that they take, by their lives.
+    /// What targets reported about their availability, by incarnation.
     availability: HashMap<TargetHash, StoredAvailability>,
 }
 
 impl Targets {
-    /// A target.
+    /// Returns the target with this id.
     pub fn get(&self, id: &str) -> Option<&Target> {
         self.all.get(id)
     }
 
-    /// The mark of a target in its life at hand.
+    /// Returns the hash of a target's current incarnation.
     pub fn hash(&self, id: &str) -> Option<TargetHash> {
         self.all.get(id).map(|t| t.hash)
     }
 
-    /// The id of the target with a mark.
-    pub fn id_of(&self, mark: TargetHash) -> Option<&TargetId> {
-        self.ids.get(&mark)
+    /// Returns the id of the target whose current incarnation has this hash.
+    pub fn id_of(&self, hash: TargetHash) -> Option<&TargetId> {
+        self.ids.get(&hash)
     }
 
-    /// How many are known.
+    /// Number of known targets, including those that are missing from the list but still kept.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether none is known.
+    /// Whether no target is known.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The targets of a service.
+    /// Iterates over the targets of a service.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
         self.all.values().filter(move |t| t.record.service == service)
     }
 
-    /// A request goes to a target.
+    /// Accounts for a request that is sent to a target.
     pub fn reserve(&mut self, claim: &Claim) {
         if let Some(target) = self.all.get_mut(&claim.target) {
             target.in_flight += 1;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// It ended.
+    /// Undoes [`Targets::reserve`] when the request has ended.
     pub fn release(&mut self, claim: &Claim) {
         if let Some(target) = self.all.get_mut(&claim.target) {
             target.in_flight = target.in_flight.saturating_sub(1);
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A send failed there; returns whether that put it out of use just now.
+    /// Records a failed request. Returns whether it put the target out of use.
     pub fn record_failure(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
         let before = target.health.tripped();
@@ -99,12 +101,12 @@
         !before
     }
 
-    /// Until when a target is out of use; none where it is not.
+    /// When a target's quarantine ends; `None` if it is not quarantined.
     pub fn quarantine_end(&self, id: &str) -> Option<Instant> {
         self.all.get(id)?.health.open_until()
     }
 
-    /// A whole answer came; returns whether that put it into use again.
+    /// Records a complete response. Returns whether it put the target back into use.
     pub fn record_success(&mut self, id: &str, now: Instant) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
         let before = target.health.tripped();
@@ -113,7 +115,7 @@
         before && !target.health.tripped()
     }
 
-    /// Something came through these targets.
+    /// Records that data arrived through these targets, which also clears their liveness failures.
     pub fn record_progress<'a>(&mut self, path: impl Iterator<Item = &'a TargetId>, now: Instant) {
         for id in path {
             if let Some(target) = self.all.get_mut(id) {
@@ -123,8 +125,9 @@
         }
     }
 
-    /// The targets of a silent path that nothing has come through since `since`. A silent stream
-    /// does not say which of its targets is at fault, but other streams show which are not.
+    /// Targets of a stalled path through which nothing has arrived since `since`. A stalled stream
+    /// does not tell which of its targets is at fault, but progress of other streams shows which
+    /// are not.
     pub fn suspects(&self, path: &[TargetId], since: Instant) -> Vec<TargetId> {
         let quiet = |id: &&TargetId| {
             self.all.get(*id).is_none_or(|t| t.last_progress.is_none_or(|at| at <= since))
@@ -132,26 +135,26 @@
         path.iter().filter(quiet).cloned().collect()
     }
 
-    /// Whether it is an engine that is held to hold no layers: it started again, and nothing comes
-    /// through it any more, though its port answers.
+    /// Whether the target is an engine that is taken to hold no layers: it was restarted, and
+    /// nothing arrives through it any more although its port answers.
     pub fn holds_no_layers(&self, id: &str) -> bool {
         self.all.get(id).is_some_and(|t| t.record.kind.is_some() && t.holding().is_none())
     }
 
-    /// It does not answer liveness checks; returns whether that is news.
-    pub fn liveness_failed(&mut self, id: &str, death: LivenessFailure) -> bool {
+    /// Records a failed liveness check. Returns whether the target was taken to be alive before.
+    pub fn liveness_failed(&mut self, id: &str, failure: LivenessFailure) -> bool {
         let Some(target) = self.all.get_mut(id) else { return false };
-        let news = target.liveness_failure.is_none();
-        target.liveness_failure = Some(death);
-        news
+        let new = target.liveness_failure.is_none();
+        target.liveness_failure = Some(failure);
+        new
     }
 
-    /// It answered a liveness check; returns whether that is news.
+    /// Records a passed liveness check. Returns whether the target was taken to be dead before.
     pub fn liveness_passed(&mut self, id: &str) -> bool {
         self.all.get_mut(id).is_some_and(|t| t.liveness_failure.take().is_some())
     }
 
-    /// The targets that this host holds for dead.
+    /// Ids of the targets that fail this host's liveness checks.
     pub fn dead(&self) -> Vec<TargetId> {
         self.all
             .values()
@@ -160,61 +163,69 @@
             .collect()
     }
 
-    /// Another target answers at its address.
+    /// Records that another target answers at this target's address.
     pub fn mark_replaced(&mut self, id: &str) {
         if let Some(target) = self.all.get_mut(id) {
             target.replaced = true;
         }
     }
 
-    /// The next word of a target's layers, for what this host has just found out.
+    /// Builds the layers report that follows the target's latest one, for what this host has just
+    /// found out.
     pub fn next_report(&self, target: TargetHash, layers: (Layer, Layer)) -> LayersReport {
         let known = self.ids.get(&target).and_then(|id| self.all.get(id));
         let last = known.map_or(LayersReport::default(), |t| t.layers_report);
         LayersReport { number: last.number + 1, layers, listed: last.listed }
     }
 
-    /// A target holds layers by its own word, or an empty range: it was shown not to hold what the list
-    /// says. Believed until then; returns whether that is news. An earlier word than the last changes
-    /// nothing, nor does one beside another list, and of two with one number every host takes the same.
-    pub fn apply_report(&mut self, target: TargetHash, word: LayersReport, until: Instant) -> bool {
+    /// Applies a report of the layers that a target holds; an empty range means that the target was
+    /// shown not to hold what the list says. The report is believed until `until`. Returns whether
+    /// it is new. Reports older than the latest one, or made against another list record, are
+    /// ignored. Reports with equal numbers are ordered by their content, so all hosts settle on the
+    /// same one.
+    pub fn apply_report(
+        &mut self,
+        target: TargetHash,
+        report: LayersReport,
+        until: Instant,
+    ) -> bool {
         let Some(target) = self.ids.get(&target).and_then(|id| self.all.get_mut(id)) else {
             return false;
         };
-        if word < target.layers_report || word.listed != target.layers_report.listed {
+        if report < target.layers_report || report.listed != target.layers_report.listed {
             return false;
         }
-        let news = word > target.layers_report;
-        target.layers_report = word;
-        let (from, to) = word.layers;
+        let new = report > target.layers_report;
+        target.layers_report = report;
+        let (from, to) = report.layers;
         let holding = (from < to).then_some(Holding { layers: (from, to) });
-        if news {
+        if new {
             target.clearing = None;
         }
         let differs = target.record.holding != holding;
         target.reported_holding = differs.then_some(ReportedHolding { holding, until });
-        news
+        new
     }
 
-    /// What other hosts have at the targets.
+    /// Sets the load that other hosts have at each target.
     pub fn set_remote_loads(&mut self, loads: &HashMap<TargetHash, TargetLoad>) {
         for target in self.all.values_mut() {
             target.remote_load = loads.get(&target.hash).copied().unwrap_or_default();
         }
     }
 
-    /// What this host has at the targets, for the others.
+    /// This host's load at each target that it uses or finds dead, for other hosts.
     pub fn load_reports(&self) -> Vec<TargetLoad> {
-        let note = |t: &Target| TargetLoad {
+        let report = |t: &Target| TargetLoad {
             target: t.hash,
             own: t.in_flight.min(u32::from(u16::MAX)) as u16,
             held: (t.kv_used / 1000.0) as u32,
             down: t.liveness_failure.is_some(),
         };
-        self.all.values().map(note).filter(|n| n.own > 0 || n.down).collect()
+        self.all.values().map(report).filter(|n| n.own > 0 || n.down).collect()
     }
 
-    /// A target reported its pace, here or to another host; the latest word counts.
+    /// Records the pace that a target reported to this or another host; the latest report wins.
     pub fn record_pace(&mut self, target: TargetHash, pace: EnginePace) {
         let known = self.ids.get(&target).and_then(|id| self.all.get_mut(id));
         if let Some(target) = known.filter(|t| pace.is_newer(t.pace)) {
@@ -222,25 +233,26 @@
         }
     }
 
-    /// The paces that differ from what is published, for the other hosts: the slowest of so many.
+    /// Paces that differ from the published one, for other hosts: the `most` slowest.
     pub fn pace_reports(&self, most: usize, now: Instant) -> Vec<PaceReport> {
-        let note = |t: &Target| t.pace?.report(t.hash, now);
-        let mut notes: Vec<PaceReport> = self.all.values().filter_map(note).collect();
-        notes.sort_unstable_by_key(|note| (Reverse(note.pace), note.target));
-        notes.truncate(most);
-        notes
+        let report = |t: &Target| t.pace?.report(t.hash, now);
+        let mut reports: Vec<PaceReport> = self.all.values().filter_map(report).collect();
+        reports.sort_unstable_by_key(|report| (Reverse(report.pace), report.target));
+        reports.truncate(most);
+        reports
     }
 
-    /// A target told its load.
+    /// Records the load that a target reported: requests running and waiting.
     pub fn record_load(&mut self, id: &str, running: u32, waiting: u32, now: Instant) {
         if let Some(target) = self.all.get_mut(id) {
             target.reported_load = Some((f64::from(running + waiting), now));
         }
     }
 
-    /// The target of a plain service for a request: the least loaded sound one, own data centre
-    /// first among equals. When all have failed of late, the least loaded of them; but nothing is
-    /// sent to one that is dark, since that would cost its caller the time of a connection.
+    /// Chooses a target of a plain service: the least loaded healthy one, preferring the own data
+    /// centre among equals. If all have failed recently, it is the least loaded of them, except for
+    /// targets that answer nothing, since connecting to one of these would cost the caller the time
+    /// of a connection attempt.
     pub fn choose_plain<'a>(
         &'a self,
         service: &'a str,
@@ -253,19 +265,19 @@
                 .filter(|t| t.accepts_work(now) && !avoid.contains(&t.record.id))
         };
         let cost = |t: &Target| {
-            let told = t
+            let reported = t
                 .reported_load
                 .filter(|(_, at)| now.saturating_duration_since(*at) < Duration::from_millis(500));
-            let busy = told.map_or(0.0, |(n, _)| n).max(t.total_in_flight());
+            let busy = reported.map_or(0.0, |(n, _)| n).max(t.total_in_flight());
             let far = if t.record.data_centre == near { 0.0 } else { 0.5 };
             (busy + far) / f64::from(t.record.slots.max(1))
         };
         let least = |a: &&Target, b: &&Target| cost(a).total_cmp(&cost(b));
-        let lit = || open().filter(|t| t.liveness_failure != Some(LivenessFailure::Silent));
-        open().filter(|t| t.is_healthy(now)).min_by(least).or_else(|| lit().min_by(least))
+        let reachable = || open().filter(|t| t.liveness_failure != Some(LivenessFailure::Silent));
+        open().filter(|t| t.is_healthy(now)).min_by(least).or_else(|| reachable().min_by(least))
     }
 
-    /// The parts that a path through the layers may use.
+    /// The targets that a path through the layers may use, with their costs and free capacity.
     pub fn parts(
         &self,
         service: &str,
@@ -278,8 +290,8 @@
         all.filter_map(|t| Self::part(t, spec, need, now)).collect()
     }
 
-    /// How full the fullest layer of a data centre's engines is, as a share of its room, or the first
-    /// layers' engines, as a share of their slots.
+    /// Occupancy of a data centre's engines, as a fraction: the highest occupancy of any layer's KV
+    /// cache, or that of the slots of the engines with the first layer if it is higher.
     pub fn fullest(&self, service: &str, spec: &EngineSpec, centre: &str) -> f64 {
         let near =
             self.of_service(service).filter(|t| t.is_available() && t.record.data_centre == centre);
@@ -291,7 +303,7 @@
         peak_utilisation(spec.layers, taken).max(self.first_layer_load(service, centre))
     }
 
-    /// The share of the slots that are taken at the engines which requests may begin at.
+    /// Fraction of slots in use at the engines that hold the first layer, where requests begin.
     fn first_layer_load(&self, service: &str, centre: &str) -> f64 {
         let first = |t: &&Target| {
             t.is_available()
@@ -304,7 +316,7 @@
         if slots > 0.0 { taken / slots } else { 0.0 }
     }
 
-    /// KV cache of an engine beside its layers, tokens times layers.
+    /// KV cache capacity of an engine beside its weights, in tokens times layers.
     fn kv_capacity(t: &Target, spec: &EngineSpec) -> Option<f64> {
         let weights = t.weight_layers();
         let kind = spec.kind(t.record.kind.as_deref())?;
--- a/crates/roseshore_core/src/gateway/targets/availability.rs
+++ b/crates/roseshore_core/src/gateway/targets/availability.rs
@@ -1,38 +1,40 @@
-//! What targets say that they take, each for its life.
+//! Availability that targets report about themselves, by incarnation.
 //!
-//! A target says in its answers that it leaves, or that it wants nothing from this host for a while. That is
-//! its own word, so neither the list nor an answer that ends later undoes it, and it is kept apart from the
-//! list's records: an entry may drop out, or be read from an older copy of the store, and come back in the
-//! same life. It is no failure either, which the next whole answer would make good.
+//! A target states in its responses that it is leaving, or that it wants no requests from this host
+//! for a while. The statement is the target's own, so neither the list nor a response that ends
+//! later revokes it. It is stored apart from the list's records, because an entry may disappear, or
+//! be read from an older copy of the store, and come back with the same incarnation. It is not a
+//! failure either, which the next complete response would clear.
 
 use super::{Target, Targets};
 use crate::gateway::peers::TargetHash;
 use crate::prelude::*;
 
-/// The longest rest that is given at once. A target that asks for more is tried once after it, since a time
-/// far above that of any load is more likely a mistake than a wish, and would lose the target for good.
+/// Longest pause granted at once. A target that asks for more is tried once after it: a time far
+/// above that of any load is more likely a mistake than intended, and would lose the target for
+/// good.
 const MAX_PAUSE: Duration = Duration::from_hours(1);
-/// How long a word is kept for a target that is not known (any more): entries that lapse are back after some
-/// seconds, and a target that leaves has ended by then.
+/// How long a statement is kept for a target that is unknown, or no longer known. Entries that
+/// lapsed are back within seconds, and a target that leaves has ended by then.
 const RETENTION: Duration = Duration::from_mins(1);
 
-/// What a target takes by its own word.
+/// What a target has stated about the work that it accepts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
-    /// Whether it leaves; true until its life ends.
+    /// Whether it is leaving; once set, this holds until the end of the incarnation.
     pub leaving: bool,
-    /// Until when it wants nothing from this host.
+    /// End of the pause in which it wants no requests from this host.
     pub paused_until: Option<Instant>,
 }
 
 impl Availability {
-    /// Whether it wants nothing from this host now.
+    /// Whether it wants no requests from this host now.
     pub fn is_paused(&self, now: Instant) -> bool {
         self.paused_until.is_some_and(|until| now < until)
     }
 }
 
-/// A target's word, and when it was last heard.
+/// Availability of one incarnation, and when the target last stated it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StoredAvailability {
     availability: Availability,
@@ -40,74 +42,75 @@
 }
 
 impl Targets {
-    /// A target says that it leaves; returns whether that is news.
-    pub fn mark_leaving(&mut self, mark: TargetHash, now: Instant) -> bool {
-        let intake = self.availability_entry(mark, now);
-        let news = !intake.leaving;
-        intake.leaving = true;
-        self.apply_availability(mark);
-        news
+    /// Records that a target is leaving. Returns whether that was unknown.
+    pub fn mark_leaving(&mut self, hash: TargetHash, now: Instant) -> bool {
+        let availability = self.availability_entry(hash, now);
+        let new = !availability.leaving;
+        availability.leaving = true;
+        self.apply_availability(hash);
+        new
     }
 
-    /// A target wants nothing from this host for a time; returns how long it gets that if it is longer than
-    /// what it asked for before.
-    pub fn pause(&mut self, mark: TargetHash, time: Duration, now: Instant) -> Option<Duration> {
+    /// Records that a target wants no requests from this host for `time`. Returns the pause granted
+    /// if it ends later than the one known before.
+    pub fn pause(&mut self, hash: TargetHash, time: Duration, now: Instant) -> Option<Duration> {
         let time = time.min(MAX_PAUSE);
-        let intake = self.availability_entry(mark, now);
+        let availability = self.availability_entry(hash, now);
         let until = now + time;
-        if intake.paused_until.is_some_and(|known| known >= until) {
+        if availability.paused_until.is_some_and(|known| known >= until) {
             return None;
         }
-        intake.paused_until = Some(until);
-        self.apply_availability(mark);
+        availability.paused_until = Some(until);
+        self.apply_availability(hash);
         Some(time)
     }
 
-    /// When the targets of a service that rest take work again.
+    /// Ends of the pauses of a service's targets.
     pub fn pause_ends(&self, service: &str, now: Instant) -> Vec<Instant> {
-        let resting =
+        let paused =
             self.of_service(service).filter(|t| t.is_available() && t.availability.is_paused(now));
-        resting.filter_map(|t| t.availability.paused_until).collect()
+        paused.filter_map(|t| t.availability.paused_until).collect()
     }
 
-    fn availability_entry(&mut self, mark: TargetHash, now: Instant) -> &mut Availability {
+    fn availability_entry(&mut self, hash: TargetHash, now: Instant) -> &mut Availability {
         let availability = Availability::default();
-        let heard = self
+        let entry = self
             .availability
-            .entry(mark)
+            .entry(hash)
             .or_insert(StoredAvailability { availability, heard_at: now });
-        heard.heard_at = now;
-        &mut heard.availability
+        entry.heard_at = now;
+        &mut entry.availability
     }
 
-    /// Gives a target what is known of its word.
-    fn apply_availability(&mut self, mark: TargetHash) {
-        let intake = self.availability_of(mark);
-        let known = self.ids.get(&mark).and_then(|id| self.all.get_mut(id));
+    /// Copies the stored availability to the target.
+    fn apply_availability(&mut self, hash: TargetHash) {
+        let availability = self.availability_of(hash);
+        let known = self.ids.get(&hash).and_then(|id| self.all.get_mut(id));
         if let Some(target) = known {
-            target.availability = intake;
+            target.availability = availability;
         }
     }
 
-    /// What the target with a mark said that it takes.
-    pub(super) fn availability_of(&self, mark: TargetHash) -> Availability {
-        self.availability.get(&mark).map_or(Availability::default(), |heard| heard.availability)
+    /// Availability stated by the incarnation with this hash.
+    pub(super) fn availability_of(&self, hash: TargetHash) -> Availability {
+        self.availability.get(&hash).map_or(Availability::default(), |entry| entry.availability)
     }
 
-    /// Forgets words that bind no longer.
+    /// Drops statements that no longer apply.
     pub(super) fn expire_availability(&mut self, now: Instant) {
-        let marks = &self.ids;
-        self.availability.retain(|mark, heard| {
-            let late = now.saturating_duration_since(heard.heard_at) >= RETENTION;
-            let known = marks.contains_key(mark) && heard.availability.leaving;
-            known || heard.availability.is_paused(now) || !late
+        let ids = &self.ids;
+        self.availability.retain(|hash, entry| {
+            let late = now.saturating_duration_since(entry.heard_at) >= RETENTION;
+            let known = ids.contains_key(hash) && entry.availability.leaving;
+            known || entry.availability.is_paused(now) || !late
         });
     }
 }
 
 impl Target {
-    /// Whether anything may be sent to it now by what the list and the target itself say. All that sends asks
-    /// this: requests in every try, the last resort among them, reports and orders.
+    /// Whether anything may be sent to the target now, by the list and the target's own statements.
+    /// Everything that sends checks this: each attempt of a request, including the last resort, as
+    /// well as reports and orders.
     pub fn accepts_work(&self, now: Instant) -> bool {
         self.is_available() && !self.availability.is_paused(now)
     }
--- a/crates/roseshore_core/src/gateway/targets/list.rs
+++ b/crates/roseshore_core/src/gateway/targets/list.rs
@@ -1,4 +1,4 @@
-//! The list of targets as it is read: records, what drops out, and what other hosts lack of it.
+//! Maintains the target list: applies records and removals, and computes what other hosts lack.
 
 use super::Targets;
 use super::target::{Target, TargetRecord};
@@ -8,40 +8,42 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// What follows from a target's absence in the list.
+/// How to treat a target that is absent from the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Absence {
-    /// It left: no new work, at once.
+    /// It left: it gets no new work from now on.
     Left,
-    /// The store was out of reach a moment ago: it may come back until then.
+    /// The store was unreachable shortly before: the target is kept until this time, since it may
+    /// come back.
     Lapsed(Instant),
 }
 
-/// What a record of the list brought.
+/// Effect of applying one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordChange {
-    /// Nothing that matters for work.
+    /// Nothing that affects scheduling.
     Unchanged,
-    /// A target that was not known, or something about one that was.
+    /// The target is new, or a field of its record changed.
     Changed,
-    /// The target started again under its id: what was known of it, and what runs through it, is gone.
+    /// The target restarted under the same id; its former state and the requests running on it are
+    /// lost.
     Restarted,
 }
 
-/// What a whole list brought.
+/// Effect of applying a list or a delta.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Targets that dropped out.
+    /// Targets that are no longer listed.
     pub lost: Vec<TargetId>,
-    /// Targets that started again under their ids.
+    /// Targets that restarted under the same id.
     pub restarted: Vec<TargetId>,
 }
 
-/// Targets that dropped out of the list, and how far it was read by then.
+/// Recently removed targets, with the list position at their removal.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DroppedTargets {
     ids: HashMap<TargetId, Position>,
-    /// What dropped out before that may have been forgotten.
+    /// Removals before this position may have been forgotten.
     complete_since: Position,
 }
 
@@ -55,21 +57,21 @@
     }
 }
 
-/// Dropped targets that are remembered: more than leave while a host is cut off for some seconds.
+/// Number of removals remembered: more than happen while a host is cut off for some seconds.
 const MAX_DROPPED: usize = 400;
 
-/// What changed in the list since a host read it.
+/// Changes to the list since a given position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDelta {
-    /// Records that are new or changed; all of them where `dropped` is none.
+    /// New and changed records, or all records if `dropped` is `None`.
     pub records: Vec<TargetRecord>,
-    /// Targets that dropped out; none when the whole list is given.
+    /// Removed targets; `None` if `records` is the whole list.
     pub dropped: Option<Vec<TargetId>>,
 }
 
 impl Targets {
-    /// Takes a record of the list. The list is in order, so a record with another life is of a later one
-    /// even where the target's clock went back.
+    /// Applies a record. The list is ordered, so a record with another incarnation is from a later
+    /// one even if the target's clock went back.
     pub fn upsert(&mut self, record: TargetRecord) -> RecordChange {
         self.dropped.ids.remove(&record.id);
         let Some(known) = self.all.get_mut(&record.id) else {
@@ -100,9 +102,10 @@
         self.all.insert(target.record.id.clone(), target);
     }
 
-    /// A target dropped out of the list; returns whether it was known.
+    /// Removes a target from the list. Returns whether it was known.
     pub fn remove(&mut self, id: &str, absence: Absence) -> bool {
-        // Also one that is not known here: another host may have read it before it dropped out.
+        // Targets unknown here are remembered, too: another host may have read the entry before its
+        // removal.
         self.dropped.add(id.to_owned(), self.position);
         let Some(target) = self.all.get_mut(id) else { return false };
         self.digest ^= target.digest();
@@ -118,16 +121,16 @@
         true
     }
 
-    /// Takes the whole list at once.
+    /// Replaces the whole list.
     pub fn replace_list(&mut self, records: Vec<TargetRecord>, absence: Absence) -> ListUpdate {
         let listed: HashSet<&TargetId> = records.iter().map(|r| &r.id).collect();
         let lost: Vec<_> = self.all.keys().filter(|id| !listed.contains(*id)).cloned().collect();
-        // Of what dropped out before nothing is known here.
+        // Nothing is known of earlier removals.
         self.dropped = DroppedTargets { ids: HashMap::new(), complete_since: self.position };
         self.apply_delta(records, lost, absence)
     }
 
-    /// Takes what changed in the list.
+    /// Applies changes to the list.
     pub fn apply_delta(
         &mut self,
         records: Vec<TargetRecord>,
@@ -144,16 +147,18 @@
                 restarted.push(id.clone());
             }
             if let Some(target) = self.all.get_mut(&id) {
-                // It may have dropped out and come back as it was, unseen here.
+                // The target may have been removed and listed again unchanged without this host
+                // seeing it.
                 target.changed_at = self.position;
             }
         }
         ListUpdate { lost, restarted }
     }
 
-    /// Takes the whole list of a store that came back from an older copy. What is known here of a target's life
-    /// is newer than the copy, so it stays until the target writes its entry again; what the copy lacks
-    /// may have been written after it; and what is known to be gone is no target again by being in it.
+    /// Applies the whole list of a store that was restored from an older copy. A known incarnation
+    /// that is newer than the copy stays until the target writes its entry again. Entries that the
+    /// copy lacks may have been written after it was made, so they are handled by `absence`.
+    /// Targets known to have been removed are not brought back by the copy.
     pub fn apply_older_list(&mut self, records: Vec<TargetRecord>, absence: Absence) -> ListUpdate {
         let listed: HashSet<&TargetId> = records.iter().map(|r| &r.id).collect();
         let lost: Vec<_> = self.all.keys().filter(|id| !listed.contains(*id)).cloned().collect();
@@ -175,45 +180,46 @@
         ListUpdate { lost, restarted }
     }
 
-    /// Lets time pass; returns the targets that have been missing for too long.
+    /// Expires temporary state. Returns the targets removed because they have been missing for too
+    /// long.
     pub fn tick(&mut self, now: Instant) -> Vec<TargetId> {
         for target in self.all.values_mut() {
             target.tick(now);
         }
         self.expire_availability(now);
         let late = |t: &Target| t.missing_until.is_some_and(|until| now >= until);
-        let gone: Vec<_> =
+        let expired: Vec<_> =
             self.all.iter().filter(|(_, t)| late(t)).map(|(id, _)| id.clone()).collect();
-        for target in gone.iter().filter_map(|id| self.all.remove(id)) {
+        for target in expired.iter().filter_map(|id| self.all.remove(id)) {
             self.ids.remove(&target.hash);
         }
-        gone
+        expired
     }
 
-    /// The list has been read so far: what is taken from now on belongs to that.
+    /// Moves the list position forward; later changes are recorded with the new position.
     pub fn advance_to(&mut self, next: Position) {
         self.position = self.position.max(next);
     }
 
-    /// What changed since the list was read so far; all of it where that is not known any more.
+    /// Changes since a position, or the whole list if the removals since then are no longer known.
     pub fn changes_since(&self, known: Position) -> ListDelta {
         if known == Position::default() || known < self.dropped.complete_since {
             return ListDelta { records: self.listed_records(), dropped: None };
         }
         let fresh = self.all.values().filter(|t| t.missing_until.is_none() && t.changed_at > known);
         let records = fresh.map(|t| t.record.clone()).collect();
-        let gone = self.dropped.ids.iter().filter(|(_, at)| **at > known);
-        ListDelta { records, dropped: Some(gone.map(|(id, _)| id.clone()).collect()) }
+        let removed = self.dropped.ids.iter().filter(|(_, at)| **at > known);
+        ListDelta { records, dropped: Some(removed.map(|(id, _)| id.clone()).collect()) }
     }
 
-    /// The records that are listed.
+    /// Records of all targets that are listed, without those that are missing.
     pub fn listed_records(&self) -> Vec<TargetRecord> {
         let listed = self.all.values().filter(|t| t.missing_until.is_none());
         listed.map(|t| t.record.clone()).collect()
     }
 
-    /// How far the list was read, for the others.
-    /// The digest is the same wherever the same was read.
+    /// Position and digest of the list, for other hosts. The digest is the same on all hosts that
+    /// have read the same entries.
     pub fn list_version(&self, next: Position) -> ListVersion {
         ListVersion { next, digest: self.digest }
     }
--- a/crates/roseshore_core/src/gateway/targets/target.rs
+++ b/crates/roseshore_core/src/gateway/targets/target.rs
@@ -1,4 +1,4 @@
-//! One target: its record in the platform's list, and this host's own view of it.
+//! A single target: its record in the platform's list and this host's view of it.
 
 use super::super::paces::EnginePace;
 use super::super::peers::{TargetHash, TargetLoad, target_hash};
@@ -10,98 +10,102 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long an engine usually takes at most to be done with what passes through layers that it gives up.
+/// Longest time that an engine usually takes to finish the requests running through layers that it
+/// gives up.
 const CLEAR_TIME: Duration = Duration::from_secs(3);
 
-/// The layers an engine holds.
+/// Layers that an engine holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
-    /// First layer and one past the last.
+    /// First layer, and one past the last.
     pub layers: (Layer, Layer),
 }
 
-/// A target as the platform lists it.
+/// A target's entry in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// Its id; it may start again under the same one.
+    /// Id; it is kept across restarts.
     pub id: TargetId,
-    /// Its life: Unix milliseconds of its start; 0 where targets do not tell it.
+    /// Incarnation: Unix time of the target's start in milliseconds; 0 if the target does not
+    /// report it.
     pub life: Incarnation,
-    /// The service it serves.
+    /// Service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Data centre that it runs in.
     pub data_centre: DataCentreId,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// The kind of its accelerator.
+    /// Kind of its accelerator; `None` for a target that is not an engine.
     pub kind: Option<String>,
-    /// The layers it holds, if it is an engine that holds any.
+    /// Layers that it holds; `None` if it is not an engine or holds none.
     pub holding: Option<Holding>,
 }
 
 impl TargetRecord {
-    /// The layers it holds; an empty range for none.
+    /// Layers according to the record; an empty range for none.
     pub fn listed_layers(&self) -> (Layer, Layer) {
         self.holding.map_or((0, 0), |h| h.layers)
     }
 }
 
-/// What a target was said to hold. Without the bound, one word that came after a newer list would be
-/// believed until the target's next change: the other hosts of a data centre would count a part
-/// as narrower than it is, and refuse while one host serves alone.
+/// Layers that a target was reported to hold, for a limited time. Without the limit, a report that
+/// arrived after a newer list would be believed until the target's next change: the other hosts of
+/// a data centre would take its layer range for narrower than it is, and refuse requests while a
+/// single host still serves them.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedHolding {
-    /// None where it was shown not to hold what the list says.
+    /// `None` if the target was shown not to hold what the list says.
     pub(super) holding: Option<Holding>,
-    /// Believed until then, unless it is said again.
+    /// End of validity, unless the report is repeated.
     pub(super) until: Instant,
 }
 
-/// What was said of the layers that a target holds. Hosts pass such words on at once, so they are numbered: without
-/// an order, two hosts that had heard different words would tell each other theirs for ever.
+/// A report of the layers that a target holds. Hosts forward reports at once, so reports are
+/// numbered: without an order, two hosts with different reports would send them to each other for
+/// ever.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LayersReport {
-    /// Grows with each word since the list last changed.
+    /// Increases with each report since the list record last changed.
     pub number: u32,
-    /// The layers; an empty range when it does not hold what the list says.
+    /// Layers held; an empty range if the target does not hold what the list says.
     pub layers: (Layer, Layer),
-    /// The layers that the list names beside it: the word is no answer to another list.
+    /// Layers in the list record that the report refers to; it does not apply to any other record.
     pub listed: (Layer, Layer),
 }
 
 impl LayersReport {
-    /// No word yet beside a list's record.
+    /// The state before any report on this record.
     fn initial(record: &TargetRecord) -> LayersReport {
         LayersReport { number: 0, layers: (0, 0), listed: record.listed_layers() }
     }
 }
 
-/// An engine that gives layers up keeps their weights until what passes through them is done, and
-/// has no more room before. Counted as free at once, that room would make engines turn away requests
-/// which their hosts take them to have room for.
+/// Layers being given up. The engine keeps their weights until the requests running through them
+/// have finished, and has no free memory before that. If the memory were counted as free at once,
+/// engines would turn away requests that hosts expect to fit.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clearing {
-    /// Layers whose weights it still keeps.
+    /// Number of layers whose weights are still in memory.
     pub(super) width: Layer,
-    /// Done by then; known from the first tick on.
+    /// When the memory is taken to be free; set by the first tick.
     pub(super) until: Option<Instant>,
 }
 
 /// How a target failed its liveness checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LivenessFailure {
-    /// Its port resets connections: the process is gone, or takes no more of them.
+    /// Its port resets connections: the process is gone or accepts no more of them.
     Reset,
-    /// Nothing answers: its machine is dark, or a link to it is cut.
+    /// Nothing answers: its machine is down, or a link to it is cut.
     Silent,
 }
 
 impl LivenessFailure {
-    /// The name in logs.
+    /// Value used in log lines.
     pub fn name(self) -> &'static str {
         match self {
             LivenessFailure::Reset => "reset",
@@ -110,50 +114,50 @@
     }
 }
 
-/// What a request takes of one target.
+/// Resources that a request takes at one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Claim {
-    /// The target.
+    /// Target that the request is sent to.
     pub target: TargetId,
-    /// KV cache, tokens times layers.
+    /// KV cache, in tokens times layers.
     pub kv_used: f64,
 }
 
-/// A target and this host's own view of it.
+/// A target and this host's view of it.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The list's record.
+    /// Its entry in the list.
     pub record: TargetRecord,
-    /// Own requests in flight.
+    /// Requests of this host in flight.
     pub in_flight: u32,
-    /// KV cache that own requests take, tokens times layers.
+    /// KV cache used by requests of this host, in tokens times layers.
     pub kv_used: f64,
-    /// It dropped out of the list, and is kept until then.
+    /// Set while it is missing from the list: when it is removed.
     pub(super) missing_until: Option<Instant>,
     /// Whether another target answered at its address.
     pub(super) replaced: bool,
     pub(super) hash: TargetHash,
-    /// Of its record, while it is listed.
+    /// Digest of its record.
     digest: u64,
-    /// How far the list was read when its record became what it is, at most.
+    /// List position at the last change of its record, or a later one.
     pub(super) changed_at: Position,
-    /// What other hosts have there.
+    /// Load that other hosts have there.
     pub(super) remote_load: TargetLoad,
     pub(super) health: CircuitBreaker,
     pub(super) reported_load: Option<(f64, Instant)>,
-    /// How fast it runs.
+    /// Pace that it reported.
     pub(super) pace: Option<EnginePace>,
-    /// What it holds by its own report, where the list does not say so yet.
+    /// Layers that it was reported to hold, where they differ from the list.
     pub(super) reported_holding: Option<ReportedHolding>,
-    /// The last word of its layers that was heard.
+    /// Latest layers report.
     pub(super) layers_report: LayersReport,
-    /// When something last came through it.
+    /// When data last arrived through it.
     pub(super) last_progress: Option<Instant>,
-    /// How it failed its last liveness checks, if it did.
+    /// How it failed its latest liveness check; `None` if it passed.
     pub(super) liveness_failure: Option<LivenessFailure>,
-    /// Layers that it is giving up.
+    /// Layers being given up.
     pub(super) clearing: Option<Clearing>,
-    /// What it says that it takes.
+    /// Availability that it stated.
     pub(super) availability: Availability,
 }
 
@@ -181,53 +185,53 @@
         }
     }
 
-    /// Its part in the digest of the list; none while it is missing.
+    /// Its part in the digest of the list; 0 while it is missing from the list.
     pub(super) fn digest(&self) -> u64 {
         if self.missing_until.is_some() { 0 } else { self.digest }
     }
 
-    /// Whether new work may go there by what the list and the target itself say.
+    /// Whether it takes new work according to the list and its own statements, apart from pauses.
     pub fn is_available(&self) -> bool {
         !self.record.draining && !self.replaced && !self.availability.leaving
     }
 
-    /// Whether own experience allows new work, too.
+    /// Whether this host's own experience and the liveness checks of all hosts allow new work.
     pub fn is_healthy(&self, now: Instant) -> bool {
         !self.is_down() && self.health.usable(now, self.in_flight)
     }
 
-    /// Whether it answers nobody's liveness checks.
+    /// Whether it fails the liveness checks of this or another host.
     pub fn is_down(&self) -> bool {
         self.liveness_failure.is_some() || self.remote_load.down
     }
 
-    /// How it failed its last liveness checks, if it did.
+    /// How it failed this host's latest liveness check; `None` if it passed.
     pub fn liveness_failure(&self) -> Option<LivenessFailure> {
         self.liveness_failure
     }
 
-    /// Requests in flight of all hosts.
+    /// Requests of all hosts in flight.
     pub fn total_in_flight(&self) -> f64 {
         f64::from(self.in_flight) + f64::from(self.remote_load.own)
     }
 
-    /// KV cache that all hosts' requests take, tokens times layers.
+    /// KV cache used by requests of all hosts, in tokens times layers.
     pub fn total_kv_used(&self) -> f64 {
         self.kv_used + f64::from(self.remote_load.held) * 1000.0
     }
 
-    /// The same target in another life, which holds and knows nothing of this one. What this host has
-    /// sent there still ends one by one.
+    /// The same target in a new incarnation, with no state of the former one except this host's
+    /// load: requests that were sent to it still end one by one.
     pub(super) fn restarted(&self, record: TargetRecord) -> Target {
         Target { in_flight: self.in_flight, kv_used: self.kv_used, ..Target::new(record) }
     }
 
-    /// How many times slower it runs than published.
+    /// Factor on the published times; 1 without a recent report.
     pub fn slowdown(&self, now: Instant) -> f64 {
         self.pace.map_or(1.0, |pace| pace.factor(now))
     }
 
-    /// Takes a record of the same life; returns whether it changed anything that matters for work.
+    /// Updates the record within an incarnation. Returns whether it changed.
     pub(super) fn update_record(&mut self, record: TargetRecord) -> bool {
         self.missing_until = None;
         if self.record.holding != record.holding {
@@ -243,7 +247,7 @@
         changed
     }
 
-    /// Notes that layers are given up, if they are.
+    /// Starts clearing if the change gives up layers.
     fn start_clearing(&mut self, old: Option<Holding>, new: Option<Holding>) {
         let (Some(old), Some(new)) = (old, new) else { return };
         let (old, new) = (old.layers, new.layers);
@@ -253,9 +257,9 @@
         }
     }
 
-    /// Lets time pass for what is believed for a while only.
+    /// Expires what is only valid for a limited time.
     pub(super) fn tick(&mut self, now: Instant) {
-        self.reported_holding = self.reported_holding.filter(|learned| now < learned.until);
+        self.reported_holding = self.reported_holding.filter(|report| now < report.until);
         if let Some(clearing) = &mut self.clearing {
             let until = *clearing.until.get_or_insert(now + CLEAR_TIME);
             if now >= until {
@@ -264,19 +268,19 @@
         }
     }
 
-    /// Layers whose weights take of its memory.
+    /// Number of layers whose weights are in memory, including those being given up.
     pub fn weight_layers(&self) -> Layer {
         let held = self.holding().map_or(0, |h| h.layers.1 - h.layers.0);
         self.clearing.map_or(held, |clearing| clearing.width.max(held))
     }
 
-    /// The layers it holds.
+    /// Layers that it holds, according to the latest valid report or else the list.
     pub fn holding(&self) -> Option<Holding> {
         self.reported_holding.map_or(self.record.holding, |l| l.holding)
     }
 }
 
-/// What hosts compare their lists by; the same wherever the same was read.
+/// Digest of a record, by which hosts compare their lists; it is the same on all hosts.
 fn record_digest(record: &TargetRecord) -> u64 {
     let layers = record.listed_layers();
     let TargetRecord { id, life, addr, draining, .. } = record;
--- a/crates/roseshore_core/tests/gateway/availability.rs
+++ b/crates/roseshore_core/tests/gateway/availability.rs
@@ -1,4 +1,4 @@
-//! What targets say that they take.
+//! Availability that targets report about themselves.
 
 use roseshore_core::gateway::peers::target_hash;
 use roseshore_core::gateway::targets::Absence;
@@ -23,7 +23,8 @@
     Duration::from_millis(ms)
 }
 
-/// What happens to target `a` in its first life, and from when on it may be used; `None` for never.
+/// An event at target `a` in its first incarnation, and the time from which it may be used; `None`
+/// for never.
 struct Case {
     name: &'static str,
     happens: fn(&mut Targets, Instant),
@@ -38,10 +39,10 @@
     let case = |name, happens, used| Case { name, happens, used };
     vec![
         case("nothing", |_, _| (), Some(ms(0))),
-        case("rests", |t, now| _ = t.pause(first(), ms(3_000), now), Some(ms(3_000))),
-        case("no time at all", |t, now| _ = t.pause(first(), ms(0), now), Some(ms(0))),
+        case("paused", |t, now| _ = t.pause(first(), ms(3_000), now), Some(ms(3_000))),
+        case("a pause of no time", |t, now| _ = t.pause(first(), ms(0), now), Some(ms(0))),
         case(
-            "a shorter rest after a longer one",
+            "a shorter pause after a longer one",
             |t, now| {
                 assert_eq!(t.pause(first(), ms(3_000), now), Some(ms(3_000)));
                 assert_eq!(t.pause(first(), ms(500), now + ms(100)), None);
@@ -49,7 +50,7 @@
             Some(ms(3_000)),
         ),
         case(
-            "a day",
+            "a pause of a day",
             |t, now| {
                 let day = Duration::from_hours(24);
                 assert_eq!(t.pause(first(), day, now), Some(Duration::from_hours(1)));
@@ -57,7 +58,7 @@
             Some(Duration::from_hours(1)),
         ),
         case(
-            "an older answer ends whole",
+            "an older response completes",
             |t, now| {
                 t.record_failure("a", now);
                 t.pause(first(), ms(3_000), now);
@@ -66,7 +67,7 @@
             Some(ms(3_000)),
         ),
         case(
-            "drops out and is back",
+            "removed and listed again",
             |t, now| {
                 t.pause(first(), ms(3_000), now);
                 t.remove("a", Absence::Left);
@@ -75,7 +76,7 @@
             Some(ms(3_000)),
         ),
         case(
-            "another life",
+            "another incarnation",
             |t, now| {
                 t.pause(first(), ms(3_000), now);
                 t.mark_leaving(first(), now);
@@ -87,12 +88,12 @@
             "leaves",
             |t, now| {
                 assert!(t.mark_leaving(first(), now));
-                assert!(!t.mark_leaving(first(), now), "it has said so");
+                assert!(!t.mark_leaving(first(), now), "already known to leave");
             },
             None,
         ),
         case(
-            "leaves, drops out and is back",
+            "leaves, removed and listed again",
             |t, now| {
                 t.mark_leaving(first(), now);
                 t.remove("a", Absence::Left);
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_target_s_own_word_decides_from_when_on_it_is_used() {
+fn a_targets_own_statement_decides_when_it_is_used() {
     let now = Instant::now();
     for case in cases() {
         let mut targets = Targets::default();
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn the_ends_of_rests_are_told_and_words_of_unknown_targets_are_forgotten() {
+fn pause_ends_are_listed_and_statements_of_unknown_targets_expire() {
     let now = Instant::now();
     let mut targets = Targets::default();
     for id in ["a", "b", "c"] {
@@ -149,27 +150,28 @@
     targets.remove("c", Absence::Left);
     targets.tick(now + Duration::from_mins(2));
     targets.upsert(record("c", 1));
-    let taken = targets.get("c").expect("listed").accepts_work(now + Duration::from_mins(2));
-    assert!(taken, "the word of a target that was gone for so long is not kept");
+    let accepts = targets.get("c").expect("listed").accepts_work(now + Duration::from_mins(2));
+    assert!(accepts, "the statement of a target that was gone for so long is not kept");
 }
 
-/// Requests that one host sends to an engine in the three seconds for which it asked for rest, at fifteen new
-/// streams a second and with one of sixteen older answers ending each tenth of a second.
-fn sent_in_rest(heeded: bool) -> u32 {
-    let begun = Instant::now();
+/// Requests that one host sends to an engine during the three seconds for which it asked for a
+/// pause, at fifteen new streams a second and with one of sixteen older responses ending every
+/// tenth of a second.
+fn sent_during_pause(honoured: bool) -> u32 {
+    let start = Instant::now();
     let mut targets = Targets::default();
     targets.upsert(record("a", 1));
     let mut sent = 0;
     for step in 0..300_u64 {
-        let now = begun + ms(10 * step);
+        let now = start + ms(10 * step);
         if step % 10 == 0 && step < 160 {
             targets.record_success("a", now);
         }
-        let sound = targets.get("a").is_some_and(|t| t.accepts_work(now) && t.is_healthy(now));
-        if step % 7 == 0 && sound {
-            sent += u32::from(now > begun + ms(500));
+        let usable = targets.get("a").is_some_and(|t| t.accepts_work(now) && t.is_healthy(now));
+        if step % 7 == 0 && usable {
+            sent += u32::from(now > start + ms(500));
             targets.record_failure("a", now);
-            if heeded {
+            if honoured {
                 targets.pause(first(), ms(3_000), now);
             }
         }
@@ -177,9 +179,10 @@
     sent
 }
 
-/// The operators allow two. Before: 7 requests in the time. After: none.
+/// Operators tolerate two requests during the pause. Without the pause, successful older responses
+/// clear the engine's failures, and 7 requests are sent; with it, none.
 #[test]
-fn an_engine_that_asks_for_rest_gets_nothing_in_that_time() {
-    assert!(sent_in_rest(false) > 2);
-    assert_eq!(sent_in_rest(true), 0);
+fn an_engine_gets_no_requests_during_its_pause() {
+    assert!(sent_during_pause(false) > 2);
+    assert_eq!(sent_during_pause(true), 0);
 }
--- a/crates/roseshore_core/tests/gateway/holdings.rs
+++ b/crates/roseshore_core/tests/gateway/holdings.rs
@@ -1,4 +1,4 @@
-//! Which layers a target is taken to hold, by the list and by what hosts learned.
+//! Which layers a target is taken to hold, by the list and by reports.
 
 use super::fixtures::spec;
 use roseshore_core::gateway::PathRequest;
@@ -23,60 +23,60 @@
     }
 }
 
-/// What is heard of a target, one after the other, and what it is taken to hold then.
+/// Statements about a target's layers in order, and the layers it is taken to hold afterwards.
 struct Case {
     name: &'static str,
-    words: &'static [Word],
+    statements: &'static [Statement],
     holds: Layers,
 }
 
-enum Word {
-    /// The list says this.
+enum Statement {
+    /// The list states these layers.
     Listed(Layers),
-    /// A host learned this; it is believed for a second.
-    Learned(Layers),
+    /// A host reports these layers; the report is valid for a second.
+    Reported(Layers),
     /// Two seconds pass.
     Pause,
 }
 
 #[test]
-fn the_newest_word_on_a_targets_layers_counts() {
-    use Word::{Learned, Listed, Pause};
+fn the_latest_statement_of_layers_wins() {
+    use Statement::{Listed, Pause, Reported};
     let cases = [
-        Case { name: "the list", words: &[Listed((0, 7))], holds: (0, 7) },
-        Case { name: "a report", words: &[Listed((0, 7)), Learned((3, 10))], holds: (3, 10) },
+        Case { name: "the list", statements: &[Listed((0, 7))], holds: (0, 7) },
+        Case { name: "a report", statements: &[Listed((0, 7)), Reported((3, 10))], holds: (3, 10) },
         Case {
             name: "the list after a report",
-            words: &[Listed((0, 7)), Learned((3, 10)), Listed((5, 10))],
+            statements: &[Listed((0, 7)), Reported((3, 10)), Listed((5, 10))],
             holds: (5, 10),
         },
         Case {
-            name: "a word that came after the newer list",
-            words: &[Listed((0, 7)), Listed((5, 10)), Learned((3, 10)), Pause],
+            name: "a report that arrived after the newer list",
+            statements: &[Listed((0, 7)), Listed((5, 10)), Reported((3, 10)), Pause],
             holds: (5, 10),
         },
         Case {
-            name: "a report that says what the list says, after one that did not",
-            words: &[Listed((5, 10)), Learned((3, 10)), Learned((5, 10))],
+            name: "a report that agrees with the list, after one that did not",
+            statements: &[Listed((5, 10)), Reported((3, 10)), Reported((5, 10))],
             holds: (5, 10),
         },
         Case {
-            name: "a report that is said no longer",
-            words: &[Listed((0, 7)), Learned((3, 10)), Pause],
+            name: "a report that has expired",
+            statements: &[Listed((0, 7)), Reported((3, 10)), Pause],
             holds: (0, 7),
         },
     ];
     for case in cases {
         let mut now = Instant::now();
         let mut targets = Targets::default();
-        for word in case.words {
-            match *word {
+        for statement in case.statements {
+            match *statement {
                 Listed(layers) => {
                     targets.upsert(listed(layers));
                 }
-                Learned(layers) => {
-                    let word = targets.next_report(name_hash("a"), layers);
-                    targets.apply_report(name_hash("a"), word, now + Duration::from_secs(1));
+                Reported(layers) => {
+                    let report = targets.next_report(name_hash("a"), layers);
+                    targets.apply_report(name_hash("a"), report, now + Duration::from_secs(1));
                 }
                 Pause => {
                     now += Duration::from_secs(2);
@@ -90,10 +90,10 @@
 }
 
 #[test]
-fn layers_that_are_given_up_take_room_until_what_passes_through_is_done() {
+fn layers_given_up_take_memory_until_their_requests_end() {
     let now = Instant::now();
     let mut targets = Targets::default();
-    let room = |targets: &Targets| {
+    let capacity = |targets: &Targets| {
         let need = PathRequest {
             layers: 80,
             prompt_tokens: 700.0,
@@ -107,16 +107,16 @@
         parts.first().map_or(0, |part| part.kv_capacity as u64)
     };
     targets.upsert(listed((70, 80)));
-    let wide = room(&targets);
+    let wide = capacity(&targets);
     targets.upsert(listed((75, 80)));
     targets.tick(now);
-    assert!(room(&targets) <= wide, "the weights of ten layers are there");
+    assert!(capacity(&targets) <= wide, "the weights of ten layers are still in memory");
     targets.tick(now + Duration::from_secs(4));
-    let narrow = room(&targets);
+    let narrow = capacity(&targets);
     assert!(narrow > wide, "{narrow} over {wide}");
     targets.upsert(listed((70, 80)));
     targets.upsert(listed((75, 80)));
-    let word = targets.next_report(name_hash("a"), (75, 80));
-    targets.apply_report(name_hash("a"), word, now + Duration::from_secs(5));
-    assert_eq!(room(&targets), narrow, "its own report says that it is done");
+    let report = targets.next_report(name_hash("a"), (75, 80));
+    targets.apply_report(name_hash("a"), report, now + Duration::from_secs(5));
+    assert_eq!(capacity(&targets), narrow, "its own report ends the clearing");
 }
--- a/crates/roseshore_core/tests/gateway/older_store.rs
+++ b/crates/roseshore_core/tests/gateway/older_store.rs
@@ -1,4 +1,4 @@
-//! The lists of hosts whose store comes back from an older copy again and again.
+//! Target lists of hosts whose store is restored from an older copy, repeatedly.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::targets::{Absence, ListDelta, RecordChange, Target};
@@ -23,32 +23,33 @@
     }
 }
 
-/// The store: what it holds, and what targets wrote last, whether it still holds that or not.
+/// The store: its log, and the latest entries of the targets, whether the store still has them or
+/// not.
 #[derive(Default)]
 struct Store {
     era: Era,
     log: Vec<(u8, Option<Layer>)>,
-    truth: BTreeMap<u8, Layer>,
+    latest: BTreeMap<u8, Layer>,
 }
 
 impl Store {
     fn write(&mut self, id: u8, layers: Option<Layer>) {
         self.log.push((id, layers));
         match layers {
-            Some(layers) => _ = self.truth.insert(id, layers),
-            None => _ = self.truth.remove(&id),
+            Some(layers) => _ = self.latest.insert(id, layers),
+            None => _ = self.latest.remove(&id),
         }
     }
 
-    fn go_back(&mut self, lost: usize) {
+    fn restore(&mut self, lost: usize) {
         self.log.truncate(self.log.len().saturating_sub(lost));
         self.era += 1;
     }
 
-    /// Each live target writes its entry again, and the entries of others lapse.
-    fn write_again(&mut self) {
+    /// Each live target writes its entry again, and the other entries lapse.
+    fn rewrite_all(&mut self) {
         for id in 0..IDS {
-            let layers = self.truth.get(&id).copied();
+            let layers = self.latest.get(&id).copied();
             self.write(id, layers);
         }
     }
@@ -66,7 +67,7 @@
 }
 
 impl Host {
-    /// Reads so many records, or the whole list where it has none of this era.
+    /// Reads up to `count` records, or the whole list if the host has read none of this era.
     fn read(&mut self, store: &Store, count: usize, absence: Absence) {
         let end = store.log.len() as Offset;
         let known = self.read.filter(|read| read.era == store.era);
@@ -91,7 +92,7 @@
         self.read = Some(next);
     }
 
-    /// Takes another's copy, as a host does.
+    /// Applies another host's copy as the gateway does.
     fn copy(&mut self, from: &Host, absence: Absence) {
         let known = self.read.unwrap_or_default();
         let Some(next) = from.read.filter(|next| *next > known) else { return };
@@ -114,7 +115,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Write(u8, Option<Layer>),
-    GoBack(usize),
+    Restore(usize),
     Read(usize, usize),
     Copy(usize, usize),
 }
@@ -123,17 +124,18 @@
     prop_oneof![
         4 => (0..IDS, proptest::option::weighted(0.7, 1..9 as Layer))
             .prop_map(|(id, layers)| Step::Write(id, layers)),
-        1 => (0..6usize).prop_map(Step::GoBack),
+        1 => (0..6usize).prop_map(Step::Restore),
         3 => (0..HOSTS, 1..6usize).prop_map(|(host, count)| Step::Read(host, count)),
         3 => (0..HOSTS, 0..HOSTS).prop_map(|(from, to)| Step::Copy(from, to)),
     ]
 }
 
 proptest! {
-    /// Whatever was read, copied and lost before: once the targets have written again and what lapsed is over,
-    /// each host that reads on has the list that a host which has just begun reads.
+    /// Whatever was read, copied and lost before: once the targets have written again and lapsed
+    /// entries have expired, each host that reads to the end has the same list as a host that has
+    /// just started.
     #[test]
-    fn hosts_agree_on_what_was_written_again(steps in proptest::collection::vec(step(), 1..120)) {
+    fn hosts_agree_on_rewritten_entries(steps in proptest::collection::vec(step(), 1..120)) {
         let now = Instant::now();
         let lapse = Absence::Lapsed(now + Duration::from_secs(2));
         let mut store = Store::default();
@@ -141,12 +143,12 @@
         for step in steps {
             match step {
                 Step::Write(id, layers) => store.write(id, layers),
-                Step::GoBack(lost) => store.go_back(lost),
+                Step::Restore(lost) => store.restore(lost),
                 Step::Read(host, count) => hosts[host].read(&store, count, lapse),
                 Step::Copy(from, to) if from != to => {
-                    let giver = std::mem::take(&mut hosts[from]);
-                    hosts[to].copy(&giver, lapse);
-                    hosts[from] = giver;
+                    let source = std::mem::take(&mut hosts[from]);
+                    hosts[to].copy(&source, lapse);
+                    hosts[from] = source;
                 }
                 Step::Copy(..) => {}
             }
@@ -154,7 +156,7 @@
         for host in &mut hosts {
             host.read(&store, usize::MAX >> 1, lapse);
         }
-        store.write_again();
+        store.rewrite_all();
         let mut fresh = Host::default();
         fresh.read(&store, 0, lapse);
         for host in &mut hosts {
@@ -167,19 +169,19 @@
     }
 }
 
-/// What the older copy says of target 1, beside what a host knows.
+/// What the older copy says of target 1, and what a host knows of it.
 struct Case {
     name: &'static str,
     known: fn(&mut Targets),
     copy: Option<TargetRecord>,
-    /// Whether work goes there then, and up to which layer.
+    /// End of the layer range if the target gets work; `None` if it gets none.
     used: Option<Layer>,
 }
 
 #[test]
-fn what_is_known_of_a_life_is_newer_than_the_copy() {
+fn a_known_incarnation_is_newer_than_the_copy() {
     let cases = [
-        Case { name: "unknown here", known: |_| (), copy: Some(named(1, 3)), used: Some(3) },
+        Case { name: "unknown to the host", known: |_| (), copy: Some(named(1, 3)), used: Some(3) },
         Case {
             name: "other layers since",
             known: |t| _ = t.upsert(named(1, 5)),
@@ -187,25 +189,25 @@
             used: Some(5),
         },
         Case {
-            name: "leaving since",
+            name: "draining since",
             known: |t| _ = t.upsert(TargetRecord { draining: true, ..named(1, 3) }),
             copy: Some(named(1, 3)),
             used: None,
         },
         Case {
-            name: "another life since",
+            name: "another incarnation since",
             known: |t| _ = t.upsert(TargetRecord { life: 2, ..named(1, 5) }),
             copy: Some(named(1, 3)),
             used: Some(5),
         },
         Case {
-            name: "a life that was missed here",
+            name: "an incarnation that the host missed",
             known: |t| _ = t.upsert(named(1, 3)),
             copy: Some(TargetRecord { life: 2, ..named(1, 5) }),
             used: Some(5),
         },
         Case {
-            name: "gone since",
+            name: "removed since",
             known: |t| {
                 t.upsert(named(1, 3));
                 t.remove("t-1", Absence::Left);
@@ -234,7 +236,7 @@
             target.holding().map(|held| held.layers.1)
         };
         assert_eq!(used(), case.used, "{}", case.name);
-        // Written again, it is what it says.
+        // Once written again, the new entry applies.
         targets.advance_to(Position { era: 2, next: 10 });
         assert_ne!(
             targets.upsert(TargetRecord { life: 3, ..named(1, 8) }),
--- a/crates/roseshore_core/tests/gateway/targets.rs
+++ b/crates/roseshore_core/tests/gateway/targets.rs
@@ -1,4 +1,4 @@
-//! What is known of the targets.
+//! State of the targets and the choice among them.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::peers::{TargetLoad, name_hash, target_hash};
@@ -42,7 +42,7 @@
     targets.choose_plain("plain", near, avoid, now).map(|t| t.record.id.clone())
 }
 
-/// Something that happens to target `a`, and who is chosen then.
+/// An event at target `a`, and the target chosen afterwards.
 struct Case {
     name: &'static str,
     happens: fn(&mut Targets, Instant),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_known_of_a_target_decides_whether_it_gets_work() {
+fn the_state_of_a_target_decides_whether_it_gets_work() {
     let cases = [
         Case { name: "nothing", happens: |_, _| (), chosen: "a" },
         Case {
@@ -70,19 +70,23 @@
             happens: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
             chosen: "a",
         },
-        Case { name: "another has its address", happens: |t, _| t.mark_replaced("a"), chosen: "b" },
         Case {
-            name: "it failed",
+            name: "another target has its address",
+            happens: |t, _| t.mark_replaced("a"),
+            chosen: "b",
+        },
+        Case {
+            name: "a request failed",
             happens: |t, now| assert!(t.record_failure("a", now)),
             chosen: "b",
         },
         Case {
-            name: "it is dead",
+            name: "it fails its liveness check",
             happens: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
             chosen: "b",
         },
         Case {
-            name: "it answers again",
+            name: "it passes its liveness check again",
             happens: |t, _| {
                 t.liveness_failed("a", LivenessFailure::Reset);
                 t.liveness_passed("a");
@@ -90,11 +94,11 @@
             chosen: "a",
         },
         Case {
-            name: "it is dead for a neighbour",
+            name: "it fails the liveness check of another host",
             happens: |t, _| {
-                let note =
+                let load =
                     TargetLoad { target: name_hash("a"), down: true, ..TargetLoad::default() };
-                t.set_remote_loads(&HashMap::from([(name_hash("a"), note)]));
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), load)]));
             },
             chosen: "b",
         },
@@ -104,15 +108,15 @@
             chosen: "b",
         },
         Case {
-            name: "others keep it busy",
+            name: "other hosts keep it busy",
             happens: |t, _| {
-                let note = TargetLoad { target: name_hash("a"), own: 4, ..TargetLoad::default() };
-                t.set_remote_loads(&HashMap::from([(name_hash("a"), note)]));
+                let load = TargetLoad { target: name_hash("a"), own: 4, ..TargetLoad::default() };
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), load)]));
             },
             chosen: "b",
         },
         Case {
-            name: "it says that it is busy",
+            name: "it reports that it is busy",
             happens: |t, now| t.record_load("a", 6, 2, now),
             chosen: "b",
         },
@@ -137,19 +141,19 @@
     assert_eq!(chosen(&targets, "north", &["a".to_owned(), "b".to_owned()], now), None);
 }
 
-/// How both targets failed their checks, and whether one of them is tried all the same.
-struct Dead {
+/// How both targets failed their liveness checks, and which of them is tried nevertheless.
+struct DeadCase {
     a: LivenessFailure,
     b: LivenessFailure,
     tried: Option<&'static str>,
 }
 
 #[test]
-fn nothing_is_sent_into_the_dark() {
+fn nothing_is_sent_to_silent_targets() {
     let cases = [
-        Dead { a: LivenessFailure::Reset, b: LivenessFailure::Reset, tried: Some("a") },
-        Dead { a: LivenessFailure::Silent, b: LivenessFailure::Reset, tried: Some("b") },
-        Dead { a: LivenessFailure::Silent, b: LivenessFailure::Silent, tried: None },
+        DeadCase { a: LivenessFailure::Reset, b: LivenessFailure::Reset, tried: Some("a") },
+        DeadCase { a: LivenessFailure::Silent, b: LivenessFailure::Reset, tried: Some("b") },
+        DeadCase { a: LivenessFailure::Silent, b: LivenessFailure::Silent, tried: None },
     ];
     for case in cases {
         let now = Instant::now();
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn a_lapsed_entry_that_does_not_come_back_is_gone() {
+fn a_lapsed_entry_that_does_not_come_back_is_removed() {
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
@@ -190,28 +194,28 @@
     assert_eq!(
         same.list_version(at(0)).digest,
         right.list_version(at(0)).digest,
-        "own experience is no list"
+        "this host's view is not part of the digest"
     );
 }
 
-/// One change to the list of targets.
+/// One change to the target list.
 #[derive(Clone, Debug)]
-enum Change {
-    Put(u8, bool, Option<(Layer, Layer)>),
-    Drop(u8, bool),
-    Whole(Vec<u8>, bool),
-    Time(u64),
+enum ListChange {
+    Upsert(u8, bool, Option<(Layer, Layer)>),
+    Remove(u8, bool),
+    Replace(Vec<u8>, bool),
+    Elapse(u64),
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn change() -> impl Strategy<Value = ListChange> {
     let range = (0..40u16, 1..40u16).prop_map(|(from, width)| (from, from + width));
     prop_oneof![
         (0..9u8, any::<bool>(), proptest::option::of(range))
-            .prop_map(|(id, draining, range)| Change::Put(id, draining, range)),
-        (0..9u8, any::<bool>()).prop_map(|(id, left)| Change::Drop(id, left)),
+            .prop_map(|(id, draining, range)| ListChange::Upsert(id, draining, range)),
+        (0..9u8, any::<bool>()).prop_map(|(id, left)| ListChange::Remove(id, left)),
         (proptest::collection::vec(0..9u8, 0..9), any::<bool>())
-            .prop_map(|(ids, left)| Change::Whole(ids, left)),
-        (1..3000u64).prop_map(Change::Time),
+            .prop_map(|(ids, left)| ListChange::Replace(ids, left)),
+        (1..3000u64).prop_map(ListChange::Elapse),
     ]
 }
 
@@ -220,36 +224,36 @@
 }
 
 proptest! {
-    /// What is kept up with each change is what the list at hand would give anew, so hosts that read
-    /// the same in other orders find their lists the same.
+    /// The incrementally updated digest and index equal those computed from scratch, so hosts that
+    /// read the same entries in different orders agree on their lists.
     #[test]
-    fn digest_and_marks_follow_every_change(changes in proptest::collection::vec(change(), 1..60)) {
+    fn digest_and_index_follow_every_change(changes in proptest::collection::vec(change(), 1..60)) {
         let mut now = Instant::now();
         let mut targets = Targets::default();
         for change in changes {
             let until = now + Duration::from_millis(1900);
             let absence = |left| if left { Absence::Left } else { Absence::Lapsed(until) };
             match change {
-                Change::Put(id, draining, layers) => {
+                ListChange::Upsert(id, draining, layers) => {
                     let holding = layers.map(|layers| Holding { layers });
                     targets.upsert(TargetRecord { draining, holding, ..numbered(id) });
                 }
-                Change::Drop(id, left) => {
+                ListChange::Remove(id, left) => {
                     targets.remove(&format!("t-{id}"), absence(left));
                 }
-                Change::Whole(ids, left) => {
+                ListChange::Replace(ids, left) => {
                     targets.replace_list(ids.into_iter().map(numbered).collect(), absence(left));
                 }
-                Change::Time(ms) => {
+                ListChange::Elapse(ms) => {
                     now += Duration::from_millis(ms);
                     targets.tick(now);
                 }
             }
-            let mut anew = Targets::default();
+            let mut rebuilt = Targets::default();
             for record in targets.listed_records() {
-                anew.upsert(record);
+                rebuilt.upsert(record);
             }
-            prop_assert_eq!(targets.list_version(at(0)), anew.list_version(at(0)));
+            prop_assert_eq!(targets.list_version(at(0)), rebuilt.list_version(at(0)));
             for id in (0..9).map(|id| numbered(id).id) {
                 let known = targets.get(&id).map(|t| &t.record.id);
                 prop_assert_eq!(targets.id_of(name_hash(&id)), known);
@@ -258,129 +262,147 @@
     }
 }
 
-/// Something known of target `a` in its first life.
-struct LifeCase {
+/// State of target `a` in its first incarnation.
+struct IncarnationCase {
     name: &'static str,
     known: fn(&mut Targets, Instant),
 }
 
 #[test]
-fn what_is_known_of_a_target_ends_with_its_life() {
+fn state_of_a_target_ends_with_its_incarnation() {
     let holds = |targets: &Targets| targets.get("a").and_then(Target::holding);
-    let living = |life: u64| TargetRecord { life, ..record("a", "north") };
+    let with_life = |life: u64| TargetRecord { life, ..record("a", "north") };
     let first = target_hash("a", 100);
     let cases = [
-        LifeCase { name: "it failed", known: |t, now| assert!(t.record_failure("a", now)) },
-        LifeCase {
-            name: "it is dead",
+        IncarnationCase {
+            name: "a request failed",
+            known: |t, now| assert!(t.record_failure("a", now)),
+        },
+        IncarnationCase {
+            name: "it fails its liveness check",
             known: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
         },
-        LifeCase { name: "another has its address", known: |t, _| t.mark_replaced("a") },
-        LifeCase { name: "it told its load", known: |t, now| t.record_load("a", 6, 9, now) },
-        LifeCase {
+        IncarnationCase {
+            name: "another target has its address",
+            known: |t, _| t.mark_replaced("a"),
+        },
+        IncarnationCase {
+            name: "it reported its load",
+            known: |t, now| t.record_load("a", 6, 9, now),
+        },
+        IncarnationCase {
             name: "it reported layers",
             known: |t, now| {
-                let word = LayersReport { number: 1, layers: (3, 9), listed: (0, 0) };
-                t.apply_report(target_hash("a", 100), word, now + Duration::from_secs(4));
+                let report = LayersReport { number: 1, layers: (3, 9), listed: (0, 0) };
+                t.apply_report(target_hash("a", 100), report, now + Duration::from_secs(4));
             },
         },
-        LifeCase {
-            name: "others told of it",
+        IncarnationCase {
+            name: "other hosts reported their load",
             known: |t, _| {
                 let target = target_hash("a", 100);
-                let note = TargetLoad { target, own: 4, held: 7, down: true };
-                t.set_remote_loads(&HashMap::from([(target, note)]));
+                let load = TargetLoad { target, own: 4, held: 7, down: true };
+                t.set_remote_loads(&HashMap::from([(target, load)]));
             },
         },
-        LifeCase {
+        IncarnationCase {
             name: "its entry lapsed",
             known: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
         },
     ];
-    // The second life's clock may be ahead, or behind: the list is in order.
+    // The clock of the second incarnation may be ahead or behind: the list's order decides.
     for (case, second) in cases.iter().flat_map(|case| [(case, 170), (case, 30)]) {
         let now = Instant::now();
         let mut targets = two();
-        targets.upsert(living(100));
+        targets.upsert(with_life(100));
         (case.known)(&mut targets, now);
-        assert_eq!(targets.upsert(living(second)), RecordChange::Restarted, "{}", case.name);
+        assert_eq!(targets.upsert(with_life(second)), RecordChange::Restarted, "{}", case.name);
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
         assert_eq!(holds(&targets), None, "{}", case.name);
         assert!(targets.tick(now + Duration::from_secs(9)).is_empty(), "{}", case.name);
-        assert_eq!(targets.upsert(living(second)), RecordChange::Unchanged, "the same life twice");
-        // The word of the former life comes late.
-        let note = TargetLoad { target: first, own: 9, held: 9, down: true };
-        targets.set_remote_loads(&HashMap::from([(first, note)]));
-        let word = LayersReport { number: 9, layers: (3, 9), listed: (0, 0) };
-        assert!(!targets.apply_report(first, word, now + Duration::from_secs(4)), "{}", case.name);
+        assert_eq!(
+            targets.upsert(with_life(second)),
+            RecordChange::Unchanged,
+            "the same incarnation twice"
+        );
+        // A report about the former incarnation arrives late.
+        let load = TargetLoad { target: first, own: 9, held: 9, down: true };
+        targets.set_remote_loads(&HashMap::from([(first, load)]));
+        let report = LayersReport { number: 9, layers: (3, 9), listed: (0, 0) };
+        assert!(
+            !targets.apply_report(first, report, now + Duration::from_secs(4)),
+            "{}",
+            case.name
+        );
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
         assert_eq!(targets.id_of(first), None, "{}", case.name);
     }
 }
 
 #[test]
-fn what_was_sent_to_a_former_life_still_ends() {
+fn requests_to_a_former_incarnation_are_still_released() {
     let mut targets = two();
     let claim = claim("a", 500.0);
     targets.reserve(&claim);
     targets.upsert(TargetRecord { life: 7, ..record("a", "north") });
-    let own = |targets: &Targets| targets.get("a").map(|t| (t.in_flight, t.kv_used));
-    assert_eq!(own(&targets), Some((1, 500.0)));
+    let own_load = |targets: &Targets| targets.get("a").map(|t| (t.in_flight, t.kv_used));
+    assert_eq!(own_load(&targets), Some((1, 500.0)));
     targets.release(&claim);
-    assert_eq!(own(&targets), Some((0, 0.0)));
+    assert_eq!(own_load(&targets), Some((0, 0.0)));
 }
 
-/// Hosts that have found out different things at the same moment, and tell each other whatever is news.
+/// Hosts that find out different things at the same moment, and forward every report that is new.
+/// Without an order among reports, they would forward them for ever.
 #[test]
-fn words_that_contradict_each_other_come_to_rest() {
+fn contradicting_reports_converge() {
     const HOSTS: usize = 5;
     let now = Instant::now();
     let until = now + Duration::from_secs(4);
     let target = name_hash("a");
     let listed = TargetRecord { holding: Some(Holding { layers: (0, 9) }), ..record("a", "north") };
     let mut hosts: Vec<Targets> = (0..HOSTS).map(|_| Targets::default()).collect();
-    let mut told = std::collections::VecDeque::new();
+    let mut queue = std::collections::VecDeque::new();
     for (n, host) in hosts.iter_mut().enumerate() {
         host.upsert(listed.clone());
-        // Nothing, one range or another.
-        let word = host.next_report(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
-        assert!(host.apply_report(target, word, until));
-        told.push_back((n, word));
+        // No layers, or one of two ranges.
+        let report = host.next_report(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
+        assert!(host.apply_report(target, report, until));
+        queue.push_back((n, report));
     }
-    let mut passed_on = 0;
-    while let Some((from, word)) = told.pop_front() {
+    let mut forwarded = 0;
+    while let Some((from, report)) = queue.pop_front() {
         for to in (0..HOSTS).filter(|to| *to != from) {
-            if hosts[to].apply_report(target, word, until) {
-                passed_on += 1;
-                told.push_back((to, word));
+            if hosts[to].apply_report(target, report, until) {
+                forwarded += 1;
+                queue.push_back((to, report));
             }
         }
-        assert!(passed_on <= HOSTS * 3, "they tell each other for ever");
+        assert!(forwarded <= HOSTS * 3, "reports are forwarded for ever");
     }
     let holds = |host: &Targets| host.get("a").and_then(Target::holding);
-    assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all believe the same");
-    // A list that is newer ends it, and the old word does not come back.
+    assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all hosts agree");
+    // A newer list record ends the report, and the old report does not come back.
     hosts[0].upsert(TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..listed });
     let old = LayersReport { number: 1, layers: (3, 9), listed: (0, 9) };
     assert!(!hosts[0].apply_report(target, old, until));
     assert_eq!(holds(&hosts[0]), Some(Holding { layers: (1, 7) }));
-    // Who has read the list only once takes the next word like who has read every change of it.
-    let word = hosts[0].next_report(target, (1, 4));
+    // A host that read the list only once accepts the next report like one that read every change.
+    let report = hosts[0].next_report(target, (1, 4));
     let listed = TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..record("a", "north") };
     let mut late = Targets::default();
     late.upsert(listed);
-    assert!(late.apply_report(target, word, until));
+    assert!(late.apply_report(target, report, until));
 }
 
 #[test]
-fn lists_of_two_lives_differ() {
+fn lists_with_different_incarnations_differ() {
     let (mut left, right) = (two(), two());
     left.upsert(TargetRecord { life: 7, ..record("a", "north") });
     assert_ne!(left.list_version(at(5)).digest, right.list_version(at(5)).digest);
 }
 
 #[test]
-fn a_silent_path_points_at_those_that_brought_nothing() {
+fn a_stalled_path_suspects_targets_without_progress() {
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
@@ -391,5 +413,5 @@
     assert_eq!(targets.suspects(&ids, at(100)), ["a".to_owned(), "c".to_owned()]);
     targets.liveness_failed("a", LivenessFailure::Silent);
     targets.record_progress([ids[0].clone()].iter(), at(320));
-    assert!(targets.dead().is_empty(), "what brings something is alive");
+    assert!(targets.dead().is_empty(), "a target that makes progress is alive");
 }
