--- a/crates/roseshore_core/src/gateway/peers.rs
+++ b/crates/roseshore_core/src/gateway/peers.rs
@@ -1,16 +1,18 @@
-//! What entry hosts tell each other.
+//! Membership and state exchange among entry hosts.
 //!
-//! Each host tells others several times a second what it has in flight at each target, which
-//! targets failed it, and how much of the store it has read. So a choice sees the load of all
-//! hosts, and one host's reads of the store serve its neighbours.
+//! Several times a second each host sends heartbeats with its load at each target, the targets that
+//! fail its liveness checks, and how much of the store it has read. So a scheduling decision takes
+//! the load of all hosts into account, and one host's reads of the store serve its neighbours.
 //!
-//! [`relation`] says to whom a host tells how often, `sending` what, `ranking` which hosts speak, read
-//! the store and give orders, `view` what the others have. This module keeps who is there.
+//! [`relation`] decides which hosts get heartbeats and how often, `sending` builds them, `ranking`
+//! determines which hosts act as speakers, read the store and issue orders, and `view` combines
+//! what the others have reported. This module keeps the list of peers.
 //!
-//! Nothing here has to arrive. A heartbeat that is late must not pass for a fresh one, so a proof
-//! of freshness is counted on the hearer's own clock: the sender names the last heartbeat that it
-//! heard from the hearer, and how long after that its proof was made. A proof that comes through
-//! a speaker is placed on the speaker's clock first, and grows older with each step.
+//! The protocol tolerates the loss of any message. A delayed heartbeat must not be taken for a
+//! fresh one, so the time of a freshness proof is expressed on the receiver's own clock: the sender
+//! names the last heartbeat that it received from the receiver, and how long after it the proof was
+//! made. A proof relayed by a speaker is first expressed on the speaker's clock, and grows older
+//! with each hop.
 
 mod message;
 mod peer;
@@ -34,45 +36,45 @@
 use std::net::SocketAddr;
 pub use view::View;
 
-/// What a heartbeat brought.
+/// What a received heartbeat tells the caller.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeartbeatEffect {
-    /// The sender was not known, or had been silent.
+    /// Whether the sender was unknown, restarted, or silent before.
     pub joined: bool,
-    /// When the sender's configuration was proven, on the own clock.
+    /// When the sender's configuration was proven to be the newest, on this host's clock.
     pub config_proven: Option<Instant>,
-    /// The same of its list of targets.
+    /// When the sender's target list was proven to be complete, on this host's clock.
     pub list_proven: Option<Instant>,
-    /// Whether the sender is of the own data centre.
+    /// Whether the sender is in the own data centre.
     pub near: bool,
 }
 
-/// What a host tells of itself.
+/// State that a host reports about itself.
 #[derive(Clone, Debug)]
 pub struct LocalState {
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub leaving: bool,
     /// Whether the store answers it.
     pub reading: bool,
-    /// The version of its configuration.
+    /// Version of its configuration; 0 for none.
     pub config: u64,
-    /// When that was last proven to be the newest.
+    /// When the configuration was last proven to be the newest.
     pub config_proven: Option<Instant>,
-    /// How far it has read the list of targets.
+    /// How far it has read the target list.
     pub list: ListVersion,
-    /// When that was last proven to be all there is.
+    /// When the list was last proven to be complete.
     pub list_proven: Option<Instant>,
-    /// What it has in flight.
+    /// Its load at each target.
     pub loads: Vec<TargetLoad>,
-    /// What it has counted.
+    /// Requests and retries that it has counted, by service.
     pub counts: Vec<ServiceCounts>,
-    /// What it has ordered, and learned, of targets' layers.
+    /// Layers that it has ordered targets to hold, or found them to hold.
     pub holdings: Vec<HoldingReport>,
-    /// What engines reported of their pace.
+    /// Paces that engines reported.
     pub paces: Vec<PaceReport>,
-    /// Requests that end targets.
+    /// Requests under which targets crashed.
     pub fatal: Vec<FatalReport>,
-    /// Limits that targets named.
+    /// Limits that targets advertised.
     pub limits: Vec<LimitReport>,
 }
 
@@ -106,7 +108,7 @@
     sequence: u64,
     leaving: bool,
     reading: bool,
-    /// Whether it spoke for its data centre when it last told others.
+    /// Whether this host was a speaker for its data centre at its last round of heartbeats.
     speaking: bool,
     urgency: Urgency,
     all: BTreeMap<SocketAddr, Peer>,
@@ -114,7 +116,7 @@
 }
 
 impl Peers {
-    /// Knows only seeds.
+    /// Creates the peer list with only the seeds known; `life` identifies this process.
     pub fn new(
         addr: SocketAddr,
         data_centre: &str,
@@ -133,57 +135,57 @@
             leaving: false,
             reading: true,
             speaking: true,
-            urgency: Urgency::No,
+            urgency: Urgency::Normal,
             all: seeds.iter().filter(|seed| **seed != addr).map(seed).collect(),
             next_named: 0,
         }
     }
 
-    /// The same host with a processor share, thousandths of a core.
+    /// Sets the host's CPU share, in thousandths of a core.
     #[must_use]
     pub fn with_capacity(self, capacity: u16) -> Peers {
         Peers { capacity, ..self }
     }
 
-    /// Where this host hears the others.
+    /// Address at which this host receives heartbeats.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes a heartbeat; `None` for one that is no news.
+    /// Processes a heartbeat; returns `None` if it is outdated, a duplicate or the host's own.
     pub fn receive(
         &mut self,
         from: SocketAddr,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         now: Instant,
     ) -> Option<HeartbeatEffect> {
-        for named in &beat.named {
+        for named in &heartbeat.named {
             self.learn_host(named, now);
         }
         if from == self.addr {
             return None;
         }
-        let near = beat.centre == self.centre;
-        let spoken = beat.speaks || (near && self.speaking);
+        let near = heartbeat.centre == self.centre;
+        let regular = heartbeat.speaks || (near && self.speaking);
         let peer = self.all.entry(from).or_insert_with(|| Peer::unknown(from, now));
-        if beat.life == peer.life && beat.sequence <= peer.sequence {
+        if heartbeat.life == peer.life && heartbeat.sequence <= peer.sequence {
             return None;
         }
-        let back = spoken && !peer.alive(near, now);
-        let joined = peer.last_heard.is_none() || beat.life != peer.life || back;
-        let echo = beat.echo;
-        peer.update(beat, now);
+        let back = regular && !peer.alive(near, now);
+        let joined = peer.last_heard.is_none() || heartbeat.life != peer.life || back;
+        let echo = heartbeat.echo;
+        peer.update(heartbeat, now);
         let config_proven = echo.and_then(|echo| self.proof_time(echo, echo.config?, now));
         let list_proven = echo.and_then(|echo| self.proof_time(echo, echo.list?, now));
         Some(HeartbeatEffect { joined, config_proven, list_proven, near })
     }
 
-    /// Whether a host is of the own data centre.
+    /// Whether a peer is in the own data centre.
     fn is_near(&self, peer: &Peer) -> bool {
         peer.centre == Some(self.centre)
     }
 
-    /// Whether it is known to be of another one.
+    /// Whether a peer is known to be in another data centre.
     fn is_far(&self, peer: &Peer) -> bool {
         peer.centre.is_some_and(|centre| centre != self.centre)
     }
@@ -196,7 +198,7 @@
         self.all.entry(named.addr).or_insert_with(unknown).note_named(named, now);
     }
 
-    /// A proof's time on the own clock; none is newer than its telling.
+    /// Time of a proof on this host's clock, at most `now`.
     fn proof_time(&self, echo: Echo, since: i64, now: Instant) -> Option<Instant> {
         let sent = self.started.checked_add(Duration::from_millis(echo.sent))?;
         let since_then = Duration::from_millis(since.unsigned_abs());
--- a/crates/roseshore_core/src/gateway/peers/message.rs
+++ b/crates/roseshore_core/src/gateway/peers/message.rs
@@ -1,5 +1,5 @@
-//! What one host tells another: the heartbeat, of itself and of those that it speaks for, and what is asked between
-//! them.
+//! Messages between entry hosts: heartbeats, about the sender and the hosts that it speaks for, and
+//! permit requests.
 
 use crate::gateway::fatal::FatalReport;
 use crate::gateway::paces::PaceReport;
@@ -10,94 +10,94 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A target in a heartbeat.
+/// Hash that identifies a target's incarnation in messages.
 pub type TargetHash = u32;
-/// A data centre in a heartbeat.
+/// Hash that identifies a data centre in messages.
 pub type CentreHash = u32;
 
-/// The mark of a target, a service or a data centre.
+/// Hash of the name of a target, a service or a data centre.
 pub fn name_hash(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// The mark of a target in one of its lives. What hosts tell of a former life has another mark, so it is
-/// not taken for word of this one, however late it comes.
+/// Hash of a target's incarnation. Reports about a former incarnation have another hash, so they
+/// are never taken for reports about the current one, however late they arrive.
 pub fn target_hash(id: &str, life: Incarnation) -> TargetHash {
     if life == 0 { name_hash(id) } else { name_hash(&format!("{id}@{life}")) }
 }
 
-/// What a host has at a target.
+/// Load at a target, by one host or several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// The target.
+    /// Hash of the target.
     pub target: TargetHash,
     /// Requests in flight.
     pub own: u16,
-    /// KV cache that they take, thousands of tokens times layers.
+    /// KV cache that they take, in thousands of tokens times layers.
     pub held: u32,
-    /// Whether it failed that host of late.
+    /// Whether the target fails the liveness checks of a reporting host.
     pub down: bool,
 }
 
-/// The layers that a target holds by its own word, or was ordered to hold; the list says so
-/// later. An empty range says that it was shown not to hold what the list says.
+/// Layers that a target reported to hold, or was ordered to hold, before the list says so. An empty
+/// range means that the target was shown not to hold what the list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldingReport {
-    /// The target.
+    /// Hash of the target.
     pub target: TargetHash,
-    /// Its layers.
+    /// The report of its layers.
     pub word: LayersReport,
-    /// Whether it holds them; else it was ordered to.
+    /// Whether it holds the layers; otherwise it was ordered to.
     pub done: bool,
 }
 
-/// What a host has counted of a service's requests and repeated sends in the window.
+/// Requests and retries of a service that a host has counted in the window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
-    /// The mark of the service.
+    /// Hash of the service's name.
     pub service: TargetHash,
     /// Requests.
     pub requests: u32,
-    /// Repeated sends.
+    /// Retries.
     pub repeats: u32,
 }
 
-/// What a target said of its limit, as one host or another heard it.
+/// A target's advertised limit, as this or another host received it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The target.
+    /// Hash of the target.
     pub target: TargetHash,
-    /// Requests a second that it takes from all hosts together, as last named.
+    /// Requests per second that it accepts from all hosts together, as last advertised.
     pub limit: f32,
-    /// Whether it names none any more.
+    /// Whether it no longer advertises a limit.
     pub ended: bool,
-    /// How long ago that was, ms.
+    /// Time since then, in milliseconds.
     pub age: u32,
-    /// The host that heard it, and the number of the word there.
+    /// The host that received it from the target, and its sequence number there.
     pub origin: (u32, u32),
-    /// What the hosts that the sender issues permits to have asked for of late.
+    /// Recent permit requests that the sender, as issuer, has got from its hosts.
     pub wanted: u16,
 }
 
-/// A question for a permit to send to a target, to the host that issues them.
+/// Request to the issuer for a permit to send to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Comes back with the answer.
+    /// Identifies the request; copied to the reply.
     pub number: u64,
-    /// The target, and what is known of its limit.
+    /// The target, and what the sender knows of its limit.
     pub limit: LimitReport,
 }
 
-/// The answer to it.
+/// Reply to a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitGrant {
-    /// The target.
+    /// Hash of the target.
     pub target: TargetHash,
-    /// The number of the question.
+    /// Number of the permit request.
     pub number: u64,
     /// Requests that may be sent; 0 for none.
     pub permits: u16,
-    /// How long nothing more is to be asked for, ms.
+    /// Time for which no more permits should be requested, in milliseconds.
     pub wait: u16,
 }
 
@@ -106,99 +106,101 @@
 pub enum Datagram {
     /// A heartbeat.
     Beat(Box<Heartbeat>),
-    /// A question for a permit.
+    /// A permit request.
     Ask(PermitRequest),
-    /// The answer to it.
+    /// The reply to a permit request.
     Grant(PermitGrant),
 }
 
-/// How far a host has read the list of targets, and what it came to.
+/// How far a host has read the target list, and the digest of the result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// How far that is.
+    /// Position to read next.
     pub next: Position,
-    /// The digest of the list.
+    /// Digest of the list.
     pub digest: u64,
 }
 
-/// When what a host has read was last proven to be what the store holds, as times that the hearer
-/// can place: from hearing its heartbeat, ms; negative when the proof is older than that.
+/// When the sender's copy of the store was last proven to be current, in a form that the receiver
+/// can convert to its own clock: milliseconds after the sender received the receiver's heartbeat,
+/// negative if the proof is older than that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The hearer's time in its last heartbeat that was heard, ms.
+    /// Send time of the receiver's last heartbeat that arrived, in milliseconds on the receiver's
+    /// clock.
     pub sent: u64,
-    /// The proof of the configuration.
+    /// Proof for the configuration; `None` if there is none.
     pub config: Option<i64>,
-    /// The proof of the list of targets.
+    /// Proof for the target list; `None` if there is none.
     pub list: Option<i64>,
 }
 
-/// Whose loads and counts a heartbeat tells, and of how many hosts.
+/// Hosts whose loads and counts a heartbeat reports, with their number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// The sender's.
+    /// Only the sender.
     #[default]
     Own,
-    /// Those of the sender's data centre, for another one.
+    /// All hosts of the sender's data centre; sent to another data centre.
     Centre(u16),
-    /// Those of all hosts but the hearer, for a host that hears none but speakers.
+    /// All hosts but the receiver; sent to a host that receives heartbeats only from speakers.
     Others(u16),
 }
 
-/// A host that a heartbeat names.
+/// A host that a heartbeat makes known to its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownHost {
-    /// Where it hears.
+    /// Address at which it receives heartbeats.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// Hash of its data centre.
     pub centre: CentreHash,
-    /// Its processor share, thousandths of a core.
+    /// Its CPU share, in thousandths of a core.
     pub capacity: u16,
 }
 
 /// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's data centre.
+    /// Hash of the sender's data centre.
     pub centre: CentreHash,
-    /// The sender's processor share, thousandths of a core.
+    /// The sender's CPU share, in thousandths of a core.
     pub capacity: u16,
-    /// The sender's life.
+    /// Identifies the sender's process.
     pub life: u64,
-    /// Grows with every heartbeat of a life.
+    /// Increases with every heartbeat of a process.
     pub sequence: u64,
-    /// When it was sent on the sender's clock, ms since its start.
+    /// Send time on the sender's clock, in milliseconds since its start.
     pub sent: u64,
-    /// The sender's proof, for this hearer.
+    /// Freshness proofs for this receiver; `None` if the sender has not heard from it.
     pub echo: Option<Echo>,
-    /// Whether the sender takes no new work.
+    /// Whether the sender accepts no new work.
     pub leaving: bool,
     /// Whether the store answers the sender.
     pub reading: bool,
-    /// Whether the sender speaks for its data centre.
+    /// Whether the sender is a speaker for its data centre.
     pub speaks: bool,
-    /// Whether the sender wants to hear the hearer.
+    /// Whether the sender wants heartbeats from the receiver.
     pub asks: bool,
-    /// The version of its configuration; 0 for none.
+    /// Version of the sender's configuration; 0 for none.
     pub config: u64,
-    /// How far it has read the list of targets.
+    /// How far the sender has read the target list.
     pub list: ListVersion,
-    /// Whose loads and counts follow.
+    /// Hosts that the following loads and counts include.
     pub scope: Scope,
-    /// What is in flight.
+    /// Loads, by target.
     pub loads: Vec<TargetLoad>,
-    /// The same of some targets that only other data centres use.
+    /// Loads at some of the targets that only other data centres use.
     pub far: Vec<TargetLoad>,
-    /// What was counted.
+    /// Requests and retries, by service.
     pub counts: Vec<ServiceCounts>,
-    /// What the sender has ordered, and learned, of targets' layers.
+    /// Layers that the sender has ordered targets to hold, or found them to hold.
     pub holds: Vec<HoldingReport>,
-    /// What engines reported of their pace.
+    /// Paces that engines reported.
     pub paces: Vec<PaceReport>,
-    /// Requests that end targets.
+    /// Requests under which targets crashed.
     pub fatal: Vec<FatalReport>,
-    /// Limits that targets named.
+    /// Limits that targets advertised.
     pub limits: Vec<LimitReport>,
-    /// Some hosts that the sender hears.
+    /// Some of the hosts that the sender hears from.
     pub named: Vec<KnownHost>,
 }
--- a/crates/roseshore_core/src/gateway/peers/peer.rs
+++ b/crates/roseshore_core/src/gateway/peers/peer.rs
@@ -1,4 +1,4 @@
-//! One other host, as far as heartbeats tell of it.
+//! One other host, as known from heartbeats.
 
 use super::message::{
     CentreHash, Heartbeat, KnownHost, LimitReport, ListVersion, Scope, ServiceCounts, TargetHash,
@@ -9,30 +9,33 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Silence after which a host no longer counts.
+/// Silence after which a host of the own data centre is taken to be down.
 const SILENCE_LIMIT: Duration = Duration::from_millis(1200);
-/// Silence of a host of another data centre after which it no longer counts.
+/// Silence after which a host of another data centre is taken to be down.
 const FAR_SILENCE_LIMIT: Duration = Duration::from_millis(2500);
-/// A host that another one has named is taken to live for so long: a speaker names it again several
-/// times a second.
+/// How long a host named in a heartbeat is presumed alive; a speaker repeats the name several times
+/// a second.
 const NAMED_VALIDITY: Duration = Duration::from_secs(3);
-/// A host that did not answer is asked once more when it has been named again so much later.
+/// A host that did not answer gets another chance when it is named again this long after it was
+/// first asked.
 const RETRY_UNANSWERED: Duration = Duration::from_secs(5);
-/// Silence after which an address is forgotten.
+/// Silence after which a host is forgotten.
 const RETENTION: Duration = Duration::from_mins(1);
-/// What a speaker told of targets that only other data centres use is believed for so long; it tells
-/// of each several times in that time.
+/// How long a reported load at a target that only other data centres use is valid. A speaker
+/// repeats each several times in this time.
 const FAR_LOAD_VALIDITY: Duration = Duration::from_millis(2500);
-/// What a host told of limits counts for so long before its last word; it tells of some in turn.
+/// How long a reported number of permit requests is valid before the host's latest heartbeat;
+/// heartbeats report targets in rotation.
 const WANTED_VALIDITY: Duration = Duration::from_millis(2500);
-/// What a silent host had counted still counts for so long.
+/// How long a silent host's counts are still included.
 const COUNTS_VALIDITY: Duration = Duration::from_secs(10);
 
-/// The order in which hosts speak, read the store and give orders: the ablest first, by address
-/// among equals, since speaking for a data centre takes several times what a host needs besides.
+/// The order in which hosts act as speakers, read the store and issue orders: by CPU share, largest
+/// first, then by address. Large hosts come first because speaking for a data centre takes several
+/// times the CPU that a host needs otherwise.
 pub(super) type Rank = (Reverse<u16>, SocketAddr);
 
-/// The rank of a host.
+/// Rank of a host.
 pub(super) fn rank(capacity: u16, addr: SocketAddr) -> Rank {
     (Reverse(capacity), addr)
 }
@@ -41,21 +44,21 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) addr: SocketAddr,
-    /// From the settings; never forgotten.
+    /// Whether it is from the settings; such a host is never forgotten.
     pub(super) seed: bool,
-    /// Known once it was heard, or named.
+    /// Data centre, once the host was heard or named.
     pub(super) centre: Option<CentreHash>,
     pub(super) capacity: u16,
     pub(super) last_heard: Option<Instant>,
     pub(super) last_sent: Option<Instant>,
-    /// Since when it has been asked without being heard.
+    /// Since when it has been asked without an answer.
     unanswered_since: Option<Instant>,
-    /// When it was last named, or first learned of.
+    /// When it was last named, or else first learned of.
     last_known: Instant,
     last_named: Option<Instant>,
     pub(super) life: u64,
     pub(super) sequence: u64,
-    /// Its clock in its last heartbeat.
+    /// Send time in its last heartbeat, on its clock.
     pub(super) sender_clock: u64,
     pub(super) leaving: bool,
     pub(super) reading: bool,
@@ -65,10 +68,11 @@
     pub(super) list: ListVersion,
     pub(super) scope: Scope,
     pub(super) loads: Vec<TargetLoad>,
-    /// What it told of targets that only other data centres use, and when.
+    /// Loads it reported at targets that only other data centres use, with the times of the
+    /// reports.
     far_loads: HashMap<TargetHash, (TargetLoad, Instant)>,
     pub(super) counts: Vec<ServiceCounts>,
-    /// What was asked of it for limited targets, and when it told that.
+    /// Permit requests that it reported for limited targets, with the times of the reports.
     wanted: HashMap<TargetHash, (u16, Instant)>,
 }
 
@@ -107,47 +111,48 @@
         Peer { seed: true, ..Peer::unknown(addr, now) }
     }
 
-    /// Takes a heartbeat that is news.
-    pub(super) fn update(&mut self, beat: Heartbeat, now: Instant) {
-        self.centre = Some(beat.centre);
-        self.capacity = beat.capacity;
+    /// Applies a heartbeat that is newer than the last.
+    pub(super) fn update(&mut self, heartbeat: Heartbeat, now: Instant) {
+        self.centre = Some(heartbeat.centre);
+        self.capacity = heartbeat.capacity;
         self.last_heard = Some(now);
         self.unanswered_since = None;
-        self.life = beat.life;
-        self.sequence = beat.sequence;
-        self.sender_clock = beat.sent;
-        self.leaving = beat.leaving;
-        self.reading = beat.reading;
-        self.speaks = beat.speaks;
-        self.asks = beat.asks;
-        self.config = beat.config;
-        self.list = beat.list;
-        self.scope = beat.scope;
-        self.loads = beat.loads;
+        self.life = heartbeat.life;
+        self.sequence = heartbeat.sequence;
+        self.sender_clock = heartbeat.sent;
+        self.leaving = heartbeat.leaving;
+        self.reading = heartbeat.reading;
+        self.speaks = heartbeat.speaks;
+        self.asks = heartbeat.asks;
+        self.config = heartbeat.config;
+        self.list = heartbeat.list;
+        self.scope = heartbeat.scope;
+        self.loads = heartbeat.loads;
         self.far_loads.retain(|_, (_, at)| now.saturating_duration_since(*at) < FAR_LOAD_VALIDITY);
-        self.far_loads.extend(beat.far.into_iter().map(|note| (note.target, (note, now))));
-        self.counts = beat.counts;
-        self.update_wanted(&beat.limits, now);
+        self.far_loads
+            .extend(heartbeat.far.into_iter().map(|report| (report.target, (report, now))));
+        self.counts = heartbeat.counts;
+        self.update_wanted(&heartbeat.limits, now);
     }
 
     fn update_wanted(&mut self, limits: &[LimitReport], now: Instant) {
         self.wanted.retain(|_, (_, at)| now.saturating_duration_since(*at) < WANTED_VALIDITY);
-        let asked = limits.iter().filter(|note| note.wanted > 0);
-        self.wanted.extend(asked.map(|note| (note.target, (note.wanted, now))));
+        let asked = limits.iter().filter(|report| report.wanted > 0);
+        self.wanted.extend(asked.map(|report| (report.target, (report.wanted, now))));
     }
 
-    /// What was asked of it for a limited target, by its last word.
+    /// Permit requests for a target, as the host last reported.
     pub(super) fn wanted(&self, target: TargetHash) -> u16 {
         self.wanted.get(&target).map_or(0, |(wanted, _)| *wanted)
     }
 
-    /// What it told of targets that only other data centres use.
+    /// Loads it reported at targets that only other data centres use.
     pub(super) fn far_loads(&self) -> impl Iterator<Item = &TargetLoad> {
-        let used = |note: &&TargetLoad| self.loads.iter().all(|l| l.target != note.target);
-        self.far_loads.values().map(|(note, _)| note).filter(used)
+        let used = |report: &&TargetLoad| self.loads.iter().all(|l| l.target != report.target);
+        self.far_loads.values().map(|(report, _)| report).filter(used)
     }
 
-    /// Another host hears it.
+    /// Records that another host's heartbeat names this one.
     pub(super) fn note_named(&mut self, named: &KnownHost, now: Instant) {
         if self.last_heard.is_none() {
             self.centre = Some(named.centre);
@@ -160,14 +165,14 @@
             self.unanswered_since = None;
         }
         if !self.alive(true, now) {
-            // Hosts that leave are not named.
+            // Leaving hosts are not named.
             self.leaving = false;
         }
         self.last_named = Some(now);
         self.last_known = now;
     }
 
-    /// Notes a heartbeat to it.
+    /// Records a heartbeat sent to it.
     pub(super) fn record_sent(&mut self, asks: bool, now: Instant) {
         self.last_sent = Some(now);
         if asks {
@@ -175,13 +180,13 @@
         }
     }
 
-    /// Whether it was heard of late; `near` for a host of the own data centre.
+    /// Whether it was heard recently; `near` for a host of the own data centre.
     pub(super) fn alive(&self, near: bool, now: Instant) -> bool {
         self.silent_for(if near { SILENCE_LIMIT } else { FAR_SILENCE_LIMIT }, now) == Some(false)
     }
 
-    /// Whether it may be taken to live: it was heard, or another host hears it and it has not failed
-    /// to answer.
+    /// Whether it is alive, or presumed so because another host hears it and it has not left a
+    /// question unanswered.
     pub(super) fn presumed_alive(&self, near: bool, now: Instant) -> bool {
         let recent = |at: Option<Instant>, most| {
             at.is_some_and(|at| now.saturating_duration_since(at) < most)
@@ -191,13 +196,13 @@
         self.alive(near, now) || (recent(self.last_named, NAMED_VALIDITY) && answers)
     }
 
-    /// Whether nothing was heard or said of it for so long that it is forgotten.
+    /// Whether it has been silent and unnamed for so long that it can be forgotten.
     pub(super) fn is_expired(&self, now: Instant) -> bool {
         let last = self.last_heard.max(Some(self.last_known)).unwrap_or(self.last_known);
         !self.seed && now.saturating_duration_since(last) >= RETENTION
     }
 
-    /// Whether what it counted still counts.
+    /// Whether its counts are still to be included.
     pub(super) fn counts_valid(&self, now: Instant) -> bool {
         self.silent_for(COUNTS_VALIDITY, now) == Some(false)
     }
@@ -206,7 +211,7 @@
         self.last_heard.map(|heard| now.saturating_duration_since(heard) >= most)
     }
 
-    /// Its place in the order of hosts.
+    /// Its position in the order of hosts.
     pub(super) fn rank(&self) -> Rank {
         rank(self.capacity, self.addr)
     }
--- a/crates/roseshore_core/src/gateway/peers/ranking.rs
+++ b/crates/roseshore_core/src/gateway/peers/ranking.rs
@@ -1,7 +1,8 @@
-//! The order of hosts: who speaks, who reads the store, who gives orders.
+//! The order of hosts, which determines the speakers, the readers of the store and the issuer of
+//! orders.
 //!
-//! Nobody is elected. Each host works its place out from the hosts that it hears or that others name,
-//! so two may take the same place for a while, or none.
+//! There is no election. Each host computes its rank from the hosts that it hears or that others
+//! name, so for a while two hosts may hold the same role, or none does.
 
 use super::message::{CentreHash, KnownHost, TargetHash};
 use super::peer::{Peer, Rank, rank};
@@ -11,7 +12,7 @@
 use std::net::SocketAddr;
 
 impl Peers {
-    /// Hosts that are heard, by data centre and rank.
+    /// Hosts that are heard and not leaving, by data centre and rank.
     pub(super) fn ranked(&self, now: Instant) -> BTreeMap<CentreHash, Vec<KnownHost>> {
         let mut ranked: BTreeMap<CentreHash, Vec<KnownHost>> = BTreeMap::new();
         for peer in self.all.values() {
@@ -28,8 +29,8 @@
         ranked
     }
 
-    /// The hosts of the own data centre that may be taken to live and stay, by rank, this one
-    /// included.
+    /// Ranks of the hosts of the own data centre that are presumed alive and not leaving, including
+    /// this one, in order.
     pub(super) fn ranked_near(&self, now: Instant) -> Vec<Rank> {
         let near = self.all.values().filter(|p| self.is_near(p));
         let stays = near.filter(|p| !p.leaving && p.presumed_alive(true, now));
@@ -45,30 +46,31 @@
         rank(self.capacity, self.addr)
     }
 
-    /// Whether this host spoke for its data centre when it last told others.
+    /// Whether this host was a speaker at its last round of heartbeats.
     pub fn speaking(&self) -> bool {
         self.speaking
     }
 
-    /// Whether this host speaks for its data centre.
+    /// Whether this host is a speaker for its data centre now.
     pub fn speaks(&self, now: Instant) -> bool {
         let ranks = self.ranked_near(now);
         ranks.iter().take(relation::speakers(ranks.len())).any(|rank| *rank == self.rank())
     }
 
-    /// Hosts of the own data centre that live, this one left out.
+    /// Number of live hosts in the own data centre, without this one.
     pub fn near_alive(&self, now: Instant) -> usize {
         let near = |p: &&Peer| self.is_near(p) && p.alive(true, now);
         self.all.values().filter(near).count()
     }
 
-    /// This host's place among those of its data centre that live and stay; 0 is the first.
+    /// This host's rank among those of its data centre that are presumed alive and not leaving; 0
+    /// is the first.
     pub fn rank_in_centre(&self, now: Instant) -> usize {
         self.ranked_before(now, |p| p.config > 0)
     }
 
-    /// The host of the own data centre that issues permits: the first one that lives and stays. None while it
-    /// is only named, not heard.
+    /// Address of the host that issues permits in the own data centre: the first that is alive and
+    /// not leaving. `None` while the first host is only named by others, not heard.
     pub fn issuer(&self, now: Instant) -> Option<SocketAddr> {
         if self.rank_in_centre(now) == 0 {
             return Some(self.addr);
@@ -78,8 +80,8 @@
         stays.min_by_key(|p| p.rank()).map(|p| p.addr)
     }
 
-    /// The part of the hosts of the own data centre that are heard, of those that live or may: who is only cut
-    /// off may issue permits, too.
+    /// Fraction of the known hosts of the own data centre that are heard. A host that is not heard
+    /// may only be cut off, and issue permits as well.
     pub fn heard_share(&self, now: Instant) -> f64 {
         let stays =
             self.all.values().filter(|p| self.is_near(p) && p.last_heard.is_some() && !p.leaving);
@@ -91,8 +93,8 @@
         alive / known
     }
 
-    /// What each other data centre has been asked for a limited target: the most that one of its hosts told. A
-    /// silent one's last word counts while it is known.
+    /// Permit requests for a limited target in each other data centre: the highest number that one
+    /// of its hosts reported. The last report of a silent host counts while the host is known.
     pub fn remote_demand(&self, target: TargetHash) -> Vec<u16> {
         let mut wanted: BTreeMap<CentreHash, u16> = BTreeMap::new();
         for peer in self.all.values().filter(|p| p.last_heard.is_some() && self.is_far(p)) {
@@ -102,8 +104,8 @@
         wanted.into_values().collect()
     }
 
-    /// Hosts of the own data centre that come before this one. Of those that are only named nothing
-    /// else is known, so they count.
+    /// Number of hosts of the own data centre that rank before this one and satisfy `counts`. Hosts
+    /// that are only named always count, since nothing else is known of them.
     fn ranked_before(&self, now: Instant, counts: impl Fn(&Peer) -> bool) -> usize {
         let own = self.rank();
         let before = self.all.values().filter(|p| {
@@ -113,9 +115,9 @@
         before.count()
     }
 
-    /// This host's place in the order in which hosts read the store: one of the whole system reads,
-    /// and when it is silent the next one of each data centre does. Hosts that the store does not
-    /// answer come last.
+    /// This host's rank among the readers of the store: a single host reads for the whole system,
+    /// and when it is silent the next one of each data centre takes over. Hosts that the store does
+    /// not answer rank last.
     pub fn read_rank(&self, now: Instant) -> usize {
         let own = (!self.reading, self.rank());
         let before = |p: &Peer, near: bool| {
@@ -129,7 +131,7 @@
         near.filter(|p| before(p, true)).count() + far.min(1)
     }
 
-    /// This host's place in that order when nobody has read anything yet.
+    /// This host's rank among the readers while no host has read anything yet.
     pub fn startup_read_rank(&self, now: Instant) -> usize {
         let own = self.rank();
         let first = |p: &&Peer| self.is_far(p) && p.rank() < own;
@@ -137,12 +139,12 @@
         self.ranked_before(now, |_| true) + usize::from(far)
     }
 
-    /// Whether there is no other host to hear of.
+    /// Whether no other host is known.
     pub fn no_peers(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The newest version of the configuration that any living host has.
+    /// Newest configuration version of any live host; 0 for none.
     pub fn newest_config(&self, now: Instant) -> u64 {
         let alive = self.all.values().filter(|p| p.alive(self.is_near(p), now));
         alive.map(|p| p.config).max().unwrap_or(0)
--- a/crates/roseshore_core/src/gateway/peers/relation.rs
+++ b/crates/roseshore_core/src/gateway/peers/relation.rs
@@ -1,66 +1,69 @@
-//! To whom a host sends heartbeats, how often, and what about.
+//! Decides which hosts get heartbeats, how often, and in which role.
 //!
-//! In a small data centre every host tells every other. In a larger one the first few by rank speak
-//! for all: the others tell these, and hear from them what all have. Speakers of different data
-//! centres tell each other the sums of theirs. So what a host sends and hears does not grow with the
-//! number of hosts, but for the speakers', which grows with their own data centre.
+//! In a small data centre every host sends heartbeats to every other. In a larger one the first few
+//! by rank are speakers for the data centre: the other hosts exchange heartbeats only with these,
+//! and receive the combined state of all hosts from them. Speakers of different data centres
+//! exchange the sums of their own. So the traffic of a host does not grow with the number of hosts,
+//! except for speakers, whose traffic grows with their own data centre.
 //!
-//! Nobody elects the speakers: each host works them out from whom it hears, and a host that finds
-//! itself among them speaks. Two sets of speakers for a while, or none, cost some freshness.
+//! Speakers are not elected: each host derives them from the hosts that it hears, and a host that
+//! finds itself among them acts as one. If for a while there are two sets of speakers, or none,
+//! state is less fresh.
 
 use crate::prelude::*;
 
-/// Hosts of a data centre up to which each tells every other.
+/// Largest data centre, in hosts, in which every host sends heartbeats to every other.
 const MESH_MAX_HOSTS: usize = 10;
-/// Hosts that speak for a larger data centre. With three, the loss of any two leaves one that is
-/// heard without a pause.
+/// Number of speakers in a larger data centre. With three, the loss of any two leaves one that is
+/// heard without interruption.
 const SPEAKERS: usize = 3;
-/// Hosts that are asked while no speaker is heard.
+/// Number of hosts to ask while none is heard.
 const ASKED_WHEN_ISOLATED: usize = 8;
-/// Between heartbeats to a host of the own data centre, at least.
+/// Shortest period of heartbeats within a data centre.
 const NEAR_MIN_PERIOD: Duration = Duration::from_millis(100);
-/// Added for each of them, so that a speaker of up to a hundred hosts sends them 250 heartbeats
-/// a second: with those that it hears, 0.012 of a core more than a host that does not speak.
+/// Period per receiver, so that a speaker of up to a hundred hosts sends 250 heartbeats a second.
+/// With those that it receives, this takes 0.012 of a core more than a host that is no speaker.
 const NEAR_PERIOD_PER_HOST: Duration = Duration::from_millis(4);
-/// Added for each of them where each tells every other.
+/// Period per receiver where every host sends to every other.
 const MESH_PERIOD_PER_HOST: Duration = Duration::from_millis(10);
-/// The same in a data centre that has speakers: its other hosts know only some of each other, and
-/// would take it for small.
+/// Shortest period in a data centre with speakers. Its other hosts know only some of each other,
+/// and would take the data centre for a small one.
 const LARGE_CENTRE_MIN_PERIOD: Duration = Duration::from_millis(200);
-/// Between heartbeats to a host of the own data centre, at most: a third of the silence after which
-/// a host is given up.
+/// Longest period of heartbeats within a data centre: a third of the silence after which a host is
+/// taken to be down.
 const NEAR_MAX_PERIOD: Duration = Duration::from_millis(400);
-/// Between heartbeats to speakers of other data centres: bytes between data centres are dear.
+/// Period of heartbeats to speakers of other data centres; traffic between data centres is
+/// expensive.
 const FAR_PERIOD: Duration = Duration::from_millis(400);
-/// Between heartbeats to hosts that are not heard, or have only asked who is there.
+/// Period of heartbeats to hosts that are not heard, or have only asked for known hosts.
 const CONTACT_PERIOD: Duration = Duration::from_secs(1);
-/// The same for a host that has just begun.
+/// Period of heartbeats to a seed while this host starts.
 const STARTUP_SEED_PERIOD: Duration = Duration::from_millis(250);
-/// Between heartbeats to a seed that is not needed: two halves of a system that know nothing of
-/// each other meet there.
+/// Period of heartbeats to a seed that is not needed: two parts of a system that do not know each
+/// other can meet there.
 const SEED_PERIOD: Duration = Duration::from_secs(5);
 
-/// What another host is to this one.
+/// Role of another host towards this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
-    /// One that speaks for the own data centre.
+    /// A speaker of the own data centre.
     Speaker,
-    /// One of the own data centre that this host speaks to.
+    /// A host of the own data centre for which this host is a speaker.
     Listener,
-    /// One that speaks for another data centre, as this one does for its own.
+    /// A speaker of another data centre, while this host is one of its own.
     FarSpeaker,
-    /// One that asked who is there.
+    /// A host that asked for known hosts.
     Requester,
-    /// A seed, to a host that has just begun.
+    /// A seed, while this host starts.
     StartupSeed,
-    /// One that may know others, and is needed since too few are heard.
+    /// A host that may know others, contacted because too few are heard.
     Contact,
     /// A seed that is not needed now.
     Seed,
 }
 
 impl Relation {
-    /// The time between heartbeats, among so many other hosts in the own data centre.
+    /// Period of heartbeats to the host, given the number of other hosts in the own data centre.
     pub fn period(self, near: usize) -> Duration {
         let hosts = u32::try_from(near).unwrap_or(u32::MAX);
         match self {
@@ -79,18 +82,18 @@
         }
     }
 
-    /// Whether an answer is wanted.
+    /// Whether the heartbeat asks for an answer.
     pub fn asks(self) -> bool {
         !matches!(self, Relation::Listener | Relation::Requester)
     }
 }
 
-/// How many of so many hosts of a data centre speak.
+/// Number of speakers in a data centre with this many hosts.
 pub fn speakers(hosts: usize) -> usize {
     if hosts <= MESH_MAX_HOSTS { hosts } else { SPEAKERS }
 }
 
-/// How many of so many hosts of a data centre a host asks; more while it hears none.
+/// Number of hosts that a host asks in a data centre with this many; more while it hears none.
 pub fn asked(hosts: usize, heard: bool) -> usize {
     let usual = speakers(hosts);
     if heard { usual } else { usual.max(ASKED_WHEN_ISOLATED) }
--- a/crates/roseshore_core/src/gateway/peers/sending.rs
+++ b/crates/roseshore_core/src/gateway/peers/sending.rs
@@ -1,8 +1,8 @@
-//! Makes the heartbeats that are due.
+//! Builds the heartbeats that are due.
 //!
-//! What a heartbeat tells depends on its hearer: a host that hears all others gets the sender's own
-//! loads, one that hears only speakers the sums of all hosts but itself, and a speaker of another data
-//! centre the sums of this one.
+//! The content depends on the receiver: a host that hears all others gets the sender's own loads, a
+//! host that hears only speakers gets the sums over all hosts but itself, and a speaker of another
+//! data centre gets the sums over this one.
 
 use super::message::{CentreHash, Echo, Heartbeat, KnownHost, Scope};
 use super::peer::{Peer, Rank};
@@ -13,34 +13,34 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Hosts of the hearer's data centre that a heartbeat names, by rank: when the speakers are lost
-/// together, the next ones are known. More than three speakers and three to follow them, so that
-/// the loss of a third of the hosts leaves some with near certainty.
+/// Number of hosts of the receiver's data centre, by rank, that heartbeats make known, so that the
+/// next ones are known if the speakers are lost together. It exceeds three speakers and three to
+/// follow them, so that the loss of a third of the hosts almost certainly leaves some.
 const NAMED_AT_CONTACT: usize = 12;
-/// Of these, and of hosts of other data centres, those that one heartbeat names.
+/// How many of these, and of hosts of other data centres, one heartbeat names.
 const NAMED_PER_HEARTBEAT: usize = 4;
-/// Hosts of each other data centre worth naming: its speakers.
+/// Number of hosts of each other data centre to name: its speakers.
 const NAMED_PER_FAR_CENTRE: usize = 3;
-/// A host that has begun tries its seeds often for so long: they may begin a little later.
+/// How long a host that starts contacts its seeds more often; they may start a little later.
 const SEED_SEARCH: Duration = Duration::from_secs(3);
 
-/// Whose next heartbeats do not wait for their time.
+/// Which heartbeats are sent at once, regardless of their period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Urgency {
-    No,
+    Normal,
     Near,
     All,
 }
 
-/// Who there is when it is decided whom to tell.
+/// Known hosts at the time when receivers are chosen.
 struct Membership {
     /// Hosts of the own data centre to ask, by rank.
     asked: Vec<Rank>,
-    /// Other hosts of the own data centre that are known to live.
+    /// Number of other hosts of the own data centre that are presumed alive.
     near: usize,
     /// Whether any of them is heard.
     heard: bool,
-    /// Speakers that are heard, by data centre.
+    /// Number of speakers that are heard, by data centre.
     far: BTreeMap<CentreHash, usize>,
 }
 
@@ -50,46 +50,46 @@
     }
 }
 
-/// What one round of heartbeats is made from.
+/// State from which one round of heartbeats is built.
 struct Round<'a> {
     own: &'a LocalState,
-    /// Other hosts of the own data centre.
+    /// Sums over the other hosts of the own data centre.
     near: Sums,
-    /// All other hosts.
+    /// Sums over all other hosts.
     others: Sums,
     /// Hosts that are heard, by data centre and rank.
     ranked: BTreeMap<CentreHash, Vec<KnownHost>>,
 }
 
 impl Peers {
-    /// Makes the next heartbeats due at once: to the own data centre, or to all.
+    /// Makes the next heartbeats due at once: those to the own data centre, or `all`.
     pub fn make_due(&mut self, all: bool) {
         self.urgency = self.urgency.max(if all { Urgency::All } else { Urgency::Near });
     }
 
-    /// The heartbeats that are due, with their hearers.
+    /// The heartbeats that are due, with their receivers.
     pub fn due(&mut self, own: &LocalState, now: Instant) -> Vec<(SocketAddr, Heartbeat)> {
         self.leaving = own.leaving;
         self.reading = own.reading;
         self.speaking = self.speaks(now);
         self.all.retain(|_, peer| !peer.is_expired(now));
-        let due = self.due_hearers(now);
-        self.urgency = Urgency::No;
+        let due = self.due_receivers(now);
+        self.urgency = Urgency::Normal;
         if due.is_empty() {
             return Vec::new();
         }
         let round = self.round(own, now);
-        due.into_iter().map(|(addr, to)| (addr, self.beat(addr, to, &round, now))).collect()
+        due.into_iter().map(|(addr, to)| (addr, self.heartbeat(addr, to, &round, now))).collect()
     }
 
-    fn due_hearers(&self, now: Instant) -> Vec<(SocketAddr, Relation)> {
-        let around = self.membership(now);
+    fn due_receivers(&self, now: Instant) -> Vec<(SocketAddr, Relation)> {
+        let members = self.membership(now);
         let due = |peer: &&Peer, to: Relation| {
-            let period = to.period(around.near);
-            let over = |told| now.saturating_duration_since(told) >= period;
+            let period = to.period(members.near);
+            let over = |last_sent| now.saturating_duration_since(last_sent) >= period;
             peer.last_sent.is_none_or(over) || self.is_urgent(to)
         };
-        let relation = |peer: &Peer| self.relation(peer, &around, now);
+        let relation = |peer: &Peer| self.relation(peer, &members, now);
         let related = self.all.values().filter_map(|peer| Some((peer, relation(peer)?)));
         related.filter(|(peer, to)| due(peer, *to)).map(|(peer, to)| (peer.addr, to)).collect()
     }
@@ -116,12 +116,12 @@
         }
     }
 
-    /// What a host is to this one; `None` when there is nothing to tell it.
-    fn relation(&self, peer: &Peer, around: &Membership, now: Instant) -> Option<Relation> {
+    /// Role of a host towards this one; `None` if it gets no heartbeats.
+    fn relation(&self, peer: &Peer, members: &Membership, now: Instant) -> Option<Relation> {
         let near = self.is_near(peer);
         let speaks = self.speaking;
         let alive = peer.alive(near, now);
-        if near && around.asked.contains(&peer.rank()) {
+        if near && members.asked.contains(&peer.rank()) {
             return Some(Relation::Speaker);
         }
         if near && speaks && alive {
@@ -134,15 +134,18 @@
         if alive && peer.asks {
             return Some(Relation::Requester);
         }
-        // Who speaks keeps trying those who spoke, or may, until enough of their data centre are
-        // heard.
-        let spoke = peer.last_heard.is_some() && peer.speaks;
-        let said = peer.last_heard.is_none() && peer.presumed_alive(near, now);
-        let speakers = peer.centre.map_or(0, |centre| around.speakers(centre));
-        if far && ((spoke && speakers == 0) || (said && speakers < NAMED_PER_FAR_CENTRE)) {
+        // A speaker keeps contacting former or possible speakers of another data centre until it
+        // hears enough of them.
+        let was_speaker = peer.last_heard.is_some() && peer.speaks;
+        let may_be_speaker = peer.last_heard.is_none() && peer.presumed_alive(near, now);
+        let speakers = peer.centre.map_or(0, |centre| members.speakers(centre));
+        if far
+            && ((was_speaker && speakers == 0)
+                || (may_be_speaker && speakers < NAMED_PER_FAR_CENTRE))
+        {
             return Some(Relation::Contact);
         }
-        match (peer.seed, around.heard) {
+        match (peer.seed, members.heard) {
             (true, false) if now < self.started + SEED_SEARCH => Some(Relation::StartupSeed),
             (true, false) => Some(Relation::Contact),
             (true, true) if speaks => Some(Relation::Seed),
@@ -157,7 +160,7 @@
         Round { own, near, others, ranked: self.ranked(now) }
     }
 
-    fn beat(
+    fn heartbeat(
         &mut self,
         to: SocketAddr,
         relation: Relation,
@@ -169,7 +172,7 @@
         let sent = now.saturating_duration_since(self.started).as_millis() as u64;
         let centre = self.all.get(&to).and_then(|peer| peer.centre);
         let named = self.hosts_to_name(to, centre, relation, round);
-        let mut beat = Heartbeat {
+        let mut heartbeat = Heartbeat {
             centre: self.centre,
             capacity: self.capacity,
             life: self.life,
@@ -192,36 +195,36 @@
             limits: own.limits.clone(),
             named,
         };
-        let told = sums::load_capacity(&beat.fatal, beat.limits.len());
-        let Some(peer) = self.all.get_mut(&to) else { return beat };
+        let max_loads = sums::load_capacity(&heartbeat.fatal, heartbeat.limits.len());
+        let Some(peer) = self.all.get_mut(&to) else { return heartbeat };
         peer.record_sent(relation.asks(), now);
-        beat.echo = peer.last_heard.map(|heard| own.echo(peer.sender_clock, heard));
+        heartbeat.echo = peer.last_heard.map(|heard| own.echo(peer.sender_clock, heard));
         let mut sums = match relation {
             Relation::Listener if peer.scope == Scope::Own => round.others.without(peer),
             Relation::Listener => round.others.clone(),
             Relation::FarSpeaker => round.near.clone(),
             _ => {
-                beat.loads = most_relevant(own.loads.clone(), told);
-                beat.counts.clone_from(&own.counts);
-                return beat;
+                heartbeat.loads = most_relevant(own.loads.clone(), max_loads);
+                heartbeat.counts.clone_from(&own.counts);
+                return heartbeat;
             }
         };
         sums.add_loads(&own.loads, true);
         sums.add_counts(&own.counts);
         let hosts = u16::try_from(sums.hosts + 1).unwrap_or(u16::MAX);
-        beat.scope = match relation {
+        heartbeat.scope = match relation {
             Relation::FarSpeaker => Scope::Centre(hosts),
             _ => Scope::Others(hosts),
         };
-        beat.loads = sums.near_loads(told);
-        beat.far = sums.far_loads(told - beat.loads.len(), self.sequence as usize);
-        beat.counts = sums.service_counts();
-        beat
+        heartbeat.loads = sums.near_loads(max_loads);
+        heartbeat.far = sums.far_loads(max_loads - heartbeat.loads.len(), self.sequence as usize);
+        heartbeat.counts = sums.service_counts();
+        heartbeat
     }
 
-    /// Hosts that a heartbeat names: the first of the hearer's data centre, and speakers of others;
-    /// some of them in turn to those who hear more soon. Only those that are heard here, or
-    /// a dead one would be named for ever.
+    /// Hosts that a heartbeat names: the first of the receiver's data centre, and speakers of
+    /// others, in rotation for receivers that get further heartbeats soon. Only hosts that are
+    /// heard here are named, otherwise a dead one would be named for ever.
     fn hosts_to_name(
         &mut self,
         to: SocketAddr,
@@ -229,14 +232,14 @@
         relation: Relation,
         round: &Round<'_>,
     ) -> Vec<KnownHost> {
-        let first = |mark: &CentreHash, most: usize| {
-            let all = round.ranked.get(mark).into_iter().flatten();
+        let first = |hash: &CentreHash, most: usize| {
+            let all = round.ranked.get(hash).into_iter().flatten();
             all.filter(|n| n.addr != to).take(most).copied().collect::<Vec<_>>()
         };
-        let own = centre.map(|mark| first(&mark, NAMED_AT_CONTACT)).unwrap_or_default();
-        let others = round.ranked.keys().filter(|mark| centre != Some(**mark));
+        let own = centre.map(|hash| first(&hash, NAMED_AT_CONTACT)).unwrap_or_default();
+        let others = round.ranked.keys().filter(|hash| centre != Some(**hash));
         let far: Vec<KnownHost> =
-            others.flat_map(|mark| first(mark, NAMED_PER_FAR_CENTRE)).collect();
+            others.flat_map(|hash| first(hash, NAMED_PER_FAR_CENTRE)).collect();
         let most = match relation {
             Relation::Requester | Relation::StartupSeed | Relation::Contact | Relation::Seed => {
                 NAMED_AT_CONTACT
@@ -250,18 +253,19 @@
     }
 }
 
-/// So many of a list, others with each turn.
+/// Up to `most` entries of a list, different ones with each turn.
 fn rotate_window(all: &[KnownHost], most: usize, turn: usize) -> Vec<KnownHost> {
     let most = most.min(all.len());
     (0..most).map(|step| all[(turn * most + step) % all.len()]).collect()
 }
 
 impl LocalState {
-    /// The own proofs, for a hearer whose last heartbeat was sent at `sent` on its clock.
+    /// Freshness proofs for a receiver whose last heartbeat arrived at `heard` and was sent at
+    /// `sent` on its clock.
     fn echo(&self, sent: u64, heard: Instant) -> Echo {
         let since = |proven: Instant| {
             let after = proven.saturating_duration_since(heard).as_millis() as i64;
-            // An older proof is rounded up to the older side.
+            // Rounded up, so that the proof is not taken for newer than it is.
             let before = heard.saturating_duration_since(proven).as_millis() as i64;
             if proven >= heard { after } else { -(before + 1) }
         };
--- a/crates/roseshore_core/src/gateway/peers/view.rs
+++ b/crates/roseshore_core/src/gateway/peers/view.rs
@@ -1,4 +1,4 @@
-//! What the other hosts have in flight and have counted, as far as this one hears.
+//! Combined load and counts of the other hosts, as far as this host hears of them.
 
 use super::Peers;
 use super::message::{CentreHash, Scope, TargetHash, TargetLoad};
@@ -8,27 +8,27 @@
 use crate::prelude::*;
 use std::collections::{BTreeMap, HashMap};
 
-/// What all other hosts have told.
+/// Combined state of all other hosts.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// What they have in flight at each target, and whether it failed one of them.
+    /// Load by target, and whether the target fails a host's liveness checks.
     pub loads: HashMap<TargetHash, TargetLoad>,
-    /// Hosts whose word that is, the viewing one included.
+    /// Number of hosts included in the sums, with this one.
     pub reporting: usize,
-    /// Hosts that live or lived of late, the viewing one included.
+    /// Number of hosts that are alive or were recently, with this one.
     pub hosts: usize,
     sums: Sums,
 }
 
 impl View {
-    /// What they have counted for a service.
+    /// Requests and retries counted for a service.
     pub fn counted(&self, service: TargetHash) -> RetryCounts {
         self.sums.counted(service)
     }
 }
 
 impl Peers {
-    /// Other hosts of the own data centre, as they told of themselves.
+    /// Sums over the other hosts of the own data centre, as reported by each.
     pub(super) fn near_sums(&self, now: Instant) -> Sums {
         let mut sums = Sums::default();
         let near = |p: &&Peer| self.is_near(p) && p.scope == Scope::Own;
@@ -44,7 +44,8 @@
         sums
     }
 
-    /// Adds other data centres: of each, the word of the speaker that hears most of it.
+    /// Adds the sums over other data centres, each as reported by the speaker that hears most of
+    /// it.
     pub(super) fn add_far(&self, sums: &mut Sums, now: Instant) {
         let mut best: BTreeMap<CentreHash, (u16, &Peer)> = BTreeMap::new();
         for peer in self.all.values().filter(|p| p.counts_valid(now)) {
@@ -53,9 +54,9 @@
                 Scope::Centre(hosts) => hosts,
                 Scope::Own | Scope::Others(_) => 0,
             };
-            let word = (peer.alive(false, now), hosts);
+            let coverage = (peer.alive(false, now), hosts);
             let known = best.get(&centre).map(|(hosts, p)| (p.alive(false, now), *hosts));
-            if known < Some(word) {
+            if known < Some(coverage) {
                 best.insert(centre, (hosts, peer));
             }
         }
@@ -68,19 +69,20 @@
         }
     }
 
-    /// All other hosts, as heard from them or from the speaker that hears most.
+    /// Sums over all other hosts: the reports received directly, or those of the speaker that
+    /// includes more hosts.
     fn others(&self, now: Instant) -> Sums {
         let mut heard = self.near_sums(now);
         self.add_far(&mut heard, now);
-        let told = |peer: &Peer| match peer.scope {
+        let included = |peer: &Peer| match peer.scope {
             Scope::Others(hosts) if peer.alive(true, now) => {
                 Some((usize::from(hosts), peer.rank()))
             }
             _ => None,
         };
         let near = self.all.values().filter(|p| self.is_near(p));
-        let words = near.filter_map(|p| Some((told(p)?, p)));
-        let most = words.max_by(|(a, _), (b, _)| (a.0, b.1).cmp(&(b.0, a.1)));
+        let reports = near.filter_map(|p| Some((included(p)?, p)));
+        let most = reports.max_by(|(a, _), (b, _)| (a.0, b.1).cmp(&(b.0, a.1)));
         let Some(((hosts, _), peer)) = most.filter(|((hosts, _), _)| *hosts > heard.hosts) else {
             return heard;
         };
@@ -92,19 +94,19 @@
         sums
     }
 
-    /// What the other hosts have in flight and have counted.
+    /// Combined state of the other hosts.
     pub fn view(&self, now: Instant) -> View {
         let sums = self.others(now);
         let hosts = self.hosts().max(1 + sums.hosts);
         View { loads: sums.by_target(), reporting: 1 + sums.hosts, sums, hosts }
     }
 
-    /// What the other hosts have in flight at each target, and whether it failed one of them.
+    /// Load of the other hosts by target, and whether the target fails a host's liveness checks.
     pub fn loads(&self, now: Instant) -> HashMap<TargetHash, TargetLoad> {
         self.view(now).loads
     }
 
-    /// Hosts that were heard, and live or lived of late, this one included.
+    /// Number of hosts that were heard and are not forgotten, with this one.
     pub fn hosts(&self) -> usize {
         1 + self.all.values().filter(|p| p.last_heard.is_some()).count()
     }
--- a/crates/roseshore_core/tests/gateway/peers.rs
+++ b/crates/roseshore_core/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other.
+//! Heartbeats among hosts.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::Fingerprint;
@@ -28,13 +28,13 @@
     LocalState { config: 1, ..LocalState::default() }
 }
 
-/// The heartbeat that one of them sends to an address, if one is due.
+/// The heartbeat that a host sends to an address, if one is due.
 fn sent(from: &mut Peers, to: u8, own: &LocalState, now: Instant) -> Option<Heartbeat> {
-    from.due(own, now).into_iter().find(|(hearer, _)| *hearer == addr(to)).map(|(_, beat)| beat)
+    from.due(own, now).into_iter().find(|(receiver, _)| *receiver == addr(to)).map(|(_, beat)| beat)
 }
 
 #[test]
-fn hosts_find_each_other_over_seeds() {
+fn hosts_discover_each_other_through_seeds() {
     let now = Instant::now();
     let mut hosts: Vec<Peers> = (1..=4).map(|n| peers(n, "north", &[addr(1)], now)).collect();
     for round in 0..40 {
@@ -42,14 +42,14 @@
         for from in 0..4_u8 {
             let due = hosts[usize::from(from)].due(&own(), at);
             for (to, beat) in due {
-                let hearer = (1..=4).find(|n| addr(*n) == to).expect("a known address");
-                hosts[usize::from(hearer) - 1].receive(addr(from + 1), beat, at);
+                let receiver = (1..=4).find(|n| addr(*n) == to).expect("a known address");
+                hosts[usize::from(receiver) - 1].receive(addr(from + 1), beat, at);
             }
         }
     }
     let end = now + ms(50 * 40);
-    let places: Vec<usize> = hosts.iter().map(|h| h.rank_in_centre(end)).collect();
-    assert_eq!(places, [0, 1, 2, 3]);
+    let ranks: Vec<usize> = hosts.iter().map(|h| h.rank_in_centre(end)).collect();
+    assert_eq!(ranks, [0, 1, 2, 3]);
     assert!(hosts.iter().all(|h| h.hosts() == 4 && h.near_alive(end) == 3));
 }
 
@@ -59,18 +59,18 @@
     let (mut a, mut b) = (peers(1, "north", &[], now), peers(2, "north", &[addr(1)], now));
     let loads = vec![TargetLoad { target: name_hash("t"), own: 3, held: 7, down: true }];
     let beat = sent(&mut b, 1, &LocalState { loads, ..own() }, now).expect("a first contact");
-    assert!(a.receive(addr(2), beat.clone(), now).expect("news").joined);
-    let note = a.loads(now)[&name_hash("t")];
-    assert_eq!((note.own, note.held, note.down), (3, 7, true));
-    assert_eq!(a.receive(addr(2), beat, now), None, "a repeat is no news");
+    assert!(a.receive(addr(2), beat.clone(), now).expect("a new heartbeat").joined);
+    let load = a.loads(now)[&name_hash("t")];
+    assert_eq!((load.own, load.held, load.down), (3, 7, true));
+    assert_eq!(a.receive(addr(2), beat, now), None, "a duplicate is ignored");
     let later = now + ms(5000);
     assert!(a.loads(later).is_empty());
     assert_eq!(a.near_alive(later), 0);
-    assert_eq!(a.hosts(), 2, "what it may still repeat counts on");
+    assert_eq!(a.hosts(), 2, "its counts may still matter");
 }
 
 #[test]
-fn the_first_host_that_stays_comes_first() {
+fn a_leaving_host_loses_its_rank() {
     let now = Instant::now();
     let mut b = peers(2, "north", &[addr(1)], now);
     let mut a = peers(1, "north", &[addr(2)], now);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn one_host_of_the_system_reads_and_the_first_of_each_data_centre_comes_next() {
+fn one_host_reads_and_the_first_of_each_data_centre_ranks_next() {
     let now = Instant::now();
     let seeds: Vec<SocketAddr> = (1..=4).map(addr).collect();
     let centres = ["north", "north", "south", "south"];
@@ -92,48 +92,50 @@
     let mut hosts: Vec<Peers> = numbered.map(|(n, dc)| peers(n, dc, &seeds, now)).collect();
     for from in 0..4_u8 {
         for (to, beat) in hosts[usize::from(from)].due(&own(), now) {
-            let hearer = (0..4).find(|n| addr(n + 1) == to).expect("a known address");
-            hosts[usize::from(hearer)].receive(addr(from + 1), beat, now);
+            let receiver = (0..4).find(|n| addr(n + 1) == to).expect("a known address");
+            hosts[usize::from(receiver)].receive(addr(from + 1), beat, now);
         }
     }
-    let places: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
-    assert_eq!(places, [0, 1, 1, 2]);
+    let ranks: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
+    assert_eq!(ranks, [0, 1, 1, 2]);
     let later = now + ms(5000);
-    assert!(hosts.iter().all(|h| h.read_rank(later) == 0), "alone, each reads");
+    assert!(hosts.iter().all(|h| h.read_rank(later) == 0), "an isolated host reads itself");
 }
 
 #[test]
-fn a_proof_is_placed_on_the_hearer_s_clock() {
+fn a_proof_is_converted_to_the_receivers_clock() {
     let now = Instant::now();
     let (mut a, mut b) = (peers(1, "north", &[addr(2)], now), peers(2, "north", &[addr(1)], now));
     let beat = sent(&mut a, 2, &own(), now).expect("a first contact");
     b.receive(addr(1), beat, now + ms(3));
-    // Proofs of 40 ms before and 20 ms after the heartbeat was heard; telling takes a second.
-    let told = LocalState {
+    // Proofs 40 ms before and 20 ms after the heartbeat was received; their delivery takes a
+    // second.
+    let reported = LocalState {
         config_proven: Some(now + ms(23)),
         list_proven: now.checked_sub(ms(37)),
         ..own()
     };
-    let beat = sent(&mut b, 1, &told, now + ms(60)).expect("a first contact");
-    let heard = a.receive(addr(2), beat, now + ms(1060)).expect("news");
-    let (config, list) = (heard.config_proven.expect("told"), heard.list_proven.expect("told"));
+    let beat = sent(&mut b, 1, &reported, now + ms(60)).expect("a first contact");
+    let heard = a.receive(addr(2), beat, now + ms(1060)).expect("a new heartbeat");
+    let (config, list) =
+        (heard.config_proven.expect("a proof"), heard.list_proven.expect("a proof"));
     assert!(config <= now + ms(23) && config >= now + ms(19), "no later than it was made");
     assert!(list < now && list + ms(45) >= now, "no later than it was made");
     assert!(heard.near);
 }
 
 #[test]
-fn a_far_host_s_word_that_a_target_is_down_does_not_count() {
+fn a_failed_check_in_another_data_centre_does_not_count() {
     let now = Instant::now();
     let (mut a, mut b) = (peers(1, "north", &[], now), peers(2, "south", &[addr(1)], now));
     let loads = vec![TargetLoad { target: name_hash("t"), own: 1, held: 0, down: true }];
     let beat = sent(&mut b, 1, &LocalState { loads, ..own() }, now).expect("a first contact");
-    assert!(!a.receive(addr(2), beat, now).expect("news").near);
-    assert!(!a.loads(now)[&name_hash("t")].down, "it may only be cut off from the target");
+    assert!(!a.receive(addr(2), beat, now).expect("a new heartbeat").near);
+    assert!(!a.loads(now)[&name_hash("t")].down, "the host may only be cut off from the target");
 }
 
-/// The longest word on a request that ends targets.
-fn worst(digest: u64, ends: usize) -> FatalReport {
+/// The longest report of a request under which targets crash.
+fn largest_report(digest: u64, ends: usize) -> FatalReport {
     let fingerprint = Fingerprint { organisation: u32::MAX, digest };
     let end = |n| CrashReport { target: u32::MAX - n, early: true, age: 600_000 };
     FatalReport { fingerprint, ends: (0..ends as u32).map(end).collect(), well: Some(600_000) }
@@ -148,15 +150,15 @@
         let beat = sent(&mut other, 1, &own(), now).expect("a first contact");
         a.receive(addr(n), beat, now);
     }
-    let note = |n: u32| TargetLoad {
+    let load = |n: u32| TargetLoad {
         target: u32::MAX - n,
         own: 200,
         held: 50_000,
         down: n.is_multiple_of(2),
     };
-    let loads = (0..500).map(note).collect();
+    let loads = (0..500).map(load).collect();
     let list = ListVersion { next: Position { era: u64::MAX, next: u64::MAX }, digest: u64::MAX };
-    // As many as the placing part tells of.
+    // As many as the placement code reports.
     let holdings = (0..16)
         .map(|n| HoldingReport {
             target: n,
@@ -166,8 +168,8 @@
         .collect();
     let paces =
         (0..12).map(|n| PaceReport { target: u32::MAX - n, pace: 6400, age: 2999 }).collect();
-    let most = REPORT_BYTES / worst(0, 1).max_bytes();
-    let fatal = (0..most).map(|n| worst(u64::MAX - n as u64, 1)).collect();
+    let most = REPORT_BYTES / largest_report(0, 1).max_bytes();
+    let fatal = (0..most).map(|n| largest_report(u64::MAX - n as u64, 1)).collect();
     let limit = |n| LimitReport {
         target: u32::MAX - n,
         limit: 1e5,
@@ -199,7 +201,7 @@
 }
 
 proptest! {
-    /// However late heartbeats come, a proof is never taken for newer than it was.
+    /// However late heartbeats arrive, a proof is never taken for newer than it is.
     #[test]
     fn a_proof_is_never_younger_than_it_was(
         steps in proptest::collection::vec((1_u64..400, 0_u64..6000, any::<bool>()), 1..40),
@@ -209,46 +211,46 @@
         let mut b = peers(2, "north", &[addr(1)], start + ms(37));
         let mut now = start + ms(40);
         let mut config_proven = None;
-        let mut flying: Vec<(Instant, bool, Heartbeat, Option<Instant>)> = Vec::new();
+        let mut in_transit: Vec<(Instant, bool, Heartbeat, Option<Instant>)> = Vec::new();
         for (pause, delay, proves) in steps {
             now += ms(pause);
             if proves {
                 config_proven = Some(now);
             }
-            let told = LocalState { config_proven, ..own() };
-            if let Some(beat) = sent(&mut b, 1, &told, now) {
-                flying.push((now + ms(delay), true, beat, config_proven));
+            let reported = LocalState { config_proven, ..own() };
+            if let Some(beat) = sent(&mut b, 1, &reported, now) {
+                in_transit.push((now + ms(delay), true, beat, config_proven));
             }
             if let Some(beat) = sent(&mut a, 2, &own(), now) {
-                flying.push((now + ms(delay / 3), false, beat, None));
+                in_transit.push((now + ms(delay / 3), false, beat, None));
             }
-            let (here, still): (Vec<_>, Vec<_>) = flying.into_iter().partition(|f| f.0 <= now);
-            flying = still;
-            for (_, to_a, beat, truth) in here {
+            let (here, still): (Vec<_>, Vec<_>) = in_transit.into_iter().partition(|f| f.0 <= now);
+            in_transit = still;
+            for (_, to_a, beat, proven) in here {
                 let heard = if to_a { a.receive(addr(2), beat, now) } else { b.receive(addr(1), beat, now) };
                 if let (true, Some(claimed)) = (to_a, heard.and_then(|h| h.config_proven)) {
-                    let truth = truth.expect("a claim has a proof behind it");
-                    prop_assert!(claimed <= truth, "claimed {:?} after the proof", claimed - truth);
+                    let proven = proven.expect("a claimed time implies a proof");
+                    prop_assert!(claimed <= proven, "claimed {:?} after the proof", claimed - proven);
                 }
             }
         }
     }
 }
 
-/// Which of three hosts of a data centre the store does not answer, and their places.
-struct Away {
+/// Which of three hosts of a data centre the store does not answer, and their read ranks.
+struct ReaderCase {
     name: &'static str,
     reading: [bool; 3],
-    places: [usize; 3],
+    ranks: [usize; 3],
 }
 
 #[test]
-fn hosts_that_the_store_does_not_answer_read_last() {
+fn hosts_that_the_store_does_not_answer_rank_last_as_readers() {
     let cases = [
-        Away { name: "none", reading: [true, true, true], places: [0, 1, 2] },
-        Away { name: "the first", reading: [false, true, true], places: [2, 0, 1] },
-        Away { name: "two", reading: [false, false, true], places: [1, 2, 0] },
-        Away { name: "all", reading: [false, false, false], places: [0, 1, 2] },
+        ReaderCase { name: "none", reading: [true, true, true], ranks: [0, 1, 2] },
+        ReaderCase { name: "the first", reading: [false, true, true], ranks: [2, 0, 1] },
+        ReaderCase { name: "two", reading: [false, false, true], ranks: [1, 2, 0] },
+        ReaderCase { name: "all", reading: [false, false, false], ranks: [0, 1, 2] },
     ];
     for case in cases {
         let now = Instant::now();
@@ -257,17 +259,17 @@
         for from in 0..3_u8 {
             let own = LocalState { reading: case.reading[usize::from(from)], ..own() };
             for (to, beat) in hosts[usize::from(from)].due(&own, now) {
-                let hearer = (0..3).find(|n| addr(n + 1) == to).expect("a known address");
-                hosts[usize::from(hearer)].receive(addr(from + 1), beat, now);
+                let receiver = (0..3).find(|n| addr(n + 1) == to).expect("a known address");
+                hosts[usize::from(receiver)].receive(addr(from + 1), beat, now);
             }
         }
-        let places: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
-        assert_eq!(places, case.places, "{}", case.name);
+        let ranks: Vec<usize> = hosts.iter().map(|h| h.read_rank(now)).collect();
+        assert_eq!(ranks, case.ranks, "{}", case.name);
     }
 }
 
 #[test]
-fn the_ablest_hosts_come_first() {
+fn hosts_with_the_largest_cpu_share_rank_first() {
     let now = Instant::now();
     let mut small = peers(1, "north", &[addr(2)], now).with_capacity(120);
     let mut large = peers(2, "north", &[addr(1)], now).with_capacity(500);
