--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -1,4 +1,4 @@
-//! An entry host's process: its state, its loop and its timers.
+//! The process of an entry host: state, event loop and timers.
 
 mod blocked_requests;
 mod callers;
@@ -24,18 +24,18 @@
 use crate::log_writer::LogWriter;
 use crate::net::{Ended, Endpoint, Net, SocketChange};
 use crate::slab::{Key, Slab};
-use blocked_requests::Blocked;
+use blocked_requests::BlockedRecords;
 use callers::Caller;
 use calls::Call;
 use exchange::Exchange;
-use fatal::Broken;
+use fatal::BrokenSend;
 use liveness::Liveness;
 use metrics_exporter_prometheus::PrometheusHandle;
-use pace_polling::Pacing;
-use placement::Placing;
+use pace_polling::PacePolling;
+use placement::PlacementState;
 use rand::RngExt;
 use rand::rngs::SmallRng;
-use rate_limits::Limiting;
+use rate_limits::RateLimits;
 use roseshore_core::gateway::copies::COPY_TIMEOUT;
 use roseshore_core::gateway::leaving::TokenPace;
 use roseshore_core::gateway::poll_timing::PollTiming;
@@ -53,32 +53,32 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
-use store_sync::Following;
+use store_sync::StoreSync;
 
-/// How often duties without a timer of their own are looked after.
-const TICK: Duration = Duration::from_millis(100);
-/// Descriptors kept free for files and the process itself, as the platform asks.
-const SPARE_DESCRIPTORS: usize = 220;
-/// Descriptors when the settings do not say.
-const USUAL_DESCRIPTORS: usize = 1024;
+/// Interval of periodic work that has no timer of its own.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Descriptors reserved for files and the runtime, as the platform requires.
+const RESERVED_DESCRIPTORS: usize = 220;
+/// Descriptor limit if the settings give none.
+const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// What the process is started with.
+/// What an [`EntryHost`] is created from.
 pub struct EntryOptions {
-    /// The settings.
+    /// The settings at start.
     pub settings: EntrySettings,
-    /// Reads the settings again.
+    /// Reads the settings again, on the reload signal and periodically.
     pub read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
-    /// How the platform spells.
+    /// Wire formats of the platform.
     pub platform: Box<dyn EntryPlatform>,
-    /// The time; it counts what the machine was suspended for.
+    /// The clock; time for which the machine was suspended counts.
     pub clock: Box<dyn Clock>,
-    /// Where metrics are served, and what renders them.
+    /// Address at which metrics are served, and their recorder; `None` to serve none.
     pub metrics: Option<(SocketAddr, PrometheusHandle)>,
     /// Set by the stop signal.
     pub stop: Arc<AtomicBool>,
     /// Set by the reload signal.
     pub reload: Arc<AtomicBool>,
-    /// Whether no log lines are written; for tests that run many hosts in one process.
+    /// Whether to write no log lines, for tests that run many hosts in one process.
     pub quiet: bool,
 }
 
@@ -91,13 +91,13 @@
     Call(Key),
     Liveness(TargetId),
     Idle(SocketAddr),
-    /// A host that asks for a copy.
-    CopyAsker,
-    /// A host that was asked for a copy, and the bytes that had come when that was last looked at.
+    /// Another host that requests a copy of the store data.
+    CopyRequester,
+    /// Another host that was asked for a copy, and the bytes received by the last time-out check.
     CopySource(SocketAddr, usize),
 }
 
-/// What a timer is for.
+/// What to check when a timer fires. The key is that of an exchange, a call or a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Exchange(Key),
@@ -107,62 +107,67 @@
     Copy(Key),
 }
 
-/// An entry host.
+/// An entry host: accepts requests of callers and proxies them to targets.
 pub struct EntryHost {
     settings: EntrySettings,
     read_settings: Box<dyn Fn() -> Result<EntrySettings, WireError>>,
     platform: Box<dyn EntryPlatform>,
     clock: Box<dyn Clock>,
-    rendered: Option<PrometheusHandle>,
+    metrics_handle: Option<PrometheusHandle>,
     stop: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
     net: Net,
     log: LogWriter,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     roles: HashMap<Key, Role>,
+    /// Idle connections to targets and the store, with the time since when they are idle.
     idle: HashMap<SocketAddr, Vec<(Key, Instant)>>,
     exchanges: Slab<Exchange>,
     calls: Slab<Call>,
     snapshot: Option<Arc<Snapshot>>,
-    currency: ConfigLease,
+    config_lease: ConfigLease,
     targets: Targets,
     peers: Peers,
-    /// Whether there is news that does not wait, and when such news was last told.
-    urgent: bool,
-    told_urgent: Option<Instant>,
-    /// When what the others told was last added up.
-    viewed: Option<Instant>,
-    /// Whether this host was last seen to speak for its data centre.
-    speaking: bool,
+    /// Whether an urgent heartbeat is pending.
+    urgent_pending: bool,
+    /// When the last urgent heartbeat was sent.
+    urgent_sent: Option<Instant>,
+    /// When the heartbeats of other hosts were last aggregated.
+    peers_viewed: Option<Instant>,
+    /// Whether this host was a speaker of its data centre at the last check, for the log.
+    was_speaking: bool,
     liveness: Liveness,
-    limiting: Limiting,
-    allowances: HashMap<ServiceId, RetryBudget>,
-    following: Following,
+    rate_limits: RateLimits,
+    retry_budgets: HashMap<ServiceId, RetryBudget>,
+    store_sync: StoreSync,
     copies: Copies,
-    placing: Placing,
-    pacing: Pacing,
+    placement: PlacementState,
+    pace_polling: PacePolling,
+    /// Speed of recent streams, to tell which ones end before a shutdown.
     pace: TokenPace,
     shortage: Shortage,
     fatal: FatalRequests,
-    /// Sends that broke off, until it is known whether their targets ended.
-    broken: Vec<Broken>,
-    blocked: Blocked,
-    random: SmallRng,
-    begun: Instant,
+    /// Sends that were interrupted, until it is known whether their targets ended.
+    broken_sends: Vec<BrokenSend>,
+    blocked_records: BlockedRecords,
+    rng: SmallRng,
+    started: Instant,
     now: Instant,
-    /// The earliest moment at which what is looked at in this turn may have come.
-    came: Instant,
-    ticked: Instant,
+    /// Earliest possible arrival time of the input that is processed in this iteration of the loop.
+    earliest_arrival: Instant,
+    last_tick: Instant,
     ready: bool,
-    suspended: bool,
-    /// Since when a neighbour has had a newer configuration.
-    outdated: Option<Instant>,
-    stopping: Option<Instant>,
-    reread_at: Instant,
+    /// Whether API keys are not honoured because the configuration may be old.
+    keys_suspended: bool,
+    /// Since when another host has had a newer configuration.
+    outdated_since: Option<Instant>,
+    /// When the stop signal was received.
+    stopping_since: Option<Instant>,
+    settings_read: Instant,
 }
 
-/// Logs a line of the journal.
-macro_rules! note {
+/// Logs an event and counts it in the metrics.
+macro_rules! log_event {
     ($entry:expr, $event:ident, $($text:tt)+) => {{
         let now = $entry.now;
         $entry.log.log(now, Event::$event, format_args!($($text)+));
@@ -170,13 +175,13 @@
             .increment(1);
     }};
 }
-use note;
+use log_event;
 
 impl EntryHost {
-    /// Listens and is ready to run.
+    /// Opens the listeners.
     ///
     /// # Errors
-    /// When an address cannot be had.
+    /// If an address cannot be bound.
     pub fn new(options: EntryOptions) -> io::Result<EntryHost> {
         let EntryOptions {
             mut settings,
@@ -189,11 +194,11 @@
             quiet,
         } = options;
         let now = clock.now();
-        let sockets = settings.max_descriptors.unwrap_or(USUAL_DESCRIPTORS);
-        let mut net = Net::new(sockets.saturating_sub(SPARE_DESCRIPTORS).max(64))?;
+        let sockets = settings.max_descriptors.unwrap_or(DEFAULT_DESCRIPTORS);
+        let mut net = Net::new(sockets.saturating_sub(RESERVED_DESCRIPTORS).max(64))?;
         settings.caller_addr = net.listen(Endpoint::Callers, settings.caller_addr)?;
         settings.probe_addr = net.listen(Endpoint::Probes, settings.probe_addr)?;
-        let rendered = match metrics {
+        let metrics_handle = match metrics {
             Some((addr, handle)) => {
                 net.listen(Endpoint::Metrics, addr)?;
                 Some(handle)
@@ -204,18 +209,18 @@
             settings.peer_addr = Some(net.bind_datagrams(peer)?);
             net.listen(Endpoint::Copies, peer)?;
         }
-        let mut random: SmallRng = rand::make_rng();
+        let mut rng: SmallRng = rand::make_rng();
         let own = settings.peer_addr.unwrap_or(settings.caller_addr);
-        let centre = &settings.data_centre;
-        let peers = Peers::new(own, centre, random.random(), &settings.seeds, now)
+        let data_centre = &settings.data_centre;
+        let peers = Peers::new(own, data_centre, rng.random(), &settings.seeds, now)
             .with_capacity(settings.millicores);
         let mut entry = EntryHost {
-            currency: ConfigLease::new(settings.bounds.revoke),
+            config_lease: ConfigLease::new(settings.bounds.revoke),
             settings,
             read_settings,
             platform,
             clock,
-            rendered,
+            metrics_handle,
             stop,
             reload,
             net,
@@ -228,40 +233,41 @@
             snapshot: None,
             targets: Targets::default(),
             peers,
-            urgent: false,
-            told_urgent: None,
-            viewed: None,
-            speaking: false,
+            urgent_pending: false,
+            urgent_sent: None,
+            peers_viewed: None,
+            was_speaking: false,
             liveness: Liveness::default(),
-            limiting: Limiting::new(random.random()),
-            allowances: HashMap::new(),
-            following: Following::default(),
+            rate_limits: RateLimits::new(rng.random()),
+            retry_budgets: HashMap::new(),
+            store_sync: StoreSync::default(),
             copies: Copies::default(),
-            placing: Placing::default(),
-            pacing: Pacing::default(),
+            placement: PlacementState::default(),
+            pace_polling: PacePolling::default(),
             pace: TokenPace::default(),
             shortage: Shortage::default(),
             fatal: FatalRequests::new(now),
-            broken: Vec::new(),
-            blocked: Blocked::default(),
-            random,
-            begun: now,
+            broken_sends: Vec::new(),
+            blocked_records: BlockedRecords::default(),
+            rng,
+            started: now,
             now,
-            came: now,
-            // The first turn of the loop is a tick: nothing serves before the store was read.
-            ticked: now.checked_sub(TICK).unwrap_or(now),
+            earliest_arrival: now,
+            // Makes the first iteration of the loop a tick, which starts to read the store: nothing is
+            // served before that.
+            last_tick: now.checked_sub(TICK_INTERVAL).unwrap_or(now),
             ready: false,
-            suspended: true,
-            outdated: None,
-            stopping: None,
-            reread_at: now,
+            keys_suspended: true,
+            outdated_since: None,
+            stopping_since: None,
+            settings_read: now,
         };
         let wall = wall::millis(entry.clock.wall());
-        let (host, centre) = (entry.settings.host.clone(), entry.settings.data_centre.clone());
-        note!(
+        let (host, data_centre) = (entry.settings.host.clone(), entry.settings.data_centre.clone());
+        log_event!(
             entry,
             Started,
-            "host={host} data_centre={centre} callers={} store={} wall_ms={}",
+            "host={host} data_centre={data_centre} callers={} store={} wall_ms={}",
             entry.settings.caller_addr,
             entry.settings.store_addr,
             wall
@@ -269,42 +275,43 @@
         Ok(entry)
     }
 
-    /// Where callers come in, and where probes do.
+    /// The addresses that accept callers and health probes.
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
         (self.settings.caller_addr, self.settings.probe_addr)
     }
 
-    /// Runs until the stop signal has been obeyed; returns how many requests were cut off.
+    /// Runs until shutdown after the stop signal is complete; returns the number of requests that were
+    /// cut off.
     ///
     /// # Errors
-    /// When the readiness queue fails.
+    /// If the readiness queue fails.
     pub fn run(&mut self) -> io::Result<usize> {
-        let mut notices = Vec::new();
+        let mut changes = Vec::new();
         loop {
             let began = self.clock.now();
             let timeout = self.next_timer().saturating_duration_since(began);
-            self.net.poll(timeout, &mut notices)?;
-            let look =
+            self.net.poll(timeout, &mut changes)?;
+            let timing =
                 PollTiming { previous_end: self.now, began, timeout, ended: self.clock.now() };
-            (self.now, self.came) = (look.ended, look.earliest_arrival());
-            for notice in notices.drain(..) {
-                match notice {
-                    SocketChange::Endpoint(Endpoint::Peers) => self.hear(),
-                    SocketChange::Endpoint(door) => self.accept(door),
-                    SocketChange::Socket(key) => self.socket_changed(key),
+            (self.now, self.earliest_arrival) = (timing.ended, timing.earliest_arrival());
+            for change in changes.drain(..) {
+                match change {
+                    SocketChange::Endpoint(Endpoint::Peers) => self.receive_datagrams(),
+                    SocketChange::Endpoint(endpoint) => self.accept_connections(endpoint),
+                    SocketChange::Socket(key) => self.handle_socket(key),
                 }
             }
             self.fire_timers();
-            self.leave_fallen();
-            self.judge_broken();
-            self.tell_urgent();
-            if self.now.saturating_duration_since(self.ticked) >= TICK {
-                self.ticked = self.now;
+            self.reroute_from_dead();
+            self.resolve_broken_sends();
+            self.send_urgent();
+            if self.now.saturating_duration_since(self.last_tick) >= TICK_INTERVAL {
+                self.last_tick = self.now;
                 self.tick();
             }
             self.log.flush();
-            if let Some(cut) = self.ended() {
-                note!(self, Stopped, "cut={cut}");
+            if let Some(cut) = self.shutdown_complete() {
+                log_event!(self, Stopped, "cut={cut}");
                 self.log.close(Duration::from_millis(100));
                 return Ok(cut);
             }
@@ -312,11 +319,11 @@
     }
 
     fn next_timer(&self) -> Instant {
-        let tick = self.ticked + TICK;
+        let tick = self.last_tick + TICK_INTERVAL;
         self.timers.peek().map_or(tick, |Reverse((at, _))| tick.min(*at))
     }
 
-    fn arm(&mut self, at: Instant, timer: Timer) {
+    fn set_timer(&mut self, at: Instant, timer: Timer) {
         self.timers.push(Reverse((at, timer)));
     }
 
@@ -328,48 +335,48 @@
             self.timers.pop();
             match timer {
                 Timer::Exchange(key) => self.check_exchange(key),
-                Timer::Call(key) => self.check_call(key),
+                Timer::Call(key) => self.call_timed_out(key),
                 Timer::Caller(key) => self.check_caller(key),
-                Timer::Liveness(key) => self.check_timed_out(key),
+                Timer::Liveness(key) => self.liveness_timed_out(key),
                 Timer::Copy(key) => self.copy_timed_out(key),
             }
         }
     }
 
     fn tick(&mut self) {
-        self.obey_signals();
+        self.handle_signals();
         for id in self.targets.tick(self.now) {
-            note!(self, TargetLeft, "target={id} state=missing");
+            log_event!(self, TargetLeft, "target={id} state=missing");
         }
-        self.follow();
-        self.follow_blocked();
-        self.place();
-        self.ask_paces();
+        self.sync_store();
+        self.sync_blocked();
+        self.update_placement();
+        self.poll_paces();
         self.recheck_dead();
         self.recheck_broken();
         self.fatal.expire(self.now);
-        self.forget_limits();
-        self.drop_idle();
-        self.judge_age();
-        self.judge_ready();
-        self.beat();
+        self.expire_limits();
+        self.close_idle();
+        self.update_outdated();
+        self.update_readiness();
+        self.send_heartbeats();
     }
 
-    fn socket_changed(&mut self, key: Key) {
+    fn handle_socket(&mut self, key: Key) {
         match self.roles.get(&key) {
-            Some(Role::Caller(_)) => self.pump_caller(key),
-            Some(Role::Probe | Role::Metrics) => self.pump_probe(key),
+            Some(Role::Caller(_)) => self.handle_caller(key),
+            Some(Role::Probe | Role::Metrics) => self.handle_probe(key),
             Some(Role::Target(exchange)) => {
                 let exchange = *exchange;
-                self.pump_target(exchange);
+                self.handle_target(exchange);
             }
             Some(Role::Call(call)) => {
                 let call = *call;
-                self.pump_call(call);
+                self.handle_call(call);
             }
-            Some(Role::Liveness(_)) => self.check_changed(key),
-            Some(Role::CopyAsker) => self.pump_asker(key),
-            Some(Role::CopySource(..)) => self.pump_source(key),
+            Some(Role::Liveness(_)) => self.handle_liveness(key),
+            Some(Role::CopyRequester) => self.handle_copy_request(key),
+            Some(Role::CopySource(..)) => self.handle_copy_reply(key),
             Some(Role::Idle(addr)) => {
                 let addr = *addr;
                 self.check_idle(key, addr);
@@ -378,40 +385,41 @@
         }
     }
 
-    fn accept(&mut self, door: Endpoint) {
-        while let Some(key) = self.net.accept(door) {
-            let role = match door {
+    fn accept_connections(&mut self, endpoint: Endpoint) {
+        while let Some(key) = self.net.accept(endpoint) {
+            let role = match endpoint {
                 Endpoint::Callers => Role::Caller(Caller::new(self.now)),
                 Endpoint::Probes => Role::Probe,
                 Endpoint::Metrics | Endpoint::Peers => Role::Metrics,
-                Endpoint::Copies => Role::CopyAsker,
+                Endpoint::Copies => Role::CopyRequester,
             };
             let caller = matches!(role, Role::Caller(_));
             self.roles.insert(key, role);
             if caller {
                 self.watch_caller(key);
-            } else if door == Endpoint::Copies {
-                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
+            } else if endpoint == Endpoint::Copies {
+                self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
         }
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection now.
     fn close(&mut self, key: Key) {
         self.roles.remove(&key);
         self.net.close(key);
     }
 
-    /// Closes a connection when all that was to be sent has left.
-    fn finish_socket(&mut self, key: Key) {
+    /// Closes a connection once all its output has been written.
+    fn close_flushed(&mut self, key: Key) {
         self.net.close_flushed(key);
         if self.net.get(key).is_none() {
             self.roles.remove(&key);
         }
     }
 
-    /// A kept connection to an address, or a new one; says whether it was kept.
-    fn connection(&mut self, addr: SocketAddr, fresh: bool) -> io::Result<(Key, bool)> {
+    /// An idle connection to an address or, if there is none or `fresh` is set, a new one. The flag tells
+    /// whether it is reused.
+    fn acquire_connection(&mut self, addr: SocketAddr, fresh: bool) -> io::Result<(Key, bool)> {
         while let Some((key, _)) = self.idle.get_mut(&addr).filter(|_| !fresh).and_then(Vec::pop) {
             if self.net.get(key).is_some_and(|s| s.reusable()) {
                 return Ok((key, true));
@@ -422,40 +430,43 @@
         Ok((self.net.connect(addr)?, false))
     }
 
-    /// Keeps a connection for later.
-    fn keep(&mut self, key: Key, addr: SocketAddr) {
+    /// Keeps a connection for reuse.
+    fn keep_idle(&mut self, key: Key, addr: SocketAddr) {
         self.roles.insert(key, Role::Idle(addr));
         self.idle.entry(addr).or_default().push((key, self.now));
     }
 
-    /// A kept connection that says something, or ends, is of no more use.
+    /// Closes an idle connection that ended or received unexpected input.
     fn check_idle(&mut self, key: Key, addr: SocketAddr) {
         if !self.net.get(key).is_some_and(|s| s.reusable()) {
-            if let Some(kept) = self.idle.get_mut(&addr) {
-                kept.retain(|(k, _)| *k != key);
+            if let Some(connections) = self.idle.get_mut(&addr) {
+                connections.retain(|(k, _)| *k != key);
             }
             self.close(key);
         }
     }
 
-    fn drop_idle(&mut self) {
-        /// Targets close connections that rest for some seconds; this is sooner than any seen.
-        const REST: Duration = Duration::from_millis(2500);
+    fn close_idle(&mut self) {
+        /// Targets close connections that are idle for some seconds; this is shorter than the time of
+        /// any known target, so that a request is not sent on a connection that is being closed.
+        const MAX_IDLE: Duration = Duration::from_millis(2500);
         let now = self.now;
-        let mut old = Vec::new();
-        for kept in self.idle.values_mut() {
-            let rested = |at: &Instant| now.saturating_duration_since(*at) >= REST;
-            old.extend(kept.iter().filter(|(_, at)| rested(at)).map(|(key, _)| *key));
-            kept.retain(|(_, at)| !rested(at));
+        let mut expired = Vec::new();
+        for connections in self.idle.values_mut() {
+            let idle_too_long = |at: &Instant| now.saturating_duration_since(*at) >= MAX_IDLE;
+            expired.extend(
+                connections.iter().filter(|(_, at)| idle_too_long(at)).map(|(key, _)| *key),
+            );
+            connections.retain(|(_, at)| !idle_too_long(at));
         }
-        self.idle.retain(|_, kept| !kept.is_empty());
-        for key in old {
+        self.idle.retain(|_, connections| !connections.is_empty());
+        for key in expired {
             self.close(key);
         }
     }
 }
 
-/// Whether a connection ended in order, for answers that end with it.
-fn orderly(ended: Option<Ended>) -> bool {
+/// Whether a connection was closed in order, which completes a response without a length.
+fn ended_orderly(ended: Option<Ended>) -> bool {
     ended == Some(Ended::Orderly)
 }
--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -1,9 +1,9 @@
-//! Keeps the store's records of blocked requests.
+//! Synchronizes the blocked requests with their records in the store.
 //!
-//! The host that reads the store for the others reads these, too, and writes what they lack.
+//! The host that reads the store on behalf of the others also reads these records, and writes those that are missing.
 
-use super::calls::{CallFault, Purpose, STORE_TIME};
-use super::{EntryHost, note};
+use super::calls::{CallFault, Purpose, STORE_TIMEOUT};
+use super::{EntryHost, log_event};
 use roseshore_core::gateway::Fingerprint;
 use roseshore_core::gateway::fatal::{FatalRecord, RecordDiff};
 use roseshore_core::prelude::*;
@@ -11,86 +11,93 @@
 use roseshore_ports::entry::{CallReply, Entry as Record, StoreFault};
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 
-/// Between reads. Two of three seconds in which all hosts have to know of a blocked request; half a
-/// call a second stands beside two for the other streams, by the times between their reads.
-const EVERY: Duration = Duration::from_secs(2);
+/// Interval between reads. All hosts have to know of a blocked request within three seconds, so one read and a
+/// second for the rest fit. This adds half a call per second to the two per second for the other streams.
+const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The records as far as they were read in this round.
+/// Progress of reading the records, which come in pages.
 #[derive(Debug, Default)]
-pub(super) struct Blocked {
+pub(super) struct BlockedRecords {
     due: Option<Instant>,
     busy: bool,
-    /// The last key of the page before.
+    /// The last key of the previous page.
     since: Option<String>,
     recorded: Vec<Fingerprint>,
 }
 
 impl EntryHost {
-    /// Reads the records when that is due, if this host reads for the others.
-    pub(super) fn follow_blocked(&mut self) {
+    /// Starts to read the records when that is due, if this host reads the store for the others.
+    pub(super) fn sync_blocked(&mut self) {
         let now = self.now;
-        let early = self.blocked.due.is_some_and(|due| now < due);
-        if self.blocked.busy || early || self.stopping.is_some() || self.following.outage.is_down()
+        let early = self.blocked_records.due.is_some_and(|due| now < due);
+        if self.blocked_records.busy
+            || early
+            || self.stopping_since.is_some()
+            || self.store_sync.outage.is_down()
         {
             return;
         }
         if self.snapshot.is_none() || self.peers.read_rank(now) > 0 {
             return;
         }
-        self.blocked.due = Some(now + EVERY);
-        self.blocked.recorded.clear();
-        self.blocked.since = None;
-        self.ask_blocked();
+        self.blocked_records.due = Some(now + READ_INTERVAL);
+        self.blocked_records.recorded.clear();
+        self.blocked_records.since = None;
+        self.read_blocked();
     }
 
-    /// What is blocked has changed: the records are looked at soon.
+    /// Makes a read due, as the set of blocked requests has changed.
     pub(super) fn blocked_changed(&mut self) {
-        self.blocked.due = None;
+        self.blocked_records.due = None;
     }
 
-    fn ask_blocked(&mut self) {
-        self.blocked.busy = true;
-        let request = self.platform.blocked(self.blocked.since.as_deref());
-        self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIME);
+    fn read_blocked(&mut self) {
+        self.blocked_records.busy = true;
+        let request = self.platform.blocked(self.blocked_records.since.as_deref());
+        self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
-    /// A page of the records came, or did not.
-    pub(super) fn blocked_came(&mut self, reply: Result<CallReply, CallFault>) {
+    /// Handles the reply to a read of a page of records.
+    pub(super) fn blocked_page_received(&mut self, reply: Result<CallReply, CallFault>) {
         let Some(reply) = self.blocked_reply(reply) else { return };
         let page = match self.platform.newest_reply(&reply) {
             Ok(page) => page,
             Err(fault) => return self.blocked_refused(&fault),
         };
         for Record { key, value } in page.entries {
-            self.take_blocked(&key, &value.unwrap_or_default());
+            self.apply_blocked_record(&key, &value.unwrap_or_default());
         }
-        self.blocked.since = page.more;
-        if self.blocked.since.is_some() {
-            return self.ask_blocked();
+        self.blocked_records.since = page.more;
+        if self.blocked_records.since.is_some() {
+            return self.read_blocked();
         }
-        self.keep_blocked();
+        self.write_blocked();
     }
 
-    fn take_blocked(&mut self, key: &str, value: &[u8]) {
+    fn apply_blocked_record(&mut self, key: &str, value: &[u8]) {
         let Ok(fingerprint) = key.parse::<Fingerprint>() else {
-            return note!(self, BlockedFailed, "key={key:?} why=\"no fingerprint\"");
+            return log_event!(
+                self,
+                BlockedFailed,
+                "key={key:?} why=\"the key is not a fingerprint\""
+            );
         };
         match frame::decode::<FatalRecord>(value) {
             Ok(record) => {
-                self.blocked.recorded.push(fingerprint);
-                let word = record.aged(self.wall_ms());
-                self.hear_fatal(&word, "record");
+                self.blocked_records.recorded.push(fingerprint);
+                let report = record.aged(self.wall_ms());
+                self.apply_fatal_report(&report, "record");
             }
-            // It may be another version's, which still needs it.
-            Err(err) => note!(self, BlockedFailed, "key={key} why={:?}", err.to_string()),
+            // It may have been written by another version, which still needs it.
+            Err(err) => log_event!(self, BlockedFailed, "key={key} why={:?}", err.to_string()),
         }
     }
 
-    /// Writes records that are missing, and drops those of requests that are blocked no longer.
-    fn keep_blocked(&mut self) {
+    /// Writes missing records and deletes those of requests that are no longer blocked.
+    fn write_blocked(&mut self) {
         let wall = self.wall_ms();
         let RecordDiff { missing, outdated } =
-            self.fatal.record_diff(&self.blocked.recorded, wall, self.now);
+            self.fatal.record_diff(&self.blocked_records.recorded, wall, self.now);
         if missing.is_empty() && outdated.is_empty() {
             return;
         }
@@ -100,17 +107,17 @@
             let key = record.note.fingerprint.to_string();
             match frame::encode(record, MAX_DATAGRAM) {
                 Ok(value) => records.push(Record { key, value: Some(value) }),
-                Err(err) => note!(self, BlockedFailed, "key={key} why={:?}", err.to_string()),
+                Err(err) => log_event!(self, BlockedFailed, "key={key} why={:?}", err.to_string()),
             }
         }
-        note!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
-        self.blocked.busy = true;
+        log_event!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
+        self.blocked_records.busy = true;
         let request = self.platform.put_blocked(&records);
-        self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIME);
+        self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
-    /// Records were written, or may not have been; the next round looks again.
-    pub(super) fn blocked_written(&mut self, reply: Result<CallReply, CallFault>) {
+    /// Handles the reply to a write. If it failed, the next read finds the records missing and writes them again.
+    pub(super) fn blocked_write_done(&mut self, reply: Result<CallReply, CallFault>) {
         let Some(reply) = self.blocked_reply(reply) else { return };
         if let Err(fault) = self.platform.put_reply(&reply) {
             self.blocked_refused(&fault);
@@ -118,24 +125,24 @@
     }
 
     fn blocked_reply(&mut self, reply: Result<CallReply, CallFault>) -> Option<CallReply> {
-        self.blocked.busy = false;
+        self.blocked_records.busy = false;
         metrics::counter!("roseshore_store_calls_total").increment(1);
         match reply {
             Ok(reply) => Some(reply),
             Err(fault) => {
-                self.blocked.due = Some(self.now + EVERY);
-                note!(self, BlockedFailed, "why=\"{fault:?}\"");
+                self.blocked_records.due = Some(self.now + READ_INTERVAL);
+                log_event!(self, BlockedFailed, "why=\"{fault:?}\"");
                 None
             }
         }
     }
 
     fn blocked_refused(&mut self, fault: &StoreFault) {
-        self.blocked.due = Some(self.now + EVERY);
-        note!(self, BlockedFailed, "why={:?}", fault.to_string());
+        self.blocked_records.due = Some(self.now + READ_INTERVAL);
+        log_event!(self, BlockedFailed, "why={:?}", fault.to_string());
     }
 
-    /// The time of day, Unix milliseconds.
+    /// Wall-clock time in Unix milliseconds.
     fn wall_ms(&self) -> u64 {
         wall::millis(self.clock.wall())
     }
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -1,6 +1,6 @@
-//! Callers' connections: requests in, final answers out.
+//! Connections of callers: reads requests and sends responses.
 
-use super::{EntryHost, Role, Timer, note};
+use super::{EntryHost, Role, Timer, log_event};
 use crate::http::{self, BodyDecoder, BodyFraming, Framing, HttpError, RequestHead};
 use crate::slab::Key;
 use roseshore_core::gateway::RequestLimits;
@@ -11,24 +11,24 @@
 /// A caller's connection.
 pub(super) struct Caller {
     phase: Phase,
-    /// When the connection began to wait for a request.
-    since: Instant,
-    /// When the first byte of the request that is being read came.
-    first: Option<Instant>,
+    /// Since when the connection has waited for a request.
+    idle_since: Instant,
+    /// When the first byte of the request that is being read arrived.
+    first_byte: Option<Instant>,
 }
 
 enum Phase {
-    /// Between requests, or within a head.
+    /// Waiting for a request, or reading its head.
     Head,
-    /// Within a body.
-    Body(Box<Reading>),
-    /// A request is being worked on.
+    /// Reading the body of a request.
+    Body(Box<PartialRequest>),
+    /// A request is being processed, as the exchange with this key.
     Busy(Key),
-    /// The last answer is leaving.
+    /// The last response is being written.
     Closing,
 }
 
-struct Reading {
+struct PartialRequest {
     head: RequestHead,
     decoder: BodyDecoder,
     body: Vec<u8>,
@@ -36,7 +36,7 @@
 
 impl Caller {
     pub(super) fn new(now: Instant) -> Caller {
-        Caller { phase: Phase::Head, since: now, first: None }
+        Caller { phase: Phase::Head, idle_since: now, first_byte: None }
     }
 }
 
@@ -45,34 +45,34 @@
         self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
 
-    /// Sets the timer for a caller that is slow or rests.
+    /// Sets the timer for reading a request, or for an idle connection.
     pub(super) fn watch_caller(&mut self, key: Key) {
         let limits = self.limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
-        let at = caller
-            .first
-            .map_or(caller.since + limits.idle_timeout, |first| first + limits.receive_timeout);
-        self.arm(at, Timer::Caller(key));
+        let at = caller.first_byte.map_or(caller.idle_since + limits.idle_timeout, |first_byte| {
+            first_byte + limits.receive_timeout
+        });
+        self.set_timer(at, Timer::Caller(key));
     }
 
-    /// A caller's timer fired: too slow, too long at rest, or neither.
+    /// Refuses a request that arrives too slowly, or closes a connection that was idle for too long.
     pub(super) fn check_caller(&mut self, key: Key) {
         let limits = self.limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         if matches!(caller.phase, Phase::Busy(_) | Phase::Closing) {
             return;
         }
-        match caller.first {
-            Some(first) if self.now >= first + limits.receive_timeout => {
+        match caller.first_byte {
+            Some(first_byte) if self.now >= first_byte + limits.receive_timeout => {
                 self.refuse_connection(key, Code::SlowCaller, "the request did not come in time");
             }
-            None if self.now >= caller.since + limits.idle_timeout => self.close(key),
+            None if self.now >= caller.idle_since + limits.idle_timeout => self.close(key),
             _ => self.watch_caller(key),
         }
     }
 
-    /// Reads what a caller sent.
-    pub(super) fn pump_caller(&mut self, key: Key) {
+    /// Handles input of a caller's connection, or its end.
+    pub(super) fn handle_caller(&mut self, key: Key) {
         loop {
             let limits = self.limits();
             let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
@@ -98,27 +98,27 @@
                     return;
                 }
                 Phase::Head => {
-                    // Empty lines before a request are to be passed over.
+                    // Empty lines before a request are to be ignored (RFC 9112, section 2.2).
                     let blank = socket.input.iter().take_while(|b| b"\r\n".contains(b)).count();
                     socket.input.drain(..blank);
-                    if !socket.input.is_empty() && caller.first.is_none() {
-                        caller.first = Some(self.now);
-                        let late = self.now + limits.receive_timeout;
-                        self.timers.push(Reverse((late, Timer::Caller(key))));
+                    if !socket.input.is_empty() && caller.first_byte.is_none() {
+                        caller.first_byte = Some(self.now);
+                        let timeout = self.now + limits.receive_timeout;
+                        self.timers.push(Reverse((timeout, Timer::Caller(key))));
                     }
                     match http::parse_request(&mut socket.input, limits.head_bytes) {
-                        Ok(Some(head)) => self.begin_body(key, head, &limits),
+                        Ok(Some(head)) => self.start_body(key, head, &limits),
                         Ok(None) if ended => return self.close(key),
                         Ok(None) => return,
-                        Err(err) => return self.refuse_bytes(key, err),
+                        Err(err) => return self.refuse_malformed(key, err),
                     }
                 }
-                Phase::Body(reading) => {
-                    let Reading { decoder, body, .. } = &mut **reading;
+                Phase::Body(partial) => {
+                    let PartialRequest { decoder, body, .. } = &mut **partial;
                     let taken = decoder.decode(&mut socket.input, body);
                     let (done, large) = (decoder.done(), body.len() > limits.body_bytes);
                     if let Err(err) = taken {
-                        return self.refuse_bytes(key, err);
+                        return self.refuse_malformed(key, err);
                     }
                     if large {
                         let text = "the body is too large";
@@ -131,17 +131,17 @@
                         return;
                     }
                     if ended {
-                        // Its caller left while this host was busy: nothing is sent on for it.
-                        note!(self, CallerLeft, "request=- events=0 held_ms=0");
+                        // The caller left before this host read the request: it is not sent to a target.
+                        log_event!(self, CallerLeft, "request=- events=0 held_ms=0");
                         return self.close(key);
                     }
-                    self.whole_request(key);
+                    self.request_complete(key);
                 }
             }
         }
     }
 
-    fn begin_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
+    fn start_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
         if let Framing::Length(length) = head.framing
             && length > limits.body_bytes as u64
         {
@@ -153,17 +153,18 @@
         }
         let decoder = BodyDecoder::new(head.framing);
         if let Some(Role::Caller(caller)) = self.roles.get_mut(&key) {
-            caller.phase = Phase::Body(Box::new(Reading { head, decoder, body: Vec::new() }));
+            caller.phase =
+                Phase::Body(Box::new(PartialRequest { head, decoder, body: Vec::new() }));
         }
     }
 
-    fn whole_request(&mut self, key: Key) {
+    fn request_complete(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
-        caller.first = None;
-        caller.since = self.now;
+        caller.first_byte = None;
+        caller.idle_since = self.now;
         let phase = std::mem::replace(&mut caller.phase, Phase::Head);
-        let Phase::Body(reading) = phase else { return };
-        let Reading { head, body, .. } = *reading;
+        let Phase::Body(partial) = phase else { return };
+        let PartialRequest { head, body, .. } = *partial;
         let keep = head.keep_alive;
         match self.begin_exchange(key, head, body) {
             Ok(exchange) => {
@@ -175,20 +176,14 @@
             Err(refused) => {
                 let fields = refusal_fields(&refused.refusal, refused.attempt.as_deref());
                 let text = refused.refusal.message.clone();
-                self.answer_caller(
-                    key,
-                    refused.refusal.code.status(),
-                    &fields,
-                    text.as_bytes(),
-                    keep,
-                );
-                self.after_answer(key, keep);
+                self.respond(key, refused.refusal.code.status(), &fields, text.as_bytes(), keep);
+                self.response_sent(key, keep);
             }
         }
     }
 
-    /// Sends a whole answer of this daemon's own.
-    pub(super) fn answer_caller(
+    /// Sends a complete response that this host made itself.
+    pub(super) fn respond(
         &mut self,
         key: Key,
         status: u16,
@@ -197,28 +192,28 @@
         keep: bool,
     ) {
         let mut out = Vec::with_capacity(256 + body.len());
-        let close = !keep || self.stopping.is_some();
+        let close = !keep || self.stopping_since.is_some();
         let (reason, sent) = (http::reason(status), BodyFraming::Length(body.len()));
         http::write_response(&mut out, status, reason, fields, sent, close);
         out.extend_from_slice(body);
         self.net.send(key, &out);
     }
 
-    /// The answer to a caller's request has been sent: the next one may come.
-    pub(super) fn after_answer(&mut self, key: Key, keep: bool) {
+    /// Prepares the connection for the next request after a response, or closes it.
+    pub(super) fn response_sent(&mut self, key: Key, keep: bool) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
-        caller.since = self.now;
-        caller.first = None;
-        if keep && self.stopping.is_none() {
+        caller.idle_since = self.now;
+        caller.first_byte = None;
+        if keep && self.stopping_since.is_none() {
             caller.phase = Phase::Head;
             self.watch_caller(key);
             return;
         }
         caller.phase = Phase::Closing;
-        self.finish_socket(key);
+        self.close_flushed(key);
     }
 
-    fn refuse_bytes(&mut self, key: Key, err: HttpError) {
+    fn refuse_malformed(&mut self, key: Key, err: HttpError) {
         let code = match err {
             HttpError::HeadTooLarge => Code::HeadTooLarge,
             HttpError::Malformed | HttpError::Ambiguous => Code::BadRequest,
@@ -226,22 +221,22 @@
         self.refuse_connection(key, code, &err.to_string());
     }
 
-    /// Refuses what cannot be read as a request, and closes.
+    /// Refuses input that is not an acceptable request, and closes the connection.
     fn refuse_connection(&mut self, key: Key, code: Code, text: &str) {
-        note!(self, RequestRefused, "code={code} verdict=not_run why={text:?}");
+        log_event!(self, RequestRefused, "code={code} verdict=not_run why={text:?}");
         let fields = refusal_fields(&Refusal::not_run(code, text), None);
-        self.answer_caller(key, code.status(), &fields, text.as_bytes(), false);
-        self.after_answer(key, false);
+        self.respond(key, code.status(), &fields, text.as_bytes(), false);
+        self.response_sent(key, false);
     }
 
-    /// Whether a caller's connection waits for its next request.
-    pub(super) fn caller_rests(&self, key: Key) -> bool {
+    /// Whether a caller's connection is idle: no byte of a next request has arrived.
+    pub(super) fn caller_idle(&self, key: Key) -> bool {
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return false };
-        matches!(caller.phase, Phase::Head) && caller.first.is_none()
+        matches!(caller.phase, Phase::Head) && caller.first_byte.is_none()
     }
 }
 
-/// The fields of a refusal.
+/// Header fields of a refusal.
 pub(super) fn refusal_fields(refusal: &Refusal, attempt: Option<&str>) -> Vec<Field> {
     let mut fields: Vec<Field> = vec![
         ("Content-Type".to_owned(), b"text/plain".to_vec()),
--- a/crates/roseshore_relay/src/entry/calls.rs
+++ b/crates/roseshore_relay/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! Small calls of the daemon's own: to the store, and to targets for reports and orders.
+//! HTTP calls that this host makes itself: to the store, and to targets for reports and orders.
 
 use super::{EntryHost, Role, Timer};
 use crate::http::{self, BodyDecoder, ResponseHead};
@@ -8,40 +8,40 @@
 use roseshore_ports::entry::{CallReply, CallRequest, Report, Stream};
 use std::net::SocketAddr;
 
-/// Bytes of a reply's head.
+/// Maximum bytes of a reply's head.
 const MAX_HEAD: usize = 16 << 10;
 
-/// The longest time for a reply of the store beyond what it was asked to wait: one that is slowed eightyfold
-/// answers in a third of a second.
-pub(super) const STORE_TIME: Duration = Duration::from_millis(900);
+/// Time-out of a call to the store, beyond the time that the store was asked to wait. A store that is eighty
+/// times slower than usual replies within a third of a second.
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// What a call is for.
+/// The purpose of a call, which decides how its reply is handled.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// The newest records, page by page; those after the first page belong to this era.
+    /// Reads a page of the newest record of each key. Pages after the first belong to this era.
     Newest(Stream, Option<Era>),
-    /// The records from a position on; waits so long for one.
+    /// Reads the records from a position on; the store waits up to this long for a new one.
     Read(Stream, Position, Duration),
-    /// A target's report.
+    /// Asks a target for a report, before an order or to see whether one is done.
     Report(TargetId),
-    /// The same, only to learn how fast it runs.
+    /// Asks a target for a report to learn its pace.
     Pace(TargetId),
-    /// The records of blocked requests.
+    /// Reads a page of the records of blocked requests.
     Blocked,
-    /// Writes some of them.
+    /// Writes records of blocked requests.
     PutBlocked,
-    /// A placement order.
+    /// Orders a target to hold these layers.
     Place(TargetId, (Layer, Layer)),
 }
 
-/// Why a call brought no reply.
+/// Why a call got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallFault {
-    /// No connection.
+    /// The connection was not established.
     Unreachable,
-    /// The connection ended, or broke the protocol.
+    /// The connection ended early, or the reply was malformed.
     Broken,
-    /// No reply in time.
+    /// No reply before the time-out.
     Silent,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl EntryHost {
-    /// Makes a call; what becomes of it is handed to [`EntryHost::called`].
+    /// Makes a call; [`EntryHost::call_done`] gets its reply or fault.
     pub(super) fn call(
         &mut self,
         purpose: Purpose,
@@ -65,8 +65,8 @@
         request: &CallRequest,
         timeout: Duration,
     ) {
-        let Ok((socket, _)) = self.connection(addr, false) else {
-            return self.called(purpose, self.now, Err(CallFault::Unreachable));
+        let Ok((socket, _)) = self.acquire_connection(addr, false) else {
+            return self.call_done(purpose, self.now, Err(CallFault::Unreachable));
         };
         let mut out = Vec::with_capacity(256 + request.body.len());
         let mut fields = vec![("Host".to_owned(), addr.to_string().into_bytes())];
@@ -81,11 +81,11 @@
         let key =
             self.calls.add(Call { purpose, sent: self.now, socket, addr, head, decoder, body });
         self.roles.insert(socket, Role::Call(key));
-        self.arm(self.now + timeout, Timer::Call(key));
+        self.set_timer(self.now + timeout, Timer::Call(key));
     }
 
-    /// Gives up the calls of a purpose, without a word to whoever made them.
-    pub(super) fn abandon(&mut self, which: impl Fn(&Purpose) -> bool) {
+    /// Cancels calls by their purpose, without handling a reply or fault.
+    pub(super) fn cancel_calls(&mut self, which: impl Fn(&Purpose) -> bool) {
         for key in self.calls.keys() {
             if self.calls.get(key).is_some_and(|call| which(&call.purpose))
                 && let Some(call) = self.calls.remove(key)
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The reply may have come.
-    pub(super) fn pump_call(&mut self, key: Key) {
+    /// Handles input of a call's connection, or its end.
+    pub(super) fn handle_call(&mut self, key: Key) {
         let Some(call) = self.calls.get_mut(key) else { return };
         let Some(socket) = self.net.get(call.socket) else { return };
         if call.head.is_none() {
@@ -110,18 +110,18 @@
             }
         }
         let taken = call.decoder.decode(&mut socket.input, &mut call.body);
-        let whole = call.decoder.done()
-            || (call.decoder.ends_with_connection() && super::orderly(socket.ended));
+        let complete = call.decoder.done()
+            || (call.decoder.ends_with_connection() && super::ended_orderly(socket.ended));
         let ended = socket.ended.is_some();
-        if whole {
+        if complete {
             self.end_call(key, None);
         } else if taken.is_err() || ended {
             self.end_call(key, Some(CallFault::Broken));
         }
     }
 
-    /// A call's time is over.
-    pub(super) fn check_call(&mut self, key: Key) {
+    /// Ends a call that has not been completed by its time-out.
+    pub(super) fn call_timed_out(&mut self, key: Key) {
         if self.calls.get(key).is_some() {
             self.end_call(key, Some(CallFault::Silent));
         }
@@ -135,7 +135,7 @@
             (None, Some(head)) => {
                 let clean = self.net.get(call.socket).is_some_and(|s| s.input.is_empty());
                 if head.keep_alive && clean {
-                    self.keep(call.socket, call.addr);
+                    self.keep_idle(call.socket, call.addr);
                 } else {
                     self.close(call.socket);
                 }
@@ -146,10 +146,10 @@
                 Err(fault.unwrap_or(CallFault::Broken))
             }
         };
-        self.called(call.purpose, call.sent, reply);
+        self.call_done(call.purpose, call.sent, reply);
     }
 
-    /// What a target reported, or why it did not.
+    /// The report in a target's reply, or why there is none.
     pub(super) fn read_report(
         &self,
         reply: Result<CallReply, CallFault>,
@@ -158,20 +158,22 @@
         self.platform.report_reply(&reply).map_err(|err| err.to_string())
     }
 
-    fn called(&mut self, purpose: Purpose, sent: Instant, reply: Result<CallReply, CallFault>) {
+    fn call_done(&mut self, purpose: Purpose, sent: Instant, reply: Result<CallReply, CallFault>) {
         if let (Purpose::Report(id) | Purpose::Pace(id) | Purpose::Place(id, _), Ok(reply)) =
             (&purpose, &reply)
         {
-            self.heed_reply(id, reply);
+            self.apply_reply_feedback(id, reply);
         }
         match purpose {
-            Purpose::Newest(stream, era) => self.newest_came(stream, sent, era, reply),
-            Purpose::Read(stream, from, wait) => self.records_came(stream, sent, from, wait, reply),
-            Purpose::Report(id) => self.report_came(&id, reply),
-            Purpose::Pace(id) => self.pace_came(&id, reply),
-            Purpose::Blocked => self.blocked_came(reply),
-            Purpose::PutBlocked => self.blocked_written(reply),
-            Purpose::Place(id, layers) => self.place_came(&id, layers, reply),
+            Purpose::Newest(stream, era) => self.newest_received(stream, sent, era, reply),
+            Purpose::Read(stream, from, wait) => {
+                self.records_received(stream, sent, from, wait, reply)
+            }
+            Purpose::Report(id) => self.report_received(&id, reply),
+            Purpose::Pace(id) => self.pace_received(&id, reply),
+            Purpose::Blocked => self.blocked_page_received(reply),
+            Purpose::PutBlocked => self.blocked_write_done(reply),
+            Purpose::Place(id, layers) => self.order_reply(&id, layers, reply),
         }
     }
 }
--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -1,6 +1,6 @@
-//! Copies of what other hosts have read of the store: asked for, and given.
+//! Exchanges copies of store data between hosts, so that not every host reads the store.
 
-use super::{EntryHost, Role, Timer, note};
+use super::{EntryHost, Role, Timer, log_event};
 use crate::slab::Key;
 use roseshore_core::gateway::copies::{COPY_TIMEOUT, CopyOutcome, CopyRequest, Extent, StoreCopy};
 use roseshore_core::prelude::*;
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 
 impl EntryHost {
-    /// Asks a host for what it has read beyond this one; whether it was asked.
-    pub(super) fn ask_copy(&mut self, from: SocketAddr) -> bool {
+    /// Requests the store data that another host has and this one lacks. Returns whether the request was sent.
+    pub(super) fn request_copy(&mut self, from: SocketAddr) -> bool {
         let Some(own) = self.settings.peer_addr else { return false };
         let Some(until) = self.copies.start(self.now) else { return false };
         let request = CopyRequest { from: own, known: self.extent() };
@@ -20,25 +20,25 @@
             Ok(socket) => {
                 self.roles.insert(socket, Role::CopySource(from, 0));
                 self.net.send(socket, &bytes);
-                self.arm(until, Timer::Copy(socket));
+                self.set_timer(until, Timer::Copy(socket));
                 true
             }
             Err(why) => {
                 self.copies.finish(CopyOutcome::Failed, self.now);
-                note!(self, CopyFailed, "host={from} why={why:?}");
+                log_event!(self, CopyFailed, "host={from} why={why:?}");
                 false
             }
         }
     }
 
-    /// The host that was asked said something, or its connection ended.
-    pub(super) fn pump_source(&mut self, key: Key) {
+    /// Handles input of the host that was asked for a copy, or the end of its connection.
+    pub(super) fn handle_copy_reply(&mut self, key: Key) {
         let Some(socket) = self.net.get(key) else { return };
         let ended = socket.ended.is_some();
         match frame::take::<StoreCopy>(&mut socket.input) {
             Ok(Some(copy)) => {
                 self.close(key);
-                self.copy_came(copy);
+                self.copy_received(copy);
             }
             Ok(None) if !ended => {}
             Ok(None) => self.copy_failed(key, "the connection ended"),
@@ -46,66 +46,66 @@
         }
     }
 
-    /// The time for the next bytes of a copy, or for a host to say what it asks for, is over.
+    /// Handles a time-out while waiting for the next bytes of a copy, or for a host's request for one.
     pub(super) fn copy_timed_out(&mut self, key: Key) {
-        let came = self.net.get(key).map_or(0, |socket| socket.input.len());
+        let received = self.net.get(key).map_or(0, |socket| socket.input.len());
         match self.roles.get_mut(&key) {
-            Some(Role::CopyAsker) => self.close(key),
-            Some(Role::CopySource(_, known)) if came > *known => {
-                // A large copy over a narrow link: 600 kB take 0.25 s where nothing else is sent.
-                *known = came;
-                self.arm(self.now + COPY_TIMEOUT, Timer::Copy(key));
+            Some(Role::CopyRequester) => self.close(key),
+            Some(Role::CopySource(_, known)) if received > *known => {
+                // The copy is still arriving: 600 kB take 0.25 s on a narrow link without other traffic.
+                *known = received;
+                self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
             _ => self.copy_failed(key, "no answer in time"),
         }
     }
 
-    /// A copy did not come: the store is read.
+    /// Reads the store, as a copy could not be received.
     fn copy_failed(&mut self, key: Key, why: &str) {
         let Some(Role::CopySource(from, _)) = self.roles.get(&key) else { return };
         let from = *from;
         self.close(key);
         self.copies.finish(CopyOutcome::Failed, self.now);
-        note!(self, CopyFailed, "host={from} why={why:?}");
-        self.read_now();
+        log_event!(self, CopyFailed, "host={from} why={why:?}");
+        self.read_streams_now();
     }
 
-    fn copy_came(&mut self, copy: StoreCopy) {
+    fn copy_received(&mut self, copy: StoreCopy) {
         if !copy.is_empty() {
             self.copies.finish(CopyOutcome::Received, self.now);
-            return self.take_copy(copy);
+            return self.apply_copy(copy);
         }
         let Some(other) = copy.instead else {
             return self.copies.finish(CopyOutcome::Refused, self.now);
         };
         self.copies.finish(CopyOutcome::Redirected, self.now);
-        self.ask_copy(other);
+        self.request_copy(other);
     }
 
-    /// How much of the store is known here.
+    /// How far this host knows the store.
     fn extent(&self) -> Extent {
-        Extent { config: self.config_version(), list: self.following.list_known() }
+        Extent { config: self.config_version(), list: self.store_sync.list_base() }
     }
 
-    fn take_copy(&mut self, copy: StoreCopy) {
+    fn apply_copy(&mut self, copy: StoreCopy) {
         if let Some(config) = copy.config {
-            self.take_config(config);
+            self.apply_config(config);
         }
         if let Some(list) = copy.list {
-            self.list_copied(list);
-            // Those that were turned away ask here next.
-            self.beat_now(false);
+            self.apply_list_copy(list);
+            // The heartbeat tells hosts that were turned away elsewhere that they can ask this one.
+            self.heartbeat_now(false);
         }
         if self.peers.newest_config(self.now) > self.config_version() {
             self.read_config_now();
         }
-        self.judge_ready();
+        self.update_readiness();
     }
 
-    /// A host asks for a copy.
-    pub(super) fn pump_asker(&mut self, key: Key) {
+    /// Handles the request of a host for a copy.
+    pub(super) fn handle_copy_request(&mut self, key: Key) {
         let Some(socket) = self.net.get(key) else {
-            // It was closed when its last bytes had left.
+            // It was closed after its output had been written.
             self.roles.remove(&key);
             return;
         };
@@ -116,16 +116,16 @@
             Ok(None) => return self.close(key),
             Err(err) => {
                 let why = err.to_string();
-                note!(self, DatagramSkipped, "door=copies why={why:?}");
+                log_event!(self, DatagramSkipped, "door=copies why={why:?}");
                 return self.close(key);
             }
         };
         let extent = self.extent();
         let CopyRequest { from, known } = request;
         let newer = extent.config > known.config;
-        let further = self.following.list_next().is_some_and(|next| next > known.list);
+        let further = self.store_sync.list_position().is_some_and(|next| next > known.list);
         let copy = StoreCopy {
-            config: newer.then(|| self.following.config_bytes.clone()),
+            config: newer.then(|| self.store_sync.config_bytes.clone()),
             list: further.then(|| self.list_copy(known.list)).flatten(),
             instead: None,
         };
@@ -142,10 +142,10 @@
         }
         if let Err(err) = written {
             let why = err.to_string();
-            note!(self, CopyFailed, "asker=true why={why:?}");
+            log_event!(self, CopyFailed, "asker=true why={why:?}");
             return self.close(key);
         }
         self.net.send(key, &bytes);
-        self.finish_socket(key);
+        self.close_flushed(key);
     }
 }
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -1,6 +1,6 @@
-//! One request's life, from its last byte in to its last byte out.
+//! The processing of one request, from its last byte received to the last byte of its response.
 
-use super::{EntryHost, Timer, note};
+use super::{EntryHost, Timer, log_event};
 use crate::http::{self, RequestHead};
 use crate::slab::Key;
 use rand::RngExt;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 
 use super::callers::refusal_fields;
-use super::in_flight::Send;
+use super::in_flight::InFlightSend;
 use super::probes::millis;
-use super::rate_limits::Awaited;
+use super::rate_limits::PermitWait;
 
-/// When to come back after a refusal that another host may not give, before it is spread: a caller
-/// comes back on a new connection, which reaches another host.
-pub(super) const COME_BACK: Duration = Duration::from_millis(300);
-/// The longest time that is asked for where a target's limit says when it takes another request.
-const COME_BACK_MOST: Duration = Duration::from_secs(9);
-/// When to come back from a host that is leaving: at once, but not all in the same moment.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(60);
-/// The shortest time in which another send makes sense.
-const LEAST: Duration = Duration::from_millis(60);
-/// How long a caller waits when it does not say.
-const USUAL_DEADLINE: Duration = Duration::from_secs(30);
+/// Retry delay, before jitter, for a refusal that another host may not give: a caller retries on a new connection, which
+/// reaches another host.
+pub(super) const RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Longest retry delay when the delay follows from the rate limits of targets.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(9);
+/// Retry delay, before jitter, when this host is shutting down: just long enough that callers do not retry all at once.
+const RETRY_ELSEWHERE: Duration = Duration::from_millis(60);
+/// Shortest remaining time in which another send can succeed.
+const MIN_SEND_TIME: Duration = Duration::from_millis(60);
+/// Deadline of a request whose caller gives none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 
-/// A request that is being worked on.
+/// A request that is being processed.
 pub(super) struct Exchange {
     pub(super) caller: Key,
     pub(super) head: RequestHead,
@@ -38,73 +38,76 @@
     pub(super) service: Arc<ServiceSpec>,
     pub(super) organisation: Option<OrganisationId>,
     pub(super) fingerprint: Fingerprint,
-    pub(super) version: u64,
-    pub(super) begun: Instant,
-    /// When the caller or the operator wants an end.
-    pub(super) until: Instant,
+    /// Version of the configuration by which the request was admitted.
+    pub(super) config_version: u64,
+    pub(super) started: Instant,
+    /// The earlier of the caller's deadline and the time-out of the route.
+    pub(super) deadline: Instant,
     pub(super) sends: u32,
-    /// Sends so far that a target refused to run.
-    pub(super) refused: u32,
+    /// Number of sends that a target refused to run.
+    pub(super) refused_sends: u32,
     pub(super) verdict: Verdict,
-    /// Whether a send may have reached its target, so that the next one is a repeat.
-    pub(super) arrived: bool,
-    pub(super) avoid: AvoidedTargets,
-    /// The targets it was sent to; the operators bound their number.
-    pub(super) sent_to: Vec<TargetId>,
-    /// Since when it waits for a target with room.
-    pub(super) held: Option<Instant>,
-    /// The permit that it waits for.
-    pub(super) awaited: Option<Awaited>,
-    pub(super) send: Option<Send>,
-    pub(super) out: Out,
+    /// Whether a send may have reached its target, so that the next one counts as a retry.
+    pub(super) reached_target: bool,
+    pub(super) avoided: AvoidedTargets,
+    /// The targets that it was sent to; the route limits their number.
+    pub(super) tried_targets: Vec<TargetId>,
+    /// Since when it has been waiting for a target with capacity.
+    pub(super) waiting_since: Option<Instant>,
+    /// The rate-limit permit that it is waiting for.
+    pub(super) permit_wait: Option<PermitWait>,
+    pub(super) send: Option<InFlightSend>,
+    pub(super) delivery: Delivery,
 }
 
-/// What the caller has been sent.
+/// How much of the response the caller has been sent.
 #[derive(Default)]
-pub(super) struct Out {
-    pub(super) begun: bool,
-    pub(super) last: Option<u64>,
+pub(super) struct Delivery {
+    /// Whether the head of a stream has been sent.
+    pub(super) started: bool,
+    /// Id of the last event that the caller has.
+    pub(super) last_id: Option<u64>,
     pub(super) events: u32,
-    pub(super) first: Option<Instant>,
-    pub(super) latest: Option<Instant>,
+    pub(super) first_at: Option<Instant>,
+    pub(super) latest_at: Option<Instant>,
     /// The longest pause between events.
-    pub(super) pause: Duration,
+    pub(super) max_pause: Duration,
 }
 
-/// A request that was refused before anything was done for it.
+/// A request that was refused before an exchange was created for it.
 pub(super) struct Refused {
     pub(super) refusal: Refusal,
     pub(super) attempt: Option<String>,
 }
 
 impl Exchange {
-    pub(super) fn standing(&self, now: Instant) -> RetryState {
+    pub(super) fn retry_state(&self, now: Instant) -> RetryState {
         RetryState {
             idempotent: self.route.kind.is_idempotent(),
-            head_sent: self.out.begun,
+            head_sent: self.delivery.started,
             verdict: self.verdict,
             sends: self.sends,
-            refused: self.refused,
-            remaining: self.until.saturating_duration_since(now),
-            min_remaining: LEAST,
+            refused: self.refused_sends,
+            remaining: self.deadline.saturating_duration_since(now),
+            min_remaining: MIN_SEND_TIME,
         }
     }
 
-    /// Whether it was sent to as many targets as its route allows.
+    /// Whether the request was sent to as many targets as its route allows.
     pub(super) fn at_bound(&self) -> bool {
-        self.sent_to.len() >= self.route.max_attempts as usize
+        self.tried_targets.len() >= self.route.max_attempts as usize
     }
 
-    /// Whether it may be sent elsewhere although the send under way may have run.
+    /// Whether the request may be sent to another target although the send in flight may have run.
     pub(super) fn may_move(&self, now: Instant) -> bool {
-        let mut after = self.standing(now);
+        let mut after = self.retry_state(now);
         after.verdict = after.verdict.join(Verdict::MayHaveRun);
         failure::next_step(&after) == NextStep::Retry
     }
 }
 
 impl EntryHost {
-    /// Looks a request up in the configuration.
+    /// Checks a request against the configuration and creates its exchange.
     pub(super) fn begin_exchange(
         &mut self,
         caller: Key,
@@ -115,27 +118,27 @@
             Ok(asked) => asked,
             Err(err) => {
                 let refusal = Refusal::not_run(Code::BadRequest, err.to_string());
-                return Err(self.refused(refusal, None));
+                return Err(self.log_refusal(refusal, None));
             }
         };
         let attempt = asked.attempt.clone();
         match self.admit(caller, head, body, asked) {
             Ok(exchange) => {
-                let until = exchange.until;
+                let until = exchange.deadline;
                 let now = self.now;
-                self.allowance(&exchange.service.name).record_request(now);
+                self.retry_budget(&exchange.service.name).record_request(now);
                 let key = self.exchanges.add(exchange);
-                self.arm(until, Timer::Exchange(key));
+                self.set_timer(until, Timer::Exchange(key));
                 Ok(key)
             }
-            Err(refusal) => Err(self.refused(refusal, Some(attempt))),
+            Err(refusal) => Err(self.log_refusal(refusal, Some(attempt))),
         }
     }
 
-    fn refused(&mut self, refusal: Refusal, attempt: Option<String>) -> Refused {
+    fn log_refusal(&mut self, refusal: Refusal, attempt: Option<String>) -> Refused {
         let version = self.config_version();
-        let age = millis(self.currency.age(self.now));
-        note!(
+        let age = millis(self.config_lease.age(self.now));
+        log_event!(
             self,
             RequestRefused,
             "request={} code={} verdict={} config_version={version} config_age_ms={age} why={:?}",
@@ -158,33 +161,34 @@
     ) -> Result<Exchange, Refusal> {
         let Some(snapshot) = self.snapshot.clone() else {
             let refusal = Refusal::not_run(Code::NoConfiguration, "no configuration yet");
-            return Err(refusal.after(self.spread(COME_BACK)));
+            return Err(refusal.after(self.with_jitter(RETRY_AFTER)));
         };
         let host = http::field(&head.fields, "host").unwrap_or("");
         let route = snapshot.route(host, &head.path).cloned();
-        let route = route.map_err(|denied| self.denied(denied))?;
+        let route = route.map_err(|denied| self.denial_refusal(denied))?;
         let organisation = snapshot.authorise(&route, asked.key.as_deref());
-        let organisation = organisation.map_err(|denied| self.denied(denied))?;
+        let organisation = organisation.map_err(|denied| self.denial_refusal(denied))?;
         let organisation = organisation.map(|o| o.name.clone());
-        if self.outdated() || (organisation.is_some() && !self.current()) {
-            return Err(self.unconfirmed());
+        if self.config_outdated() || (organisation.is_some() && !self.config_current()) {
+            return Err(self.unconfirmed_refusal());
         }
         let service = route.service(&asked.attempt).and_then(|name| snapshot.service(name));
         let Some(service) = service.cloned() else {
             let text = format!("route `{}` has no service", route.name);
-            return Err(Refusal::not_run(Code::NoTarget, text).after(self.spread(COME_BACK)));
+            return Err(Refusal::not_run(Code::NoTarget, text).after(self.with_jitter(RETRY_AFTER)));
         };
-        if route.kind.is_stream() && !self.ends_in_time(&asked, &service) {
+        if route.kind.is_stream() && !self.ends_before_exit(&asked, &service) {
             let refusal = Refusal::not_run(Code::Draining, "this host is leaving");
-            return Err(refusal.after(self.spread(COME_BACK_ELSEWHERE)));
+            return Err(refusal.after(self.with_jitter(RETRY_ELSEWHERE)));
         }
-        let until = self.came + asked.deadline.unwrap_or(USUAL_DEADLINE).min(route.timeout);
-        if until <= self.now {
+        let deadline =
+            self.earliest_arrival + asked.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+        if deadline <= self.now {
             let text = "the request's time was over before this host looked at it";
-            return Err(Refusal::not_run(Code::TooLate, text).after(self.spread(COME_BACK)));
+            return Err(Refusal::not_run(Code::TooLate, text).after(self.with_jitter(RETRY_AFTER)));
         }
         let fingerprint = fingerprint(organisation.as_deref(), host, &head, &body);
-        if let Some(refusal) = self.refuse_fatal(fingerprint) {
+        if let Some(refusal) = self.refuse_blocked(fingerprint) {
             return Err(refusal);
         }
         Ok(Exchange {
@@ -195,35 +199,36 @@
             service,
             organisation,
             fingerprint,
-            version: snapshot.version(),
-            begun: self.came,
-            until,
+            config_version: snapshot.version(),
+            started: self.earliest_arrival,
+            deadline,
             sends: 0,
-            refused: 0,
+            refused_sends: 0,
             verdict: Verdict::NotRun,
-            arrived: false,
-            avoid: AvoidedTargets::default(),
-            sent_to: Vec::new(),
-            held: None,
-            awaited: None,
+            reached_target: false,
+            avoided: AvoidedTargets::default(),
+            tried_targets: Vec::new(),
+            waiting_since: None,
+            permit_wait: None,
             send: None,
-            out: Out { last: asked.last_event, ..Out::default() },
+            delivery: Delivery { last_id: asked.last_event, ..Delivery::default() },
             asked,
         })
     }
 
-    /// Whether a stream may be expected to end before this host does.
-    fn ends_in_time(&self, asked: &Asked, service: &ServiceSpec) -> bool {
+    /// Whether a stream is expected to end before this host has to exit.
+    fn ends_before_exit(&self, asked: &Asked, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
         let usual = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
         let guess = asked.hint.map_or(usual, f64::from);
         self.pace.ends_within(guess, f64::from(asked.longest), left)
     }
 
-    /// A denial is only final while the configuration is known to be the newest.
-    fn denied(&mut self, denied: Denied) -> Refusal {
-        if !self.current() {
-            return self.unconfirmed();
+    /// The refusal of a request that the configuration denies. While the configuration is not known to be the newest, the
+    /// caller is asked to retry instead.
+    fn denial_refusal(&mut self, denied: Denied) -> Refusal {
+        if !self.config_current() {
+            return self.unconfirmed_refusal();
         }
         match denied {
             Denied::NoRoute => Refusal::not_run(Code::UnknownRoute, "no such route"),
@@ -231,49 +236,49 @@
         }
     }
 
-    fn unconfirmed(&mut self) -> Refusal {
+    fn unconfirmed_refusal(&mut self) -> Refusal {
         let text = "the configuration cannot be confirmed";
-        Refusal::not_run(Code::ConfigUnconfirmed, text).after(self.spread(COME_BACK))
+        Refusal::not_run(Code::ConfigUnconfirmed, text).after(self.with_jitter(RETRY_AFTER))
     }
 
-    /// A time to come back, spread so that callers do not come back together.
-    pub(super) fn spread(&mut self, base: Duration) -> Duration {
-        base.mul_f64(0.75 + 0.5 * self.random.random::<f64>())
+    /// A retry delay with 25 % jitter, so that callers do not retry all at once.
+    pub(super) fn with_jitter(&mut self, base: Duration) -> Duration {
+        base.mul_f64(0.75 + 0.5 * self.rng.random::<f64>())
     }
 
-    /// Refuses a request whose targets rest; there is a way after so long.
-    pub(super) fn end_by_rest(&mut self, key: Key, rest: Duration) {
-        // Another host may not have been asked for it, so this is no lower bound.
-        let back = |usual: Duration| usual.min(rest);
-        self.end_for(key, Code::TargetsRest, "the targets want a rest", back);
+    /// Refuses a request because all its targets asked for a pause; the first pause ends after `rest`.
+    pub(super) fn end_resting(&mut self, key: Key, rest: Duration) {
+        // Targets may not have asked other hosts for a pause, so a retry may succeed sooner.
+        let delay = |usual: Duration| usual.min(rest);
+        self.end_with_delay(key, Code::TargetsRest, "the targets want a rest", delay);
     }
 
-    /// Refuses a request whose targets take no more a second.
-    pub(super) fn end_by_limit(&mut self, key: Key) {
+    /// Refuses a request because all its targets are at their rate limit.
+    pub(super) fn end_limited(&mut self, key: Key) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let taken = self.next_taken(&exchange.service.name).unwrap_or_default();
-        // Sooner than that, one of two callers who come back is refused again.
-        let back = |usual: Duration| usual.max(taken).min(COME_BACK_MOST);
-        self.end_for(key, Code::TargetsLimited, "the targets take no more a second", back);
+        let taken = self.next_slot(&exchange.service.name).unwrap_or_default();
+        // If callers retried sooner, one of two would be refused again.
+        let delay = |usual: Duration| usual.max(taken).min(MAX_RETRY_AFTER);
+        self.end_with_delay(key, Code::TargetsLimited, "the targets take no more a second", delay);
     }
 
-    /// Ends a request without a success.
+    /// Ends a request with a refusal or an error.
     pub(super) fn end_without(&mut self, key: Key, code: Code, why: &str) {
-        self.end_for(key, code, why, |usual| usual);
+        self.end_with_delay(key, code, why, |usual| usual);
     }
 
-    /// The same; `back` says when to come back, where it would usually be after so long.
-    fn end_for(
+    /// Like [`EntryHost::end_without`]; `delay` maps the default retry delay to the one to use.
+    fn end_with_delay(
         &mut self,
         key: Key,
         code: Code,
         why: &str,
-        back: impl FnOnce(Duration) -> Duration,
+        delay: impl FnOnce(Duration) -> Duration,
     ) {
         let now = self.now;
-        self.join_open_send(key);
+        self.mark_may_have_run(key);
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let end = failure::failure_reply(&exchange.standing(now));
+        let end = failure::failure_reply(&exchange.retry_state(now));
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         let attempt = exchange.asked.attempt.clone();
         let engine = exchange.service.engine.is_some();
@@ -290,25 +295,25 @@
                 return;
             }
             FailureReply::NotRun => {
-                // A plain service that is full is done with some of it in milliseconds.
+                // A plain service that is full has capacity again within milliseconds.
                 let usual = match self.fatal.blocked(fingerprint, now) {
                     Some(left) => left,
                     None if engine => self.shortage.record_refusal(now),
-                    None => COME_BACK,
+                    None => RETRY_AFTER,
                 };
-                Refusal::not_run(code, why).after(self.spread(back(usual)))
+                Refusal::not_run(code, why).after(self.with_jitter(delay(usual)))
             }
             FailureReply::Unknown => Refusal::may_have_run(code, why),
         };
         metrics::counter!("roseshore_refused_total", "code" => code.to_string()).increment(1);
         let fields = refusal_fields(&refusal, Some(&attempt));
-        self.answer_caller(caller, code.status(), &fields, why.as_bytes(), keep);
-        self.after_answer(caller, keep);
-        self.pump_caller(caller);
+        self.respond(caller, code.status(), &fields, why.as_bytes(), keep);
+        self.response_sent(caller, keep);
+        self.handle_caller(caller);
     }
 
-    /// A send that is cut short may have run, unless its connection never came up.
-    fn join_open_send(&mut self, key: Key) {
+    /// Records that the send in flight may have run, unless its connection was never established.
+    fn mark_may_have_run(&mut self, key: Key) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = &exchange.send else { return };
         if self.net.get(send.socket).is_some_and(|s| s.connected) {
@@ -316,26 +321,28 @@
         }
     }
 
-    /// The caller is gone: whatever works for it is stopped.
+    /// Ends an exchange whose caller closed its connection, and cancels the send in flight.
     pub(super) fn caller_left(&mut self, key: Key) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let (attempt, events) = (exchange.asked.attempt.clone(), exchange.out.events);
-        let held = self.now.saturating_duration_since(exchange.begun).as_millis();
-        note!(self, CallerLeft, "request={attempt} events={events} held_ms={held}");
+        let (attempt, events) = (exchange.asked.attempt.clone(), exchange.delivery.events);
+        let held = self.now.saturating_duration_since(exchange.started).as_millis();
+        log_event!(self, CallerLeft, "request={attempt} events={events} held_ms={held}");
         self.close_exchange(key, 0, "the caller left");
     }
 
-    /// Takes a request out and tells of it.
+    /// Removes an exchange and logs its outcome.
     pub(super) fn close_exchange(&mut self, key: Key, code: u16, why: &str) {
         self.drop_send(key, false);
         let Some(exchange) = self.exchanges.remove(key) else { return };
-        let took = self.now.saturating_duration_since(exchange.begun);
-        let first = exchange.out.first.map(|at| at.saturating_duration_since(exchange.begun));
+        let took = self.now.saturating_duration_since(exchange.started);
+        let first =
+            exchange.delivery.first_at.map(|at| at.saturating_duration_since(exchange.started));
         metrics::histogram!("roseshore_request_seconds").record(took.as_secs_f64());
         if exchange.verdict == Verdict::Answered
             && let Some(engine) = &exchange.service.engine
         {
-            self.pace.record_stream(f64::from(exchange.out.events) * engine.event_tokens, took);
+            self.pace
+                .record_stream(f64::from(exchange.delivery.events) * engine.event_tokens, took);
         }
         if let Some(first) = first {
             metrics::histogram!("roseshore_first_event_seconds").record(first.as_secs_f64());
@@ -352,19 +359,19 @@
             exchange.route.max_gap.unwrap_or_default().as_millis(),
             exchange.organisation.as_deref().unwrap_or("-"),
             exchange.service.name,
-            exchange.version,
+            exchange.config_version,
             exchange.sends,
             exchange.verdict.name(),
-            exchange.out.events,
+            exchange.delivery.events,
             millis(first),
-            exchange.out.pause.as_millis(),
+            exchange.delivery.max_pause.as_millis(),
             took.as_millis(),
         );
-        note!(self, RequestEnded, "{text}");
+        log_event!(self, RequestEnded, "{text}");
     }
 }
 
-/// The fingerprint of a request for a host's name.
+/// The fingerprint of a request: organisation, method, the name in its `Host` field, path and body.
 fn fingerprint(
     organisation: Option<&str>,
     host: &str,
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -1,12 +1,12 @@
-//! Finds out under which requests targets end, and stops those that end them.
+//! Detects requests that make targets crash, and blocks them.
 //!
-//! A send that breaks off does not say why: the target may have spoilt one answer, a link may be cut, or its
-//! process is gone. Only the last is held against the request, so the end is looked into first: the
-//! target's port resets a connection, or the list names another life.
+//! An interrupted send does not show its cause: the target may have spoilt one response, a link may be down, or the
+//! target's process may have ended. Only the last counts against the request, so the cause is determined first: the
+//! process has ended if the target's port resets a connection or the list of targets shows a new incarnation.
 
 use super::exchange::Exchange;
-use super::in_flight::Send;
-use super::{EntryHost, note};
+use super::in_flight::InFlightSend;
+use super::{EntryHost, log_event};
 use crate::slab::Key;
 use roseshore_core::gateway::fatal::{EARLY, FatalChange, FatalReport};
 use roseshore_core::gateway::peers::TargetHash;
@@ -14,98 +14,99 @@
 use roseshore_core::gateway::{Fault, Fingerprint};
 use roseshore_core::prelude::*;
 
-/// For finding out whether a target ended: liveness checks of one target are 0.2 s apart, so this is time for
-/// three; targets take seconds to start again.
-const LOOK_TIME: Duration = Duration::from_secs(1);
-/// What a log line says of another host's word.
-pub(super) const HEARD: &str = "heard";
+/// Time to determine whether a target ended. Liveness checks of one target are 0.2 s apart, so at least three fit; a target
+/// takes seconds to restart.
+const DIAGNOSIS_TIME: Duration = Duration::from_secs(1);
+/// Value of `by` in a log line about a report of another host.
+pub(super) const BY_PEER: &str = "heard";
 
-/// A send that broke off, until it is known whether one of its targets ended.
+/// An interrupted send, until it is known whether one of its targets ended.
 #[derive(Debug)]
-pub(super) struct Broken {
+pub(super) struct BrokenSend {
     fingerprint: Fingerprint,
     attempt: String,
-    /// The targets that it ran through, in the lives of then.
+    /// The targets on its path, with their incarnations at that time.
     targets: Vec<(TargetId, TargetHash)>,
+    /// Whether the target had hardly begun to run the request.
     early: bool,
     at: Instant,
 }
 
 impl EntryHost {
-    /// A send failed: remembers it until it is known whether a target ended under it.
-    pub(super) fn look_into(&mut self, key: Key, fault: Fault, culprits: &[TargetId]) {
+    /// Remembers an interrupted send until it is known whether one of its targets ended.
+    pub(super) fn remember_interrupted(&mut self, key: Key, fault: Fault, culprits: &[TargetId]) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         let Some(send) = &exchange.send else { return };
-        let mut targets = send.lives.clone();
+        let mut targets = send.incarnations.clone();
         match fault {
             Fault::Lost | Fault::Cut => {}
             Fault::Silent => targets.retain(|(id, _)| culprits.contains(id)),
             Fault::NotSent | Fault::Refused | Fault::Garbled | Fault::Failed => return,
         }
-        let announced = |id: &str| self.targets.get(id).is_none_or(|t| !t.is_available());
-        targets.retain(|(id, _)| !announced(id));
+        let announced_leaving = |id: &str| self.targets.get(id).is_none_or(|t| !t.is_available());
+        targets.retain(|(id, _)| !announced_leaving(id));
         if targets.is_empty() {
             return;
         }
-        let broken = Broken {
+        let broken = BrokenSend {
             fingerprint: exchange.fingerprint,
             attempt: exchange.asked.attempt.clone(),
             targets,
-            early: early(send, self.now),
+            early: is_early(send, self.now),
             at: self.now,
         };
-        self.broken.push(broken);
+        self.broken_sends.push(broken);
     }
 
-    /// Whether a request waits until it is known why its last sends broke off before it is sent again: if
-    /// all of their targets ended, one more end blocks it. A check takes milliseconds. Once a target has ended
-    /// under it, its runs that have hardly begun count as well: each of those under way ends another target
-    /// before this host knows of the last one.
-    pub(super) fn waits_for_verdict(&self, exchange: &Exchange) -> bool {
+    /// Whether a request has to wait, before it is sent again, until the cause of its interrupted sends is known: if the
+    /// targets of all of them ended, one more end blocks the request. A check takes milliseconds. Once a target has ended
+    /// while running the request, its runs that have hardly begun count as well, since each of them may end another
+    /// target before this host learns of the last end.
+    pub(super) fn awaits_diagnosis(&self, exchange: &Exchange) -> bool {
         let fingerprint = exchange.fingerprint;
-        let broken = self.broken.iter().filter(|b| b.fingerprint == fingerprint).count();
-        let open = broken + self.beginning(fingerprint);
-        open > 0 && self.fatal.near_limit(fingerprint, open)
+        let broken = self.broken_sends.iter().filter(|b| b.fingerprint == fingerprint).count();
+        let pending = broken + self.early_runs(fingerprint);
+        pending > 0 && self.fatal.near_limit(fingerprint, pending)
     }
 
-    /// Runs of a request under which a target has ended that have hardly begun.
-    fn beginning(&self, fingerprint: Fingerprint) -> usize {
+    /// Number of runs of a request that have hardly begun; 0 while no target has ended under the request.
+    fn early_runs(&self, fingerprint: Fingerprint) -> usize {
         if self.fatal.crashes(fingerprint) == 0 {
             return 0;
         }
         let same = |key: &Key| {
             let exchange = self.exchanges.get(*key).filter(|e| e.fingerprint == fingerprint);
-            exchange.and_then(|e| e.send.as_ref()).is_some_and(|send| early(send, self.now))
+            exchange.and_then(|e| e.send.as_ref()).is_some_and(|send| is_early(send, self.now))
         };
         self.exchanges.keys().into_iter().filter(same).count()
     }
 
-    /// Looks which of the sends that broke off did so since a target ended.
-    pub(super) fn judge_broken(&mut self) {
-        if self.broken.is_empty() {
+    /// Determines which interrupted sends failed because a target ended.
+    pub(super) fn resolve_broken_sends(&mut self) {
+        if self.broken_sends.is_empty() {
             return;
         }
         let now = self.now;
         let mut waiting = Vec::new();
-        for broken in std::mem::take(&mut self.broken) {
-            // Of targets that ended together, as in a rack, one counts.
-            let ended = broken.targets.iter().find(|(id, mark)| self.life_ended(id, *mark));
-            if let Some((id, mark)) = ended.cloned() {
-                self.ended_under(&broken, &id, mark);
-            } else if broken.targets.iter().any(|(id, _)| self.dark(id)) {
-                // A machine or a link is gone, and with it what ran there.
-            } else if now.saturating_duration_since(broken.at) < LOOK_TIME {
+        for broken in std::mem::take(&mut self.broken_sends) {
+            // Of several targets that ended together, as in a rack, only one counts.
+            let ended = broken.targets.iter().find(|(id, hash)| self.incarnation_ended(id, *hash));
+            if let Some((id, hash)) = ended.cloned() {
+                self.record_crash(&broken, &id, hash);
+            } else if broken.targets.iter().any(|(id, _)| self.is_unreachable(id)) {
+                // A machine or link failed, which is not the fault of the request.
+            } else if now.saturating_duration_since(broken.at) < DIAGNOSIS_TIME {
                 waiting.push(broken);
             }
         }
-        self.broken.extend(waiting);
+        self.broken_sends.extend(waiting);
     }
 
-    /// Checks the targets of sends that broke off once more: the first check may have come too soon after
-    /// another one.
+    /// Checks the targets of interrupted sends again: the first check may have been skipped because it came too soon
+    /// after another one.
     pub(super) fn recheck_broken(&mut self) {
-        let first = |broken: &Broken| broken.targets.first().map(|(id, _)| id.clone());
-        let mut ids: Vec<TargetId> = self.broken.iter().filter_map(first).collect();
+        let first = |broken: &BrokenSend| broken.targets.first().map(|(id, _)| id.clone());
+        let mut ids: Vec<TargetId> = self.broken_sends.iter().filter_map(first).collect();
         ids.sort_unstable();
         ids.dedup();
         for id in ids {
@@ -113,94 +114,94 @@
         }
     }
 
-    /// Whether the process that was a target is gone.
-    fn life_ended(&self, id: &str, mark: TargetHash) -> bool {
+    /// Whether the process of a target's incarnation has ended.
+    fn incarnation_ended(&self, id: &str, hash: TargetHash) -> bool {
         let Some(target) = self.targets.get(id) else { return false };
-        let another = self.targets.hash(id) != Some(mark);
+        let another = self.targets.hash(id) != Some(hash);
         another || target.liveness_failure() == Some(LivenessFailure::Reset)
     }
 
-    fn dark(&self, id: &str) -> bool {
+    fn is_unreachable(&self, id: &str) -> bool {
         self.targets
             .get(id)
             .is_some_and(|target| target.liveness_failure() == Some(LivenessFailure::Silent))
     }
 
-    fn ended_under(&mut self, broken: &Broken, id: &str, mark: TargetHash) {
-        let Broken { fingerprint, attempt, early, .. } = broken;
-        let change = self.fatal.record_crash(*fingerprint, mark, *early, self.now);
+    fn record_crash(&mut self, broken: &BrokenSend, id: &str, hash: TargetHash) {
+        let BrokenSend { fingerprint, attempt, early, .. } = broken;
+        let change = self.fatal.record_crash(*fingerprint, hash, *early, self.now);
         let after = self.now.saturating_duration_since(broken.at).as_millis();
-        note!(
+        log_event!(
             self,
             TargetEnded,
             "request={attempt} fingerprint={fingerprint} target={id} early={early} ends={} \
              known_after_ms={after}",
             self.fatal.crashes(*fingerprint)
         );
-        self.follow_change(*fingerprint, change, "own");
+        self.apply_change(*fingerprint, change, "own");
     }
 
-    /// Takes another host's word of a request that ends targets, or a record's.
-    pub(super) fn hear_fatal(&mut self, note: &FatalReport, by: &str) {
-        let change = self.fatal.receive(note, self.now);
-        self.follow_change(note.fingerprint, change, by);
+    /// Applies what another host or a record in the store reports about a request that ends targets.
+    pub(super) fn apply_fatal_report(&mut self, report: &FatalReport, by: &str) {
+        let change = self.fatal.receive(report, self.now);
+        self.apply_change(report.fingerprint, change, by);
     }
 
-    /// A request ended whole, so it does not end its targets.
-    pub(super) fn ended_whole(&mut self, fingerprint: Fingerprint) {
+    /// Records that a request got a complete response, so that it does not end its targets.
+    pub(super) fn record_completed(&mut self, fingerprint: Fingerprint) {
         let change = self.fatal.record_success(fingerprint, self.now);
-        self.follow_change(fingerprint, change, "own");
+        self.apply_change(fingerprint, change, "own");
     }
 
-    fn follow_change(&mut self, fingerprint: Fingerprint, change: FatalChange, by: &str) {
+    fn apply_change(&mut self, fingerprint: Fingerprint, change: FatalChange, by: &str) {
         match change {
             FatalChange::None | FatalChange::Crashed => {}
-            // Who does not speak for others has nobody to pass their words on to.
-            FatalChange::CrashedEarly if by == HEARD && !self.peers.speaking() => {}
-            FatalChange::CrashedEarly => self.tell_soon(),
+            // Only speakers forward reports of other hosts.
+            FatalChange::CrashedEarly if by == BY_PEER && !self.peers.speaking() => {}
+            FatalChange::CrashedEarly => self.heartbeat_soon(),
             FatalChange::Cleared => {
-                note!(self, RequestCleared, "fingerprint={fingerprint} by={by}");
+                log_event!(self, RequestCleared, "fingerprint={fingerprint} by={by}");
                 self.blocked_changed();
             }
             FatalChange::Blocked => {
                 let ends = self.fatal.crashes(fingerprint);
                 let blocked = self.fatal.blocked_count();
-                note!(
+                log_event!(
                     self,
                     RequestBlocked,
                     "fingerprint={fingerprint} ends={ends} by={by} blocked={blocked}"
                 );
                 self.blocked_changed();
-                self.beat_now(true);
-                self.stop_blocked(fingerprint);
+                self.heartbeat_now(true);
+                self.end_blocked_runs(fingerprint);
             }
         }
     }
 
-    /// Ends the runs of a blocked request that have hardly begun. One that is past its beginning may
-    /// show that the request is well after all.
-    fn stop_blocked(&mut self, fingerprint: Fingerprint) {
+    /// Ends the runs of a blocked request that have hardly begun. A run beyond that may still complete, which shows that
+    /// the request is harmless.
+    fn end_blocked_runs(&mut self, fingerprint: Fingerprint) {
         for key in self.exchanges.keys() {
             let Some(exchange) = self.exchanges.get(key) else { continue };
-            let begun = exchange.send.as_ref().is_some_and(|send| !early(send, self.now));
+            let begun = exchange.send.as_ref().is_some_and(|send| !is_early(send, self.now));
             if exchange.fingerprint == fingerprint && !begun {
                 self.end_without(key, Code::EndsTargets, ENDS_TARGETS);
             }
         }
     }
 
-    /// The refusal of a request that is blocked; `None` for others.
-    pub(super) fn refuse_fatal(&mut self, fingerprint: Fingerprint) -> Option<Refusal> {
+    /// The refusal of a request if it is blocked.
+    pub(super) fn refuse_blocked(&mut self, fingerprint: Fingerprint) -> Option<Refusal> {
         let left = self.fatal.blocked(fingerprint, self.now)?;
         let text = format!("{ENDS_TARGETS}: fingerprint {fingerprint}");
-        Some(Refusal::not_run(Code::EndsTargets, text).after(self.spread(left)))
+        Some(Refusal::not_run(Code::EndsTargets, text).after(self.with_jitter(left)))
     }
 }
 
-/// Why a blocked request is refused.
+/// The reason that callers of a blocked request get.
 pub(super) const ENDS_TARGETS: &str = "targets ended while they ran this request";
 
-/// Whether a send had hardly begun to run.
-fn early(send: &Send, now: Instant) -> bool {
-    send.first.is_none_or(|at| now.saturating_duration_since(at) < EARLY)
+/// Whether a send has hardly begun to run: its first event came less than [`EARLY`] ago, or has not come.
+fn is_early(send: &InFlightSend, now: Instant) -> bool {
+    send.first_event.is_none_or(|at| now.saturating_duration_since(at) < EARLY)
 }
--- a/crates/roseshore_relay/src/entry/heartbeats.rs
+++ b/crates/roseshore_relay/src/entry/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats between hosts: loads, failures, and what each has read of the store.
+//! Heartbeats between hosts: loads, failures, and how far each host has read the store.
 
-use super::fatal::HEARD;
-use super::{EntryHost, note};
+use super::fatal::BY_PEER;
+use super::{EntryHost, log_event};
 use roseshore_core::gateway::RetryBudget;
 use roseshore_core::gateway::fatal::MIN_URGENT_GAP;
 use roseshore_core::gateway::paces::{EnginePace, PaceReport};
@@ -10,42 +10,42 @@
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use std::net::SocketAddr;
 
-/// Between two additions of what the others have told: a speaker of sixty hosts hears three hundred
-/// heartbeats a second, and what each changes matters to a choice only with the others.
-const VIEW_EVERY: Duration = Duration::from_millis(20);
+/// Shortest interval between aggregations of the other hosts' heartbeats. A speaker among sixty hosts receives three
+/// hundred heartbeats per second, and a single one hardly changes the sum that a choice of target depends on.
+const VIEW_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A newer configuration that no copy has brought for so long is read: refusals begin at 0.7 s, and
-/// a copy of 250 kB reaches the last of sixty hosts in 0.9 s.
-const COPY_PATIENCE: Duration = Duration::from_millis(500);
+/// Longest wait for a copy of a newer configuration before the store is read instead: refusals begin after 0.7 s, and a copy
+/// of 250 kB reaches the last of sixty hosts after 0.9 s.
+const MAX_COPY_WAIT: Duration = Duration::from_millis(500);
 
-/// Paces that a heartbeat tells of; more do not fit a datagram beside the rest.
-const PACES_TOLD: usize = 12;
+/// Maximum number of paces in a heartbeat; more do not fit a datagram with the other contents.
+const MAX_PACE_REPORTS: usize = 12;
 
 impl EntryHost {
-    /// Takes the datagrams that came.
-    pub(super) fn hear(&mut self) {
+    /// Handles received datagrams.
+    pub(super) fn receive_datagrams(&mut self) {
         let mut joined = false;
         while let Some((from, bytes)) = self.net.receive_datagram() {
             match frame::decode(bytes) {
-                Ok(Datagram::Beat(beat)) => joined |= self.hear_beat(from, *beat),
-                Ok(Datagram::Ask(ask)) => self.hear_ask(from, &ask),
-                Ok(Datagram::Grant(grant)) => self.hear_grant(&grant),
+                Ok(Datagram::Beat(beat)) => joined |= self.apply_heartbeat(from, *beat),
+                Ok(Datagram::Ask(ask)) => self.answer_permit_request(from, &ask),
+                Ok(Datagram::Grant(grant)) => self.apply_grant(&grant),
                 Err(err) => {
                     let why = err.to_string();
-                    note!(self, DatagramSkipped, "from={from} why={why:?}");
+                    log_event!(self, DatagramSkipped, "from={from} why={why:?}");
                 }
             }
         }
         if joined {
-            // Who is new hears at once what others have.
+            // A new host gets the state of this one at once.
             self.fatal.repeat_blocked(self.now);
-            self.beat();
+            self.send_heartbeats();
         }
-        self.view_others();
+        self.aggregate_peers();
     }
 
-    /// Takes a heartbeat; returns whether its sender has just joined.
-    fn hear_beat(&mut self, from: SocketAddr, mut beat: Heartbeat) -> bool {
+    /// Applies a heartbeat; returns whether its sender has just joined.
+    fn apply_heartbeat(&mut self, from: SocketAddr, mut beat: Heartbeat) -> bool {
         let (now, config, list) = (self.now, beat.config, beat.list);
         let holds = std::mem::take(&mut beat.holds);
         let paces = std::mem::take(&mut beat.paces);
@@ -53,109 +53,112 @@
         let limits = beat.limits.clone();
         let Some(heard) = self.peers.receive(from, beat, now) else { return false };
         if heard.joined {
-            note!(self, HostJoined, "host={from} near={} config_version={config}", heard.near);
+            log_event!(self, HostJoined, "host={from} near={} config_version={config}", heard.near);
         }
         for hold in holds {
-            self.take_hold(hold);
+            self.apply_hold(hold);
         }
-        for note in paces {
-            if let Some(pace) = EnginePace::from_report(&note, now) {
-                self.targets.record_pace(note.target, pace);
+        for report in paces {
+            if let Some(pace) = EnginePace::from_report(&report, now) {
+                self.targets.record_pace(report.target, pace);
             }
         }
-        for note in &fatal {
-            self.hear_fatal(note, HEARD);
+        for report in &fatal {
+            self.apply_fatal_report(report, BY_PEER);
         }
-        self.hear_limits(from, &limits);
+        self.apply_limit_reports(from, &limits);
         let known = self.config_version();
         if let Some(proven) = heard.config_proven.filter(|_| config == known && known > 0) {
-            self.currency.renew(proven);
+            self.config_lease.renew(proven);
         }
-        if config > known && !self.ask_copy(from) && !self.awaits_copy() {
+        if config > known && !self.request_copy(from) && !self.copy_expected() {
             self.read_config_now();
         }
         self.compare_list(from, list, heard.list_proven);
         heard.joined
     }
 
-    /// Whether a copy of a newer configuration is soon to be had, and has not been for long.
-    fn awaits_copy(&self) -> bool {
-        let late = |since| self.now.saturating_duration_since(since) >= COPY_PATIENCE;
-        self.copies.expected(self.now) && !self.outdated.is_some_and(late)
+    /// Whether a copy of a newer configuration is expected soon, and the wait has not been too long.
+    fn copy_expected(&self) -> bool {
+        let late = |since| self.now.saturating_duration_since(since) >= MAX_COPY_WAIT;
+        self.copies.expected(self.now) && !self.outdated_since.is_some_and(late)
     }
 
-    /// Adds up what the other hosts have told.
-    fn view_others(&mut self) {
+    /// Aggregates the loads and counts that other hosts reported.
+    fn aggregate_peers(&mut self) {
         let now = self.now;
-        if self.viewed.is_some_and(|at| now.saturating_duration_since(at) < VIEW_EVERY) {
+        if self.peers_viewed.is_some_and(|at| now.saturating_duration_since(at) < VIEW_INTERVAL) {
             return;
         }
-        self.viewed = Some(now);
+        self.peers_viewed = Some(now);
         let view = self.peers.view(now);
         self.targets.set_remote_loads(&view.loads);
-        for (service, allowance) in &mut self.allowances {
-            allowance.set_peer_counts(view.counted(name_hash(service)), view.reporting, view.hosts);
+        for (service, budget) in &mut self.retry_budgets {
+            budget.set_peer_counts(view.counted(name_hash(service)), view.reporting, view.hosts);
         }
     }
 
-    /// What engines reported of their pace, from who speaks for others: these hear only their speakers.
-    fn paces(&self) -> Vec<PaceReport> {
+    /// The paces of engines to report to other hosts. Only speakers report them, since the other hosts of a data centre hear
+    /// only their speakers.
+    fn pace_reports(&self) -> Vec<PaceReport> {
         if !self.peers.speaking() {
             return Vec::new();
         }
-        self.targets.pace_reports(PACES_TOLD, self.now)
+        self.targets.pace_reports(MAX_PACE_REPORTS, self.now)
     }
 
-    fn counts(&mut self) -> Vec<ServiceCounts> {
+    /// The requests and retries of each service that this host has counted.
+    fn service_counts(&mut self) -> Vec<ServiceCounts> {
         let now = self.now;
-        let note = |(service, allowance): (&ServiceId, &mut RetryBudget)| {
-            let counted = allowance.counts(now);
+        let report = |(service, budget): (&ServiceId, &mut RetryBudget)| {
+            let counted = budget.counts(now);
             let (requests, repeats) = (counted.requests, counted.retries);
             ServiceCounts { service: name_hash(service), requests, repeats }
         };
-        self.allowances.iter_mut().map(note).collect()
+        self.retry_budgets.iter_mut().map(report).collect()
     }
 
-    /// Tells the own data centre, or all hosts, at once.
-    pub(super) fn beat_now(&mut self, all: bool) {
+    /// Sends heartbeats now, to the hosts of this data centre or, with `all`, to all hosts.
+    pub(super) fn heartbeat_now(&mut self, all: bool) {
         self.peers.make_due(all);
-        self.beat();
+        self.send_heartbeats();
     }
 
-    /// Tells all hosts before this turn of the loop is over, or as soon as such news may be told again.
-    pub(super) fn tell_soon(&mut self) {
-        self.urgent = true;
+    /// Requests an urgent heartbeat to all hosts: at the end of this iteration of the event loop, or as soon as the interval
+    /// between urgent heartbeats allows.
+    pub(super) fn heartbeat_soon(&mut self) {
+        self.urgent_pending = true;
     }
 
-    /// Tells what does not wait.
-    pub(super) fn tell_urgent(&mut self) {
+    /// Sends a pending urgent heartbeat if it is due.
+    pub(super) fn send_urgent(&mut self) {
         let late = |at| self.now.saturating_duration_since(at) >= MIN_URGENT_GAP;
-        if self.urgent && self.told_urgent.is_none_or(late) {
-            self.urgent = false;
-            self.told_urgent = Some(self.now);
-            self.beat_now(true);
+        if self.urgent_pending && self.urgent_sent.is_none_or(late) {
+            self.urgent_pending = false;
+            self.urgent_sent = Some(self.now);
+            self.heartbeat_now(true);
         }
     }
 
     /// Sends the heartbeats that are due.
-    pub(super) fn beat(&mut self) {
-        let age = self.currency.age(self.now);
+    pub(super) fn send_heartbeats(&mut self) {
+        let age = self.config_lease.age(self.now);
         let own = LocalState {
-            leaving: self.stopping.is_some(),
-            reading: !self.following.outage.is_down(),
+            leaving: self.stopping_since.is_some(),
+            reading: !self.store_sync.outage.is_down(),
             config: self.config_version(),
             config_proven: age.and_then(|age| self.now.checked_sub(age)),
-            list: self.list_mark(),
-            list_proven: self.following.outage.last_confirmed(),
+            list: self.list_version(),
+            list_proven: self.store_sync.outage.last_confirmed(),
             loads: self.targets.load_reports(),
-            counts: self.counts(),
-            holdings: self.holds(),
-            paces: self.paces(),
+            counts: self.service_counts(),
+            holdings: self.holding_reports(),
+            paces: self.pace_reports(),
             fatal: self.fatal.reports(self.now),
-            limits: self.limit_notes(),
+            limits: self.limit_reports(),
         };
         let due = self.peers.due(&own, self.now);
-        self.judge_speaking();
+        self.log_speaking();
         for (to, beat) in due {
             self.send_message(to, &Datagram::Beat(Box::new(beat)));
         }
@@ -167,19 +170,19 @@
             Ok(bytes) => self.net.send_datagram(to, &bytes),
             Err(err) => {
                 let why = err.to_string();
-                note!(self, DatagramSkipped, "to={to} why={why:?}");
+                log_event!(self, DatagramSkipped, "to={to} why={why:?}");
             }
         }
     }
 
-    /// Tells when this host begins, or ends, to speak for its data centre.
-    fn judge_speaking(&mut self) {
+    /// Logs when this host becomes a speaker of its data centre, or stops being one.
+    fn log_speaking(&mut self) {
         let speaks = self.peers.speaking();
-        if speaks != self.speaking {
-            self.speaking = speaks;
-            let place = self.peers.rank_in_centre(self.now);
+        if speaks != self.was_speaking {
+            self.was_speaking = speaks;
+            let rank = self.peers.rank_in_centre(self.now);
             let near = self.peers.near_alive(self.now);
-            note!(self, SpeakingChanged, "speaks={speaks} place={place} near={near}");
+            log_event!(self, SpeakingChanged, "speaks={speaks} place={rank} near={near}");
         }
     }
 }
--- a/crates/roseshore_relay/src/entry/in_flight.rs
+++ b/crates/roseshore_relay/src/entry/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way to a target, and how far its answer has come.
+//! A send, one attempt to have a target run a request, and the progress of its response.
 
 use crate::http::{BodyDecoder, ResponseHead};
 use crate::slab::Key;
@@ -8,51 +8,53 @@
 use roseshore_core::prelude::*;
 use std::net::SocketAddr;
 
-/// A send that is on its way.
-pub(super) struct Send {
+/// A send in flight.
+pub(super) struct InFlightSend {
     pub(super) socket: Key,
     pub(super) target: TargetId,
     pub(super) addr: SocketAddr,
+    /// The engines of the chain that runs the request, in order; empty for a plain service.
     pub(super) path: Vec<(TargetId, SocketAddr, Hop)>,
-    /// What is counted for each target.
+    /// The load that is counted for each target.
     pub(super) claims: Vec<Claim>,
-    pub(super) sent: Instant,
-    /// All targets that take part, in their lives of when it was sent.
-    pub(super) lives: Vec<(TargetId, TargetHash)>,
-    /// When something last came.
-    pub(super) latest: Instant,
-    /// When its first event came.
-    pub(super) first: Option<Instant>,
+    pub(super) sent_at: Instant,
+    /// All targets involved, with their incarnations when it was sent.
+    pub(super) incarnations: Vec<(TargetId, TargetHash)>,
+    /// When data of the response last arrived, or the send time.
+    pub(super) latest_at: Instant,
+    /// When the first event arrived.
+    pub(super) first_event: Option<Instant>,
     pub(super) phase: Phase,
-    /// The body, or what of it has not been passed on.
+    /// The received part of the body that has not been forwarded.
     pub(super) body: Vec<u8>,
-    /// Predicted time between tokens, ms.
+    /// Predicted time between tokens in milliseconds.
     pub(super) token_ms: f64,
-    pub(super) kept: bool,
-    /// The status of its answer; 0 before that.
+    /// Whether it uses an idle connection rather than a new one.
+    pub(super) reused: bool,
+    /// The status of the response; 0 before it arrives.
     pub(super) status: u16,
-    /// What the target asked for beside it.
+    /// The pause that the target asked for in the response.
     pub(super) rest: Option<Duration>,
-    /// Whether the target said that it leaves.
+    /// Whether the response stated that the target is shutting down.
     pub(super) leaving: bool,
 }
 
-/// How far an answer has come.
+/// Progress of a response.
 pub(super) enum Phase {
     Head,
-    /// An answer to something else, to be passed over.
-    Surplus(BodyDecoder),
+    /// Reading the response to another request, which is discarded.
+    Stale(BodyDecoder),
     Body(ResponseHead, BodyDecoder),
 }
 
-impl Send {
-    /// The target of its path at an address, and the layers it was to run there.
+impl InFlightSend {
+    /// The target of the path at an address, and the layers that it was to run.
     pub(super) fn at(&self, addr: SocketAddr) -> Option<(&TargetId, (Layer, Layer))> {
         let (id, _, hop) = self.path.iter().find(|(_, at, _)| *at == addr)?;
         Some((id, hop.layers))
     }
 
-    /// All targets that take part.
+    /// All targets involved.
     pub(super) fn targets(&self) -> Vec<TargetId> {
         if self.path.is_empty() {
             return vec![self.target.clone()];
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -1,11 +1,11 @@
-//! Finds out which target of a silent path is dead.
+//! Liveness checks of targets, to find out which target of a path without progress is dead.
 //!
-//! A connection is opened and closed again: a live target's machine takes it at once, a dead port
-//! resets it, a dark machine says nothing. That costs no slot and next to nothing, so it is done
-//! well before a stream is given up.
+//! A check opens a connection and closes it again: the machine of a live target accepts it at once, a closed port resets
+//! it, and an unreachable machine does not answer. A check occupies no slot of the target and costs almost nothing, so it is
+//! done well before a stream is given up.
 
-use super::in_flight::Send;
-use super::{EntryHost, Role, Timer, note};
+use super::in_flight::InFlightSend;
+use super::{EntryHost, Role, Timer, log_event};
 use crate::slab::Key;
 use roseshore_core::gateway::Fault;
 use roseshore_core::gateway::targets::LivenessFailure;
@@ -13,21 +13,23 @@
 use std::collections::HashMap;
 use std::io::ErrorKind;
 
-/// For an answer to a check: two milliseconds between data centres, and a target that is twelve times slower
-/// than usual takes 12 ms.
-const CHECK_TIME: Duration = Duration::from_millis(45);
-/// A target is checked this often at most.
-const EVERY: Duration = Duration::from_millis(200);
-/// A dead target is checked again after this time.
-const DEAD_EVERY: Duration = Duration::from_millis(500);
-/// Unanswered checks in a row that mean death: one packet may be lost.
-const UNANSWERED: u32 = 2;
+/// Time-out of a check. Answers take two milliseconds between data centres, and 12 ms from a target that is twelve times
+/// slower than usual.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(45);
+/// Shortest interval between checks of a target.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between checks of a dead target.
+const DEAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Unanswered checks in a row after which a target is considered dead. A single one may be a lost packet.
+const MAX_UNANSWERED: u32 = 2;
 
-/// What is known of one target.
+/// The checks of one target.
 #[derive(Clone, Copy, Debug, Default)]
 struct Check {
     last: Option<Instant>,
-    open: bool,
+    /// Whether a check is in progress.
+    pending: bool,
+    /// Unanswered checks in a row.
     unanswered: u32,
 }
 
@@ -35,68 +37,68 @@
 #[derive(Debug, Default)]
 pub(super) struct Liveness {
     checks: HashMap<TargetId, Check>,
-    /// Targets found dead in this turn of the loop.
-    fallen: Vec<TargetId>,
+    /// Targets found dead in this iteration of the event loop.
+    dead: Vec<TargetId>,
 }
 
 impl Liveness {
-    /// What runs through a target is lost.
-    pub(super) fn lose(&mut self, id: &str) {
-        self.fallen.push(id.to_owned());
+    /// Marks a target as dead, so that the requests that run on it are sent to others.
+    pub(super) fn mark_lost(&mut self, id: &str) {
+        self.dead.push(id.to_owned());
     }
 }
 
 impl EntryHost {
-    /// Checks whether a target lives, unless that was done just now.
+    /// Starts a check of a target, unless one is in progress or was made within [`CHECK_INTERVAL`].
     pub(super) fn check_alive(&mut self, id: &str) {
         let now = self.now;
         let Some(target) = self.targets.get(id) else { return };
         let addr = target.record.addr;
         let check = self.liveness.checks.entry(id.to_owned()).or_default();
-        let again = check.last.is_none_or(|at| now.saturating_duration_since(at) >= EVERY);
-        if check.open || !(again || check.unanswered > 0) {
+        let due = check.last.is_none_or(|at| now.saturating_duration_since(at) >= CHECK_INTERVAL);
+        if check.pending || !(due || check.unanswered > 0) {
             return;
         }
         check.last = Some(now);
         match self.net.connect(addr) {
             Ok(key) => {
-                check.open = true;
+                check.pending = true;
                 self.roles.insert(key, Role::Liveness(id.to_owned()));
-                self.arm(now + CHECK_TIME, Timer::Liveness(key));
+                self.set_timer(now + CHECK_TIMEOUT, Timer::Liveness(key));
             }
             Err(err) if err.kind() == ErrorKind::ConnectionRefused => {
                 self.mark_dead(id, LivenessFailure::Reset);
             }
-            Err(err) => note!(self, ReportFailed, "target={id} liveness=unsent why={err:?}"),
+            Err(err) => log_event!(self, ReportFailed, "target={id} liveness=unsent why={err:?}"),
         }
     }
 
-    /// The connection of a check changed.
-    pub(super) fn check_changed(&mut self, key: Key) {
+    /// Handles the outcome of a check: the connection was established or failed.
+    pub(super) fn handle_liveness(&mut self, key: Key) {
         let Some(socket) = self.net.get(key) else { return };
-        let (up, ended) = (socket.connected, socket.ended.is_some());
-        if !up && !ended {
+        let (connected, ended) = (socket.connected, socket.ended.is_some());
+        if !connected && !ended {
             return;
         }
         let Some(id) = self.end_check(key) else { return };
-        if up {
+        if connected {
             if let Some(check) = self.liveness.checks.get_mut(&id) {
                 check.unanswered = 0;
             }
             if self.targets.liveness_passed(&id) {
-                note!(self, TargetBack, "target={id} by=liveness");
+                log_event!(self, TargetBack, "target={id} by=liveness");
             }
             return;
         }
         self.mark_dead(&id, LivenessFailure::Reset);
     }
 
-    /// The time of a check is over.
-    pub(super) fn check_timed_out(&mut self, key: Key) {
+    /// Handles a check that was not answered in time.
+    pub(super) fn liveness_timed_out(&mut self, key: Key) {
         let Some(id) = self.end_check(key) else { return };
         let Some(check) = self.liveness.checks.get_mut(&id) else { return };
         check.unanswered += 1;
-        if check.unanswered >= UNANSWERED {
+        if check.unanswered >= MAX_UNANSWERED {
             self.mark_dead(&id, LivenessFailure::Silent);
         } else {
             self.check_alive(&id);
@@ -108,25 +110,25 @@
         let id = id.clone();
         self.close(key);
         if let Some(check) = self.liveness.checks.get_mut(&id) {
-            check.open = false;
+            check.pending = false;
         }
         Some(id)
     }
 
-    fn mark_dead(&mut self, id: &str, death: LivenessFailure) {
-        if self.targets.liveness_failed(id, death) {
-            note!(self, TargetLost, "target={id} liveness={}", death.name());
-            self.beat_now(false);
+    fn mark_dead(&mut self, id: &str, failure: LivenessFailure) {
+        if self.targets.liveness_failed(id, failure) {
+            log_event!(self, TargetLost, "target={id} liveness={}", failure.name());
+            self.heartbeat_now(false);
         }
-        self.liveness.lose(id);
+        self.liveness.mark_lost(id);
     }
 
-    /// What runs through targets that were found dead goes elsewhere. All that fell in one turn are
-    /// known by then: when a data centre is cut off its targets fall together, and a request that
-    /// left each of them in turn would use the allowance of repeats up on the next dead one.
-    pub(super) fn leave_fallen(&mut self) {
-        let fallen = std::mem::take(&mut self.liveness.fallen);
-        if fallen.is_empty() {
+    /// Sends requests that run on targets found dead to other targets. This is done once per iteration of the event loop,
+    /// when all dead targets are known: targets of a data centre that is cut off die together, and a request that was
+    /// sent to each of them in turn would use up the retry budget.
+    pub(super) fn reroute_from_dead(&mut self) {
+        let dead = std::mem::take(&mut self.liveness.dead);
+        if dead.is_empty() {
             return;
         }
         let now = self.now;
@@ -134,22 +136,24 @@
             let Some(exchange) = self.exchanges.get(key).filter(|e| e.may_move(now)) else {
                 continue;
             };
-            let Some(mut targets) = exchange.send.as_ref().map(Send::targets) else { continue };
-            targets.retain(|id| fallen.contains(id));
+            let Some(mut targets) = exchange.send.as_ref().map(InFlightSend::targets) else {
+                continue;
+            };
+            targets.retain(|id| dead.contains(id));
             if !targets.is_empty() {
-                self.failed_by(key, Fault::Silent, targets);
+                self.send_failed_by(key, Fault::Silent, targets);
             }
         }
     }
 
-    /// Checks the dead again, and forgets those that are gone.
+    /// Checks dead targets again, and drops the state of targets that are no longer listed.
     pub(super) fn recheck_dead(&mut self) {
         let now = self.now;
         let targets = &self.targets;
-        self.liveness.checks.retain(|id, check| check.open || targets.get(id).is_some());
+        self.liveness.checks.retain(|id, check| check.pending || targets.get(id).is_some());
         for id in self.targets.dead() {
             let last = self.liveness.checks.get(&id).and_then(|d| d.last);
-            if last.is_none_or(|at| now.saturating_duration_since(at) >= DEAD_EVERY) {
+            if last.is_none_or(|at| now.saturating_duration_since(at) >= DEAD_CHECK_INTERVAL) {
                 self.check_alive(&id);
             }
         }
--- a/crates/roseshore_relay/src/entry/placement.rs
+++ b/crates/roseshore_relay/src/entry/placement.rs
@@ -1,14 +1,14 @@
-//! Gives the engines of the own data centre the layers that the plan wants.
+//! Orders the engines of this host's data centre to hold the layers that the plan assigns to them.
 //!
-//! The first living host of a data centre gives the orders. The others work out the same repairs from
-//! the same list, and each waits a time of its own before it acts, in case the first one cannot; steps
-//! that only make a placement better are the first one's alone. Should two act at once, the target
-//! takes one order only: each order names how many it must have taken before.
+//! The first live host of a data centre gives the orders. The other hosts compute the same repairs from the same list, and
+//! each waits a different time before it acts, in case the first one cannot. Steps that only improve a placement are taken by
+//! the first host alone. If two hosts act at once, the target accepts only one order: each order states how many orders
+//! the target must have accepted before.
 
 mod holdings;
 
 use super::calls::{CallFault, Purpose};
-use super::{EntryHost, note};
+use super::{EntryHost, log_event};
 use roseshore_core::gateway::EngineSpec;
 use roseshore_core::gateway::peers::HoldingReport;
 use roseshore_core::gateway::plan::orders::{
@@ -24,296 +24,310 @@
 use roseshore_ports::entry::CallReply;
 use std::collections::{BTreeSet, HashMap};
 
-/// How often the plan is compared with the list.
-const COMPARE: Duration = Duration::from_millis(200);
-/// The list must have stood still for so long before a first plan is made: at a start, targets
-/// were seen to enter it over three seconds, with pauses below one.
-const SETTLE: Duration = Duration::from_millis(1200);
-/// A target that has begun an order is listed with it by then: the longest load of all layers
-/// that a kind can hold, and two heartbeats.
-const BEGUN: Duration = Duration::from_secs(9);
-/// When to look again at a target that is busy, refused or did not answer.
-const AGAIN: Duration = Duration::from_millis(1800);
-/// What a target reports of itself is some hundred milliseconds old.
-const REPORT_LAG: Duration = Duration::from_millis(250);
-/// Between questions whether a load is done, and how many there are at most.
-const ASK_AGAIN: Duration = Duration::from_millis(400);
-const ASKS: u32 = 8;
-/// Other hosts are told for so long; the list says it by then.
-const LEARNED: Duration = Duration::from_secs(4);
-/// Reports that are waited for at once: a data centre of 1,000 empty engines is asked in some seconds, and
-/// the host's loop goes on meanwhile.
-const MOST_ASKED: usize = 100;
-/// For a report or an order.
-const CALL_TIME: Duration = Duration::from_millis(700);
+/// Interval between comparisons of the plan with the list of targets.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
+/// The set of engines must not have grown for this time before the first plan is made: when a system starts, targets enter the
+/// list over three seconds, with pauses of less than one second.
+const SETTLE_TIME: Duration = Duration::from_millis(1200);
+/// Time by which the list shows the result of an accepted order: the longest time in which an engine loads all layers that it
+/// can hold, and two heartbeats.
+const ORDER_TIME: Duration = Duration::from_secs(9);
+/// Delay before another attempt at a target that is busy, refused an order or did not reply.
+const RETRY_DELAY: Duration = Duration::from_millis(1800);
+/// Allowance for the age of a target's report, which is some hundred milliseconds old.
+const REPORT_AGE: Duration = Duration::from_millis(250);
+/// Interval between questions whether a load is done.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of questions whether a load is done.
+const MAX_LOAD_POLLS: u32 = 8;
+/// Time for which learned layers are reported to other hosts, until the list shows them.
+const REPORT_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of reports that are requested at once. A data centre of 1,000 empty engines is asked within some seconds,
+/// without stalling the event loop of the host.
+const MAX_PENDING_REPORTS: usize = 100;
+/// Time-out of a report or an order.
+const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What this host has done and is waiting for.
+/// The state of planning and of orders that are in progress.
 #[derive(Debug, Default)]
-pub(super) struct Placing {
-    compared: Option<Instant>,
-    members: BTreeSet<TargetId>,
-    changed: Option<Instant>,
-    wanted: Option<Instant>,
-    /// What was ordered or seen to be ordered.
-    pending: HashMap<TargetId, Pending>,
-    /// Targets asked for a report, and why.
-    asked: HashMap<TargetId, Asked>,
-    /// Orders that were begun: what is to be held, and when to ask whether it is.
-    begun: HashMap<TargetId, Begun>,
-    /// What was learned that way, and when.
+pub(super) struct PlacementState {
+    last_compared: Option<Instant>,
+    /// All engines seen so far.
+    known_engines: BTreeSet<TargetId>,
+    /// When an engine was last seen for the first time.
+    engines_changed: Option<Instant>,
+    /// Since when the list has differed from the plan.
+    differs_since: Option<Instant>,
+    /// Layers that were ordered by this host or another, or that a target was seen to load.
+    expected: HashMap<TargetId, ExpectedLayers>,
+    /// Targets that were asked for a report before an order.
+    pending_reports: HashMap<TargetId, PendingReport>,
+    /// Orders in progress.
+    active_orders: HashMap<TargetId, ActiveOrder>,
+    /// Layers that targets were found to hold, and when.
     learned: Vec<(HoldingReport, Instant)>,
-    /// The first layers that no engine of the data centre holds, for each service.
+    /// For each service, the first range of layers that no engine of the data centre holds.
     missing: HashMap<ServiceId, Option<LayerRange>>,
-    /// How full the engines of each service are.
+    /// Utilization of the engines of each service.
     pressure: HashMap<ServiceId, Pressure>,
     /// The last plan of each service.
-    planned: HashMap<ServiceId, Planned>,
+    plans: HashMap<ServiceId, CachedPlan>,
 }
 
-/// What a target was ordered to hold, by this host or another.
+/// The layers that a target is expected to hold.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct ExpectedLayers {
     layers: LayerRange,
-    /// Those that can be counted on soon.
-    firm: Option<LayerRange>,
-    /// Believed until then; the list says it by that time.
+    /// The part of them that can be relied on soon.
+    assured: Option<LayerRange>,
+    /// End of the expectation; the list shows the layers by then.
     until: Instant,
 }
 
-/// A plan and what it was made from.
+/// A plan and its inputs.
 #[derive(Debug)]
-struct Planned {
-    members: Vec<EngineState>,
-    /// Whether it may hold a step.
+struct CachedPlan {
+    engines: Vec<EngineState>,
+    /// Whether it may contain a step that only improves the placement.
     step: bool,
     placements: Vec<Placement>,
 }
 
-/// A report that is waited for before an order.
+/// A pending report that precedes an order.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    /// The range meant for the target.
+struct PendingReport {
+    /// The layers that the plan assigns to the target.
     layers: LayerRange,
-    /// What it was taken to hold when that was planned.
+    /// The layers that the plan assumed it to hold.
     assumed: Option<LayerRange>,
 }
 
-/// An order that was begun.
+/// An order in progress.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct ActiveOrder {
     layers: LayerRange,
-    ask: Instant,
-    asked: u32,
+    /// When to ask next whether the layers are loaded.
+    next_poll: Instant,
+    /// Number of questions so far.
+    polls: u32,
 }
 
 impl EntryHost {
-    /// Compares plan and list, and asks targets that differ for a report.
-    pub(super) fn place(&mut self) {
+    /// Compares the plan with the list, and asks targets that differ for a report.
+    pub(super) fn update_placement(&mut self) {
         let now = self.now;
-        let due = |at: Instant| now.saturating_duration_since(at) >= COMPARE;
-        if !self.placing.compared.is_none_or(due) || self.stopping.is_some() {
+        let due = |at: Instant| now.saturating_duration_since(at) >= COMPARE_INTERVAL;
+        if !self.placement.last_compared.is_none_or(due) || self.stopping_since.is_some() {
             return;
         }
-        self.placing.compared = Some(now);
-        self.placing.pending.retain(|_, pending| now < pending.until);
-        self.placing.learned.retain(|(_, at)| now.saturating_duration_since(*at) < LEARNED);
-        self.ask_begun();
+        self.placement.last_compared = Some(now);
+        self.placement.expected.retain(|_, pending| now < pending.until);
+        self.placement.learned.retain(|(_, at)| now.saturating_duration_since(*at) < REPORT_TIME);
+        self.poll_orders();
         let Some(snapshot) = self.snapshot.clone() else { return };
         let services: Vec<_> = snapshot.engine_services().cloned().collect();
         let mut differs = false;
         for service in services {
             let Some(spec) = &service.engine else { continue };
-            self.judge_layers(&service.name, spec);
+            self.log_missing_layers(&service.name, spec);
             if !may_plan(self.peers.rank_in_centre(now)) {
                 continue;
             }
-            let members = self.members(&service.name);
-            let ids: BTreeSet<TargetId> = members.iter().map(|m| m.id.clone()).collect();
-            if !ids.is_subset(&self.placing.members) {
-                self.placing.changed = Some(now);
+            let engines = self.engine_states(&service.name);
+            let ids: BTreeSet<TargetId> = engines.iter().map(|m| m.id.clone()).collect();
+            if !ids.is_subset(&self.placement.known_engines) {
+                self.placement.engines_changed = Some(now);
             }
-            self.placing.members.extend(ids);
-            let first = members.iter().all(|m| m.layers.is_none());
-            let settled =
-                self.placing.changed.is_some_and(|at| now.saturating_duration_since(at) >= SETTLE);
+            self.placement.known_engines.extend(ids);
+            let first = engines.iter().all(|m| m.layers.is_none());
+            let settled = self
+                .placement
+                .engines_changed
+                .is_some_and(|at| now.saturating_duration_since(at) >= SETTLE_TIME);
             if first && !settled {
                 continue;
             }
-            for (id, layers) in self.planned(&service.name, spec, members) {
+            for (id, layers) in self.current_plan(&service.name, spec, engines) {
                 differs = true;
-                self.want(&id, layers);
+                self.request_report(&id, layers);
             }
         }
         if !differs {
-            self.placing.wanted = None;
+            self.placement.differs_since = None;
         }
     }
 
-    /// Tells when the engines of the own data centre stop holding, or hold again, all layers.
-    fn judge_layers(&mut self, service: &str, spec: &EngineSpec) {
-        let held = self.live(service).filter_map(|t| Some(t.holding()?.layers));
+    /// Logs when the engines of this data centre stop, or start again, to hold all layers.
+    fn log_missing_layers(&mut self, service: &str, spec: &EngineSpec) {
+        let held = self.live_engines(service).filter_map(|t| Some(t.holding()?.layers));
         let gap = first_gap(spec, held);
-        if self.placing.missing.get(service) == Some(&gap) {
+        if self.placement.missing.get(service) == Some(&gap) {
             return;
         }
-        let engines = self.live(service).count();
+        let engines = self.live_engines(service).count();
         if let Some((from, to)) = gap {
-            note!(self, LayersMissing, "service={service} engines={engines} layers={from}-{to}");
+            log_event!(
+                self,
+                LayersMissing,
+                "service={service} engines={engines} layers={from}-{to}"
+            );
         } else {
-            note!(self, LayersWhole, "service={service} engines={engines}");
+            log_event!(self, LayersWhole, "service={service} engines={engines}");
         }
-        self.placing.missing.insert(service.to_owned(), gap);
+        self.placement.missing.insert(service.to_owned(), gap);
     }
 
-    /// The engines of the own data centre that take work.
-    pub(super) fn live<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
+    /// The engines of this data centre that accept work.
+    pub(super) fn live_engines<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
         let near = &self.settings.data_centre;
         let live = |t: &&Target| t.is_available() && !t.is_down() && t.record.data_centre == *near;
         self.targets.of_service(service).filter(live)
     }
 
-    /// The plan, worked out anew only when the engines differ from last time.
-    fn planned(
+    /// The plan; computed again only if its inputs have changed.
+    fn current_plan(
         &mut self,
         service: &str,
         spec: &EngineSpec,
-        members: Vec<EngineState>,
+        engines: Vec<EngineState>,
     ) -> Vec<Placement> {
-        let full = self.targets.fullest(service, spec, &self.settings.data_centre);
-        let pressure = self.placing.pressure.entry(service.to_owned()).or_default();
-        pressure.record(full);
-        let unsettled = members.iter().filter(|m| m.layers != m.ready).count();
+        let utilisation = self.targets.fullest(service, spec, &self.settings.data_centre);
+        let pressure = self.placement.pressure.entry(service.to_owned()).or_default();
+        pressure.record(utilisation);
+        let unsettled = engines.iter().filter(|m| m.layers != m.ready).count();
         let step = pressure.allows_step(unsettled)
             && may_order(OrderReason::Improve, self.peers.rank_in_centre(self.now), Duration::ZERO);
-        let known = self.placing.planned.get(service);
-        if let Some(last) = known.filter(|p| p.members == members && p.step == step) {
+        let known = self.placement.plans.get(service);
+        if let Some(last) = known.filter(|p| p.engines == engines && p.step == step) {
             return last.placements.clone();
         }
-        let mut placements = plan(spec, &members);
+        let mut placements = plan(spec, &engines);
         if placements.is_empty() && step {
-            placements.extend(next_improvement(spec, &members));
+            placements.extend(next_improvement(spec, &engines));
         }
-        let planned = Planned { members, step, placements: placements.clone() };
-        self.placing.planned.insert(service.to_owned(), planned);
+        let planned = CachedPlan { engines, step, placements: placements.clone() };
+        self.placement.plans.insert(service.to_owned(), planned);
         placements
     }
 
-    /// The engines of the own data centre, with what they hold or have begun to load.
-    fn members(&self, service: &str) -> Vec<EngineState> {
-        let member = |t: &Target| {
+    /// The engines of this data centre, with the layers that they hold or are loading.
+    fn engine_states(&self, service: &str) -> Vec<EngineState> {
+        let state = |t: &Target| {
             let held = t.holding().map(|h| h.layers);
-            let pending = self.placing.pending.get(&t.record.id);
+            let pending = self.placement.expected.get(&t.record.id);
             Some(EngineState {
                 id: t.record.id.clone(),
                 kind: t.record.kind.clone()?,
                 layers: pending.map(|p| p.layers).or(held),
-                assured: pending.map_or(held, |p| p.firm),
+                assured: pending.map_or(held, |p| p.assured),
                 ready: pending.map_or(held, |p| held.and_then(|h| intersect(h, p.layers))),
             })
         };
-        self.live(service).filter_map(member).collect()
+        self.live_engines(service).filter_map(state).collect()
     }
 
-    fn want(&mut self, id: &str, layers: LayerRange) {
+    /// Asks a target for a report before it is ordered to hold these layers, if this host may give orders now.
+    fn request_report(&mut self, id: &str, layers: LayerRange) {
         let now = self.now;
-        let since = *self.placing.wanted.get_or_insert(now);
+        let since = *self.placement.differs_since.get_or_insert(now);
         let waited = now.saturating_duration_since(since);
         let due = may_order(OrderReason::Repair, self.peers.rank_in_centre(now), waited);
-        let asked = &self.placing.asked;
-        if !due || asked.contains_key(id) || asked.len() >= MOST_ASKED {
+        let asked = &self.placement.pending_reports;
+        if !due || asked.contains_key(id) || asked.len() >= MAX_PENDING_REPORTS {
             return;
         }
-        let Some(addr) = self.callable(id) else { return };
+        let Some(addr) = self.call_address(id) else { return };
         let Some(target) = self.targets.get(id) else { return };
         let assumed = target.holding().map(|h| h.layers);
-        note!(self, PlacementWanted, "target={id} layers={}-{}", layers.0, layers.1);
-        self.placing.asked.insert(id.to_owned(), Asked { layers, assumed });
+        log_event!(self, PlacementWanted, "target={id} layers={}-{}", layers.0, layers.1);
+        self.placement.pending_reports.insert(id.to_owned(), PendingReport { layers, assumed });
         let request = self.platform.report();
-        self.call(Purpose::Report(id.to_owned()), addr, &request, CALL_TIME);
+        self.call(Purpose::Report(id.to_owned()), addr, &request, CALL_TIMEOUT);
     }
 
-    /// How long a target needs to load what it does not hold yet.
+    /// The time that a target needs to load those of these layers that it does not hold yet.
     fn load_time(&self, id: &str, layers: LayerRange) -> Duration {
         let target = self.targets.get(id);
         let service = target.and_then(|t| self.snapshot.as_ref()?.service(&t.record.service));
-        let Some(spec) = service.and_then(|s| s.engine.as_ref()) else { return BEGUN };
+        let Some(spec) = service.and_then(|s| s.engine.as_ref()) else { return ORDER_TIME };
         let held = target.and_then(Target::holding).map(|h| h.layers);
         let kept = held.and_then(|h| intersect(h, layers)).map_or(0, |(from, to)| to - from);
-        let fresh = f64::from(layers.1 - layers.0 - kept) / f64::from(spec.layers);
-        spec.load_time.mul_f64(fresh) + REPORT_LAG
+        let missing_share = f64::from(layers.1 - layers.0 - kept) / f64::from(spec.layers);
+        spec.load_time.mul_f64(missing_share) + REPORT_AGE
     }
 
-    /// Asks targets whose load should be done: the list says so a second or two later.
-    fn ask_begun(&mut self) {
+    /// Asks targets whose load should be done. The list would show it one or two seconds later.
+    fn poll_orders(&mut self) {
         let now = self.now;
         let due: Vec<TargetId> = self
-            .placing
-            .begun
+            .placement
+            .active_orders
             .iter()
-            .filter(|(_, begun)| begun.ask <= now)
+            .filter(|(_, begun)| begun.next_poll <= now)
             .map(|(id, _)| id.clone())
             .collect();
         for id in due {
-            let Some(begun) = self.placing.begun.get_mut(&id) else { continue };
-            begun.ask = now + ASK_AGAIN;
-            begun.asked += 1;
-            let over = begun.asked > ASKS;
+            let Some(begun) = self.placement.active_orders.get_mut(&id) else { continue };
+            begun.next_poll = now + LOAD_POLL_INTERVAL;
+            begun.polls += 1;
+            let over = begun.polls > MAX_LOAD_POLLS;
             if over || self.targets.get(&id).is_none() {
-                self.placing.begun.remove(&id);
+                self.placement.active_orders.remove(&id);
                 continue;
             }
-            let Some(addr) = self.callable(&id) else { continue };
+            let Some(addr) = self.call_address(&id) else { continue };
             let request = self.platform.report();
-            self.call(Purpose::Report(id), addr, &request, CALL_TIME);
+            self.call(Purpose::Report(id), addr, &request, CALL_TIMEOUT);
         }
     }
 
-    fn check_begun(&mut self, id: &str, layers: LayerRange, busy: bool, held: Option<LayerRange>) {
+    fn check_order(&mut self, id: &str, layers: LayerRange, busy: bool, held: Option<LayerRange>) {
         if busy || held != Some(layers) {
             return;
         }
-        self.placing.begun.remove(id);
-        self.learn_held(id, layers);
-        note!(self, TargetListed, "target={id} layers={}-{} by=report", layers.0, layers.1);
+        self.placement.active_orders.remove(id);
+        self.record_held(id, layers);
+        log_event!(self, TargetListed, "target={id} layers={}-{} by=report", layers.0, layers.1);
     }
 
-    /// Holds a target for one that is to hold these layers, for a time. What it held when that was
-    /// first believed decides how much of it can be counted on.
-    fn believe(&mut self, id: &str, layers: LayerRange, time: Duration) {
+    /// Expects a target to hold these layers, for a time. The layers that it held when this was first expected determine
+    /// which part can be relied on.
+    fn expect_layers(&mut self, id: &str, layers: LayerRange, time: Duration) {
         let until = self.now + time;
-        let known = self.placing.pending.get(id).filter(|p| p.layers == layers);
+        let known = self.placement.expected.get(id).filter(|p| p.layers == layers);
         let held = self.targets.get(id).and_then(Target::holding).map(|h| h.layers);
-        let firm = known.map_or_else(|| assured_layers(held, layers), |p| p.firm);
-        self.placing.pending.insert(id.to_owned(), Pending { layers, firm, until });
+        let assured = known.map_or_else(|| assured_layers(held, layers), |p| p.assured);
+        self.placement.expected.insert(id.to_owned(), ExpectedLayers { layers, assured, until });
     }
 
-    pub(super) fn report_came(&mut self, id: &str, reply: Result<CallReply, CallFault>) {
+    /// Handles a target's report: sends the order that it precedes, or checks an order in progress.
+    pub(super) fn report_received(&mut self, id: &str, reply: Result<CallReply, CallFault>) {
         let now = self.now;
-        let begun = self.placing.begun.get(id).map(|b| b.layers);
-        let asked = self.placing.asked.remove(id);
+        let begun = self.placement.active_orders.get(id).map(|b| b.layers);
+        let asked = self.placement.pending_reports.remove(id);
         let Some(layers) = asked.map(|a| a.layers).or(begun) else { return };
         let report = match self.read_report(reply) {
             Ok(report) => report,
             Err(why) => {
-                note!(self, ReportFailed, "target={id} why={why:?}");
+                log_event!(self, ReportFailed, "target={id} why={why:?}");
                 if asked.is_some() {
-                    self.believe(id, layers, AGAIN);
+                    self.expect_layers(id, layers, RETRY_DELAY);
                 }
                 return;
             }
         };
         let held = report.holding.map(|h| h.layers);
-        let Some(Asked { assumed, .. }) = asked else {
-            return self.check_begun(id, layers, report.busy, held);
+        let Some(PendingReport { assumed, .. }) = asked else {
+            return self.check_order(id, layers, report.busy, held);
         };
         match check_report(report.busy, held, layers, assumed) {
             ReportAction::Send => {}
-            ReportAction::Skip => return self.believe(id, layers, AGAIN),
-            ReportAction::Replan(held) => return self.learn_held(id, held),
+            ReportAction::Skip => return self.expect_layers(id, layers, RETRY_DELAY),
+            ReportAction::Replan(held) => return self.record_held(id, held),
         }
-        let Some(addr) = self.callable(id) else { return };
+        let Some(addr) = self.call_address(id) else { return };
         let request = self.platform.place(layers, report.orders);
-        note!(
+        log_event!(
             self,
             OrderSent,
             "target={id} layers={}-{} expected={} held={held:?}",
@@ -322,15 +336,18 @@
             report.orders
         );
         let target = self.targets.hash(id);
-        self.placing.learned.retain(|(note, _)| Some(note.target) != target);
-        self.believe(id, layers, BEGUN);
-        let ask = now + self.load_time(id, layers);
-        self.placing.begun.insert(id.to_owned(), Begun { layers, ask, asked: 0 });
-        self.beat_now(false);
-        self.call(Purpose::Place(id.to_owned(), layers), addr, &request, CALL_TIME);
+        self.placement.learned.retain(|(report, _)| Some(report.target) != target);
+        self.expect_layers(id, layers, ORDER_TIME);
+        let next_poll = now + self.load_time(id, layers);
+        self.placement
+            .active_orders
+            .insert(id.to_owned(), ActiveOrder { layers, next_poll, polls: 0 });
+        self.heartbeat_now(false);
+        self.call(Purpose::Place(id.to_owned(), layers), addr, &request, CALL_TIMEOUT);
     }
 
-    pub(super) fn place_came(
+    /// Handles the reply to an order.
+    pub(super) fn order_reply(
         &mut self,
         id: &str,
         layers: LayerRange,
@@ -340,12 +357,12 @@
         if begun {
             return;
         }
-        self.placing.begun.remove(id);
+        self.placement.active_orders.remove(id);
         let why = match reply {
             Ok(reply) => format!("status {}", reply.status),
             Err(fault) => format!("{fault:?}"),
         };
-        note!(self, OrderUnknown, "target={id} layers={}-{} why={why:?}", layers.0, layers.1);
-        self.believe(id, layers, AGAIN);
+        log_event!(self, OrderUnknown, "target={id} layers={}-{} why={why:?}", layers.0, layers.1);
+        self.expect_layers(id, layers, RETRY_DELAY);
     }
 }
--- a/crates/roseshore_relay/src/entry/probes.rs
+++ b/crates/roseshore_relay/src/entry/probes.rs
@@ -1,25 +1,24 @@
-//! The balancer's question, and metrics.
+//! Health probes of the load balancer, scrapes of metrics, and readiness.
 
-use super::{EntryHost, Role, note};
+use super::{EntryHost, Role, log_event};
 use crate::http::{self, BodyFraming};
 use crate::slab::Key;
 use roseshore_core::prelude::*;
 
-/// Bytes of a probe's head.
+/// Maximum bytes of a probe's head.
 const MAX_HEAD: usize = 8 << 10;
-/// Without a proof that the configuration is current for so long, callers with keys are better
-/// served elsewhere: one read and its timeout beyond the usual.
-const DOUBT: Duration = Duration::from_secs(3);
-
-/// A neighbour's newer configuration is read within some milliseconds where the store answers; the
-/// operators' bound is two seconds.
-const OUTDATED: Duration = Duration::from_millis(700);
+/// Time after which a host that cannot confirm its configuration is no longer ready: callers with keys are then better served by
+/// other hosts. It allows for one more read, with its time-out, than usual.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which the configuration counts as outdated while another host has a newer one. Reading the newer one takes some
+/// milliseconds if the store answers; operators require changes to be in force within two seconds.
+const OUTDATED_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl EntryHost {
     /// Answers probes and requests for metrics.
-    pub(super) fn pump_probe(&mut self, key: Key) {
+    pub(super) fn handle_probe(&mut self, key: Key) {
         let Some(socket) = self.net.get(key) else {
-            // It was closed when its last bytes had left.
+            // It was closed after its output had been written.
             self.roles.remove(&key);
             return;
         };
@@ -30,7 +29,7 @@
             _ => return self.close(key),
         };
         let metrics = matches!(self.roles.get(&key), Some(Role::Metrics));
-        let (status, body) = match &self.rendered {
+        let (status, body) = match &self.metrics_handle {
             Some(handle) if metrics => (200, handle.render()),
             _ if self.ready => (200, String::new()),
             _ => (503, String::new()),
@@ -48,59 +47,60 @@
         out.extend_from_slice(body.as_bytes());
         self.net.send(key, &out);
         if !keep {
-            self.finish_socket(key);
+            self.close_flushed(key);
         }
     }
 
-    /// Notes whether a neighbour has a newer configuration.
-    pub(super) fn judge_age(&mut self) {
+    /// Updates since when another host has had a newer configuration.
+    pub(super) fn update_outdated(&mut self) {
         let known = self.config_version();
         let newer = self.peers.newest_config(self.now) > known;
-        self.outdated = if newer { self.outdated.or(Some(self.now)) } else { None };
+        self.outdated_since = if newer { self.outdated_since.or(Some(self.now)) } else { None };
     }
 
-    /// Whether the configuration at hand is known to be old: a neighbour has had a newer one for
-    /// longer than it takes to read it.
-    pub(super) fn outdated(&self) -> bool {
-        self.outdated.is_some_and(|at| self.now.saturating_duration_since(at) >= OUTDATED)
+    /// Whether the configuration in force is known to be old: another host has had a newer one for longer than a read
+    /// takes.
+    pub(super) fn config_outdated(&self) -> bool {
+        self.outdated_since
+            .is_some_and(|at| self.now.saturating_duration_since(at) >= OUTDATED_TIMEOUT)
     }
 
-    /// Whether the configuration may be taken for the newest.
-    pub(super) fn current(&self) -> bool {
-        self.currency.is_valid(self.now) && !self.outdated()
+    /// Whether the configuration in force is confirmed to be the newest.
+    pub(super) fn config_current(&self) -> bool {
+        self.config_lease.is_valid(self.now) && !self.config_outdated()
     }
 
-    /// Decides whether callers should come here.
-    pub(super) fn judge_ready(&mut self) {
-        let age = self.currency.age(self.now);
+    /// Updates whether this host is ready for callers, and whether API keys are honoured.
+    pub(super) fn update_readiness(&mut self) {
+        let age = self.config_lease.age(self.now);
         let known = self.snapshot.is_some() && !self.targets.is_empty();
-        let fresh = age.is_some_and(|age| age < DOUBT);
-        let ready = known && fresh && !self.outdated() && self.stopping.is_none();
+        let fresh = age.is_some_and(|age| age < UNCONFIRMED_TIMEOUT);
+        let ready = known && fresh && !self.config_outdated() && self.stopping_since.is_none();
         if ready != self.ready {
             self.ready = ready;
-            let (age, stopping) = (millis(age), self.stopping.is_some());
+            let (age, stopping) = (millis(age), self.stopping_since.is_some());
             let version = self.config_version();
-            note!(
+            log_event!(
                 self,
                 ReadyChanged,
                 "ready={ready} config_version={version} config_age_ms={age} stopping={stopping} targets={}",
                 self.targets.len()
             );
         }
-        let suspended = !self.current();
-        if suspended != self.suspended {
-            self.suspended = suspended;
+        let suspended = !self.config_current();
+        if suspended != self.keys_suspended {
+            self.keys_suspended = suspended;
             let age = millis(age);
             if suspended {
-                note!(self, KeysSuspended, "config_age_ms={age}");
+                log_event!(self, KeysSuspended, "config_age_ms={age}");
             } else {
-                note!(self, KeysHonoured, "config_age_ms={age}");
+                log_event!(self, KeysHonoured, "config_age_ms={age}");
             }
         }
     }
 }
 
-/// Milliseconds for a log line; -1 when there is no time.
+/// Milliseconds for a log line; -1 for `None`.
 pub(super) fn millis(time: Option<Duration>) -> i64 {
     time.map_or(-1, |t| t.as_millis() as i64)
 }
--- a/crates/roseshore_relay/src/entry/rate_limits.rs
+++ b/crates/roseshore_relay/src/entry/rate_limits.rs
@@ -1,10 +1,10 @@
-//! Keeps the limits that targets name for all hosts together.
+//! Enforces the rate limits of targets, which hold for all hosts together.
 //!
-//! What is known and decided stands in [`limits`](roseshore_core::gateway::limits). Here a request whose target
-//! names a limit waits for the answer of the host that issues permits, and this host answers where it is that one.
+//! State and decisions are in [`limits`](roseshore_core::gateway::limits). Here, a request to a rate-limited target waits for a
+//! permit of the issuer, the host that issues them, and this host answers requests for permits if it is the issuer.
 
 use super::dispatch::Choice;
-use super::{EntryHost, Timer, note};
+use super::{EntryHost, Timer, log_event};
 use crate::slab::Key;
 use roseshore_core::gateway::limits::{AdvertisedLimit, Issuer, LimitChange, Permit, TargetLimits};
 use roseshore_core::gateway::peers::{
@@ -14,208 +14,212 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// For an answer of the issuer: a millisecond or two inside a data centre, and a busy host's turn.
-const ASK_TIME: Duration = Duration::from_millis(25);
-/// Limits that a heartbeat tells of; more do not fit a datagram beside the rest.
-const TOLD: usize = 12;
+/// Time-out for a grant of the issuer: one or two milliseconds on the network of a data centre, and one iteration of a busy
+/// host's event loop.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(25);
+/// Maximum number of limits in a heartbeat; more do not fit a datagram with the other contents.
+const MAX_REPORTS: usize = 12;
 
-/// What this host knows of limits, and what it has asked for.
-pub(super) struct Limiting {
+/// Rate limits known to this host, and its pending permit requests.
+pub(super) struct RateLimits {
     pub(super) limits: TargetLimits,
     issuer: Issuer,
-    /// Questions that are open, by their numbers.
-    asked: HashMap<u64, Key>,
-    number: u64,
+    /// The exchanges that wait for a permit, by the number of their permit request.
+    waiting: HashMap<u64, Key>,
+    last_number: u64,
 }
 
-/// A request that waits for a permit.
-pub(super) struct Awaited {
+/// The state of a request that waits for a permit.
+pub(super) struct PermitWait {
     choice: Choice,
     target: TargetHash,
     number: u64,
     until: Instant,
 }
 
-impl Limiting {
-    /// Nothing is known; `origin` tells this life of this host from others.
-    pub(super) fn new(origin: u32) -> Limiting {
+impl RateLimits {
+    /// No limits; `origin` identifies this run of this host's process.
+    pub(super) fn new(origin: u32) -> RateLimits {
         let (limits, issuer) = (TargetLimits::new(origin), Issuer::default());
-        Limiting { limits, issuer, asked: HashMap::new(), number: 0 }
+        RateLimits { limits, issuer, waiting: HashMap::new(), last_number: 0 }
     }
 }
 
 impl EntryHost {
-    /// Takes what an answer says of its target's limit; `sent` is when its request was sent, where that is known.
-    pub(super) fn heed_limit(
+    /// Applies what a response states about its target's limit; `sent` is when its request was sent, if known.
+    pub(super) fn apply_limit(
         &mut self,
         id: &str,
-        mark: TargetHash,
+        hash: TargetHash,
         naming: AdvertisedLimit,
         sent: Option<Instant>,
         by: &str,
     ) {
-        let limits = &mut self.limiting.limits;
+        let limits = &mut self.rate_limits.limits;
         let change = match (naming, sent) {
-            (AdvertisedLimit::Limit(limit), _) => limits.advertised(mark, limit, self.now),
-            (AdvertisedLimit::None, Some(sent)) => limits.not_advertised(mark, sent, self.now),
+            (AdvertisedLimit::Limit(limit), _) => limits.advertised(hash, limit, self.now),
+            (AdvertisedLimit::None, Some(sent)) => limits.not_advertised(hash, sent, self.now),
             (AdvertisedLimit::None, None) | (AdvertisedLimit::Unreadable, _) => None,
         };
         if let Some(change) = change {
-            self.tell_limit(id, change, by);
-            self.beat_now(false);
+            self.log_limit(id, change, by);
+            self.heartbeat_now(false);
         }
     }
 
-    /// Takes what another host tells of limits, also of targets that are not listed here yet: permits for them are
-    /// asked for by hosts that have read further.
-    pub(super) fn hear_limits(&mut self, from: SocketAddr, notes: &[LimitReport]) {
-        for note in notes {
-            if let Some(change) = self.limiting.limits.receive(note, self.now) {
-                let listed = self.targets.id_of(note.target).cloned();
-                let id = listed.unwrap_or_else(|| format!("unlisted-{:08x}", note.target));
-                self.tell_limit(&id, change, &format!("host={from} age_ms={}", note.age));
+    /// Applies limits reported by another host, also for targets that this host does not know yet: hosts that have read
+    /// the list further request permits for them.
+    pub(super) fn apply_limit_reports(&mut self, from: SocketAddr, reports: &[LimitReport]) {
+        for report in reports {
+            if let Some(change) = self.rate_limits.limits.receive(report, self.now) {
+                let listed = self.targets.id_of(report.target).cloned();
+                let id = listed.unwrap_or_else(|| format!("unlisted-{:08x}", report.target));
+                self.log_limit(&id, change, &format!("host={from} age_ms={}", report.age));
             }
         }
     }
 
-    fn tell_limit(&mut self, id: &str, change: LimitChange, by: &str) {
-        let told = |limit: Option<f64>| limit.map_or("none".to_owned(), |n| format!("{n:.2}"));
-        let (limit, before) = (told(change.after), told(change.before));
-        note!(self, LimitNamed, "target={id} limit={limit} before={before} {by}");
+    fn log_limit(&mut self, id: &str, change: LimitChange, by: &str) {
+        let format_limit =
+            |limit: Option<f64>| limit.map_or("none".to_owned(), |n| format!("{n:.2}"));
+        let (limit, before) = (format_limit(change.after), format_limit(change.before));
+        log_event!(self, LimitNamed, "target={id} limit={limit} before={before} {by}");
     }
 
-    /// The limits for the other hosts.
-    pub(super) fn limit_notes(&mut self) -> Vec<LimitReport> {
+    /// The limits to report to other hosts.
+    pub(super) fn limit_reports(&mut self) -> Vec<LimitReport> {
         let now = self.now;
         let targets = &self.targets;
-        let Limiting { limits, issuer, .. } = &mut self.limiting;
-        // A word on a life that has ended would go round among hosts that hold each other's.
+        let RateLimits { limits, issuer, .. } = &mut self.rate_limits;
+        // Limits of incarnations that have ended are left out, or hosts would keep reporting them to each other.
         let listed = |target| targets.id_of(target).is_some();
         let wanted = |target| listed(target).then(|| issuer.demand(target, now));
-        limits.reports(TOLD, wanted, now)
+        limits.reports(MAX_REPORTS, wanted, now)
     }
 
-    /// Forgets limits and buckets that are of no more use.
-    pub(super) fn forget_limits(&mut self) {
+    /// Drops limits, buckets and permit requests that are no longer needed.
+    pub(super) fn expire_limits(&mut self) {
         let (targets, now) = (&self.targets, self.now);
-        self.limiting.limits.expire(|mark| targets.id_of(mark).is_some(), now);
-        self.limiting.issuer.expire(now);
-        // An answer that was lost leaves its question open.
+        self.rate_limits.limits.expire(|hash| targets.id_of(hash).is_some(), now);
+        self.rate_limits.issuer.expire(now);
+        // The grant of a permit request may have been lost.
         let exchanges = &self.exchanges;
-        let waits = |key: Key| exchanges.get(key).is_some_and(|e| e.awaited.is_some());
-        self.limiting.asked.retain(|_, key| waits(*key));
+        let waits = |key: Key| exchanges.get(key).is_some_and(|e| e.permit_wait.is_some());
+        self.rate_limits.waiting.retain(|_, key| waits(*key));
     }
 
-    /// The targets of a service to which no request may be sent now for want of a permit.
-    pub(super) fn shut(&self, service: &str) -> Vec<TargetId> {
+    /// The targets of a service to which no request may be sent now because of their rate limit.
+    pub(super) fn limited(&self, service: &str) -> Vec<TargetId> {
         let serves =
             |id: &&TargetId| self.targets.get(id).is_some_and(|t| t.record.service == service);
-        let shut = self
-            .limiting
+        let limited = self
+            .rate_limits
             .limits
             .without_permit(self.now)
-            .filter_map(|mark| self.targets.id_of(mark));
-        shut.filter(serves).cloned().collect()
+            .filter_map(|hash| self.targets.id_of(hash));
+        limited.filter(serves).cloned().collect()
     }
 
-    /// The time in which the targets of a service that take no more take one more request; none where no target is
-    /// limited.
-    pub(super) fn next_taken(&self, service: &str) -> Option<Duration> {
-        let marks = self.shut(service).into_iter().filter_map(|id| self.targets.hash(&id));
-        let rate: f64 = marks.filter_map(|m| self.limiting.limits.rate(m, self.now)).sum();
+    /// The time in which the targets of a service that are at their limit accept one more request; `None` if there are
+    /// none.
+    pub(super) fn next_slot(&self, service: &str) -> Option<Duration> {
+        let marks = self.limited(service).into_iter().filter_map(|id| self.targets.hash(&id));
+        let rate: f64 = marks.filter_map(|m| self.rate_limits.limits.rate(m, self.now)).sum();
         Duration::try_from_secs_f64(1.0 / rate).ok()
     }
 
-    /// Whether a request still waits for a permit. One that has waited for too long goes on without.
+    /// Whether a request still waits for a permit. After the time-out it goes on to other targets without one.
     pub(super) fn awaits_permit(&mut self, key: Key) -> bool {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return true };
-        let Some(awaited) = exchange.awaited.take_if(|awaited| now >= awaited.until) else {
-            return exchange.awaited.is_some();
+        let Some(awaited) = exchange.permit_wait.take_if(|awaited| now >= awaited.until) else {
+            return exchange.permit_wait.is_some();
         };
-        self.limiting.asked.remove(&awaited.number);
-        self.limiting.limits.request_failed(awaited.target, now);
-        self.passed_over(key, &awaited.choice, "unanswered", Duration::ZERO);
+        self.rate_limits.waiting.remove(&awaited.number);
+        self.rate_limits.limits.request_failed(awaited.target, now);
+        self.log_passed_over(key, &awaited.choice, "unanswered", Duration::ZERO);
         false
     }
 
-    /// A choice that may be sent now. Else the host that issues permits is asked and the request waits for its
-    /// answer, or goes elsewhere.
-    pub(super) fn permitted(&mut self, key: Key, choice: Choice) -> Option<Choice> {
-        let Some(mark) = self.targets.hash(choice.target()) else { return Some(choice) };
-        match self.limiting.limits.permit(mark, self.now) {
+    /// Returns the choice if it may be sent now. Otherwise a permit is requested and the request waits for it, or goes to
+    /// another target.
+    pub(super) fn with_permit(&mut self, key: Key, choice: Choice) -> Option<Choice> {
+        let Some(hash) = self.targets.hash(choice.target()) else { return Some(choice) };
+        match self.rate_limits.limits.permit(hash, self.now) {
             Permit::Unlimited | Permit::Held => Some(choice),
-            Permit::Ask => self.ask_permit(key, choice, mark),
+            Permit::Ask => self.request_permit(key, choice, hash),
             Permit::None => {
-                self.hold(key, None);
+                self.wait_for_capacity(key, None);
                 None
             }
         }
     }
 
-    fn ask_permit(&mut self, key: Key, choice: Choice, mark: TargetHash) -> Option<Choice> {
-        self.limiting.number += 1;
-        let number = self.limiting.number;
-        let Some(ask) = self.limiting.limits.permit_request(mark, number, self.now) else {
+    fn request_permit(&mut self, key: Key, choice: Choice, hash: TargetHash) -> Option<Choice> {
+        self.rate_limits.last_number += 1;
+        let number = self.rate_limits.last_number;
+        let Some(ask) = self.rate_limits.limits.permit_request(hash, number, self.now) else {
             return Some(choice);
         };
         match self.peers.issuer(self.now) {
             Some(issuer) if issuer != self.peers.addr() => {
                 self.send_message(issuer, &Datagram::Ask(ask));
-                let until = self.now + ASK_TIME;
-                self.limiting.asked.insert(number, key);
+                let until = self.now + PERMIT_TIMEOUT;
+                self.rate_limits.waiting.insert(number, key);
                 if let Some(exchange) = self.exchanges.get_mut(key) {
-                    exchange.awaited = Some(Awaited { choice, target: mark, number, until });
+                    exchange.permit_wait = Some(PermitWait { choice, target: hash, number, until });
                 }
-                self.arm(until, Timer::Exchange(key));
+                self.set_timer(until, Timer::Exchange(key));
                 None
             }
             Some(_) => {
-                let grant = self.answer_ask(&ask);
-                self.limiting.limits.apply_grant(&grant, self.now);
+                let grant = self.issue_grant(&ask);
+                self.rate_limits.limits.apply_grant(&grant, self.now);
                 self.use_grant(key, choice, &grant)
             }
             None => {
-                self.limiting.limits.request_failed(mark, self.now);
-                self.passed_over(key, &choice, "no_issuer", Duration::ZERO);
+                self.rate_limits.limits.request_failed(hash, self.now);
+                self.log_passed_over(key, &choice, "no_issuer", Duration::ZERO);
                 self.dispatch(key);
                 None
             }
         }
     }
 
-    /// The choice, if the issuer granted it; else the request goes elsewhere.
+    /// Returns the choice if the issuer granted a permit; otherwise the request goes to another target.
     fn use_grant(&mut self, key: Key, choice: Choice, grant: &PermitGrant) -> Option<Choice> {
         if grant.permits > 0 {
             return Some(choice);
         }
         let wait = Duration::from_millis(u64::from(grant.wait));
-        self.passed_over(key, &choice, "none_left", wait);
+        self.log_passed_over(key, &choice, "none_left", wait);
         self.dispatch(key);
         None
     }
 
-    /// Answers a question for a permit.
-    pub(super) fn hear_ask(&mut self, from: SocketAddr, ask: &PermitRequest) {
-        self.hear_limits(from, &[ask.limit]);
-        let grant = self.answer_ask(ask);
+    /// Answers another host's permit request.
+    pub(super) fn answer_permit_request(&mut self, from: SocketAddr, ask: &PermitRequest) {
+        self.apply_limit_reports(from, &[ask.limit]);
+        let grant = self.issue_grant(ask);
         self.send_message(from, &Datagram::Grant(grant));
     }
 
-    fn answer_ask(&mut self, ask: &PermitRequest) -> PermitGrant {
+    fn issue_grant(&mut self, ask: &PermitRequest) -> PermitGrant {
         let id = self.targets.id_of(ask.limit.target);
         let record = id.and_then(|id| self.targets.get(id)).map(|t| &t.record);
-        let home = record.is_some_and(|r| r.data_centre == self.settings.data_centre);
-        let Limiting { limits, issuer, .. } = &mut self.limiting;
-        issuer.answer(ask, limits, &self.peers, home, self.now)
+        let is_local = record.is_some_and(|r| r.data_centre == self.settings.data_centre);
+        let RateLimits { limits, issuer, .. } = &mut self.rate_limits;
+        issuer.answer(ask, limits, &self.peers, is_local, self.now)
     }
 
-    /// Takes the issuer's answer; the request that waits for it goes on.
-    pub(super) fn hear_grant(&mut self, grant: &PermitGrant) {
-        self.limiting.limits.apply_grant(grant, self.now);
-        let Some(key) = self.limiting.asked.remove(&grant.number) else { return };
+    /// Applies the issuer's grant and continues the request that waits for it.
+    pub(super) fn apply_grant(&mut self, grant: &PermitGrant) {
+        self.rate_limits.limits.apply_grant(grant, self.now);
+        let Some(key) = self.rate_limits.waiting.remove(&grant.number) else { return };
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
-        let Some(awaited) = exchange.awaited.take_if(|a| a.number == grant.number) else { return };
+        let Some(awaited) = exchange.permit_wait.take_if(|a| a.number == grant.number) else {
+            return;
+        };
         let Some(choice) = self.use_grant(key, awaited.choice, grant) else { return };
         if self
             .targets
@@ -228,18 +232,18 @@
         }
     }
 
-    /// A request that would have been sent to a target was not, by its limit.
-    fn passed_over(&mut self, key: Key, choice: &Choice, why: &str, wait: Duration) {
+    /// Logs that a request was not sent to a target because of its limit.
+    fn log_passed_over(&mut self, key: Key, choice: &Choice, why: &str, wait: Duration) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         let (attempt, target) = (&exchange.asked.attempt, choice.target());
-        let mark = self.targets.hash(target);
-        let limit = mark.and_then(|mark| self.limiting.limits.rate(mark, self.now));
+        let hash = self.targets.hash(target);
+        let limit = hash.and_then(|hash| self.rate_limits.limits.rate(hash, self.now));
         let text = format!(
             "request={attempt} target={target} limit={:.2} why={why} wait_ms={}",
             limit.unwrap_or_default(),
             wait.as_millis()
         );
-        note!(self, PermitRefused, "{text}");
+        log_event!(self, PermitRefused, "{text}");
         metrics::counter!("roseshore_permits_refused_total", "why" => why.to_owned()).increment(1);
     }
 }
