--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -1,15 +1,15 @@
-//! Follows the operator's configuration and the list of targets in the store.
+//! Keeps the operator's configuration and the list of targets in step with the store.
 //!
-//! Each stream is read whole once (the newest record of each key) and then followed by offset.
-//! The configuration is waited for, so that a change is in force within a round trip; the list of
-//! targets changes all the time by heartbeats and is read at intervals. One host reads for all:
-//! the others hear how far it has come, and fetch from it what they lack (`copies`).
+//! Each stream is first read as a whole (the newest record of each key) and then followed by offset. Reads of the
+//! configuration are long polls, so that a change takes effect within a round trip. The list of targets changes all the
+//! time with the targets' heartbeats and is read at intervals. One host reads the store for all; the others learn from its
+//! heartbeats how far it has read, and request copies of what they lack (module `copies`).
 
 mod replies;
 
-use super::calls::{CallFault, Purpose, STORE_TIME};
+use super::calls::{CallFault, Purpose, STORE_TIMEOUT};
 use super::probes::millis;
-use super::{EntryHost, note};
+use super::{EntryHost, log_event};
 use roseshore_core::gateway::outage::StoreOutage;
 use roseshore_core::gateway::peers::ListVersion;
 use roseshore_core::gateway::store_reads::{self, CONFIG_LONG_POLL, TARGETS_INTERVAL};
@@ -18,87 +18,94 @@
 use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
 use std::net::SocketAddr;
 
-/// Neighbours' newer configurations make a read due at most this often.
-const HURRY_EVERY: Duration = Duration::from_millis(400);
-/// A neighbour's list that differs is read at most this often.
-const DIFFERS_EVERY: Duration = Duration::from_millis(350);
-/// One stream's state.
+/// Shortest interval between reads because of another host's newer configuration.
+const URGENT_INTERVAL: Duration = Duration::from_millis(400);
+/// Delay before the store is read because another host's list differs.
+const LIST_DIFFERS_DELAY: Duration = Duration::from_millis(350);
+
+/// Progress of following one stream.
 #[derive(Debug, Default)]
-struct Follow {
-    /// The offset to read next; `None` until the newest records were read.
+struct StreamProgress {
+    /// The next offset to read; `None` until all newest records have been read.
     next: Option<u64>,
-    /// Pages that came so far, and the end of the stream at the first one.
+    /// The pages of newest records read so far.
     pages: Option<Pages>,
-    busy: bool,
+    /// Whether a call is in flight.
+    in_flight: bool,
+    /// Earliest time of the next call.
     due: Option<Instant>,
-    fails: u32,
+    /// Failed calls in a row.
+    failures: u32,
 }
 
 #[derive(Debug)]
 struct Pages {
+    /// The end offset of the stream when the first page was read.
     end: u64,
-    since: Option<String>,
+    /// The last key read.
+    last_key: Option<String>,
     entries: Vec<Record>,
 }
 
-/// Both streams, and whether the store can be reached.
+/// Progress of following both streams, and availability of the store.
 #[derive(Debug, Default)]
-pub(super) struct Following {
-    config: Follow,
-    targets: Follow,
-    /// The era of the store that the offsets to read next belong to.
+pub(super) struct StoreSync {
+    config: StreamProgress,
+    targets: StreamProgress,
+    /// The era of the store to which the offsets belong.
     era: Era,
-    /// How far the list at hand was read; none before it was.
+    /// The position up to which this host knows the list; `None` before it has one.
     list: Option<Position>,
-    /// The store holds an older configuration than the one in force, so it proves nothing.
-    config_behind: bool,
+    /// Whether the store holds an older configuration than the one in force, so that a read does not prove that one
+    /// to be the newest.
+    store_behind: bool,
     pub(super) outage: StoreOutage,
-    /// The list differs from a neighbour's, whose copy could not be had.
+    /// Whether the list differs from another host's of which no copy could be had.
     list_differs: bool,
-    /// The last copy of changes did not lead to the list of the host that gave it.
-    list_missed: bool,
-    /// When a neighbour's newer configuration last made a read due.
-    hurried: Option<Instant>,
-    /// When the configuration in force came.
+    /// Whether applying the last copy of changes did not result in the list of the host that gave it.
+    needs_whole_list: bool,
+    /// When the store was last read because of another host's newer configuration.
+    last_urgent: Option<Instant>,
+    /// When the configuration in force was received.
     pub(super) applied: Option<Instant>,
-    /// The configuration in force as it stands in the store, for other hosts.
+    /// The bytes of the configuration in force as stored, for copies to other hosts.
     pub(super) config_bytes: Vec<u8>,
 }
 
-impl Following {
-    /// How long a read waits for records; not at all while the store is out of reach, as a read
-    /// that hangs would outlast the outage.
-    fn wait(&self, stream: Stream) -> Duration {
+impl StoreSync {
+    /// How long the store should wait for new records before it replies. Zero while the store is unreachable, since a
+    /// hanging read would outlast the outage.
+    fn long_poll_time(&self, stream: Stream) -> Duration {
         match stream {
             Stream::Config if !self.outage.is_down() => CONFIG_LONG_POLL,
             Stream::Config | Stream::Targets => Duration::ZERO,
         }
     }
 
-    /// How far the list at hand was read; `None` before it was.
-    pub(super) fn list_next(&self) -> Option<Position> {
+    /// The position up to which this host knows the list; `None` before it has one.
+    pub(super) fn list_position(&self) -> Option<Position> {
         self.list
     }
 
-    /// How far changes of the list are known here; the default when all of it is to be had anew.
-    pub(super) fn list_known(&self) -> Position {
-        if self.list_missed { Position::default() } else { self.list.unwrap_or_default() }
+    /// The position after which changes of the list are needed; the default if the whole list is needed.
+    pub(super) fn list_base(&self) -> Position {
+        if self.needs_whole_list { Position::default() } else { self.list.unwrap_or_default() }
     }
 
-    /// Some change of the list was missed.
-    pub(super) fn list_missed(&mut self) {
-        self.list_missed = true;
+    /// Records that a change of the list was missed, so that the next copy has to be a whole list.
+    pub(super) fn require_whole_list(&mut self) {
+        self.needs_whole_list = true;
     }
 
-    /// The list at hand is now a copy that reaches so far.
-    pub(super) fn list_copied(&mut self, next: Position) {
-        self.list_missed = false;
+    /// Records that the list is now a copy that is complete up to `next`.
+    pub(super) fn record_list_copy(&mut self, next: Position) {
+        self.needs_whole_list = false;
         self.list_differs = false;
-        self.list_reached(next);
+        self.set_list_position(next);
     }
 
-    /// The list at hand is that of another host which has read so far.
-    fn list_reached(&mut self, next: Position) {
+    /// Records that the list equals that of a host which has read up to `next`.
+    fn set_list_position(&mut self, next: Position) {
         self.list = Some(next);
         if next.era > self.era {
             self.enter_era(next.era);
@@ -109,21 +116,21 @@
         }
     }
 
-    /// Offsets of an earlier era say nothing any more.
+    /// Starts a new era, in which offsets of earlier eras are meaningless.
     fn enter_era(&mut self, era: Era) {
         self.era = era;
-        for follow in [&mut self.config, &mut self.targets] {
-            (follow.next, follow.pages, follow.due) = (None, None, None);
+        for progress in [&mut self.config, &mut self.targets] {
+            (progress.next, progress.pages, progress.due) = (None, None, None);
         }
     }
 
-    /// Whether nothing of the store was read yet.
-    fn untouched(&self) -> bool {
-        let fresh = |f: &Follow| f.next.is_none() && f.pages.is_none();
+    /// Whether nothing of the store has been read yet.
+    fn is_untouched(&self) -> bool {
+        let fresh = |f: &StreamProgress| f.next.is_none() && f.pages.is_none();
         self.list.is_none() && fresh(&self.config) && fresh(&self.targets)
     }
 
-    fn stream(&mut self, stream: Stream) -> &mut Follow {
+    fn stream(&mut self, stream: Stream) -> &mut StreamProgress {
         match stream {
             Stream::Config => &mut self.config,
             Stream::Targets => &mut self.targets,
@@ -132,138 +139,137 @@
 }
 
 impl EntryHost {
-    /// Starts the calls that are due.
-    pub(super) fn follow(&mut self) {
+    /// Starts the calls of both streams that are due.
+    pub(super) fn sync_store(&mut self) {
         for stream in [Stream::Config, Stream::Targets] {
-            self.follow_one(stream);
+            self.sync_stream(stream);
         }
     }
 
-    fn follow_one(&mut self, stream: Stream) {
+    fn sync_stream(&mut self, stream: Stream) {
         let now = self.now;
-        // A read that waits proves nothing until it is answered; what was long not proven is read
-        // at once.
-        let old = self.currency.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
-        let wait = if old { Duration::ZERO } else { self.following.wait(stream) };
+        // A long poll proves nothing until its reply arrives. A configuration that has not been confirmed for long is
+        // therefore read without waiting.
+        let old = self.config_lease.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
+        let wait = if old { Duration::ZERO } else { self.store_sync.long_poll_time(stream) };
         let known = match stream {
             Stream::Config => self.snapshot.is_some(),
-            Stream::Targets => self.following.list.is_some(),
+            Stream::Targets => self.store_sync.list.is_some(),
         };
-        let follow = self.following.stream(stream);
-        if follow.busy || follow.due.is_some_and(|due| now < due) {
+        let progress = self.store_sync.stream(stream);
+        if progress.in_flight || progress.due.is_some_and(|due| now < due) {
             return;
         }
-        if stream == Stream::Targets && known && self.following.outage.is_down() {
-            // One question shows whether the store is back.
+        if stream == Stream::Targets && known && self.store_sync.outage.is_down() {
+            // Calls for the other stream show whether the store is back.
             return;
         }
-        if known && self.confirmed(stream) || !known && self.listens() {
+        if known && self.recently_confirmed(stream) || !known && self.waits_for_peers() {
             return;
         }
-        self.ask_store(stream, wait);
+        self.read_store(stream, wait);
     }
 
-    /// Whether this host has just begun and may soon hear of one that has read the store.
-    fn listens(&self) -> bool {
-        let since = self.now.saturating_duration_since(self.begun);
-        let place = self.peers.startup_read_rank(self.now);
+    /// Whether this host has just started and may soon learn of another host that has read the store.
+    fn waits_for_peers(&self) -> bool {
+        let since = self.now.saturating_duration_since(self.started);
+        let rank = self.peers.startup_read_rank(self.now);
         !self.peers.no_peers()
-            && since < store_reads::startup_delay(self.settings.first_start, place)
+            && since < store_reads::startup_delay(self.settings.first_start, rank)
     }
 
-    fn ask_store(&mut self, stream: Stream, wait: Duration) {
-        self.note_asked(stream);
-        let (store, era) = (self.settings.store_addr, self.following.era);
-        let follow = self.following.stream(stream);
-        follow.busy = true;
-        if let Some(next) = follow.next {
+    fn read_store(&mut self, stream: Stream, wait: Duration) {
+        self.log_read(stream);
+        let (store, era) = (self.settings.store_addr, self.store_sync.era);
+        let progress = self.store_sync.stream(stream);
+        progress.in_flight = true;
+        if let Some(next) = progress.next {
             let request = self.platform.read(stream, next, wait);
             let purpose = Purpose::Read(stream, Position { era, next }, wait);
-            self.call(purpose, store, &request, wait + STORE_TIME);
+            self.call(purpose, store, &request, wait + STORE_TIMEOUT);
         } else {
-            let since = follow.pages.as_ref().and_then(|p| p.since.clone());
+            let since = progress.pages.as_ref().and_then(|p| p.last_key.clone());
             let request = self.platform.newest(stream, since.as_deref());
             let era = since.map(|_| era);
-            self.call(Purpose::Newest(stream, era), store, &request, STORE_TIME);
+            self.call(Purpose::Newest(stream, era), store, &request, STORE_TIMEOUT);
         }
     }
 
-    /// Says why the store is asked: for the first time, as the first in the order of hosts, or since
-    /// no other host's word is late enough.
-    fn note_asked(&mut self, stream: Stream) {
+    /// Logs why the store is read: for the first time, as the first in the order of hosts, or because other hosts have
+    /// not confirmed the stream recently enough.
+    fn log_read(&mut self, stream: Stream) {
         let now = self.now;
-        let place = self.peers.read_rank(now);
-        let config = millis(self.currency.age(now));
+        let rank = self.peers.read_rank(now);
+        let config = millis(self.config_lease.age(now));
         let list = millis(self.list_age());
-        let differs = self.following.list_differs;
-        let failed = self.following.stream(stream).fails;
-        note!(
+        let differs = self.store_sync.list_differs;
+        let failed = self.store_sync.stream(stream).failures;
+        log_event!(
             self,
             StoreAsked,
-            "stream={stream:?} place={place} config_age_ms={config} list_age_ms={list} differs={differs} failed={failed}"
+            "stream={stream:?} place={rank} config_age_ms={config} list_age_ms={list} differs={differs} failed={failed}"
         );
     }
 
-    /// Whether neighbours have confirmed a stream lately enough for this host's place among them.
-    fn confirmed(&self, stream: Stream) -> bool {
-        let place = self.peers.read_rank(self.now);
-        let (age, patience) = match stream {
-            Stream::Config => (self.config_age(), store_reads::config_max_age(place)),
-            Stream::Targets if self.following.list_differs => return false,
-            Stream::Targets => (self.list_age(), store_reads::list_max_age(place)),
+    /// Whether other hosts have confirmed a stream recently enough for this host's place in the order of readers.
+    fn recently_confirmed(&self, stream: Stream) -> bool {
+        let rank = self.peers.read_rank(self.now);
+        let (age, max_age) = match stream {
+            Stream::Config => (self.config_age(), store_reads::config_max_age(rank)),
+            Stream::Targets if self.store_sync.list_differs => return false,
+            Stream::Targets => (self.list_age(), store_reads::list_max_age(rank)),
         };
-        age.zip(patience).is_some_and(|(age, most)| age < most)
+        age.zip(max_age).is_some_and(|(age, most)| age < most)
     }
 
-    /// Time since the configuration was last proven, or since it came as a copy: its proof comes
-    /// with the next heartbeats.
+    /// Time since the configuration was last confirmed to be the newest, or since it came as a copy, which the next
+    /// heartbeats confirm.
     fn config_age(&self) -> Option<Duration> {
-        let applied = self.following.applied;
+        let applied = self.store_sync.applied;
         let since = |at| self.now.saturating_duration_since(at);
-        self.currency.age(self.now).or(applied.map(since))
+        self.config_lease.age(self.now).or(applied.map(since))
     }
 
-    /// Time since the list at hand was last confirmed, by this host or another.
+    /// Time since the list was last confirmed, by this host or another.
     fn list_age(&self) -> Option<Duration> {
-        let confirmed = self.following.outage.last_confirmed();
+        let confirmed = self.store_sync.outage.last_confirmed();
         confirmed.map(|at| self.now.saturating_duration_since(at))
     }
 
-    /// A neighbour has a newer configuration: it is read at once, also if a read is under way,
-    /// which may hang.
+    /// Reads the configuration now, because another host has a newer one. Cancels a read in flight, which may hang.
     pub(super) fn read_config_now(&mut self) {
         let now = self.now;
-        let hurried = self.following.hurried;
-        if hurried.is_some_and(|at| now.saturating_duration_since(at) < HURRY_EVERY) {
+        let last_urgent = self.store_sync.last_urgent;
+        if last_urgent.is_some_and(|at| now.saturating_duration_since(at) < URGENT_INTERVAL) {
             return;
         }
-        self.following.hurried = Some(now);
+        self.store_sync.last_urgent = Some(now);
         let reads = |purpose: &Purpose| {
             matches!(
                 purpose,
                 Purpose::Read(Stream::Config, ..) | Purpose::Newest(Stream::Config, _)
             )
         };
-        self.abandon(reads);
-        self.ask_store(Stream::Config, Duration::ZERO);
+        self.cancel_calls(reads);
+        self.read_store(Stream::Config, Duration::ZERO);
     }
 
-    /// Reads both streams as soon as the store may be asked: no neighbour could help.
-    pub(super) fn read_now(&mut self) {
+    /// Reads both streams as soon as possible, because no other host could give a copy.
+    pub(super) fn read_streams_now(&mut self) {
         self.read_config_now();
-        let targets = &mut self.following.targets;
-        if !targets.busy && targets.fails == 0 {
+        let targets = &mut self.store_sync.targets;
+        if !targets.in_flight && targets.failures == 0 {
             targets.due = None;
-            self.following.list_differs = true;
+            self.store_sync.list_differs = true;
         }
     }
 
-    /// How far the list of targets was read here.
-    pub(super) fn list_mark(&self) -> ListVersion {
-        self.targets.list_version(self.following.list.unwrap_or_default())
+    /// Position and digest of this host's list of targets.
+    pub(super) fn list_version(&self) -> ListVersion {
+        self.targets.list_version(self.store_sync.list.unwrap_or_default())
     }
 
-    /// Compares the own list with that of a host that has read further.
+    /// Compares the own list with that of a host that has read as far or further, and requests a copy if it differs.
     pub(super) fn compare_list(
         &mut self,
         from: SocketAddr,
@@ -271,11 +277,11 @@
         listed: Option<Instant>,
     ) {
         let now = self.now;
-        let own = self.list_mark();
-        if self.following.list.is_none() {
-            // If it gives none, the store is read when the time for listening is over.
+        let own = self.list_version();
+        if self.store_sync.list.is_none() {
+            // If the other host gives none, the store is read when the initial wait for other hosts is over.
             if theirs.next > Position::default() {
-                self.ask_copy(from);
+                self.request_copy(from);
             }
             return;
         }
@@ -283,26 +289,26 @@
             return;
         }
         if theirs.digest == own.digest {
-            self.following.list_reached(theirs.next);
-            self.following.outage.record_confirmation(listed);
-            self.following.list_differs = false;
+            self.store_sync.set_list_position(theirs.next);
+            self.store_sync.outage.record_confirmation(listed);
+            self.store_sync.list_differs = false;
             return;
         }
         if theirs.next == own.next {
             return;
         }
-        if self.ask_copy(from) || self.copies.in_progress() {
+        if self.request_copy(from) || self.copies.in_progress() {
             return;
         }
-        let follow = &mut self.following.targets;
-        if !follow.busy && follow.fails == 0 {
-            let soon = now + DIFFERS_EVERY;
-            follow.due = Some(follow.due.map_or(soon, |due| due.min(soon)));
-            self.following.list_differs = true;
+        let progress = &mut self.store_sync.targets;
+        if !progress.in_flight && progress.failures == 0 {
+            let soon = now + LIST_DIFFERS_DELAY;
+            progress.due = Some(progress.due.map_or(soon, |due| due.min(soon)));
+            self.store_sync.list_differs = true;
         }
     }
 
-    pub(super) fn newest_came(
+    pub(super) fn newest_received(
         &mut self,
         stream: Stream,
         sent: Instant,
@@ -311,56 +317,57 @@
     ) {
         let Some(reply) = self.store_replied(stream, era, reply) else { return };
         match self.platform.newest_reply(&reply) {
-            Ok(page) => self.page_came(stream, sent, page),
+            Ok(page) => self.page_received(stream, sent, page),
             Err(fault) => self.store_refused(stream, &fault),
         }
     }
 
-    fn page_came(&mut self, stream: Stream, sent: Instant, page: Page) {
-        self.store_served(stream);
-        let follow = self.following.stream(stream);
-        if follow.next.is_some() {
-            // A copy came between two pages: what is left of them is no whole list.
-            follow.pages = None;
+    fn page_received(&mut self, stream: Stream, sent: Instant, page: Page) {
+        self.store_available(stream);
+        let progress = self.store_sync.stream(stream);
+        if progress.next.is_some() {
+            // A copy was received between two pages, so the pages are no longer a whole list.
+            progress.pages = None;
             return;
         }
-        let empty = Pages { end: page.end, since: None, entries: Vec::new() };
-        let pages = follow.pages.get_or_insert(empty);
+        let empty = Pages { end: page.end, last_key: None, entries: Vec::new() };
+        let pages = progress.pages.get_or_insert(empty);
         pages.entries.extend(page.entries);
-        pages.since = page.more;
-        if pages.since.is_some() {
-            // A list of 3,000 targets comes in sixty pages.
-            return self.ask_store(stream, Duration::ZERO);
+        pages.last_key = page.more;
+        if pages.last_key.is_some() {
+            // The next page is read without a pause: a list of 3,000 targets has sixty pages.
+            return self.read_store(stream, Duration::ZERO);
         }
-        let Some(pages) = follow.pages.take() else { return };
-        follow.next = Some(pages.end);
+        let Some(pages) = progress.pages.take() else { return };
+        progress.next = Some(pages.end);
         match stream {
             Stream::Config => {
-                let newest = self.take_configs(pages.entries.into_iter());
-                self.judge_behind(newest);
-                self.prove_config(sent);
-                self.judge_ready();
-                self.follow_one(stream);
+                let newest = self.apply_configs(pages.entries.into_iter());
+                self.update_store_behind(newest);
+                self.confirm_config(sent);
+                self.update_readiness();
+                self.sync_stream(stream);
             }
             Stream::Targets => {
                 let records = pages.entries.into_iter();
-                let records = records.filter_map(|e| self.record(&e.key, e.value?.as_slice()));
+                let records =
+                    records.filter_map(|e| self.parse_record(&e.key, e.value?.as_slice()));
                 let records: Vec<TargetRecord> = records.collect();
                 let now = self.now;
-                let next = Position { era: self.following.era, next: pages.end };
-                let back = self.following.list.is_some_and(|known| known.era < next.era);
-                let absence = self.following.outage.absence(now);
-                self.take_list(next, records, absence, back);
-                self.following.list = Some(next);
-                self.following.targets.due = Some(now + TARGETS_INTERVAL);
-                self.following.outage.record_confirmation(Some(sent));
-                self.following.list_differs = false;
-                self.following.list_missed = false;
+                let next = Position { era: self.store_sync.era, next: pages.end };
+                let back = self.store_sync.list.is_some_and(|known| known.era < next.era);
+                let absence = self.store_sync.outage.absence(now);
+                self.replace_list(next, records, absence, back);
+                self.store_sync.list = Some(next);
+                self.store_sync.targets.due = Some(now + TARGETS_INTERVAL);
+                self.store_sync.outage.record_confirmation(Some(sent));
+                self.store_sync.list_differs = false;
+                self.store_sync.needs_whole_list = false;
             }
         }
     }
 
-    pub(super) fn records_came(
+    pub(super) fn records_received(
         &mut self,
         stream: Stream,
         sent: Instant,
@@ -370,17 +377,17 @@
     ) {
         let Some(reply) = self.store_replied(stream, Some(from.era), reply) else { return };
         match self.platform.read_reply(&reply) {
-            Ok(reading) => self.reading_came(stream, sent, from.next, wait, reading),
+            Ok(reading) => self.reading_received(stream, sent, from.next, wait, reading),
             Err(StoreFault::Trimmed) => {
-                let follow = self.following.stream(stream);
-                follow.next = None;
-                note!(self, ConfigTrimmed, "stream={stream:?} action=read_newest");
+                let progress = self.store_sync.stream(stream);
+                progress.next = None;
+                log_event!(self, ConfigTrimmed, "stream={stream:?} action=read_newest");
             }
             Err(fault) => self.store_refused(stream, &fault),
         }
     }
 
-    fn reading_came(
+    fn reading_received(
         &mut self,
         stream: Stream,
         sent: Instant,
@@ -388,50 +395,50 @@
         wait: Duration,
         mut reading: Reading,
     ) {
-        self.store_served(stream);
+        self.store_available(stream);
         let now = self.now;
-        let follow = self.following.stream(stream);
+        let progress = self.store_sync.stream(stream);
         let empty = reading.entries.is_empty();
-        let known = follow.next.unwrap_or(0);
+        let known = progress.next.unwrap_or(0);
         let next = known.max(from + reading.entries.len() as u64);
-        // While the read was under way a copy may have come that reaches further: what is older
-        // must not undo what is newer.
-        let old = known.saturating_sub(from) as usize;
-        reading.entries.drain(..old.min(reading.entries.len()));
+        // A copy that reaches further may have been received during the read. Records that it covers are skipped, so that
+        // older ones do not replace newer ones.
+        let covered = known.saturating_sub(from) as usize;
+        reading.entries.drain(..covered.min(reading.entries.len()));
         let caught_up = next >= reading.end;
-        follow.next = Some(next);
+        progress.next = Some(next);
         if stream == Stream::Targets && caught_up {
-            follow.due = Some(now + TARGETS_INTERVAL);
-            self.following.outage.record_confirmation(Some(sent));
-            self.following.list_differs = false;
+            progress.due = Some(now + TARGETS_INTERVAL);
+            self.store_sync.outage.record_confirmation(Some(sent));
+            self.store_sync.list_differs = false;
         }
         match stream {
             Stream::Config => {
-                let newest = self.take_configs(reading.entries.into_iter().flatten());
+                let newest = self.apply_configs(reading.entries.into_iter().flatten());
                 if newest.is_some() {
-                    self.judge_behind(newest);
+                    self.update_store_behind(newest);
                 }
                 if caught_up {
-                    // An empty answer says that nothing came during the whole wait.
+                    // An empty reply after the whole wait proves that there was no change until its end.
                     let waited = empty && now.saturating_duration_since(sent) >= wait;
-                    self.prove_config(if waited { sent + wait } else { sent });
-                    self.judge_ready();
-                    self.beat_now(true);
+                    self.confirm_config(if waited { sent + wait } else { sent });
+                    self.update_readiness();
+                    self.heartbeat_now(true);
                 }
-                self.follow_one(stream);
+                self.sync_stream(stream);
             }
             Stream::Targets => {
-                let next = Position { era: self.following.era, next };
-                self.following.list = Some(next);
+                let next = Position { era: self.store_sync.era, next };
+                self.store_sync.list = Some(next);
                 self.targets.advance_to(next);
                 for entry in reading.entries {
                     match entry {
-                        Some(Record { key, value: Some(value) }) => self.take_record(&key, &value),
-                        Some(Record { key, value: None }) => self.drop_record(&key),
-                        None => note!(self, RecordSkipped, "target=- why=\"no key\""),
+                        Some(Record { key, value: Some(value) }) => self.apply_record(&key, &value),
+                        Some(Record { key, value: None }) => self.remove_record(&key),
+                        None => log_event!(self, RecordSkipped, "target=- why=\"no key\""),
                     }
                 }
-                self.beat_now(true);
+                self.heartbeat_now(true);
             }
         }
     }
--- a/crates/roseshore_relay/src/entry/store_sync/replies.rs
+++ b/crates/roseshore_relay/src/entry/store_sync/replies.rs
@@ -1,9 +1,9 @@
-//! What a reply of the store, or its absence, proves before its records are looked at: that the store is there,
-//! whether it is the same as before, and whether its configuration may be taken for the newest.
+//! Evaluates replies of the store, and failed calls, before the records are read: whether the store is available, whether
+//! it was restored from an older copy, and whether its configuration can be the newest.
 
 use super::super::calls::CallFault;
 use super::super::probes::millis;
-use super::super::{EntryHost, note};
+use super::super::{EntryHost, log_event};
 use rand::RngExt;
 use roseshore_core::gateway::outage::Recovery;
 use roseshore_core::gateway::position::ReplyEra;
@@ -12,16 +12,17 @@
 use roseshore_ports::entry::{CallReply, StoreFault, Stream};
 
 impl EntryHost {
+    /// Returns the reply of a call if its records can be used, and records the outcome of the call.
     pub(super) fn store_replied(
         &mut self,
         stream: Stream,
         asked: Option<Era>,
         reply: Result<CallReply, CallFault>,
     ) -> Option<CallReply> {
-        self.following.stream(stream).busy = false;
+        self.store_sync.stream(stream).in_flight = false;
         metrics::counter!("roseshore_store_calls_total").increment(1);
         match reply {
-            Ok(reply) => self.of_this_era(stream, asked, &reply).then_some(reply),
+            Ok(reply) => self.is_current_era(stream, asked, &reply).then_some(reply),
             Err(fault) => {
                 self.store_failed(stream, &format!("{fault:?}"));
                 None
@@ -29,60 +30,66 @@
         }
     }
 
-    /// Whether a reply is of the store's era, and so was its question where that names an offset or goes on after
-    /// a page. Another reply says nothing of what was asked for, whatever its status, and the stream is read anew.
-    fn of_this_era(&mut self, stream: Stream, asked: Option<Era>, reply: &CallReply) -> bool {
-        let known = self.following.era;
-        let told = self.platform.era(reply);
-        match ReplyEra::of(known, asked, told, self.following.untouched()) {
+    /// Whether a reply belongs to the store's current era, and so does its request if that names an offset or continues
+    /// after a page. Any other reply, whatever its status, is no reply to what was asked; the stream is read from the
+    /// start.
+    fn is_current_era(&mut self, stream: Stream, asked: Option<Era>, reply: &CallReply) -> bool {
+        let known = self.store_sync.era;
+        let reported = self.platform.era(reply);
+        match ReplyEra::of(known, asked, reported, self.store_sync.is_untouched()) {
             ReplyEra::Known => true,
             ReplyEra::First(era) => {
-                self.following.enter_era(era);
+                self.store_sync.enter_era(era);
                 true
             }
             ReplyEra::Later(era) => {
-                self.store_went_back(stream, era);
-                self.follow_one(stream);
+                self.store_restored(stream, era);
+                self.sync_stream(stream);
                 false
             }
             ReplyEra::Stale => {
-                let text = format!("stream={stream:?} era={told:?} asked={asked:?} known={known}");
-                note!(self, ReplyDropped, "{text}");
-                let place = self.peers.read_rank(self.now);
-                self.following.stream(stream).due = Some(self.now + store_reads::backoff(0, place));
+                let text =
+                    format!("stream={stream:?} era={reported:?} asked={asked:?} known={known}");
+                log_event!(self, ReplyDropped, "{text}");
+                let rank = self.peers.read_rank(self.now);
+                self.store_sync.stream(stream).due = Some(self.now + store_reads::backoff(0, rank));
                 false
             }
         }
     }
 
-    fn store_went_back(&mut self, stream: Stream, era: Era) {
-        let (before, version) = (self.following.era, self.config_version());
-        let list = self.following.list.unwrap_or_default();
+    fn store_restored(&mut self, stream: Stream, era: Era) {
+        let (before, version) = (self.store_sync.era, self.config_version());
+        let list = self.store_sync.list.unwrap_or_default();
         let text = format!(
             "stream={stream:?} era={era} before={before} config_version={version} list_next={list}"
         );
-        note!(self, StoreWentBack, "{text}");
-        self.following.enter_era(era);
-        self.following.outage.record_rollback(self.now);
+        log_event!(self, StoreWentBack, "{text}");
+        self.store_sync.enter_era(era);
+        self.store_sync.outage.record_rollback(self.now);
         self.blocked_changed();
     }
 
-    /// Whether the store, whose newest configuration has this version, holds an older one than is in force: the
-    /// operator's last word is lost there, and the store proves nothing until it has come again.
-    pub(super) fn judge_behind(&mut self, newest: Option<u64>) {
+    /// Records whether the store, whose newest configuration has this version, holds an older one than is in force. The
+    /// store has then lost the operator's last change, and a read proves nothing until the change is written again.
+    pub(super) fn update_store_behind(&mut self, newest: Option<u64>) {
         let version = self.config_version();
         let behind = newest.unwrap_or(0) < version;
-        if behind && !self.following.config_behind {
+        if behind && !self.store_sync.store_behind {
             let stored = newest.unwrap_or(0);
-            note!(self, ConfigSkipped, "kept_version={version} stored_version={stored} why=older");
+            log_event!(
+                self,
+                ConfigSkipped,
+                "kept_version={version} stored_version={stored} why=older"
+            );
         }
-        self.following.config_behind = behind;
+        self.store_sync.store_behind = behind;
     }
 
-    /// The configuration in force was the newest at this time, if the store holds it at all.
-    pub(super) fn prove_config(&mut self, at: Instant) {
-        if !self.following.config_behind {
-            self.currency.renew(at);
+    /// Records that the configuration in force was the newest at this time, unless the store holds an older one.
+    pub(super) fn confirm_config(&mut self, at: Instant) {
+        if !self.store_sync.store_behind {
+            self.config_lease.renew(at);
         }
     }
 
@@ -92,28 +99,28 @@
 
     fn store_failed(&mut self, stream: Stream, why: &str) {
         let now = self.now;
-        let spread = 0.75 + 0.5 * self.random.random::<f64>();
-        let place = self.peers.read_rank(now);
-        let follow = self.following.stream(stream);
-        let wait = store_reads::backoff(follow.fails, place);
-        follow.fails += 1;
-        follow.due = Some(now + wait.mul_f64(spread));
-        if self.following.outage.record_failure(now) {
-            let age = millis(self.currency.age(now));
-            note!(self, LogLost, "stream={stream:?} why={why:?} config_age_ms={age}");
+        let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
+        let rank = self.peers.read_rank(now);
+        let progress = self.store_sync.stream(stream);
+        let wait = store_reads::backoff(progress.failures, rank);
+        progress.failures += 1;
+        progress.due = Some(now + wait.mul_f64(jitter));
+        if self.store_sync.outage.record_failure(now) {
+            let age = millis(self.config_lease.age(now));
+            log_event!(self, LogLost, "stream={stream:?} why={why:?} config_age_ms={age}");
         }
     }
 
-    pub(super) fn store_served(&mut self, stream: Stream) {
+    pub(super) fn store_available(&mut self, stream: Stream) {
         let now = self.now;
-        for follow in [&mut self.following.config, &mut self.following.targets] {
-            follow.fails = 0;
+        for progress in [&mut self.store_sync.config, &mut self.store_sync.targets] {
+            progress.failures = 0;
         }
-        self.following.stream(stream).due = None;
-        if let Some(Recovery { since, all_hosts }) = self.following.outage.record_success(now) {
-            let out = now.saturating_duration_since(since).as_millis();
-            self.following.targets.due = None;
-            note!(self, LogBack, "stream={stream:?} out_ms={out} for_all={all_hosts}");
+        self.store_sync.stream(stream).due = None;
+        if let Some(Recovery { since, all_hosts }) = self.store_sync.outage.record_success(now) {
+            let outage = now.saturating_duration_since(since).as_millis();
+            self.store_sync.targets.due = None;
+            log_event!(self, LogBack, "stream={stream:?} out_ms={outage} for_all={all_hosts}");
         }
     }
 }
--- a/crates/roseshore_relay/src/entry/target_feedback.rs
+++ b/crates/roseshore_relay/src/entry/target_feedback.rs
@@ -1,73 +1,84 @@
-//! Takes what targets say of themselves, in whatever answer it comes.
+//! Applies what targets report about themselves in the header fields of their responses.
 //!
-//! Each answer of a target passes here first: to a request, to one whose caller got another answer, to a
-//! report or an order. What follows is decided in [`Targets`](roseshore_core::gateway::Targets).
+//! Every response of a target is handled here first: to a request, also if the caller got another response, to a call for
+//! a report or to an order. The consequences are decided in [`Targets`](roseshore_core::gateway::Targets).
 
-use super::{EntryHost, note};
+use super::{EntryHost, log_event};
 use crate::slab::Key;
 use roseshore_core::gateway::peers::TargetHash;
 use roseshore_core::prelude::*;
 use roseshore_ports::entry::{Answered, CallReply};
 use std::net::SocketAddr;
 
-/// The statuses by which a target turns a request away for a time that it names.
-const TURNED_AWAY: [u16; 2] = [429, 503];
-/// The status by which another target than the one meant answers.
+/// Statuses with which a target refuses requests for a time that it states.
+const PAUSE_STATUSES: [u16; 2] = [429, 503];
+/// Status of a target that was not the intended recipient of the request (421 Misdirected Request).
 pub(super) const MISDIRECTED: u16 = 421;
 
 impl EntryHost {
-    /// Takes what a target says beside its answer to a request.
-    pub(super) fn heed_answer(&mut self, key: Key, status: u16, said: &Answered) {
-        if status == MISDIRECTED && said.faulty.is_none() {
-            // Whoever it is that answers there, it is not the target that was meant.
+    /// Applies the feedback in a target's response to a request.
+    pub(super) fn apply_feedback(&mut self, key: Key, status: u16, feedback: &Answered) {
+        if status == MISDIRECTED && feedback.faulty.is_none() {
+            // The response is of another process at the address, not of the target.
             return;
         }
         let Some(exchange) = self.exchanges.get(key) else { return };
         let Some(send) = &exchange.send else { return };
         let by = format!("request={}", exchange.asked.attempt);
-        let life = |id: &TargetId| send.lives.iter().find(|(known, _)| known == id).cloned();
-        let first = life(&send.target);
-        let faulty = said.faulty.and_then(|addr| send.at(addr)).and_then(|(id, _)| life(id));
+        let incarnation =
+            |id: &TargetId| send.incarnations.iter().find(|(known, _)| known == id).cloned();
+        let first = incarnation(&send.target);
+        let faulty =
+            feedback.faulty.and_then(|addr| send.at(addr)).and_then(|(id, _)| incarnation(id));
         let later = faulty.filter(|faulty| Some(faulty) != first.as_ref());
-        // An answer to an earlier request tells nothing of when its own was sent.
-        let own = said.attempt.as_ref().is_none_or(|attempt| *attempt == exchange.asked.attempt);
-        let asked = Some(send.sent).filter(|_| own);
-        if let Some((id, mark)) = first {
-            self.heed(&id, mark, status, said, &by);
-            self.heed_limit(&id, mark, said.limit, asked, &by);
+        // For the response to an earlier request, it is not known when that was sent.
+        let own =
+            feedback.attempt.as_ref().is_none_or(|attempt| *attempt == exchange.asked.attempt);
+        let asked = Some(send.sent_at).filter(|_| own);
+        if let Some((id, hash)) = first {
+            self.apply_state(&id, hash, status, feedback, &by);
+            self.apply_limit(&id, hash, feedback.limit, asked, &by);
         }
-        if let Some((id, mark)) = later {
-            // The first target tells what a later one of the path wants; it leaves itself, if anyone.
-            let rest = Answered { rest: said.rest, ..Answered::default() };
-            self.heed(&id, mark, status, &rest, &by);
+        if let Some((id, hash)) = later {
+            // The first target of the path passes on the pause that a later one asked for. If it reports leaving, that
+            // concerns itself.
+            let rest = Answered { rest: feedback.rest, ..Answered::default() };
+            self.apply_state(&id, hash, status, &rest, &by);
         }
     }
 
-    /// Takes what a target says beside its answer to a call.
-    pub(super) fn heed_reply(&mut self, id: &TargetId, reply: &CallReply) {
-        let said = self.platform.answered(&reply.fields);
-        if let Some(mark) = self.targets.hash(id).filter(|_| reply.status != MISDIRECTED) {
-            self.heed(id, mark, reply.status, &said, "call");
-            // Whether such an answer would name a limit is not known: without one it shows nothing.
-            self.heed_limit(id, mark, said.limit, None, "call");
+    /// Applies the feedback in a target's reply to a call.
+    pub(super) fn apply_reply_feedback(&mut self, id: &TargetId, reply: &CallReply) {
+        let feedback = self.platform.answered(&reply.fields);
+        if let Some(hash) = self.targets.hash(id).filter(|_| reply.status != MISDIRECTED) {
+            self.apply_state(id, hash, reply.status, &feedback, "call");
+            // Replies to calls need not state a limit, so one without a limit does not end it.
+            self.apply_limit(id, hash, feedback.limit, None, "call");
         }
     }
 
-    fn heed(&mut self, id: &str, mark: TargetHash, status: u16, said: &Answered, by: &str) {
+    fn apply_state(
+        &mut self,
+        id: &str,
+        hash: TargetHash,
+        status: u16,
+        feedback: &Answered,
+        by: &str,
+    ) {
         let now = self.now;
-        if said.leaving && self.targets.mark_leaving(mark, now) {
-            note!(self, TargetLeft, "target={id} state=leaving by=answer {by}");
+        if feedback.leaving && self.targets.mark_leaving(hash, now) {
+            log_event!(self, TargetLeft, "target={id} state=leaving by=answer {by}");
         }
-        let Some(rest) = said.rest.filter(|_| TURNED_AWAY.contains(&status)) else { return };
-        if let Some(given) = self.targets.pause(mark, rest, now) {
+        let Some(rest) = feedback.rest.filter(|_| PAUSE_STATUSES.contains(&status)) else { return };
+        if let Some(given) = self.targets.pause(hash, rest, now) {
             let (asked, given) = (rest.as_millis(), given.as_millis());
             let text = format!("target={id} status={status} rest_ms={given} asked_ms={asked} {by}");
-            note!(self, TargetRests, "{text}");
+            log_event!(self, TargetRests, "{text}");
         }
     }
 
-    /// Where a target may be called now, if it takes anything from this host.
-    pub(super) fn callable(&self, id: &str) -> Option<SocketAddr> {
+    /// The address for calls to a target, unless it currently accepts nothing from this host.
+    pub(super) fn call_address(&self, id: &str) -> Option<SocketAddr> {
         let target = self.targets.get(id).filter(|t| t.accepts_work(self.now));
         target.map(|t| t.record.addr)
     }
