--- a/crates/roseshore_core/src/gateway/outage.rs
+++ b/crates/roseshore_core/src/gateway/outage.rs
@@ -12,8 +12,8 @@
 /// from the end of the outage and not from each removal, it never outlasts the drain bound of a
 /// target that really leaves.
 const RELIST_GRACE: Duration = Duration::from_millis(1900);
-/// Age of the last confirmation by any host from which on the store counts as down for all hosts:
-/// by then even the last of them reads the store itself.
+/// Once no host has confirmed the list for this long, the store counts as down for all hosts: by
+/// then even the last of them reads the store itself.
 const UNCONFIRMED: Duration = Duration::from_millis(1800);
 
 /// Outages of the store, as far as they matter to the list of targets.
--- a/crates/roseshore_core/src/gateway/path.rs
+++ b/crates/roseshore_core/src/gateway/path.rs
@@ -177,17 +177,17 @@
 ) -> Option<Path> {
     let jitter: Vec<f64> =
         candidates.iter().map(|_| 1.0 + JITTER * random.random::<f64>()).collect();
-    let local = path_within(candidates, request, &jitter, |p| p.local);
+    let local = path_within(candidates, request, &jitter, |c| c.local);
     if local.as_ref().is_some_and(|path| path.suitable && path.utilisation < SPILL_UTILISATION) {
         return local;
     }
     let mut others: Vec<&str> =
-        candidates.iter().filter(|p| !p.local).map(|p| p.data_centre.as_str()).collect();
+        candidates.iter().filter(|c| !c.local).map(|c| c.data_centre.as_str()).collect();
     others.sort_unstable();
     others.dedup();
     let remote = others
         .into_iter()
-        .filter_map(|dc| path_within(candidates, request, &jitter, |p| p.data_centre == dc));
+        .filter_map(|dc| path_within(candidates, request, &jitter, |c| c.data_centre == dc));
     let order = |p: &Path| {
         let fill = p.utilisation * if p.local { 1.0 } else { REMOTE_FACTOR };
         (!p.suitable, !p.local && !p.suitable, fill)
@@ -206,7 +206,7 @@
 ) -> Option<Path> {
     let end = usize::from(request.layers);
     let mut boundary = vec![false; end + 1];
-    for candidate in candidates.iter().filter(|p| allowed(p)) {
+    for candidate in candidates.iter().filter(|c| allowed(c)) {
         boundary[usize::from(candidate.layers.0).min(end)] = true;
         boundary[usize::from(candidate.layers.1).min(end)] = true;
     }
@@ -217,7 +217,7 @@
             continue;
         }
         let base = reached.map_or(0.0, |b| b.cost);
-        for (index, candidate) in candidates.iter().enumerate().filter(|(_, p)| allowed(p)) {
+        for (index, candidate) in candidates.iter().enumerate().filter(|(_, c)| allowed(c)) {
             let (first, last) =
                 (usize::from(candidate.layers.0), usize::from(candidate.layers.1).min(end));
             if first > from || last <= from || (from == 0 && !request.may_start(candidate)) {
@@ -307,7 +307,7 @@
 fn merge_repeats(segments: Vec<(usize, (Layer, Layer))>) -> Vec<(usize, (Layer, Layer))> {
     let mut merged: Vec<(usize, (Layer, Layer))> = Vec::new();
     for (candidate, layers) in segments {
-        if let Some(at) = merged.iter().position(|(p, _)| *p == candidate) {
+        if let Some(at) = merged.iter().position(|(c, _)| *c == candidate) {
             merged.truncate(at + 1);
             merged[at].1.1 = layers.1;
         } else {
--- a/crates/roseshore_core/src/gateway/plan.rs
+++ b/crates/roseshore_core/src/gateway/plan.rs
@@ -69,7 +69,7 @@
 /// The placements that engines should get and do not have yet: all of them for a data centre whose
 /// engines hold nothing, and otherwise those that fill gaps or give empty engines layers.
 pub fn plan(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Placement> {
-    if engines.iter().all(|m| m.layers.is_none()) {
+    if engines.iter().all(|e| e.layers.is_none()) {
         return initial_placement(spec, engines);
     }
     let mut planned = engines.to_vec();
@@ -161,7 +161,7 @@
 fn weakest_range(spec: &EngineSpec, engines: &[EngineState], index: usize) -> Option<LayerRange> {
     let kind = spec.kind(Some(&engines[index].kind))?;
     let capacities = layer_capacities(spec, engines, index);
-    let fits = engines.iter().enumerate().all(|(at, m)| at == index || fits(spec, m, m.layers));
+    let fits = engines.iter().enumerate().all(|(at, e)| at == index || fits(spec, e, e.layers));
     let mut best: Option<(f64, LayerRange)> = None;
     for capacity in JOIN_CAPACITIES {
         let width = join_width(spec, kind, capacity);
--- a/crates/roseshore_core/src/gateway/plan/copies.rs
+++ b/crates/roseshore_core/src/gateway/plan/copies.rs
@@ -30,8 +30,8 @@
 
 /// The placement for engines that hold nothing yet.
 pub(super) fn initial_placement(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Placement> {
-    let kind = |m: &'_ EngineState| spec.kinds.iter().find(|k| k.name == m.kind);
-    let mut group: Group<'_> = engines.iter().filter_map(|m| Some((m, kind(m)?))).collect();
+    let kind = |e: &'_ EngineState| spec.kinds.iter().find(|k| k.name == e.kind);
+    let mut group: Group<'_> = engines.iter().filter_map(|e| Some((e, kind(e)?))).collect();
     // Fast kinds first, and the same order on every host.
     group.sort_by(|a, b| {
         a.1.step_factor.total_cmp(&b.1.step_factor).then_with(|| a.0.id.cmp(&b.0.id))
--- a/crates/roseshore_core/src/gateway/plan/improve.rs
+++ b/crates/roseshore_core/src/gateway/plan/improve.rs
@@ -29,7 +29,7 @@
 pub(super) fn improve(spec: &EngineSpec, engines: &[EngineState]) -> Option<Move> {
     // A configuration with fewer layers may arrive before the engines report their new ranges.
     let valid =
-        |m: &EngineState| [m.layers, m.ready].iter().flatten().all(|(_, to)| *to <= spec.layers);
+        |e: &EngineState| [e.layers, e.ready].iter().flatten().all(|(_, to)| *to <= spec.layers);
     if !engines.iter().all(valid) {
         return None;
     }
@@ -84,14 +84,14 @@
 
 /// A number that differs between placements, to select which steps are evaluated.
 fn offset(engines: &[EngineState]) -> usize {
-    let ranges = engines.iter().filter_map(|m| m.layers);
+    let ranges = engines.iter().filter_map(|e| e.layers);
     ranges.map(|(from, to)| usize::from(from) + 3 * usize::from(to)).sum()
 }
 
 /// How many engines hold each layer already.
 fn ready_holders(spec: &EngineSpec, engines: &[EngineState]) -> Vec<u32> {
     let mut holders = vec![0; usize::from(spec.layers)];
-    for (from, to) in engines.iter().filter_map(|m| m.ready) {
+    for (from, to) in engines.iter().filter_map(|e| e.ready) {
         let to = usize::from(to).min(holders.len());
         holders[usize::from(from)..to].iter_mut().for_each(|count| *count += 1);
     }
@@ -107,7 +107,7 @@
 
 /// The layers at which ranges begin or end, sorted.
 fn boundaries(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Layer> {
-    let ends = engines.iter().filter_map(|m| m.layers).flat_map(|(from, to)| [from, to]);
+    let ends = engines.iter().filter_map(|e| e.layers).flat_map(|(from, to)| [from, to]);
     let mut boundaries: Vec<Layer> = ends.chain([0, spec.layers]).collect();
     boundaries.sort_unstable();
     boundaries.dedup();
--- a/crates/roseshore_core/src/gateway/plan/pressure.rs
+++ b/crates/roseshore_core/src/gateway/plan/pressure.rs
@@ -50,7 +50,7 @@
 }
 
 impl Pressure {
-    /// Adds a measurement; the moving average takes one above 1 as 1.
+    /// Adds a measurement to the moving average; values above 1 count as 1.
     pub fn record(&mut self, measured: f64) {
         self.utilisation += SMOOTHING * (measured.min(1.0) - self.utilisation);
     }
--- a/crates/roseshore_core/src/gateway/plan/repair.rs
+++ b/crates/roseshore_core/src/gateway/plan/repair.rs
@@ -6,11 +6,11 @@
 use crate::gateway::routes::EngineSpec;
 use crate::prelude::*;
 
-/// Moves that fill a gap which so far only engines are ordered to fill that must first give up
-/// other layers. Empty engines and the neighbours of the gap begin to load at once. No moves if
-/// such an engine would be needed after all.
+/// Moves that fill a gap without waiting for the engines that were ordered to fill it but must
+/// first give up other layers. The empty engines and neighbours that get it begin to load at once.
+/// Empty if the gap cannot be filled without such an engine.
 pub(super) fn fill_at_once(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Move> {
-    let clearing = |m: &EngineState| m.layers != m.assured;
+    let clearing = |e: &EngineState| e.layers != e.assured;
     let counted = |&index: &usize| !clearing(&engines[index]) || engines[index].assured.is_some();
     let indices: Vec<usize> = (0..engines.len()).filter(counted).collect();
     let assured =
@@ -27,12 +27,12 @@
 /// by it.
 pub(super) fn retile(spec: &EngineSpec, engines: &[EngineState]) -> Vec<Move> {
     let mut order: Vec<&EngineState> = engines.iter().collect();
-    order.sort_by_key(|m| (m.layers.map_or((spec.layers, 0), |l| l), m.id.clone()));
+    order.sort_by_key(|e| (e.layers.map_or((spec.layers, 0), |l| l), e.id.clone()));
     let group: Group<'_> =
-        order.into_iter().filter_map(|m| Some((m, spec.kind(Some(&m.kind))?))).collect();
+        order.into_iter().filter_map(|e| Some((e, spec.kind(Some(&e.kind))?))).collect();
     let tiles = tile(spec, &group).into_iter();
     let moves = tiles.filter_map(|(id, layers)| {
-        let index = engines.iter().position(|m| m.id == id)?;
+        let index = engines.iter().position(|e| e.id == id)?;
         (engines[index].layers != Some(layers)).then_some((index, layers))
     });
     moves.collect()
--- a/crates/roseshore_core/src/gateway/plan/value.rs
+++ b/crates/roseshore_core/src/gateway/plan/value.rs
@@ -83,7 +83,7 @@
     pub(super) fn new(spec: &'a EngineSpec, engines: &[EngineState]) -> Layout<'a> {
         Layout {
             spec,
-            holders: engines.iter().map(|m| Holder::new(spec, m)).collect(),
+            holders: engines.iter().map(|e| Holder::new(spec, e)).collect(),
             capacities: layer_capacities(spec, engines, engines.len()),
             inverse_sums: vec![0.0; usize::from(spec.layers) + 1],
         }
--- a/crates/roseshore_core/src/gateway/routes.rs
+++ b/crates/roseshore_core/src/gateway/routes.rs
@@ -104,7 +104,7 @@
     pub kv_bytes: f64,
     /// Time of a decode step over all layers, ms.
     pub step_ms: f64,
-    /// Time that each request which writes adds to a step, ms.
+    /// Time that each decoding request adds to a step, ms.
     pub per_seq_ms: f64,
     /// Time that each token of context adds to a step, ms.
     pub context_ms: f64,
--- a/crates/roseshore_core/src/gateway/store_reads.rs
+++ b/crates/roseshore_core/src/gateway/store_reads.rs
@@ -27,8 +27,8 @@
 /// all the while and tell it when the store is back. If it retried as often, calls to a store that
 /// is down would grow with the number of hosts.
 const FOLLOWER_BACKOFF: Duration = Duration::from_millis(2500);
-/// A host that starts listens to others for this time before it reads the store, and for the second
-/// time longer with each rank. Running hosts answer within some milliseconds and have a copy; when
+/// A starting host listens to others for the first of these times, plus the second for each rank,
+/// before it reads the store. Running hosts answer within some milliseconds and have a copy; when
 /// all hosts start together the first one reads, and the others have its copy soon after.
 const LISTEN: (Duration, Duration) = (Duration::from_millis(80), Duration::from_millis(100));
 /// The same when the whole system starts for the first time, which starts all hosts within 0.3 s.
@@ -38,7 +38,7 @@
     rank.min(LAST_RANK) as u32
 }
 
-/// Age of the last confirmation of the configuration from which on the host of a rank reads it
+/// How old the last confirmation of the configuration may be before the host of a rank reads it
 /// itself; `None` for the first host, which always reads.
 pub fn config_max_age(rank: usize) -> Option<Duration> {
     (rank > 0).then(|| CONFIG_LONG_POLL + RANK_DELAY * steps(rank))
@@ -49,7 +49,7 @@
     (rank > 0).then(|| TARGETS_INTERVAL + RANK_DELAY * steps(rank))
 }
 
-/// Age of the last confirmation from which on a read must not wait for a change, since a waiting
+/// Once the last confirmation is older than this, a read must not wait for a change, since a waiting
 /// read confirms nothing until it is answered.
 pub const LONG_POLL_MAX_AGE: Duration = Duration::from_millis(1250);
 
--- a/crates/roseshore_core/src/gateway/unavailable.rs
+++ b/crates/roseshore_core/src/gateway/unavailable.rs
@@ -21,7 +21,7 @@
 /// The conditions under which [`Unavailable::of`] tries a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SelectionConditions {
-    /// The moment for which to select; back-offs that end before it are over.
+    /// The moment for which to select; back-offs that end by then do not count.
     pub at: Instant,
     /// Whether targets that have reached their limit are left out.
     pub enforce_limits: bool,
--- a/crates/roseshore_core/tests/gateway/path.rs
+++ b/crates/roseshore_core/tests/gateway/path.rs
@@ -151,13 +151,13 @@
         if let Some(path) = choose(&candidates, &request(&[], None), &mut random) {
             prop_assert!(valid(&path), "{path:?}");
             for (id, _, hop) in &path.hops {
-                let held = candidates.iter().find(|p| p.id == *id).expect("a known candidate").layers;
+                let held = candidates.iter().find(|c| c.id == *id).expect("a known candidate").layers;
                 prop_assert!(held.0 <= hop.layers.0 && hop.layers.1 <= held.1);
             }
             let locals: Vec<bool> = path
                 .hops
                 .iter()
-                .map(|(id, ..)| candidates.iter().find(|p| p.id == *id).expect("known").local)
+                .map(|(id, ..)| candidates.iter().find(|c| c.id == *id).expect("known").local)
                 .collect();
             prop_assert!(locals.iter().all(|n| *n == locals[0]), "a path crosses data centres");
         }
--- a/crates/roseshore_core/tests/gateway/plan.rs
+++ b/crates/roseshore_core/tests/gateway/plan.rs
@@ -34,7 +34,7 @@
 
 fn apply(engines: &mut [EngineState], placements: &[Placement]) {
     for (id, layers) in placements {
-        let engine = engines.iter_mut().find(|m| m.id == *id).expect("a known engine");
+        let engine = engines.iter_mut().find(|e| e.id == *id).expect("a known engine");
         engine.layers = Some(*layers);
         engine.assured = engine.layers;
         engine.ready = engine.layers;
@@ -49,7 +49,7 @@
 fn holders(engines: &[EngineState]) -> Vec<usize> {
     let held = |layer: Layer| {
         let holds =
-            |m: &&EngineState| m.layers.is_some_and(|(from, to)| from <= layer && layer < to);
+            |e: &&EngineState| e.layers.is_some_and(|(from, to)| from <= layer && layer < to);
         engines.iter().filter(holds).count()
     };
     (0..spec().layers).map(held).collect()
@@ -57,9 +57,9 @@
 
 /// Whether every engine has memory for the weights of its layers.
 fn fit(engines: &[EngineState]) -> bool {
-    engines.iter().all(|m| {
-        let memory_mb = spec().kind(Some(&m.kind)).expect("a known kind").memory_mb;
-        m.layers.is_none_or(|(from, to)| {
+    engines.iter().all(|e| {
+        let memory_mb = spec().kind(Some(&e.kind)).expect("a known kind").memory_mb;
+        e.layers.is_none_or(|(from, to)| {
             from < to && to <= 80 && f64::from(to - from) * spec().layer_mb < memory_mb
         })
     })
@@ -261,7 +261,7 @@
         orders += moves.len();
         assert!(orders < 8, "the steps end");
     }
-    let widest = all.iter().filter(|m| m.kind == "small").filter_map(|m| m.layers);
+    let widest = all.iter().filter(|e| e.kind == "small").filter_map(|e| e.layers);
     let widest = widest.map(|(from, to)| to - from).max();
     assert!(widest < Some(10), "{all:?}");
 }
@@ -383,7 +383,7 @@
         let mut steps = 0;
         while let Some((id, layers)) = next_improvement(&spec, &all) {
             // While it loads, an engine holds only the layers that it keeps.
-            let engine = all.iter_mut().find(|m| m.id == id).expect("a known engine");
+            let engine = all.iter_mut().find(|e| e.id == id).expect("a known engine");
             engine.layers = engine.layers.map(|(a, b)| (a.max(layers.0), b.min(layers.1)));
             engine.layers = engine.layers.filter(|(a, b)| a < b);
             prop_assert!(!whole || holders(&all).into_iter().min() > Some(0), "{id} {layers:?}");
@@ -417,8 +417,8 @@
             prop_assert!(fit(&all), "{moves:?}");
         }
         // Engines with memory for the weights of three copies hold the model at least once.
-        let layers = |m: &EngineState| {
-            (spec().kind(Some(&m.kind)).expect("known").memory_mb / spec().layer_mb) as usize
+        let layers = |e: &EngineState| {
+            (spec().kind(Some(&e.kind)).expect("known").memory_mb / spec().layer_mb) as usize
         };
         let holdable: usize = all.iter().map(layers).sum();
         if whole && holdable >= 240 {
