--- a/crates/roseshore_core/src/once/keys.rs
+++ b/crates/roseshore_core/src/once/keys.rs
@@ -21,10 +21,12 @@
 pub struct Keys {
     entries: FxHashMap<Arc<str>, Entry>,
     touches: VecDeque<KeyTouch>,
+    /// The offset to read from.
     next: Offset,
     window: Window,
     newest_time: Option<Millis>,
     max_records: usize,
+    /// The keys whose answers are held in memory and the sizes of their bodies, the oldest first.
     bodies: VecDeque<(Arc<str>, usize)>,
     body_bytes: usize,
 }
@@ -49,6 +51,7 @@
 #[derive(Debug, Default)]
 struct Entry {
     state: State,
+    /// The nonces of claims that are void, and of settlements that have been read.
     void_nonces: Vec<Nonce>,
     last_offset: Offset,
     settlement: Option<Arc<AppliedSettlement>>,
@@ -237,14 +240,15 @@
             Act::Settle(settlement) => entry.settle(&at, settlement),
             Act::Mark => {}
         }
-        let State::Recorded(settled) = &entry.state else { return };
-        if let Some(outcome) = settled.outcome.as_ref().filter(|_| settled.offset == offset) {
+        let State::Recorded(recorded) = &entry.state else { return };
+        if let Some(outcome) = recorded.outcome.as_ref().filter(|_| recorded.offset == offset) {
             self.body_bytes += outcome.body.len();
             self.bodies.push_back((key, outcome.body.len()));
         }
     }
 
-    /// Evicts the keys of the oldest records. Keys of that age can then no longer be judged.
+    /// Evicts the keys of the oldest records. Keys of that age are then no longer covered, see
+    /// [`Keys::covers`].
     fn evict(&mut self) {
         while self.touches.len() > self.max_records {
             let Some(KeyTouch { offset, time, key }) = self.touches.pop_front() else { return };
@@ -259,15 +263,16 @@
         while self.body_bytes > MAX_BODY_BYTES {
             let Some((key, body_bytes)) = self.bodies.pop_front() else { return };
             self.body_bytes -= body_bytes;
-            if let Some(Entry { state: State::Recorded(settled), .. }) = self.entries.get_mut(&key)
+            if let Some(Entry { state: State::Recorded(recorded), .. }) = self.entries.get_mut(&key)
             {
-                settled.outcome = None;
+                recorded.outcome = None;
             }
         }
     }
 }
 
 impl Entry {
+    /// Applies a claim; `void` if the key's creation time lies in the future.
     fn claim(&mut self, holder: Holder, void: bool) {
         let nonce = holder.nonce;
         let already_void = self.void_nonces.contains(&nonce);
@@ -279,6 +284,7 @@
         }
     }
 
+    /// Frees the key if this claim holds it, and voids the claim in any case.
     fn release(&mut self, nonce: Nonce) {
         if let State::Held(held) = &self.state
             && held.nonce == nonce
--- a/crates/roseshore_core/src/once/partition.rs
+++ b/crates/roseshore_core/src/once/partition.rs
@@ -67,6 +67,7 @@
 pub struct Partition {
     owner: Owner,
     seed: u64,
+    /// The number of ids and nonces given out.
     next_id: u64,
     keys: Keys,
     running: BTreeMap<AttemptId, RunningAttempt>,
@@ -249,11 +250,12 @@
     }
 
     /// Handles the result of the read in flight.
-    pub fn on_read(&mut self, end: ReadResult, now: Instant) {
+    pub fn on_read(&mut self, result: ReadResult, now: Instant) {
         self.read_pending = false;
         self.retry_at = None;
-        match end {
-            // Without its lost records, the log would make keys that have run look new.
+        match result {
+            // A log that has lost records would make known keys look new, so the read counts as
+            // failed.
             ReadResult::Records { end, .. } if end < self.keys.next() => self.read_failed(now),
             ReadResult::Records { records, end } => {
                 self.read_fault = None;
--- a/crates/roseshore_core/src/once/partition/decide.rs
+++ b/crates/roseshore_core/src/once/partition/decide.rs
@@ -123,13 +123,14 @@
     }
 
     fn is_gone(&self, owner: &Owner) -> bool {
-        let is = |known: &Owner| {
-            let life = known.incarnation == owner.incarnation || known.incarnation == 0;
-            known.host == owner.host && life
+        let matches = |member: &Owner| {
+            let same_incarnation =
+                member.incarnation == owner.incarnation || member.incarnation == 0;
+            member.host == owner.host && same_incarnation
         };
         // A daemon that has heard of no other host yet cannot tell that one is gone.
-        let knows_others = self.members.iter().any(|known| known.host != self.owner.host);
-        *owner != self.owner && knows_others && !self.members.iter().any(is)
+        let knows_others = self.members.iter().any(|member| member.host != self.owner.host);
+        *owner != self.owner && knows_others && !self.members.iter().any(matches)
     }
 
     fn decide(&mut self, id: AttemptId, decision: Decision) {
--- a/crates/roseshore_core/src/once/partition/settle.rs
+++ b/crates/roseshore_core/src/once/partition/settle.rs
@@ -177,10 +177,10 @@
     }
 
     /// Sends an operator's settlement of a key.
-    pub fn submit_settlement(&mut self, settling: SettleRequest) -> AttemptId {
+    pub fn submit_settlement(&mut self, request: SettleRequest) -> AttemptId {
         let id = self.next_id;
         let nonce = self.next_nonce();
-        let SettleRequest { key, settlement, deadline } = settling;
+        let SettleRequest { key, settlement, deadline } = request;
         self.batch.push(&Record { key, nonce, act: Act::Settle(settlement) });
         self.operators.settlements.insert(id, SentSettlement { nonce, deadline });
         id
@@ -273,5 +273,5 @@
 }
 
 fn concerns(act: &Act, claim: Nonce) -> bool {
-    matches!(act, Act::Settle(word) if word.claim == Some(claim))
+    matches!(act, Act::Settle(settlement) if settlement.claim == Some(claim))
 }
--- a/crates/roseshore_core/tests/lookup.rs
+++ b/crates/roseshore_core/tests/lookup.rs
@@ -103,23 +103,29 @@
     let unavailable = |at, index, verdict| Some((at, Outcome::Unavailable(index, verdict)));
     let firsts = || vec![(0, First), (1, First), (2, First)];
     let cases = [
-        base("first holds", 3, vec![Reply(1, 0, Found("a"))], vec![(0, First)], found(1, 0, "a")),
         base(
-            "second holds",
+            "first has the name",
+            3,
+            vec![Reply(1, 0, Found("a"))],
+            vec![(0, First)],
+            found(1, 0, "a"),
+        ),
+        base(
+            "second has the name",
             3,
             vec![Reply(1, 0, Missing), Reply(2, 1, Found("b"))],
             vec![(0, First), (1, First)],
             found(2, 1, "b"),
         ),
         base(
-            "every source says missing",
+            "every source replies missing",
             3,
             vec![Reply(1, 0, Missing), Reply(2, 1, Missing), Reply(3, 2, Missing)],
             firsts(),
             Some((3, Outcome::NotFound)),
         ),
         base(
-            "last source silent",
+            "last source unavailable",
             3,
             vec![Reply(1, 0, Missing), Reply(2, 1, Missing), Reply(3, 2, NoReplica)],
             firsts(),
@@ -140,7 +146,7 @@
             found(31, 0, "a"),
         ),
         base(
-            "every attempt refused unstarted",
+            "every attempt refused before it started",
             1,
             vec![
                 Reply(1, 0, Failed(NotRun)),
@@ -214,7 +220,7 @@
             found(500, 1, "b"),
         ),
         base(
-            "earlier source silent, later one holds: refused",
+            "earlier source unavailable, later one has the name: refused",
             2,
             vec![
                 Tick(30),
@@ -230,7 +236,7 @@
             unavailable(3080, 0, MayHaveRun),
         ),
         base(
-            "later source silent, earlier one holds: answered",
+            "later source unavailable, earlier one has the name: answered",
             2,
             vec![Tick(30), Reply(31, 1, NoReplica), Reply(32, 0, Found("a"))],
             vec![(0, First), (1, First), (0, Hedge)],
@@ -247,7 +253,7 @@
             compare: true,
             conflicts: vec![(0, 1)],
             ..base(
-                "sources that differ, the first in order goes first",
+                "sources that differ, the first in order decides",
                 3,
                 vec![Reply(1, 1, Found("b")), Reply(2, 0, Found("a")), Reply(3, 2, Missing)],
                 firsts(),
@@ -278,7 +284,7 @@
         Case {
             conflicts: vec![(0, 0)],
             ..base(
-                "replicas of one source differ: the record goes before its absence",
+                "replicas of one source differ: a record outranks its absence",
                 2,
                 vec![Tick(30), Reply(31, 2, Missing), Reply(32, 0, Found("a"))],
                 vec![(0, First), (1, First), (0, Hedge)],
--- a/crates/roseshore_core/tests/once_batch.rs
+++ b/crates/roseshore_core/tests/once_batch.rs
@@ -15,13 +15,13 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "over the rate",
+        name: "rate limited",
         result: AppendResult::RateLimited,
         max_wait: Duration::from_millis(500),
         next_at_once: false,
     },
     Case {
-        name: "out",
+        name: "unavailable",
         result: AppendResult::Unreachable,
         max_wait: Duration::from_millis(250),
         next_at_once: true,
--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -10,7 +10,7 @@
 use simulation::*;
 
 /// The decision on the last decided attempt.
-fn told(sim: &Simulation) -> String {
+fn describe_last(sim: &Simulation) -> String {
     match sim.decisions.last().map(|(_, decision)| decision) {
         None => "nothing".into(),
         Some(Decision::Won(_)) => "won".into(),
@@ -28,7 +28,7 @@
     /// The steps that lead up to the case, mostly of daemon 0.
     before: &'static [&'static [Step]],
     then: &'static [Step],
-    told: &'static str,
+    expected: &'static str,
 }
 const LOG_DOWN: &[Step] = &[Step::Read(0, false), Step::Advance(600)];
 const CLAIM: &[Step] = &[
@@ -60,34 +60,39 @@
     Step::Read(2, true),
 ];
 const CASES: &[Case] = &[
-    Case { name: "no fault", before: &[CLAIM], then: &[], told: "won" },
-    Case { name: "repeat", before: &[CLAIM, DISPATCH, RECORD], then: OTHER_DAEMON, told: "repeat" },
+    Case { name: "no fault", before: &[CLAIM], then: &[], expected: "won" },
     Case {
-        name: "log out before the claim",
+        name: "repeat",
+        before: &[CLAIM, DISPATCH, RECORD],
+        then: OTHER_DAEMON,
+        expected: "repeat",
+    },
+    Case {
+        name: "log unavailable before the claim",
         before: &[],
         then: &[Step::Begin(0, false), Step::Read(0, false), Step::Advance(600)],
-        told: "RS502 may_have_run",
+        expected: "RS502 may_have_run",
     },
     Case {
-        name: "log out for a while",
+        name: "log unavailable for a while",
         before: &[&[Step::Begin(0, false), Step::Read(0, false), Step::Advance(300)]],
         then: &[Step::Read(0, true), Step::Append(0, AppendFault::None), Step::Read(0, true)],
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "log back after an outage",
         before: &[&[Step::Begin(0, false)], LOG_DOWN, &[Step::Advance(300), Step::Read(0, true)]],
         then: CLAIM,
-        told: "won",
+        expected: "won",
     },
     Case {
-        name: "log out, asked again",
+        name: "log unavailable, asked again",
         before: &[&[Step::Begin(0, false)], LOG_DOWN],
         then: &[Step::Begin(0, false)],
-        told: "RS502 may_have_run",
+        expected: "RS502 may_have_run",
     },
     Case {
-        name: "appends out, stream read",
+        name: "appends unavailable, stream read",
         before: &[],
         then: &[
             Step::Begin(0, false),
@@ -95,10 +100,10 @@
             Step::Append(0, AppendFault::Unreachable),
             Step::Advance(600),
         ],
-        told: "RS502 not_run",
+        expected: "RS502 not_run",
     },
     Case {
-        name: "log over its rate",
+        name: "log rate limited",
         before: &[&[
             Step::Begin(0, false),
             Step::Read(0, true),
@@ -106,7 +111,7 @@
             Step::Advance(20),
         ]],
         then: &[Step::Append(0, AppendFault::None), Step::Read(0, true)],
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "append reply lost, claim in the log",
@@ -117,7 +122,7 @@
             Step::Append(0, AppendFault::LostAfter),
             Step::Read(0, true),
         ],
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "append reply lost, claim not in the log",
@@ -128,17 +133,17 @@
             Step::Advance(20),
         ]],
         then: &[Step::Append(0, AppendFault::None), Step::Read(0, true)],
-        told: "won",
+        expected: "won",
     },
     Case {
-        name: "append reply lost, log then out",
+        name: "append reply lost, log then unavailable",
         before: &[&[
             Step::Begin(0, false),
             Step::Append(0, AppendFault::None),
             Step::Read(0, true),
         ]],
         then: &[Step::Append(0, AppendFault::LostAfter), Step::Read(0, false), Step::Advance(600)],
-        told: "RS502 not_run",
+        expected: "RS502 not_run",
     },
     Case {
         name: "claim with a lost reply is released after an outage",
@@ -148,7 +153,7 @@
             &[Step::Advance(300), Step::Append(0, AppendFault::None)],
         ],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "claim lands after it was given up",
@@ -162,7 +167,7 @@
             &[Step::Append(0, AppendFault::None), Step::DeliverLate],
         ],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "winner paused past its deadline",
@@ -171,7 +176,7 @@
             &[Step::Freeze(6000), Step::Dispatch(0), Step::Append(0, AppendFault::None)],
         ],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "winner abandons",
@@ -180,43 +185,43 @@
             &[Step::Abandon(0), Step::Advance(20), Step::Append(0, AppendFault::None)],
         ],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
-        name: "log out at the abandonment",
+        name: "log unavailable at the abandonment",
         before: &[
             CLAIM,
             &[Step::Abandon(0), Step::Advance(20), Step::Append(0, AppendFault::Unreachable)],
         ],
         then: &[Step::Begin(1, false), Step::Read(1, true), Step::Advance(6000)],
-        told: "RS401 may_have_run",
+        expected: "RS401 may_have_run",
     },
     Case {
         name: "host replaced after the claim",
         before: &[CLAIM, REPLACE_CLAIMANT],
         then: OTHER_DAEMON,
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "host replaced after the dispatch",
         before: &[CLAIM, DISPATCH, REPLACE_CLAIMANT],
         then: OTHER_DAEMON,
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "host replaced before its outcome was taken",
         before: &[CLAIM, DISPATCH, &[Step::Settle(0, Verdict::Answered)], REPLACE_CLAIMANT],
         then: OTHER_DAEMON,
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "host replaced after the outcome",
         before: &[CLAIM, DISPATCH, RECORD, REPLACE_CLAIMANT],
         then: OTHER_DAEMON,
-        told: "repeat",
+        expected: "repeat",
     },
     Case {
-        name: "log out at the outcome, then back",
+        name: "log unavailable at the outcome, then back",
         before: &[
             CLAIM,
             DISPATCH,
@@ -228,30 +233,30 @@
             &[Step::Advance(300), Step::Append(0, AppendFault::None)],
         ],
         then: OTHER_DAEMON,
-        told: "repeat",
+        expected: "repeat",
     },
     Case {
-        name: "log out at the outcome, asked here",
+        name: "log unavailable at the outcome, asked here",
         before: &[
             CLAIM,
             DISPATCH,
             &[Step::Settle(0, Verdict::Answered), Step::Read(0, false), Step::Advance(600)],
         ],
         then: &[Step::Begin(0, false)],
-        told: "repeat",
+        expected: "repeat",
     },
     Case {
-        name: "log out at the outcome, asked elsewhere",
+        name: "log unavailable at the outcome, asked elsewhere",
         before: &[
             CLAIM,
             DISPATCH,
             &[Step::Begin(1, false), Step::Read(1, true), Step::Settle(0, Verdict::Answered)],
         ],
         then: &[Step::Read(1, false), Step::Advance(600)],
-        told: "ask h0 or RS402",
+        expected: "ask h0 or RS402",
     },
     Case {
-        name: "log out, key known to be settled",
+        name: "log unavailable, key known to be settled",
         before: &[
             CLAIM,
             DISPATCH,
@@ -260,10 +265,10 @@
             &[Step::Begin(1, true), Step::Read(1, false), Step::Advance(600)],
         ],
         then: &[Step::Begin(1, false)],
-        told: "repeat",
+        expected: "repeat",
     },
     Case {
-        name: "target said that nothing ran",
+        name: "target replied that nothing ran",
         before: &[
             CLAIM,
             DISPATCH,
@@ -274,7 +279,7 @@
             ],
         ],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "target's reply lost",
@@ -288,67 +293,67 @@
             ],
         ],
         then: OTHER_DAEMON,
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "still in progress at the deadline",
         before: &[CLAIM, DISPATCH],
         then: &[Step::Begin(1, false), Step::Read(1, true), Step::Advance(6000)],
-        told: "RS401 may_have_run",
+        expected: "RS401 may_have_run",
     },
     Case {
         name: "another body",
         before: &[CLAIM, DISPATCH, RECORD],
         then: &[Step::Reuse(1), Step::Read(1, true)],
-        told: "RS405 not_run",
+        expected: "RS405 not_run",
     },
     Case {
         name: "another body, before the outcome",
         before: &[CLAIM, DISPATCH],
         then: &[Step::Reuse(1), Step::Read(1, true)],
-        told: "RS405 not_run",
+        expected: "RS405 not_run",
     },
     Case {
-        name: "another body, log out before the outcome",
+        name: "another body, log unavailable before the outcome",
         before: &[CLAIM, DISPATCH, &[Step::Begin(1, true), Step::Read(1, true)]],
         then: &[Step::Reuse(1), Step::Read(1, false), Step::Advance(600)],
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "log that lost its records",
         before: &[CLAIM, DISPATCH, RECORD],
         then: &[Step::Begin(0, true), Step::LoseLog, Step::Read(0, true), Step::Advance(600)],
-        told: "RS502 may_have_run",
+        expected: "RS502 may_have_run",
     },
     Case {
         name: "settled as not run",
         before: &[CLAIM, REPLACE_CLAIMANT, &[Step::Advance(70_000)], SETTLE_BY_OPERATOR],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "settled as run",
         before: &[CLAIM, DISPATCH, REPLACE_CLAIMANT, &[Step::Advance(70_000)], SETTLE_BY_OPERATOR],
         then: OTHER_DAEMON,
-        told: "RS406 may_have_run",
+        expected: "RS406 may_have_run",
     },
     Case {
         name: "settled too early",
         before: &[CLAIM, REPLACE_CLAIMANT, &[Step::Advance(60_000)], SETTLE_BY_OPERATOR],
         then: OTHER_DAEMON,
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
     Case {
         name: "paused claimant resumes after the settlement",
         before: &[CLAIM, &[Step::Freeze(70_000)], SETTLE_BY_OPERATOR, &[Step::Dispatch(0)]],
         then: OTHER_DAEMON,
-        told: "won",
+        expected: "won",
     },
     Case {
         name: "record trimmed",
         before: &[CLAIM, DISPATCH, RECORD, &[Step::Trim]],
         then: &[Step::Begin(1, false), Step::Read(1, true), Step::Read(1, true)],
-        told: "RS403 may_have_run",
+        expected: "RS403 may_have_run",
     },
 ];
 
@@ -359,6 +364,6 @@
         for step in case.before.iter().copied().flatten().chain(case.then) {
             sim.step(*step);
         }
-        assert_eq!(told(&sim), case.told, "{}", case.name);
+        assert_eq!(describe_last(&sim), case.expected, "{}", case.name);
     }
 }
