--- a/crates/roseshore_core/src/admit/fair.rs
+++ b/crates/roseshore_core/src/admit/fair.rs
@@ -83,7 +83,7 @@
         self.positions.insert(item.waiter, (item.org, key));
     }
 
-    /// Removes the next request, considering only organisations whose first request `may` go.
+    /// Removes the next request, considering only organisations whose first request is `allowed`.
     pub fn pop(&mut self, allowed: impl Fn(&Item) -> bool) -> Option<Item> {
         let is_allowed = |&&(_, org): &&(Tag, OrgIndex)| self.head(org).is_some_and(&allowed);
         let &(tag, org) = self.ready.iter().find(is_allowed)?;
--- a/crates/roseshore_core/src/load.rs
+++ b/crates/roseshore_core/src/load.rs
@@ -282,7 +282,7 @@
     }
 
     /// Sets whether a target's host is being withdrawn.
-    pub fn set_leaving(&mut self, index: TargetIndex, leaving: bool) {
+    pub fn set_host_leaving(&mut self, index: TargetIndex, leaving: bool) {
         self.rows[index as usize].host_leaving = leaving;
     }
 
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -173,8 +173,8 @@
     }
 
     /// Sets whether a target's host is being withdrawn.
-    pub fn set_leaving(&mut self, row: TargetIndex, leaving: bool) {
-        self.loads.set_leaving(row, leaving);
+    pub fn set_host_leaving(&mut self, row: TargetIndex, leaving: bool) {
+        self.loads.set_host_leaving(row, leaving);
     }
 
     /// Counts the chosen rows as in flight until the ticket is returned.
--- a/crates/roseshore_core/src/route/links.rs
+++ b/crates/roseshore_core/src/route/links.rs
@@ -21,12 +21,12 @@
         for id in fleet.data_centres.keys() {
             loads.data_centre_index(id);
         }
-        let zones = loads.data_centres();
-        let width = zones.len();
+        let data_centres = loads.data_centres();
+        let width = data_centres.len();
         let mut delays = vec![DEFAULT_DELAY; width * width];
         let declared = |a: &str, b: &str| fleet.data_centres.get(a)?.links.get(b).copied();
-        for (i, a) in zones.iter().enumerate() {
-            for (j, b) in zones.iter().enumerate() {
+        for (i, a) in data_centres.iter().enumerate() {
+            for (j, b) in data_centres.iter().enumerate() {
                 let millis = declared(a, b).or_else(|| declared(b, a));
                 let delay = millis.map_or(DEFAULT_DELAY, |ms| ms / 1000.0);
                 delays[i * width + j] = if i == j { LOCAL_DELAY } else { delay.max(0.0) };
@@ -37,8 +37,8 @@
 
     /// One-way delay in seconds.
     pub fn delay(&self, a: DataCentreIndex, b: DataCentreIndex) -> f64 {
-        let place = usize::from(a) * self.width + usize::from(b);
-        self.delays.get(place).copied().unwrap_or(DEFAULT_DELAY)
+        let index = usize::from(a) * self.width + usize::from(b);
+        self.delays.get(index).copied().unwrap_or(DEFAULT_DELAY)
     }
 
     /// Seconds that a token spends on links between the stages and back to the first one.
@@ -46,9 +46,9 @@
         let Some(first) = chain.next() else { return 0.0 };
         let mut last = first;
         let mut total = 0.0;
-        for zone in chain {
-            total += self.delay(last, zone);
-            last = zone;
+        for data_centre in chain {
+            total += self.delay(last, data_centre);
+            last = data_centre;
         }
         total + self.delay(last, first)
     }
--- a/crates/roseshore_core/src/route/weighted.rs
+++ b/crates/roseshore_core/src/route/weighted.rs
@@ -53,7 +53,7 @@
     pub fn draw(&self, random: &mut SmallRng) -> Option<TargetIndex> {
         let total = *self.cumulative.last()?;
         let point = random.random::<f64>() * total;
-        let place = self.cumulative.partition_point(|&sum| sum <= point);
-        self.rows.get(place.min(self.rows.len() - 1)).copied()
+        let index = self.cumulative.partition_point(|&sum| sum <= point);
+        self.rows.get(index.min(self.rows.len() - 1)).copied()
     }
 }
--- a/crates/roseshore_core/tests/admit.rs
+++ b/crates/roseshore_core/tests/admit.rs
@@ -56,16 +56,16 @@
         earlier: u32,
         left: Duration,
         code: Code,
-        back: bool,
+        retry: bool,
     }
-    let case = |name, organisation, service, earlier, left, code, back| Case {
+    let case = |name, organisation, service, earlier, left, code, retry| Case {
         name,
         organisation,
         service,
         earlier,
         left,
         code,
-        back,
+        retry,
     };
     let short = Duration::from_millis(150);
     let past = Duration::ZERO;
@@ -94,8 +94,8 @@
             assert_eq!(refusal.code, case.code, "{}", case.name);
             assert_eq!(refusal.verdict, Verdict::NotRun, "{}", case.name);
             let least = Duration::from_secs(1).mul_f64(1.0 + 2.0 * spread);
-            let told = refusal.retry_after.is_some_and(|after| after >= least);
-            assert_eq!(told, case.back, "{}: {:?}", case.name, refusal.retry_after);
+            let has_retry = refusal.retry_after.is_some_and(|after| after >= least);
+            assert_eq!(has_retry, case.retry, "{}: {:?}", case.name, refusal.retry_after);
         }
     }
 }
@@ -242,8 +242,8 @@
             }
             Next::Arrives(_) => {}
             Next::Ends(request) => {
-                let (i, came, slot) = &mut requests[request];
-                results[*i].took.push(now - *came);
+                let (i, arrived, slot) = &mut requests[request];
+                results[*i].took.push(now - *arrived);
                 outcomes = admission.release(slot.take().unwrap(), now, 0.0);
             }
         }
--- a/crates/roseshore_core/tests/answer.rs
+++ b/crates/roseshore_core/tests/answer.rs
@@ -93,7 +93,7 @@
         },
         RefusalCase {
             name: "every first stage holds another version",
-            before: |w| set_all(w, 0, State::Other),
+            before: |w| set_all(w, 0, State::OtherVersion),
             input: None,
             verdict: Verdict::NotRun,
             code: Code::TargetMismatch,
--- a/crates/roseshore_core/tests/answer/faults.rs
+++ b/crates/roseshore_core/tests/answer/faults.rs
@@ -61,7 +61,7 @@
     Fault { name: "middle stage freezes", apply: |w| set(w, 1, State::Frozen) },
     Fault { name: "last stage freezes", apply: |w| set(w, 2, State::Frozen) },
     Fault { name: "first stage full", apply: |w| set(w, 0, State::Busy) },
-    Fault { name: "first stage holds another version", apply: |w| set(w, 0, State::Other) },
+    Fault { name: "first stage holds another version", apply: |w| set(w, 0, State::OtherVersion) },
     Fault { name: "first stage restarts", apply: |w| restart(w, 0) },
     Fault { name: "middle stage restarts", apply: |w| restart(w, 1) },
     Fault { name: "stream cut", apply: World::cut },
--- a/crates/roseshore_core/tests/answer/ops.rs
+++ b/crates/roseshore_core/tests/answer/ops.rs
@@ -32,7 +32,7 @@
         Just(State::Dead),
         Just(State::Frozen),
         Just(State::Busy),
-        Just(State::Other)
+        Just(State::OtherVersion)
     ];
     prop_oneof![
         8 => (1..4_u8).prop_map(Op::Step),
--- a/crates/roseshore_core/tests/answer/world.rs
+++ b/crates/roseshore_core/tests/answer/world.rs
@@ -21,7 +21,7 @@
     Frozen,
     Busy,
     /// Holds another version, so it refuses the stream.
-    Other,
+    OtherVersion,
 }
 
 #[derive(Clone, Debug)]
@@ -227,7 +227,7 @@
             Action::Deliver(position) => self.deliver(position),
             Action::Probe { epoch, limit } => {
                 let bound = self.answer.next_tick();
-                assert!(self.now + limit < bound, "a probe says in time who is silent");
+                assert!(self.now + limit < bound, "a probe ends before the timeout");
                 self.probe(epoch);
             }
             Action::Move { epoch, moves, .. } => {
@@ -274,7 +274,7 @@
         let failure = match self.state(&self.route[0]) {
             State::Dead => Some(StreamFailure::Unreachable),
             State::Busy => Some(refused(503)),
-            State::Other => Some(refused(409)),
+            State::OtherVersion => Some(refused(409)),
             State::Frozen => {
                 self.began = true;
                 return;
@@ -310,7 +310,7 @@
     }
 
     fn finish(&mut self, finish: Finish) {
-        assert_eq!(self.delivered.len() as u32, TOTAL, "a whole answer has every token");
+        assert_eq!(self.delivered.len() as u32, TOTAL, "a complete answer has every token");
         self.end = Some(Ok(finish));
     }
 
@@ -318,10 +318,10 @@
         match refusal.verdict {
             Verdict::NotRun => {
                 assert!(!self.began, "not run, but a target began: {refusal:?}");
-                assert!(refusal.retry_after.is_some(), "not run says when to come back");
+                assert!(refusal.retry_after.is_some(), "a not-run refusal has a retry time");
             }
             Verdict::MayHaveRun => {}
-            Verdict::Answered => panic!("a refusal is no answer"),
+            Verdict::Answered => panic!("a refusal cannot have the verdict answered"),
         }
         self.end = Some(Err(refusal));
     }
--- a/crates/roseshore_core/tests/meter.rs
+++ b/crates/roseshore_core/tests/interval.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn paces() {
+fn token_intervals() {
     let cases = [
         Case { name: "too few tokens", tokens: even(500, 4, 8), intervals: vec![] },
         Case { name: "the first wait does not count", tokens: even(500, 4, 9), intervals: vec![4] },
--- a/crates/roseshore_core/tests/route.rs
+++ b/crates/roseshore_core/tests/route.rs
@@ -104,7 +104,7 @@
             Failed => router.record_failure(engine.id, now),
             HostLeaving => {
                 let row = router.loads().find(engine.id).unwrap();
-                router.set_leaving(row, true);
+                router.set_host_leaving(row, true);
             }
             Silent => {
                 let later = now + Duration::from_millis(1);
@@ -362,7 +362,7 @@
         let mut used = false;
         for step in 0..2000_u64 {
             let now = start + Duration::from_millis(10 * step);
-            router.set_leaving(row, step < 100);
+            router.set_host_leaving(row, step < 100);
             // Reports come once a second, like polls.
             if step % 100 == 0 {
                 for engine in [stay, back] {
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -145,14 +145,14 @@
 
     fn leaves(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host && !self.leaving.contains(&row) {
-            self.router.set_leaving(row, true);
+            self.router.set_host_leaving(row, true);
             self.leaving.push(row);
         }
     }
 
     fn stays(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host {
-            self.router.set_leaving(row, false);
+            self.router.set_host_leaving(row, false);
             self.leaving.retain(|&known| known != row);
         }
     }
