--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -85,11 +85,17 @@
 /// What a connection is used for.
 enum Role {
     Caller(Caller),
+    /// Health probes of the load balancer.
     Probe,
+    /// Scrapes of metrics.
     Metrics,
+    /// The send in flight of this exchange.
     Target(Key),
+    /// This call.
     Call(Key),
+    /// A liveness check of this target.
     Liveness(TargetId),
+    /// Kept for reuse with this address.
     Idle(SocketAddr),
     /// Another host that requests a copy of the store data.
     CopyRequester,
@@ -147,7 +153,7 @@
     pace: TokenPace,
     shortage: Shortage,
     fatal: FatalRequests,
-    /// Sends that were interrupted, until it is known whether their targets ended.
+    /// Sends that were interrupted, until it is known whether their targets crashed.
     broken_sends: Vec<BrokenSend>,
     blocked_records: BlockedRecords,
     rng: SmallRng,
@@ -253,8 +259,8 @@
             started: now,
             now,
             earliest_arrival: now,
-            // Makes the first iteration of the loop a tick, which starts to read the store: nothing is
-            // served before that.
+            // Makes the first iteration of the loop a tick, which starts to read the store: nothing
+            // is served before that.
             last_tick: now.checked_sub(TICK_INTERVAL).unwrap_or(now),
             ready: false,
             keys_suspended: true,
@@ -280,8 +286,8 @@
         (self.settings.caller_addr, self.settings.probe_addr)
     }
 
-    /// Runs until shutdown after the stop signal is complete; returns the number of requests that were
-    /// cut off.
+    /// Runs until shutdown after the stop signal is complete; returns the number of requests that
+    /// were cut off.
     ///
     /// # Errors
     /// If the readiness queue fails.
@@ -417,8 +423,8 @@
         }
     }
 
-    /// An idle connection to an address or, if there is none or `new_only` is set, a new one. The flag tells
-    /// whether it is reused.
+    /// An idle connection to an address or, if there is none or `new_only` is set, a new one. The
+    /// flag tells whether it is reused.
     fn acquire_connection(&mut self, addr: SocketAddr, new_only: bool) -> io::Result<(Key, bool)> {
         while let Some((key, _)) = self.idle.get_mut(&addr).filter(|_| !new_only).and_then(Vec::pop)
         {
@@ -448,8 +454,8 @@
     }
 
     fn close_idle(&mut self) {
-        /// Targets close connections that are idle for some seconds; this is shorter than the time of
-        /// any known target, so that a request is not sent on a connection that is being closed.
+        /// Targets close connections that are idle for some seconds; this is shorter than the time
+        /// of any known target, so that a request is not sent on a connection that is being closed.
         const MAX_IDLE: Duration = Duration::from_millis(2500);
         let now = self.now;
         let mut expired = Vec::new();
--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -1,6 +1,7 @@
 //! Synchronizes the blocked requests with their records in the store.
 //!
-//! The host that reads the store on behalf of the others also reads these records, and writes those that are missing.
+//! The host that reads the store on behalf of the others also reads these records, and writes those
+//! that are missing.
 
 use super::calls::{CallFault, Purpose, STORE_TIMEOUT};
 use super::{EntryHost, log_event};
@@ -11,17 +12,20 @@
 use roseshore_ports::entry::{CallReply, Entry as Record, StoreFault};
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 
-/// Interval between reads. All hosts have to know of a blocked request within three seconds, so one read and a
-/// second for the rest fit. This adds half a call per second to the two per second for the other streams.
+/// Interval between reads. All hosts have to know of a blocked request within three seconds, of
+/// which this takes two. It adds half a call per second to the two per second that the intervals of
+/// the other streams amount to.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Progress of reading the records, which come in pages.
 #[derive(Debug, Default)]
 pub(super) struct BlockedRecords {
     due: Option<Instant>,
-    busy: bool,
+    /// Whether a call is in flight.
+    in_flight: bool,
     /// The last key of the previous page.
-    since: Option<String>,
+    last_key: Option<String>,
+    /// The blocked requests that have a record in the store.
     recorded: Vec<Fingerprint>,
 }
 
@@ -30,7 +34,7 @@
     pub(super) fn sync_blocked(&mut self) {
         let now = self.now;
         let early = self.blocked_records.due.is_some_and(|due| now < due);
-        if self.blocked_records.busy
+        if self.blocked_records.in_flight
             || early
             || self.stopping_since.is_some()
             || self.store_sync.outage.is_down()
@@ -42,7 +46,7 @@
         }
         self.blocked_records.due = Some(now + READ_INTERVAL);
         self.blocked_records.recorded.clear();
-        self.blocked_records.since = None;
+        self.blocked_records.last_key = None;
         self.read_blocked();
     }
 
@@ -52,8 +56,8 @@
     }
 
     fn read_blocked(&mut self) {
-        self.blocked_records.busy = true;
-        let request = self.platform.blocked(self.blocked_records.since.as_deref());
+        self.blocked_records.in_flight = true;
+        let request = self.platform.blocked(self.blocked_records.last_key.as_deref());
         self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
@@ -67,8 +71,8 @@
         for Record { key, value } in page.entries {
             self.apply_blocked_record(&key, &value.unwrap_or_default());
         }
-        self.blocked_records.since = page.more;
-        if self.blocked_records.since.is_some() {
+        self.blocked_records.last_key = page.more;
+        if self.blocked_records.last_key.is_some() {
             return self.read_blocked();
         }
         self.write_blocked();
@@ -111,12 +115,13 @@
             }
         }
         log_event!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
-        self.blocked_records.busy = true;
+        self.blocked_records.in_flight = true;
         let request = self.platform.put_blocked(&records);
         self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
-    /// Handles the reply to a write. If it failed, the next read finds the records missing and writes them again.
+    /// Handles the reply to a write. If it failed, the next read finds the records missing and
+    /// writes them again.
     pub(super) fn blocked_write_done(&mut self, reply: Result<CallReply, CallFault>) {
         let Some(reply) = self.blocked_reply(reply) else { return };
         if let Err(fault) = self.platform.put_reply(&reply) {
@@ -125,7 +130,7 @@
     }
 
     fn blocked_reply(&mut self, reply: Result<CallReply, CallFault>) -> Option<CallReply> {
-        self.blocked_records.busy = false;
+        self.blocked_records.in_flight = false;
         metrics::counter!("roseshore_store_calls_total").increment(1);
         match reply {
             Ok(reply) => Some(reply),
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -41,13 +41,13 @@
 }
 
 impl EntryHost {
-    fn limits(&self) -> RequestLimits {
+    fn request_limits(&self) -> RequestLimits {
         self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
 
     /// Sets the timer for reading a request, or for an idle connection.
     pub(super) fn watch_caller(&mut self, key: Key) {
-        let limits = self.limits();
+        let limits = self.request_limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         let at = caller.first_byte.map_or(caller.idle_since + limits.idle_timeout, |first_byte| {
             first_byte + limits.receive_timeout
@@ -55,9 +55,10 @@
         self.set_timer(at, Timer::Caller(key));
     }
 
-    /// Refuses a request that arrives too slowly, or closes a connection that was idle for too long.
+    /// Refuses a request that arrives too slowly, or closes a connection that was idle for too
+    /// long.
     pub(super) fn check_caller(&mut self, key: Key) {
-        let limits = self.limits();
+        let limits = self.request_limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         if matches!(caller.phase, Phase::Busy(_) | Phase::Closing) {
             return;
@@ -74,7 +75,7 @@
     /// Handles input of a caller's connection, or its end.
     pub(super) fn handle_caller(&mut self, key: Key) {
         loop {
-            let limits = self.limits();
+            let limits = self.request_limits();
             let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
             let Some(socket) = self.net.get(key) else {
                 self.roles.remove(&key);
@@ -131,7 +132,8 @@
                         return;
                     }
                     if ended {
-                        // The caller left before this host read the request: it is not sent to a target.
+                        // The caller left before this host read the request: it is not sent to a
+                        // target.
                         log_event!(self, CallerLeft, "request=- events=0 held_ms=0");
                         return self.close(key);
                     }
--- a/crates/roseshore_relay/src/entry/calls.rs
+++ b/crates/roseshore_relay/src/entry/calls.rs
@@ -11,8 +11,8 @@
 /// Maximum bytes of a reply's head.
 const MAX_HEAD: usize = 16 << 10;
 
-/// Time-out of a call to the store, beyond the time that the store was asked to wait. A store that is eighty
-/// times slower than usual replies within a third of a second.
+/// Time-out of a call to the store, beyond the time that the store was asked to wait. A store that
+/// is eighty times slower than usual replies within a third of a second.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The purpose of a call, which decides how its reply is handled.
--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl EntryHost {
-    /// Requests the store data that another host has and this one lacks. Returns whether the request was sent.
+    /// Requests the store data that another host has and this one lacks. Returns whether the
+    /// request was sent.
     pub(super) fn request_copy(&mut self, from: SocketAddr) -> bool {
         let Some(own) = self.settings.peer_addr else { return false };
         let Some(until) = self.copies.start(self.now) else { return false };
@@ -46,13 +47,15 @@
         }
     }
 
-    /// Handles a time-out while waiting for the next bytes of a copy, or for a host's request for one.
+    /// Handles a time-out while waiting for the next bytes of a copy, or for a host's request for
+    /// one.
     pub(super) fn copy_timed_out(&mut self, key: Key) {
         let received = self.net.get(key).map_or(0, |socket| socket.input.len());
         match self.roles.get_mut(&key) {
             Some(Role::CopyRequester) => self.close(key),
             Some(Role::CopySource(_, known)) if received > *known => {
-                // The copy is still arriving: 600 kB take 0.25 s on a narrow link without other traffic.
+                // The copy is still arriving: 600 kB take 0.25 s on a narrow link without other
+                // traffic.
                 *known = received;
                 self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -15,13 +15,16 @@
 use roseshore_ports::entry::Carried;
 use std::net::SocketAddr;
 
-/// Time-out for a connection to be established: a millisecond between data centres, and the retransmission of one lost packet.
+/// Time-out for a connection to be established: a millisecond between data centres, and the
+/// retransmission of one lost packet.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time that a request without a response waits for capacity. It waits for at most an eighth
-/// ([`QUEUE_OBJECTIVE_DIVISOR`]) of its route's latency objective: a later refusal would be late.
+/// Longest time that a request without a response waits for capacity. It waits for at most an
+/// eighth ([`QUEUE_OBJECTIVE_DIVISOR`]) of its route's latency objective: a later refusal would be
+/// late.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(80);
 const QUEUE_OBJECTIVE_DIVISOR: u32 = 8;
-/// Longest time that a started stream waits for capacity: its caller leaves after two seconds without an event.
+/// Longest time that a started stream waits for capacity: its caller leaves after two seconds
+/// without an event.
 const MAX_STREAM_QUEUE_TIME: Duration = Duration::from_millis(1300);
 /// How long a request avoids a target after a fault with [`Blame::Unknown`].
 const AVOID_UNKNOWN_BLAME: Duration = Duration::from_millis(250);
@@ -176,8 +179,8 @@
         self.set_timer(self.now + CONNECT_TIMEOUT, Timer::Exchange(key));
     }
 
-    /// Ends a request that is blocked, or makes it wait while it is not known whether it ends its targets. Returns whether
-    /// it did either.
+    /// Ends a request that is blocked, or makes it wait while it is not known whether it crashes
+    /// its targets. Returns whether it did either.
     fn block_or_wait(&mut self, key: Key) -> bool {
         let Some(exchange) = self.exchanges.get(key) else { return true };
         if self.fatal.blocked(exchange.fingerprint, self.now).is_some() {
@@ -191,8 +194,8 @@
         must_wait
     }
 
-    /// Whether the retry budget permits a send; a retry is charged to it. A send after one whose connection was never
-    /// established is not a retry, since that one reached no target.
+    /// Whether the retry budget permits a send; a retry is charged to it. A send after one whose
+    /// connection was never established is not a retry, since that one reached no target.
     fn charge_retry(&mut self, key: Key) -> bool {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key).filter(|e| e.reached_target) else {
@@ -202,8 +205,8 @@
         self.retry_budget(&service).try_retry(now)
     }
 
-    /// Queues a request until a target has capacity, and ends it if that takes too long. A started stream waits longer, since
-    /// cutting it off helps nobody.
+    /// Queues a request until a target has capacity, and ends it if that takes too long. A started
+    /// stream waits longer, since cutting it off helps nobody.
     pub(super) fn wait_for_capacity(&mut self, key: Key, best: Option<Choice>) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
@@ -250,7 +253,8 @@
         self.choose_at(key, self.now, &limited)
     }
 
-    /// Like [`EntryHost::choose`], by the expected state at a time `at`, and without starting at the targets in `excluded_first`.
+    /// Like [`EntryHost::choose`], by the expected state at a time `at`, and without starting at
+    /// the targets in `excluded_first`.
     fn choose_at(&mut self, key: Key, at: Instant, excluded_first: &[TargetId]) -> Option<Choice> {
         let exchange = self.exchanges.get(key)?;
         let data_centre = self.settings.data_centre.as_str();
@@ -303,7 +307,8 @@
         })
     }
 
-    /// Handles a failed send; `culprit` is the target at fault if it is not the one that the request was sent to.
+    /// Handles a failed send; `culprit` is the target at fault if it is not the one that the
+    /// request was sent to.
     pub(super) fn send_failed(&mut self, key: Key, fault: Fault, culprit: Option<SocketAddr>) {
         let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
         let named = culprit.and_then(|addr| send.at(addr));
@@ -360,8 +365,8 @@
         self.retry_or_end(key, fault);
     }
 
-    /// Records a fault of a target, unless the blame is unknown. Returns the time until which the request avoids the
-    /// target, or `None` if it avoids the target until the request ends.
+    /// Records a fault of a target, unless the blame is unknown. Returns the time until which the
+    /// request avoids the target, or `None` if it avoids the target until the request ends.
     fn record_fault(&mut self, culprit: &TargetId, blame: Blame, fault: Fault) -> Option<Instant> {
         let now = self.now;
         if blame == Blame::Unknown {
@@ -370,7 +375,8 @@
         if self.targets.record_failure(culprit, now) {
             log_event!(self, TargetLost, "target={culprit} fault={}", fault.name());
         }
-        // A busy target may be the only one that holds its layers, and has capacity again when other requests end.
+        // A busy target may be the only one that holds its layers, and has capacity again when
+        // other requests end.
         self.targets.quarantine_end(culprit).filter(|_| blame == Blame::Busy)
     }
 
@@ -391,8 +397,8 @@
         self.end_without(key, code, why);
     }
 
-    /// Removes the send in flight, with its load on the targets. With `keep`, its connection is reused if it has no pending
-    /// input.
+    /// Removes the send in flight, with its load on the targets. With `keep`, its connection is
+    /// reused if it has no pending input.
     pub(super) fn drop_send(&mut self, key: Key, keep: bool) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = exchange.send.take() else { return };
@@ -407,7 +413,8 @@
     }
 }
 
-/// Expected number of tokens of an answer: the caller's estimate or else the usual number, within the caller's maximum.
+/// Expected number of tokens of an answer: the caller's estimate or else the usual number, within
+/// the caller's maximum.
 fn expected_tokens(exchange: &Exchange, default: f64) -> f64 {
     let guess = exchange.asked.hint.map_or(default, f64::from);
     let max_tokens = f64::from(exchange.asked.longest);
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -16,12 +16,13 @@
 use super::probes::millis;
 use super::rate_limits::PermitWait;
 
-/// Retry delay, before jitter, for a refusal that another host may not give: a caller retries on a new connection, which
-/// reaches another host.
+/// Retry delay, before jitter, for a refusal that another host may not give: a caller retries on a
+/// new connection, which reaches another host.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Longest retry delay when the delay follows from the rate limits of targets.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(9);
-/// Retry delay, before jitter, when this host is shutting down: just long enough that callers do not retry all at once.
+/// Retry delay, before jitter, when this host is shutting down: just long enough that callers do
+/// not retry all at once.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(60);
 /// Shortest remaining time in which another send can succeed.
 const MIN_SEND_TIME: Duration = Duration::from_millis(60);
@@ -224,8 +225,8 @@
         self.pace.ends_within(guess, f64::from(asked.longest), left)
     }
 
-    /// The refusal of a request that the configuration denies. While the configuration is not known to be the newest, the
-    /// caller is asked to retry instead.
+    /// The refusal of a request that the configuration denies. While the configuration is not known
+    /// to be the newest, the caller is asked to retry instead.
     fn denial_refusal(&mut self, denied: Denied) -> Refusal {
         if !self.config_current() {
             return self.unconfirmed_refusal();
@@ -246,7 +247,8 @@
         base.mul_f64(0.75 + 0.5 * self.rng.random::<f64>())
     }
 
-    /// Refuses a request because all its targets asked for a pause; the first pause ends after `pause`.
+    /// Refuses a request because all its targets asked for a pause; the first pause ends after
+    /// `pause`.
     pub(super) fn end_paused(&mut self, key: Key, pause: Duration) {
         // Targets may not have asked other hosts for a pause, so a retry may succeed sooner.
         let delay = |usual: Duration| usual.min(pause);
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -1,8 +1,9 @@
 //! Detects requests that make targets crash, and blocks them.
 //!
-//! An interrupted send does not show its cause: the target may have spoilt one response, a link may be down, or the
-//! target's process may have ended. Only the last counts against the request, so the cause is determined first: the
-//! process has ended if the target's port resets a connection or the list of targets shows a new incarnation.
+//! An interrupted send does not show its cause: the target may have spoilt one response, a link may
+//! be down, or the target's process may have ended. Only the last counts against the request, so
+//! the cause is determined first: the process has ended if the target's port resets a connection or
+//! the list of targets shows a new incarnation.
 
 use super::exchange::Exchange;
 use super::in_flight::InFlightSend;
@@ -14,13 +15,13 @@
 use roseshore_core::gateway::{Fault, Fingerprint};
 use roseshore_core::prelude::*;
 
-/// Time to determine whether a target ended. Liveness checks of one target are 0.2 s apart, so at least three fit; a target
-/// takes seconds to restart.
+/// Time to determine whether a target crashed. Liveness checks of one target are 0.2 s apart, so
+/// there is time for three; a target takes seconds to restart.
 const DIAGNOSIS_TIME: Duration = Duration::from_secs(1);
 /// Value of `by` in a log line about a report of another host.
 pub(super) const BY_PEER: &str = "heard";
 
-/// An interrupted send, until it is known whether one of its targets ended.
+/// An interrupted send, until it is known whether one of its targets crashed.
 #[derive(Debug)]
 pub(super) struct BrokenSend {
     fingerprint: Fingerprint,
@@ -33,7 +34,7 @@
 }
 
 impl EntryHost {
-    /// Remembers an interrupted send until it is known whether one of its targets ended.
+    /// Remembers an interrupted send until it is known whether one of its targets crashed.
     pub(super) fn remember_interrupted(&mut self, key: Key, fault: Fault, culprits: &[TargetId]) {
         let Some(exchange) = self.exchanges.get(key) else { return };
         let Some(send) = &exchange.send else { return };
@@ -58,10 +59,11 @@
         self.broken_sends.push(broken);
     }
 
-    /// Whether a request has to wait, before it is sent again, until the cause of its interrupted sends is known: if the
-    /// targets of all of them ended, one more end blocks the request. A check takes milliseconds. Once a target has ended
-    /// while running the request, its runs that have hardly begun count as well, since each of them may end another
-    /// target before this host learns of the last end.
+    /// Whether a request has to wait, before it is sent again, until the cause of its interrupted
+    /// sends is known: if a target crashed in each of them, one more crash blocks the request. A
+    /// check takes milliseconds. Once a target has crashed while running the request, its runs that
+    /// have hardly begun count as well, since each of them may crash another target before this
+    /// host learns of the last crash.
     pub(super) fn awaits_diagnosis(&self, exchange: &Exchange) -> bool {
         let fingerprint = exchange.fingerprint;
         let broken = self.broken_sends.iter().filter(|b| b.fingerprint == fingerprint).count();
@@ -69,7 +71,8 @@
         pending > 0 && self.fatal.near_limit(fingerprint, pending)
     }
 
-    /// Number of runs of a request that have hardly begun; 0 while no target has ended under the request.
+    /// Number of runs of a request that have hardly begun; 0 while no target has crashed under the
+    /// request.
     fn early_runs(&self, fingerprint: Fingerprint) -> usize {
         if self.fatal.crashes(fingerprint) == 0 {
             return 0;
@@ -81,7 +84,7 @@
         self.exchanges.keys().into_iter().filter(same).count()
     }
 
-    /// Determines which interrupted sends failed because a target ended.
+    /// Determines which interrupted sends failed because a target crashed.
     pub(super) fn resolve_broken_sends(&mut self) {
         if self.broken_sends.is_empty() {
             return;
@@ -89,7 +92,7 @@
         let now = self.now;
         let mut waiting = Vec::new();
         for broken in std::mem::take(&mut self.broken_sends) {
-            // Of several targets that ended together, as in a rack, only one counts.
+            // Of several targets that crashed together, as in a rack, only one counts.
             let ended = broken.targets.iter().find(|(id, hash)| self.incarnation_ended(id, *hash));
             if let Some((id, hash)) = ended.cloned() {
                 self.record_crash(&broken, &id, hash);
@@ -102,8 +105,8 @@
         self.broken_sends.extend(waiting);
     }
 
-    /// Checks the targets of interrupted sends again: the first check may have been skipped because it came too soon
-    /// after another one.
+    /// Checks the targets of interrupted sends again: the first check may have been skipped because
+    /// it came too soon after another one.
     pub(super) fn recheck_broken(&mut self) {
         let first = |broken: &BrokenSend| broken.targets.first().map(|(id, _)| id.clone());
         let mut ids: Vec<TargetId> = self.broken_sends.iter().filter_map(first).collect();
@@ -141,13 +144,14 @@
         self.apply_change(*fingerprint, change, "own");
     }
 
-    /// Applies what another host or a record in the store reports about a request that ends targets.
+    /// Applies what another host or a record in the store reports about a request that crashes
+    /// targets.
     pub(super) fn apply_fatal_report(&mut self, report: &FatalReport, by: &str) {
         let change = self.fatal.receive(report, self.now);
         self.apply_change(report.fingerprint, change, by);
     }
 
-    /// Records that a request got a complete response, so that it does not end its targets.
+    /// Records that a request got a complete response, so that it does not crash its targets.
     pub(super) fn record_completed(&mut self, fingerprint: Fingerprint) {
         let change = self.fatal.record_success(fingerprint, self.now);
         self.apply_change(fingerprint, change, "own");
@@ -178,13 +182,13 @@
         }
     }
 
-    /// Ends the runs of a blocked request that have hardly begun. A run beyond that may still complete, which shows that
-    /// the request is harmless.
+    /// Ends the runs of a blocked request that have hardly begun. A run beyond that may still
+    /// complete, which shows that the request is harmless.
     fn end_blocked_runs(&mut self, fingerprint: Fingerprint) {
         for key in self.exchanges.keys() {
             let Some(exchange) = self.exchanges.get(key) else { continue };
-            let begun = exchange.send.as_ref().is_some_and(|send| !is_early(send, self.now));
-            if exchange.fingerprint == fingerprint && !begun {
+            let past_start = exchange.send.as_ref().is_some_and(|send| !is_early(send, self.now));
+            if exchange.fingerprint == fingerprint && !past_start {
                 self.end_without(key, Code::EndsTargets, ENDS_TARGETS);
             }
         }
@@ -201,7 +205,8 @@
 /// The reason that callers of a blocked request get.
 pub(super) const ENDS_TARGETS: &str = "targets ended while they ran this request";
 
-/// Whether a send has hardly begun to run: its first event came less than [`EARLY`] ago, or has not come.
+/// Whether a send has hardly begun to run: its first event came less than [`EARLY`] ago, or has not
+/// come.
 fn is_early(send: &InFlightSend, now: Instant) -> bool {
     send.first_event.is_none_or(|at| now.saturating_duration_since(at) < EARLY)
 }
--- a/crates/roseshore_relay/src/entry/heartbeats.rs
+++ b/crates/roseshore_relay/src/entry/heartbeats.rs
@@ -10,12 +10,13 @@
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use std::net::SocketAddr;
 
-/// Shortest interval between aggregations of the other hosts' heartbeats. A speaker among sixty hosts receives three
-/// hundred heartbeats per second, and a single one hardly changes the sum that a choice of target depends on.
+/// Shortest interval between aggregations of the other hosts' heartbeats. A speaker among sixty
+/// hosts receives three hundred heartbeats per second, and a single one hardly changes the sum that
+/// a choice of target depends on.
 const VIEW_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for a copy of a newer configuration before the store is read instead: refusals begin after 0.7 s, and a copy
-/// of 250 kB reaches the last of sixty hosts after 0.9 s.
+/// Longest wait for a copy of a newer configuration before the store is read instead: refusals
+/// begin after 0.7 s, and a copy of 250 kB reaches the last of sixty hosts after 0.9 s.
 const MAX_COPY_WAIT: Duration = Duration::from_millis(500);
 
 /// Maximum number of paces in a heartbeat; more do not fit a datagram with the other contents.
@@ -78,7 +79,8 @@
         heard.joined
     }
 
-    /// Whether a copy of a newer configuration is expected soon, and the wait has not been too long.
+    /// Whether a copy of a newer configuration is expected soon, and the wait has not been too
+    /// long.
     fn copy_expected(&self) -> bool {
         let overdue = |since| self.now.saturating_duration_since(since) >= MAX_COPY_WAIT;
         self.copies.expected(self.now) && !self.outdated_since.is_some_and(overdue)
@@ -98,8 +100,8 @@
         }
     }
 
-    /// The paces of engines to report to other hosts. Only speakers report them, since the other hosts of a data centre hear
-    /// only their speakers.
+    /// The paces of engines to report to other hosts. Only speakers report them, since the other
+    /// hosts of a data centre hear only their speakers.
     fn pace_reports(&self) -> Vec<PaceReport> {
         if !self.peers.speaking() {
             return Vec::new();
@@ -124,8 +126,8 @@
         self.send_heartbeats();
     }
 
-    /// Requests an urgent heartbeat to all hosts: at the end of this iteration of the event loop, or as soon as the interval
-    /// between urgent heartbeats allows.
+    /// Requests an urgent heartbeat to all hosts: at the end of this iteration of the event loop,
+    /// or as soon as the interval between urgent heartbeats allows.
     pub(super) fn heartbeat_soon(&mut self) {
         self.urgent_pending = true;
     }
--- a/crates/roseshore_relay/src/entry/in_flight.rs
+++ b/crates/roseshore_relay/src/entry/in_flight.rs
@@ -20,8 +20,8 @@
     pub(super) sent_at: Instant,
     /// All targets involved, with their incarnations when it was sent.
     pub(super) incarnations: Vec<(TargetId, TargetHash)>,
-    /// When the response last made progress: an event of a stream, or the head of another response. The send time before
-    /// that.
+    /// When the response last made progress: an event of a stream, or the head of another response.
+    /// The send time before that.
     pub(super) latest_at: Instant,
     /// When the first event arrived.
     pub(super) first_event: Option<Instant>,
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -1,8 +1,8 @@
 //! Liveness checks of targets, to find out which target of a path without progress is dead.
 //!
-//! A check opens a connection and closes it again: the machine of a live target accepts it at once, a closed port resets
-//! it, and an unreachable machine does not answer. A check occupies no slot of the target and costs almost nothing, so it is
-//! done well before a stream is given up.
+//! A check opens a connection and closes it again: the machine of a live target accepts it at once,
+//! a closed port resets it, and an unreachable machine does not answer. A check occupies no slot of
+//! the target and costs almost nothing, so it is done well before a stream is given up.
 
 use super::in_flight::InFlightSend;
 use super::{EntryHost, Role, Timer, log_event};
@@ -13,14 +13,15 @@
 use std::collections::HashMap;
 use std::io::ErrorKind;
 
-/// Time-out of a check. Answers take two milliseconds between data centres, and 12 ms from a target that is twelve times
-/// slower than usual.
+/// Time-out of a check. Answers take two milliseconds between data centres, and 12 ms from a target
+/// that is twelve times slower than usual.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(45);
 /// Shortest interval between checks of a target.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between checks of a dead target.
 const DEAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Unanswered checks in a row after which a target is considered dead. A single one may be a lost packet.
+/// Unanswered checks in a row after which a target is considered dead. A single one may be a lost
+/// packet.
 const MAX_UNANSWERED: u32 = 2;
 
 /// The checks of one target.
@@ -123,9 +124,10 @@
         self.liveness.mark_lost(id);
     }
 
-    /// Sends requests that run on targets found dead to other targets. This is done once per iteration of the event loop,
-    /// when all dead targets are known: targets of a data centre that is cut off die together, and a request that was
-    /// sent to each of them in turn would use up the retry budget.
+    /// Sends requests that run on targets found dead to other targets. This is done once per
+    /// iteration of the event loop, when all dead targets are known: targets of a data centre that
+    /// is cut off die together, and a request that was sent to each of them in turn would use up
+    /// the retry budget.
     pub(super) fn reroute_from_dead(&mut self) {
         let dead = std::mem::take(&mut self.liveness.dead);
         if dead.is_empty() {
--- a/crates/roseshore_relay/src/entry/pace_polling.rs
+++ b/crates/roseshore_relay/src/entry/pace_polling.rs
@@ -21,7 +21,7 @@
     last_batch: Option<Instant>,
     queue: VecDeque<TargetId>,
     /// Engines per batch.
-    batch: usize,
+    batch_size: usize,
 }
 
 impl EntryHost {
@@ -40,10 +40,10 @@
         if self.pace_polling.queue.is_empty() {
             self.pace_polling.queue = self.engines_with_layers();
             let batches = POLL_INTERVAL.div_duration_f64(BATCH_INTERVAL).round() as usize;
-            self.pace_polling.batch =
+            self.pace_polling.batch_size =
                 self.pace_polling.queue.len().div_ceil(batches).min(MAX_POLLED);
         }
-        for _ in 0..self.pace_polling.batch {
+        for _ in 0..self.pace_polling.batch_size {
             let Some(id) = self.pace_polling.queue.pop_front() else { break };
             let Some(addr) = self.call_address(&id) else { continue };
             let request = self.platform.report();
--- a/crates/roseshore_relay/src/entry/placement.rs
+++ b/crates/roseshore_relay/src/entry/placement.rs
@@ -1,9 +1,10 @@
 //! Orders the engines of this host's data centre to hold the layers that the plan assigns to them.
 //!
-//! The first live host of a data centre gives the orders. The other hosts compute the same repairs from the same list, and
-//! each waits a different time before it acts, in case the first one cannot. Steps that only improve a placement are taken by
-//! the first host alone. If two hosts act at once, the target accepts only one order: each order states how many orders
-//! the target must have accepted before.
+//! The first live host of a data centre gives the orders. The other hosts compute the same repairs
+//! from the same list, and each waits a different time before it acts, in case the first one
+//! cannot. Steps that only improve a placement are taken by the first host alone. If two hosts act
+//! at once, the target accepts only one order: each order states how many orders the target must
+//! have accepted before.
 
 mod holdings;
 
@@ -26,11 +27,11 @@
 
 /// Interval between comparisons of the plan with the list of targets.
 const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
-/// The set of engines must not have grown for this time before the first plan is made: when a system starts, targets enter the
-/// list over three seconds, with pauses of less than one second.
+/// The set of engines must not have grown for this time before the first plan is made: when a
+/// system starts, targets enter the list over three seconds, with pauses of less than one second.
 const SETTLE_TIME: Duration = Duration::from_millis(1200);
-/// Time by which the list shows the result of an accepted order: the longest time in which an engine loads all layers that it
-/// can hold, and two heartbeats.
+/// Time by which the list shows the result of an accepted order: the longest time in which an
+/// engine loads all layers that it can hold, and two heartbeats.
 const ORDER_TIME: Duration = Duration::from_secs(9);
 /// Delay before another attempt at a target that is busy, refused an order or did not reply.
 const RETRY_DELAY: Duration = Duration::from_millis(1800);
@@ -42,8 +43,8 @@
 const MAX_LOAD_POLLS: u32 = 8;
 /// Time for which learned layers are reported to other hosts, until the list shows them.
 const REPORT_TIME: Duration = Duration::from_secs(4);
-/// Maximum number of reports that are requested at once. A data centre of 1,000 empty engines is asked within some seconds,
-/// without stalling the event loop of the host.
+/// Maximum number of reports that are requested at once. A data centre of 1,000 empty engines is
+/// asked within some seconds, without stalling the event loop of the host.
 const MAX_PENDING_REPORTS: usize = 100;
 /// Time-out of a report or an order.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
@@ -226,7 +227,8 @@
         self.live_engines(service).filter_map(state).collect()
     }
 
-    /// Asks a target for a report before it is ordered to hold these layers, if this host may give orders now.
+    /// Asks a target for a report before it is ordered to hold these layers, if this host may give
+    /// orders now.
     fn request_report(&mut self, id: &str, layers: LayerRange) {
         let now = self.now;
         let since = *self.placement.differs_since.get_or_insert(now);
@@ -290,8 +292,8 @@
         log_event!(self, TargetListed, "target={id} layers={}-{} by=report", layers.0, layers.1);
     }
 
-    /// Expects a target to hold these layers, for a time. The layers that it held when this was first expected determine
-    /// which part can be relied on.
+    /// Expects a target to hold these layers, for a time. The layers that it held when this was
+    /// first expected determine which part can be relied on.
     fn expect_layers(&mut self, id: &str, layers: LayerRange, time: Duration) {
         let until = self.now + time;
         let known = self.placement.expected.get(id).filter(|p| p.layers == layers);
--- a/crates/roseshore_relay/src/entry/placement/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placement/holdings.rs
@@ -7,7 +7,8 @@
 use roseshore_core::gateway::targets::{LayersReport, Target};
 use roseshore_core::prelude::*;
 
-/// Maximum number of orders and held layers in a heartbeat; more do not fit a datagram with the other contents.
+/// Maximum number of orders and held layers in a heartbeat; more do not fit a datagram with the
+/// other contents.
 const MAX_REPORTS: usize = 16;
 /// Time for which a report of another host about a target's layers is valid.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1200);
@@ -15,7 +16,8 @@
 const NOTHING: LayerRange = (0, 0);
 
 impl EntryHost {
-    /// Records the layers that a target was found to hold, and reports them to the data centre at once.
+    /// Records the layers that a target was found to hold, and reports them to the data centre at
+    /// once.
     pub(super) fn record_held(&mut self, id: &str, layers: LayerRange) {
         let Some(target) = self.targets.hash(id) else { return };
         let word = self.targets.next_report(target, layers);
@@ -29,9 +31,10 @@
         self.heartbeat_now(false);
     }
 
-    /// Records that a target refused a request because it does not hold the layers of its part: it restarted or dropped
-    /// layers, and the list does not show that yet. All hosts are told at once. When each of 64 hosts had to find out by
-    /// itself, a single engine that restarted empty refused 172 sends within six seconds.
+    /// Records that a target refused a request because it does not hold the layers of its part: it
+    /// restarted or dropped layers, and the list does not show that yet. All hosts are told at
+    /// once. When each of 64 hosts had to find out by itself, a single engine that restarted empty
+    /// refused 172 sends within six seconds.
     pub(in crate::entry) fn record_not_held(&mut self, id: &str, part: LayerRange) {
         let held = self.targets.get(id).and_then(Target::holding).map(|h| h.layers);
         let Some((from, to)) = held.filter(|held| intersect(*held, part) == Some(part)) else {
--- a/crates/roseshore_relay/src/entry/probes.rs
+++ b/crates/roseshore_relay/src/entry/probes.rs
@@ -7,11 +7,13 @@
 
 /// Maximum bytes of a probe's head.
 const MAX_HEAD: usize = 8 << 10;
-/// Time after which a host that cannot confirm its configuration is no longer ready: callers with keys are then better served by
-/// other hosts. It allows for one more read, with its time-out, than usual.
+/// Time after which a host that cannot confirm its configuration is no longer ready: callers with
+/// keys are then better served by other hosts. It allows for one more read, with its time-out, than
+/// usual.
 const UNCONFIRMED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time after which the configuration counts as outdated while another host has a newer one. Reading the newer one takes some
-/// milliseconds if the store answers; operators require changes to be in force within two seconds.
+/// Time after which the configuration counts as outdated while another host has a newer one.
+/// Reading the newer one takes some milliseconds if the store answers; operators require changes to
+/// be in force within two seconds.
 const OUTDATED_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl EntryHost {
@@ -58,8 +60,8 @@
         self.outdated_since = if newer { self.outdated_since.or(Some(self.now)) } else { None };
     }
 
-    /// Whether the configuration in force is known to be old: another host has had a newer one for longer than a read
-    /// takes.
+    /// Whether the configuration in force is known to be old: another host has had a newer one for
+    /// longer than a read takes.
     pub(super) fn config_outdated(&self) -> bool {
         self.outdated_since
             .is_some_and(|at| self.now.saturating_duration_since(at) >= OUTDATED_TIMEOUT)
--- a/crates/roseshore_relay/src/entry/rate_limits.rs
+++ b/crates/roseshore_relay/src/entry/rate_limits.rs
@@ -1,7 +1,8 @@
 //! Enforces the rate limits of targets, which hold for all hosts together.
 //!
-//! State and decisions are in [`limits`](roseshore_core::gateway::limits). Here, a request to a rate-limited target waits for a
-//! permit of the issuer, the host that issues them, and this host answers requests for permits if it is the issuer.
+//! State and decisions are in [`limits`](roseshore_core::gateway::limits). Here, a request to a
+//! rate-limited target waits for a permit of the issuer, the host that issues them, and this host
+//! answers requests for permits if it is the issuer.
 
 use super::dispatch::Choice;
 use super::{EntryHost, Timer, log_event};
@@ -14,8 +15,8 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Time-out for a grant of the issuer: one or two milliseconds on the network of a data centre, and one iteration of a busy
-/// host's event loop.
+/// Time-out for a grant of the issuer: one or two milliseconds on the network of a data centre, and
+/// one iteration of a busy host's event loop.
 const PERMIT_TIMEOUT: Duration = Duration::from_millis(25);
 /// Maximum number of limits in a heartbeat; more do not fit a datagram with the other contents.
 const MAX_REPORTS: usize = 12;
@@ -46,7 +47,8 @@
 }
 
 impl EntryHost {
-    /// Applies what a response states about its target's limit; `sent` is when its request was sent, if known.
+    /// Applies what a response states about its target's limit; `sent` is when its request was
+    /// sent, if known.
     pub(super) fn apply_limit(
         &mut self,
         id: &str,
@@ -67,8 +69,8 @@
         }
     }
 
-    /// Applies limits reported by another host, also for targets that this host does not know yet: hosts that have read
-    /// the list further request permits for them.
+    /// Applies limits reported by another host, also for targets that this host does not know yet:
+    /// hosts that have read the list further request permits for them.
     pub(super) fn apply_limit_reports(&mut self, from: SocketAddr, reports: &[LimitReport]) {
         for report in reports {
             if let Some(change) = self.rate_limits.limits.receive(report, self.now) {
@@ -91,7 +93,8 @@
         let now = self.now;
         let targets = &self.targets;
         let RateLimits { limits, issuer, .. } = &mut self.rate_limits;
-        // Limits of incarnations that have ended are left out, or hosts would keep reporting them to each other.
+        // Limits of incarnations that have ended are left out, or hosts would keep reporting them
+        // to each other.
         let listed = |target| targets.id_of(target).is_some();
         let wanted = |target| listed(target).then(|| issuer.demand(target, now));
         limits.reports(MAX_REPORTS, wanted, now)
@@ -120,8 +123,8 @@
         limited.filter(of_service).cloned().collect()
     }
 
-    /// The time in which the targets of a service that are at their limit accept one more request; `None` if there are
-    /// none.
+    /// The time in which the targets of a service that are at their limit accept one more request;
+    /// `None` if there are none.
     pub(super) fn next_slot(&self, service: &str) -> Option<Duration> {
         let hashes =
             self.limited_targets(service).into_iter().filter_map(|id| self.targets.hash(&id));
@@ -129,7 +132,8 @@
         Duration::try_from_secs_f64(1.0 / rate).ok()
     }
 
-    /// Whether a request still waits for a permit. After the time-out it goes on to other targets without one.
+    /// Whether a request still waits for a permit. After the time-out it goes on to other targets
+    /// without one.
     pub(super) fn awaits_permit(&mut self, key: Key) -> bool {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return true };
@@ -144,8 +148,8 @@
         false
     }
 
-    /// Returns the choice if it may be sent now. Otherwise a permit is requested and the request waits for it, or goes to
-    /// another target.
+    /// Returns the choice if it may be sent now. Otherwise a permit is requested and the request
+    /// waits for it, or goes to another target.
     pub(super) fn with_permit(&mut self, key: Key, choice: Choice) -> Option<Choice> {
         let Some(hash) = self.targets.hash(choice.target()) else { return Some(choice) };
         match self.rate_limits.limits.permit(hash, self.now) {
@@ -189,7 +193,8 @@
         }
     }
 
-    /// Returns the choice if the issuer granted a permit; otherwise the request goes to another target.
+    /// Returns the choice if the issuer granted a permit; otherwise the request goes to another
+    /// target.
     fn use_grant(&mut self, key: Key, choice: Choice, grant: &PermitGrant) -> Option<Choice> {
         if grant.permits > 0 {
             return Some(choice);
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -1,5 +1,5 @@
-//! Applies records of the store to the state of this host, the configuration in force and the list of targets, whether
-//! they were read from the store or copied from another host.
+//! Applies records of the store to the state of this host, the configuration in force and the list
+//! of targets, whether they were read from the store or copied from another host.
 
 use super::{EntryHost, log_event};
 use roseshore_core::gateway::copies::ListCopy;
@@ -15,13 +15,15 @@
         self.snapshot.as_ref().map_or(0, |s| s.version())
     }
 
-    /// Applies another host's list of targets, and how much longer that host considers targets that drop out as lapsed.
+    /// Applies another host's list of targets, and how much longer that host considers targets that
+    /// drop out as lapsed.
     pub(super) fn apply_list_copy(&mut self, copy: ListCopy) {
         let known = self.store_sync.list_position();
         if copy.next <= known.unwrap_or_default() {
             return;
         }
-        // The host that gave the copy may know only the records of a store that was restored from an older copy.
+        // The host that gave the copy may know only the records of a store that was restored from
+        // an older copy.
         let older = known.is_some_and(|known| known.era < copy.next.era);
         self.store_sync.outage.receive_grace(Duration::from_millis(copy.lapse), self.now);
         self.store_sync.outage.receive_copy(self.now);
@@ -45,8 +47,8 @@
         }
     }
 
-    /// Replaces the list of targets by the records of the store. `restored` tells that the store was restored from a copy that
-    /// is older than the current list.
+    /// Replaces the list of targets by the records of the store. `restored` tells that the store
+    /// was restored from a copy that is older than the current list.
     pub(super) fn replace_list(
         &mut self,
         next: Position,
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Applies the newest configuration among some records. Returns its version, or the version in force if it cannot be
-    /// parsed; `None` if there is no configuration.
+    /// Applies the newest configuration among some records. Returns its version, or the version in
+    /// force if it cannot be parsed; `None` if there is no configuration.
     pub(super) fn apply_configs(
         &mut self,
         entries: impl DoubleEndedIterator<Item = Record>,
@@ -167,8 +169,8 @@
         newest?.value.map(|value| self.apply_config(value))
     }
 
-    /// Applies a configuration if it is newer than the one in force. Returns its version, or the version in force if it
-    /// cannot be parsed.
+    /// Applies a configuration if it is newer than the one in force. Returns its version, or the
+    /// version in force if it cannot be parsed.
     pub(super) fn apply_config(&mut self, value: Vec<u8>) -> u64 {
         let known = self.config_version();
         match self.platform.config(&value) {
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -1,8 +1,8 @@
 //! Reads responses of targets and forwards them to callers.
 //!
-//! A response that is not a stream is forwarded once it is complete, so that a caller never gets a part of one. A
-//! stream is forwarded by complete events as they arrive; if its target dies, another target resumes it after the last
-//! event.
+//! A response that is not a stream is forwarded once it is complete, so that a caller never gets a
+//! part of one. A stream is forwarded by complete events as they arrive; if its target dies,
+//! another target resumes it after the last event.
 
 use super::in_flight::Phase;
 use super::probes::millis;
@@ -143,7 +143,8 @@
         Step::NeedMore
     }
 
-    /// Decodes received bytes into the body. Returns whether the body is complete, or the fault if it is broken.
+    /// Decodes received bytes into the body. Returns whether the body is complete, or the fault if
+    /// it is broken.
     fn read_bytes(&mut self, key: Key) -> Option<Result<bool, Fault>> {
         let send = self.exchanges.get_mut(key)?.send.as_mut()?;
         let socket = self.net.get(send.socket)?;
--- a/crates/roseshore_relay/src/entry/signals.rs
+++ b/crates/roseshore_relay/src/entry/signals.rs
@@ -6,8 +6,8 @@
 use roseshore_core::prelude::*;
 use std::sync::atomic::Ordering;
 
-/// Time after the stop signal during which the load balancer may still send callers here: until two probes, one second apart,
-/// have failed, and a margin.
+/// Time after the stop signal during which the load balancer may still send callers here: until two
+/// probes, one second apart, have failed, and a margin.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2600);
 /// Part of the grace period that is reserved for the exit of the process.
 const EXIT_RESERVE: Duration = Duration::from_millis(300);
@@ -15,7 +15,8 @@
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 impl EntryHost {
-    /// Starts the shutdown or reloads the settings if a signal asked for it; also reloads them periodically.
+    /// Starts the shutdown or reloads the settings if a signal asked for it; also reloads them
+    /// periodically.
     pub(super) fn handle_signals(&mut self) {
         if self.stop.load(Ordering::Relaxed) && self.stopping_since.is_none() {
             self.stopping_since = Some(self.now);
@@ -68,7 +69,8 @@
         Some(self.settings.bounds.grace.saturating_sub(EXIT_RESERVE).saturating_sub(since))
     }
 
-    /// The number of requests that are cut off if the process is to exit now; `None` if it is to go on.
+    /// The number of requests that are cut off if the process is to exit now; `None` if it is to go
+    /// on.
     pub(super) fn shutdown_complete(&mut self) -> Option<usize> {
         let since = self.now.saturating_duration_since(self.stopping_since?);
         let left = self.exchanges.len();
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -1,9 +1,10 @@
 //! Keeps the operator's configuration and the list of targets in step with the store.
 //!
-//! Each stream is first read as a whole (the newest record of each key) and then followed by offset. Reads of the
-//! configuration are long polls, so that a change takes effect within a round trip. The list of targets changes all the
-//! time with the targets' heartbeats and is read at intervals. One host reads the store for all; the others learn from its
-//! heartbeats how far it has read, and request copies of what they lack (module `copies`).
+//! Each stream is first read as a whole (the newest record of each key) and then followed by
+//! offset. Reads of the configuration are long polls, so that a change takes effect within a round
+//! trip. The list of targets changes all the time with the targets' heartbeats and is read at
+//! intervals. One host reads the store for all; the others learn from its heartbeats how far it has
+//! read, and request copies of what they lack (module `copies`).
 
 mod replies;
 
@@ -56,13 +57,14 @@
     era: Era,
     /// The position up to which this host knows the list; `None` before it has one.
     list: Option<Position>,
-    /// Whether the store holds an older configuration than the one in force, so that a read does not prove that one
-    /// to be the newest.
+    /// Whether the store holds an older configuration than the one in force, so that a read does
+    /// not prove that one to be the newest.
     store_behind: bool,
     pub(super) outage: StoreOutage,
     /// Whether the list differs from another host's of which no copy could be had.
     list_differs: bool,
-    /// Whether applying the last copy of changes did not result in the list of the host that gave it.
+    /// Whether applying the last copy of changes did not result in the list of the host that gave
+    /// it.
     needs_whole_list: bool,
     /// When the store was last read because of another host's newer configuration.
     last_urgent: Option<Instant>,
@@ -73,8 +75,8 @@
 }
 
 impl StoreSync {
-    /// How long the store should wait for new records before it replies. Zero while the store is unreachable, since a
-    /// hanging read would outlast the outage.
+    /// How long the store should wait for new records before it replies. Zero while the store is
+    /// unreachable, since a hanging read would outlast the outage.
     fn long_poll_time(&self, stream: Stream) -> Duration {
         match stream {
             Stream::Config if !self.outage.is_down() => CONFIG_LONG_POLL,
@@ -87,7 +89,8 @@
         self.list
     }
 
-    /// The position after which changes of the list are needed; the default if the whole list is needed.
+    /// The position after which changes of the list are needed; the default if the whole list is
+    /// needed.
     pub(super) fn list_base(&self) -> Position {
         if self.needs_whole_list { Position::default() } else { self.list.unwrap_or_default() }
     }
@@ -148,8 +151,8 @@
 
     fn sync_stream(&mut self, stream: Stream) {
         let now = self.now;
-        // A long poll proves nothing until its reply arrives. A configuration that has not been confirmed for long is
-        // therefore read without waiting.
+        // A long poll proves nothing until its reply arrives. A configuration that has not been
+        // confirmed for long is therefore read without waiting.
         let old = self.config_lease.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
         let wait = if old { Duration::ZERO } else { self.store_sync.long_poll_time(stream) };
         let known = match stream {
@@ -170,7 +173,8 @@
         self.read_store(stream, wait);
     }
 
-    /// Whether this host has just started and may soon learn of another host that has read the store.
+    /// Whether this host has just started and may soon learn of another host that has read the
+    /// store.
     fn waits_for_peers(&self) -> bool {
         let since = self.now.saturating_duration_since(self.started);
         let rank = self.peers.startup_read_rank(self.now);
@@ -195,8 +199,8 @@
         }
     }
 
-    /// Logs why the store is read: for the first time, as the first in the order of hosts, or because other hosts have
-    /// not confirmed the stream recently enough.
+    /// Logs why the store is read: for the first time, as the first in the order of hosts, or
+    /// because other hosts have not confirmed the stream recently enough.
     fn log_read(&mut self, stream: Stream) {
         let now = self.now;
         let rank = self.peers.read_rank(now);
@@ -211,7 +215,8 @@
         );
     }
 
-    /// Whether other hosts have confirmed a stream recently enough for this host's place in the order of readers.
+    /// Whether other hosts have confirmed a stream recently enough for this host's place in the
+    /// order of readers.
     fn recently_confirmed(&self, stream: Stream) -> bool {
         let rank = self.peers.read_rank(self.now);
         let (age, max_age) = match stream {
@@ -222,8 +227,8 @@
         age.zip(max_age).is_some_and(|(age, most)| age < most)
     }
 
-    /// Time since the configuration was last confirmed to be the newest, or since it came as a copy, which the next
-    /// heartbeats confirm.
+    /// Time since the configuration was last confirmed to be the newest, or since it came as a
+    /// copy, which the next heartbeats confirm.
     fn config_age(&self) -> Option<Duration> {
         let applied = self.store_sync.applied;
         let since = |at| self.now.saturating_duration_since(at);
@@ -236,7 +241,8 @@
         confirmed.map(|at| self.now.saturating_duration_since(at))
     }
 
-    /// Reads the configuration now, because another host has a newer one. Cancels a read in flight, which may hang.
+    /// Reads the configuration now, because another host has a newer one. Cancels a read in flight,
+    /// which may hang.
     pub(super) fn read_config_now(&mut self) {
         let now = self.now;
         let last_urgent = self.store_sync.last_urgent;
@@ -269,7 +275,8 @@
         self.targets.list_version(self.store_sync.list.unwrap_or_default())
     }
 
-    /// Compares the own list with that of a host that has read as far or further, and requests a copy if it differs.
+    /// Compares the own list with that of a host that has read as far or further, and requests a
+    /// copy if it differs.
     pub(super) fn compare_list(
         &mut self,
         from: SocketAddr,
@@ -279,7 +286,8 @@
         let now = self.now;
         let own = self.list_version();
         if self.store_sync.list.is_none() {
-            // If the other host gives none, the store is read when the initial wait for other hosts is over.
+            // If the other host gives none, the store is read when the initial wait for other hosts
+            // is over.
             if theirs.next > Position::default() {
                 self.request_copy(from);
             }
@@ -401,8 +409,8 @@
         let empty = reading.entries.is_empty();
         let known = progress.next.unwrap_or(0);
         let next = known.max(from + reading.entries.len() as u64);
-        // A copy that reaches further may have been received during the read. Records that it covers are skipped, so that
-        // older ones do not replace newer ones.
+        // A copy that reaches further may have been received during the read. Records that it
+        // covers are skipped, so that older ones do not replace newer ones.
         let covered = known.saturating_sub(from) as usize;
         reading.entries.drain(..covered.min(reading.entries.len()));
         let caught_up = next >= reading.end;
@@ -419,7 +427,8 @@
                     self.update_store_behind(newest);
                 }
                 if caught_up {
-                    // An empty reply after the whole wait proves that there was no change until its end.
+                    // An empty reply after the whole wait proves that there was no change until its
+                    // end.
                     let waited = empty && now.saturating_duration_since(sent) >= wait;
                     self.confirm_config(if waited { sent + wait } else { sent });
                     self.update_readiness();
--- a/crates/roseshore_relay/src/entry/store_sync/replies.rs
+++ b/crates/roseshore_relay/src/entry/store_sync/replies.rs
@@ -1,5 +1,6 @@
-//! Evaluates replies of the store, and failed calls, before the records are read: whether the store is available, whether
-//! it was restored from an older copy, and whether its configuration can be the newest.
+//! Evaluates replies of the store, and failed calls, before the records are read: whether the store
+//! is available, whether it was restored from an older copy, and whether its configuration can be
+//! the newest.
 
 use super::super::calls::CallFault;
 use super::super::probes::millis;
@@ -30,9 +31,9 @@
         }
     }
 
-    /// Whether a reply belongs to the store's current era, and so does its request if that names an offset or continues
-    /// after a page. Any other reply, whatever its status, is no reply to what was asked; the stream is read from the
-    /// start.
+    /// Whether a reply belongs to the store's current era, and so does its request if that names an
+    /// offset or continues after a page. Any other reply, whatever its status, is no reply to what
+    /// was asked; the stream is read from the start.
     fn is_current_era(&mut self, stream: Stream, asked: Option<Era>, reply: &CallReply) -> bool {
         let known = self.store_sync.era;
         let reported = self.platform.era(reply);
@@ -70,8 +71,9 @@
         self.blocked_changed();
     }
 
-    /// Records whether the store, whose newest configuration has this version, holds an older one than is in force. The
-    /// store has then lost the operator's last change, and a read proves nothing until the change is written again.
+    /// Records whether the store, whose newest configuration has this version, holds an older one
+    /// than is in force. The store has then lost the operator's last change, and a read proves
+    /// nothing until the change is written again.
     pub(super) fn update_store_behind(&mut self, newest: Option<u64>) {
         let version = self.config_version();
         let behind = newest.unwrap_or(0) < version;
@@ -86,7 +88,8 @@
         self.store_sync.store_behind = behind;
     }
 
-    /// Records that the configuration in force was the newest at this time, unless the store holds an older one.
+    /// Records that the configuration in force was the newest at this time, unless the store holds
+    /// an older one.
     pub(super) fn confirm_config(&mut self, at: Instant) {
         if !self.store_sync.store_behind {
             self.config_lease.renew(at);
--- a/crates/roseshore_relay/src/entry/target_feedback.rs
+++ b/crates/roseshore_relay/src/entry/target_feedback.rs
@@ -1,7 +1,8 @@
 //! Applies what targets report about themselves in the header fields of their responses.
 //!
-//! Every response of a target is handled here first: to a request, also if the caller got another response, to a call for
-//! a report or to an order. The consequences are decided in [`Targets`](roseshore_core::gateway::Targets).
+//! Every response of a target is handled here first: to a request, also if the caller got another
+//! response, to a call for a report or to an order. The consequences are decided in
+//! [`Targets`](roseshore_core::gateway::Targets).
 
 use super::{EntryHost, log_event};
 use crate::slab::Key;
@@ -40,8 +41,8 @@
             self.apply_limit(&id, hash, feedback.limit, asked, &by);
         }
         if let Some((id, hash)) = later {
-            // The first target of the path passes on the pause that a later one asked for. If it reports leaving, that
-            // concerns itself.
+            // The first target of the path passes on the pause that a later one asked for. If it
+            // reports leaving, that concerns itself.
             let rest = Answered { rest: feedback.rest, ..Answered::default() };
             self.apply_state(&id, hash, status, &rest, &by);
         }
--- a/crates/roseshore_relay/src/entry/timeouts.rs
+++ b/crates/roseshore_relay/src/entry/timeouts.rs
@@ -1,5 +1,5 @@
-//! Time-outs of requests, and detection of targets without progress: when they are checked, and when a request is sent to
-//! another target.
+//! Time-outs of requests, and detection of targets without progress: when they are checked, and
+//! when a request is sent to another target.
 
 use super::dispatch::CONNECT_TIMEOUT;
 use super::exchange::Exchange;
@@ -9,8 +9,9 @@
 use roseshore_core::gateway::{CallKind, Fault};
 use roseshore_core::prelude::*;
 
-/// Time without a first event after which the liveness of the path's targets is checked, and after which another path is
-/// tried. Engines read the largest prompt within a fifth of a second, and a caller leaves after two seconds.
+/// Time without a first event after which the liveness of the path's targets is checked, and after
+/// which another path is tried. Engines read the largest prompt within a fifth of a second, and a
+/// caller leaves after two seconds.
 const FIRST_EVENT_TIMEOUTS: (Duration, Duration) =
     (Duration::from_millis(300), Duration::from_secs(1));
 /// Lower bounds of the same two times between events.
@@ -18,16 +19,18 @@
     (Duration::from_millis(60), Duration::from_millis(700));
 /// The same two times as multiples of the predicted time between events.
 const NEXT_EVENT_FACTORS: (f64, f64) = (2.5, 10.0);
-/// Fraction of the route's longest acceptable pause after which the path's targets are checked: two checks of 45 ms and reading
-/// the prompt on another path have to fit in the rest.
+/// Fraction of the route's longest acceptable pause after which the path's targets are checked: two
+/// checks of 45 ms and reading the prompt on another path have to fit in the rest.
 const CHECK_FRACTION: f64 = 1.0 / 3.0;
 /// Time after which the path's targets are checked if the route names no longest acceptable pause.
 const DEFAULT_CHECK_AFTER: Duration = Duration::from_millis(170);
-/// Time without a response of a plain service after which an idempotent request is sent to another target.
+/// Time without a response of a plain service after which an idempotent request is sent to another
+/// target.
 const PLAIN_TIMEOUT: Duration = Duration::from_millis(420);
 
 impl EntryHost {
-    /// Checks whether a request is beyond its deadline or its target has made no progress for too long.
+    /// Checks whether a request is beyond its deadline or its target has made no progress for too
+    /// long.
     pub(super) fn check_exchange(&mut self, key: Key) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key) else { return };
@@ -66,15 +69,16 @@
         self.reroute(key);
     }
 
-    /// Sends a request to another target, as the send in flight has made no progress for too long; goes on waiting if no
-    /// other target has capacity.
+    /// Sends a request to another target, as the send in flight has made no progress for too long;
+    /// goes on waiting if no other target has capacity.
     fn reroute(&mut self, key: Key) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         if !exchange.may_move(now) {
             return;
         }
-        // Which target is at fault is not known, so no fault is recorded. Only this request avoids them.
+        // Which target is at fault is not known, so no fault is recorded. Only this request avoids
+        // them.
         let Some(path) = exchange.send.as_ref().map(InFlightSend::targets) else { return };
         let previous = exchange.avoided.clone();
         for target in path {
@@ -89,8 +93,8 @@
     }
 }
 
-/// Times without progress after which the targets of a send are checked and after which the send is given up; `None` if the
-/// request cannot be sent elsewhere.
+/// Times without progress after which the targets of a send are checked and after which the send is
+/// given up; `None` if the request cannot be sent elsewhere.
 fn progress_timeouts(exchange: &Exchange) -> Option<(Duration, Duration)> {
     let send = exchange.send.as_ref()?;
     match exchange.route.kind {
--- a/crates/roseshore_relay/src/http.rs
+++ b/crates/roseshore_relay/src/http.rs
@@ -302,8 +302,8 @@
     valid.then(|| u64::from_str_radix(digits, 16).ok()).flatten()
 }
 
-/// Appends a request head to `out`. `body` is the body's length in bytes; `Content-Length` is left out
-/// for a `GET` without a body.
+/// Appends a request head to `out`. `body` is the body's length in bytes; `Content-Length` is left
+/// out for a `GET` without a body.
 pub fn write_request(out: &mut Vec<u8>, method: &str, path: &str, fields: &[Field], body: usize) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "{method} {path} HTTP/1.1\r\n");
@@ -354,8 +354,8 @@
     }
 }
 
-/// Appends one chunk of a body to `out`; nothing if `bytes` is empty, since an empty chunk would end the
-/// body.
+/// Appends one chunk of a body to `out`; nothing if `bytes` is empty, since an empty chunk would
+/// end the body.
 pub fn write_chunk(out: &mut Vec<u8>, bytes: &[u8]) {
     if bytes.is_empty() {
         return;
--- a/crates/roseshore_relay/src/log_writer.rs
+++ b/crates/roseshore_relay/src/log_writer.rs
@@ -1,8 +1,8 @@
 //! Writes structured log lines to standard output without blocking.
 //!
 //! A line is `milliseconds-since-start EVENT key=value ...`. Lines are buffered and written only
-//! while the pipe is writable. Lines beyond the rate limit, or for which the buffer has no room, are
-//! dropped and counted; the next line is preceded by an event with their number.
+//! while the pipe is writable. Lines beyond the rate limit, or for which the buffer has no room,
+//! are dropped and counted; the next line is preceded by an event with their number.
 
 use roseshore_core::event::{Event, Level};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
--- a/crates/roseshore_relay/src/net.rs
+++ b/crates/roseshore_relay/src/net.rs
@@ -13,8 +13,8 @@
 const MAX_EVENTS: usize = 512;
 /// Length of the accept queue: the new callers of one second at peak load.
 const BACKLOG: i32 = 1024;
-/// Bytes that may be buffered for a peer that does not read; beyond this the connection is treated as
-/// broken.
+/// Bytes that may be buffered for a peer that does not read; beyond this the connection is treated
+/// as broken.
 const MAX_OUTPUT: usize = 8 << 20;
 
 /// A listening socket or the datagram socket. Its discriminant determines its `mio` token.
@@ -103,7 +103,8 @@
         Ok(Net { poll, events, sockets, listeners, datagrams: None, max_connections, scratch })
     }
 
-    /// Opens a TCP listener and returns its address, with the port that the system chose for port 0.
+    /// Opens a TCP listener and returns its address, with the port that the system chose for port
+    /// 0.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -125,7 +126,8 @@
         Ok(bound)
     }
 
-    /// Opens the UDP socket and returns its address, with the port that the system chose for port 0.
+    /// Opens the UDP socket and returns its address, with the port that the system chose for port
+    /// 0.
     ///
     /// # Errors
     /// If the address cannot be bound.
@@ -315,9 +317,9 @@
     socket.written = 0;
 }
 
-/// Reads all available bytes. Readiness is edge-triggered: after a short read nothing is left, and the
-/// next byte brings a new event. If the peer has already closed its sending side (`read_closed`), no
-/// further event follows, so reading goes on until the end of the stream.
+/// Reads all available bytes. Readiness is edge-triggered: after a short read nothing is left, and
+/// the next byte brings a new event. If the peer has already closed its sending side
+/// (`read_closed`), no further event follows, so reading goes on until the end of the stream.
 fn read(socket: &mut Socket, scratch: &mut [u8], read_closed: bool) {
     while socket.ended.is_none() {
         match socket.stream.read(scratch) {
--- a/crates/roseshore_relay/tests/heartbeats.rs
+++ b/crates/roseshore_relay/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Simulations of heartbeats among many hosts in virtual time: their cost, and how soon news reaches all hosts.
+//! Simulations of heartbeats among many hosts in virtual time: their cost, and how soon news
+//! reaches all hosts.
 
 use roseshore_core::gateway::fatal::{FatalChange, MIN_URGENT_GAP};
 use roseshore_core::gateway::peers::{Datagram, LocalState, TargetLoad, name_hash};
@@ -38,7 +39,8 @@
     heard: (usize, usize),
 }
 
-/// Hosts that send each other heartbeats. The first three hosts of each data centre have a larger capacity.
+/// Hosts that send each other heartbeats. The first three hosts of each data centre have a larger
+/// capacity.
 struct Cluster {
     begun: Instant,
     now: Instant,
@@ -208,7 +210,8 @@
         self.now - begun
     }
 
-    /// Whether every host knows the load of all others, there are few speakers, and exactly one host reads the store.
+    /// Whether every host knows the load of all others, there are few speakers, and exactly one
+    /// host reads the store.
     fn settled(&self) -> bool {
         let living = self.living().count();
         let all = self.living().all(|h| h.peers.view(self.now).hosts >= living);
@@ -225,7 +228,8 @@
         all && few && readers == 1
     }
 
-    /// Datagrams and bytes per second, sent and received: those of the busiest host, and the mean of all hosts.
+    /// Datagrams and bytes per second, sent and received: those of the busiest host, and the mean
+    /// of all hosts.
     fn cost(&mut self, time: Duration) -> ((f64, f64), (f64, f64)) {
         for host in &mut self.hosts {
             (host.sent, host.heard) = ((0, 0), (0, 0));
@@ -273,8 +277,8 @@
 
 #[test]
 fn heartbeats_cost_a_host_the_same_in_a_large_system() {
-    // When each host sent heartbeats to every other, 295 hosts in 5 data centres exchanged 1,380 datagrams per second and
-    // host, and 173,000 per second between data centres.
+    // When each host sent heartbeats to every other, 295 hosts in 5 data centres exchanged 1,380
+    // datagrams per second and host, and 173,000 per second between data centres.
     let sizes = [
         Size {
             hosts: 9,
@@ -354,7 +358,8 @@
     }
 }
 
-/// A failure in a system of 120 hosts in four data centres, and the time within which the remaining hosts settle.
+/// A failure in a system of 120 hosts in four data centres, and the time within which the remaining
+/// hosts settle.
 struct Failure {
     name: &'static str,
     lost: fn(usize) -> bool,
@@ -431,7 +436,8 @@
 }
 
 impl Cluster {
-    /// Three hosts, in different data centres if there are several, each see one target crash under the fatal request.
+    /// Three hosts, in different data centres if there are several, each see one target crash under
+    /// the fatal request.
     fn crash_at_three_hosts(&mut self) {
         for n in 0..3 {
             self.hosts[n].fatal.record_crash(fatal_request(), n as u32, true, self.now);
@@ -448,7 +454,8 @@
         }
     }
 
-    /// A target crashes while it runs this many requests of hosts of one data centre. A quarter of them had hardly begun.
+    /// A target crashes while it runs this many requests of hosts of one data centre. A quarter of
+    /// them had hardly begun.
     fn crash_target(&mut self, target: u32, requests: usize) {
         let data_centre = target as usize % self.data_centres;
         let hosts: Vec<usize> =
@@ -520,13 +527,15 @@
     println!("joined: {took:?}");
 }
 
-/// Guards against late reports of a fatal request. A request under which three targets had crashed was sent nine more times:
-/// each crash also interrupted some seventy other requests, which hosts reported to each other four to a heartbeat. Reports
-/// of requests that had hardly begun, such as the fatal one, were queued behind the others, so that the first other host
-/// learned of the third crash after 0.7 s.
+/// Guards against late reports of a fatal request. A request under which three targets had crashed
+/// was sent nine more times: each crash also interrupted some seventy other requests, which hosts
+/// reported to each other four to a heartbeat. Reports of requests that had hardly begun, such as
+/// the fatal one, were queued behind the others, so that the first other host learned of the third
+/// crash after 0.7 s.
 #[test]
 fn three_crashes_reach_all_hosts_at_once_despite_many_other_reports() {
-    // Callers retry after about 0.2 s, and each request that is sent after the third crash may crash another target.
+    // Callers retry after about 0.2 s, and each request that is sent after the third crash may
+    // crash another target.
     let most = ms(200);
     for (hosts, data_centres) in [(9, 3), (64, 3), (295, 5)] {
         let mut cluster = Cluster::new(hosts, data_centres);
--- a/crates/roseshore_relay/tests/http.rs
+++ b/crates/roseshore_relay/tests/http.rs
@@ -98,7 +98,8 @@
     name: &'static str,
     framing: Framing,
     bytes: &'static str,
-    /// The decoded body, whether it is complete, and the remaining input; `None` if the framing is malformed.
+    /// The decoded body, whether it is complete, and the remaining input; `None` if the framing is
+    /// malformed.
     expected: Option<(&'static str, bool, &'static str)>,
 }
 
--- a/crates/roseshore_relay/tests/limits.rs
+++ b/crates/roseshore_relay/tests/limits.rs
@@ -1,9 +1,10 @@
 //! Simulations of rate limits of targets that many hosts enforce together, in virtual time.
 //!
-//! Hosts of several data centres exchange heartbeats. Requests for a rate-limited target arrive at random hosts; some of these
-//! know the limit from a response of the target, the others from heartbeats. The tests check, from three seconds after the
-//! target first stated its limit, the number of requests that it gets in the busiest four seconds, and the fraction of the
-//! limit that is used.
+//! Hosts of several data centres exchange heartbeats. Requests for a rate-limited target arrive at
+//! random hosts; some of these know the limit from a response of the target, the others from
+//! heartbeats. The tests check, from three seconds after the target first stated its limit, the
+//! number of requests that it gets in the busiest four seconds, and the fraction of the limit that
+//! is used.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -46,7 +47,8 @@
 /// What arrives at a host.
 enum Arrival {
     Message(usize, Box<Datagram>),
-    /// A target's response to a request that was sent at this time, and whether it states the limit.
+    /// A target's response to a request that was sent at this time, and whether it states the
+    /// limit.
     Response(u32, Instant, bool),
 }
 
@@ -285,8 +287,8 @@
 const CALM: Case =
     Case { name: "calm", hosts: 8, data_centres: 3, loaded_centres: 1, killed: None, loss: 0 };
 
-/// Requests arrive at three times the limits. Before hosts enforced limits, the targets got all of them: more than twice the
-/// bound of this test.
+/// Requests arrive at three times the limits. Before hosts enforced limits, the targets got all of
+/// them: more than twice the bound of this test.
 #[test]
 fn hosts_enforce_limits_together_and_use_them_up() {
     let cases = [
