--- a/crates/roseshore_core/src/gateway/copies.rs
+++ b/crates/roseshore_core/src/gateway/copies.rs
@@ -1,13 +1,14 @@
-//! What one host has read of the store, handed to another that has read less.
+//! Copies of store data that one host hands to another.
 //!
-//! A heartbeat shows that a host has a newer configuration, or a list of targets that differs. A copy
-//! of that is nearer than the store, costs it nothing, and is to be had when the store is down
-//! or turns this host away. One copy is asked for at a time; after one that failed the store is
-//! read, as if there were no neighbours.
+//! A heartbeat shows that its sender has a newer configuration, or a different target list. Copying
+//! this from the host is faster than reading the store, puts no load on the store, and works while
+//! the store is down or refuses this host. Only one copy is requested at a time; after a failed one
+//! the host reads the store, as if it had no neighbours.
 //!
-//! Eighty hosts that hear the same heartbeat must not all ask its sender, whose link is narrow: each
-//! host gives so many bytes in a moment and turns the others away, to one of those that it has given
-//! a copy. So a copy spreads as a tree, twice as wide with each step.
+//! Eighty hosts that receive the same heartbeat must not all load its sender's narrow link. So each
+//! host hands out a limited number of bytes per window and redirects further requests to one of the
+//! hosts that it has given a copy. This way a copy spreads as a tree that doubles in width with
+//! each step.
 
 use super::position::Position;
 use super::targets::ListDelta;
@@ -15,104 +16,106 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// For the next bytes of a copy to come: some milliseconds between data centres, and a busy host.
+/// Time-out for the next bytes of a copy: some milliseconds between data centres, and time for a
+/// busy host.
 pub const COPY_TIMEOUT: Duration = Duration::from_millis(400);
-/// No copy is asked for so long after one that failed: the store is read in the meantime.
+/// How long no copy is requested after a failed one; the store is read in the meantime.
 const FAILURE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The moment in which gifts are counted.
+/// Window in which handed-out bytes are counted.
 const WINDOW: Duration = Duration::from_millis(200);
-/// Bytes that a host gives in a moment: one megabyte a second, of which the narrowest links carry
-/// two and a half.
+/// Most bytes handed out per window: one megabyte a second, where the narrowest links carry two and
+/// a half.
 const MAX_WINDOW_BYTES: usize = 200_000;
-/// After being turned away, another host is asked no sooner.
+/// How long no other host is asked after a refusal.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
 
 /// How much of the store a host has read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Extent {
-    /// The version of the configuration that is known; 0 for none.
+    /// Version of the known configuration; 0 for none.
     pub config: u64,
-    /// How far the list of targets is known; the default before it was read.
+    /// Position up to which the target list is known; the default before it was read.
     pub list: Position,
 }
 
-/// Asks a host for what it has read.
+/// Request for what a host has read of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyRequest {
-    /// Where the asking host hears others, and gives copies.
+    /// Address at which the requesting host receives heartbeats and serves copies.
     pub from: SocketAddr,
-    /// What it has.
+    /// What it has read itself.
     pub known: Extent,
 }
 
-/// What a host has read beyond a request.
+/// What a host has read beyond the extent in a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreCopy {
-    /// The configuration as it stands in the store.
+    /// The configuration as stored, if it is newer.
     pub config: Option<Vec<u8>>,
-    /// The list of targets.
+    /// The target list, if it is newer.
     pub list: Option<ListCopy>,
-    /// Another host that has it; the asked one has given enough in this moment.
+    /// Another host that has the data, if this one has handed out enough in this window.
     pub instead: Option<SocketAddr>,
 }
 
-/// The list of targets as a host has read it.
+/// The target list as a host has read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListCopy {
-    /// How far it was read.
+    /// Position up to which it was read.
     pub next: Position,
-    /// What changed since the asking host's list, or all that is listed: were it always all, each change of one
-    /// record would fill the links of hosts before thousands of targets.
+    /// Changes since the requesting host's list, or the whole list. Sending the whole list each
+    /// time would fill hosts' links at each change of one record when there are thousands of
+    /// targets.
     pub changes: ListDelta,
-    /// The digest of the list that this leads to.
+    /// Digest of the resulting list.
     pub digest: u64,
-    /// For so long, entries that dropped out may be live targets' whose heartbeats lapsed while the
-    /// store was away, ms.
+    /// Time in milliseconds for which missing entries may belong to live targets whose heartbeats
+    /// lapsed while the store was unreachable.
     pub lapse: u64,
 }
 
 impl StoreCopy {
-    /// Whether the host gave nothing: it has nothing more, or has given enough in this moment.
+    /// Whether nothing was handed out: the host has nothing newer, or has handed out enough in this
+    /// window.
     pub fn is_empty(&self) -> bool {
         self.config.is_none() && self.list.is_none()
     }
 }
 
-/// Whether a copy may be asked for, and given.
+/// Controls when copies are requested and handed out.
 #[derive(Clone, Debug, Default)]
 pub struct Copies {
-    /// When the one that is under way is given up.
+    /// When the copy in progress times out.
     deadline: Option<Instant>,
-    /// No other is asked for until then.
+    /// When the next copy may be requested.
     retry_at: Option<Instant>,
-    /// Whether that is since a host turned this one away.
+    /// Whether the wait is due to a refusal.
     refused: bool,
-    /// The moment that gifts are counted in, and the bytes given.
+    /// Start of the current window, and bytes handed out in it.
     window_start: Option<Instant>,
     window_bytes: usize,
-    /// What was given last, to whom, and who of them was named last.
+    /// Extent last handed out, its recipients, and the index of the one last named in a redirect.
     extent: Extent,
     recipients: Vec<SocketAddr>,
     last_redirect: usize,
 }
 
-/// What became of a copy that was asked for.
+/// Result of a requested copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyOutcome {
-    /// It came.
+    /// The copy arrived.
     Received,
-    /// The host gave none.
+    /// The host refused.
     Refused,
     /// The host named another one.
     Redirected,
-    /// It did not come.
+    /// The copy did not arrive.
     Failed,
 }
 
 impl Copies {
-    /// Whether a copy may be asked for now; if so, it counts as under way. Returns when it is to be
-    /// given up.
+    /// Starts a copy if one may be requested now. Returns its deadline.
     pub fn start(&mut self, now: Instant) -> Option<Instant> {
         if self.deadline.is_some() || self.retry_at.is_some_and(|until| now < until) {
             return None;
@@ -121,18 +124,19 @@
         self.deadline
     }
 
-    /// Whether one is under way.
+    /// Whether a copy is in progress.
     pub fn in_progress(&self) -> bool {
         self.deadline.is_some()
     }
 
-    /// Whether a copy is soon to be had: one is under way, or a host that has one gives no more for
-    /// a moment. As hosts read the store in that moment, fourteen of 23 read one new configuration.
+    /// Whether a copy can be expected soon: one is in progress, or a host that has one refuses for
+    /// the moment. Without the second condition, 14 of 23 hosts read the same new configuration
+    /// from the store in that moment.
     pub fn expected(&self, now: Instant) -> bool {
         self.in_progress() || (self.refused && self.retry_at.is_some_and(|until| now < until))
     }
 
-    /// The one under way came, or did not.
+    /// Records the result of the copy in progress.
     pub fn finish(&mut self, outcome: CopyOutcome, now: Instant) {
         self.deadline = None;
         self.refused = outcome == CopyOutcome::Refused;
@@ -143,8 +147,8 @@
         };
     }
 
-    /// Whether a copy of so many bytes may be given; if so, it is counted. The first in a moment may
-    /// be of any size.
+    /// Whether a copy of this size may be handed out; if so, its bytes are counted. The first in a
+    /// window may be of any size.
     pub fn take_budget(&mut self, bytes: usize, now: Instant) -> bool {
         let over = |at| now.saturating_duration_since(at) >= WINDOW;
         if self.window_start.is_none_or(over) {
@@ -158,7 +162,7 @@
         fits
     }
 
-    /// Remembers a host that was given a copy of so much.
+    /// Records a host that was given a copy of this extent.
     pub fn record_recipient(&mut self, host: SocketAddr, extent: Extent) {
         if self.extent != extent {
             self.extent = extent;
@@ -167,7 +171,8 @@
         self.recipients.push(host);
     }
 
-    /// A host that was given a copy of so much, each in turn.
+    /// A host that was given a copy of this extent, in rotation; `None` if there is none but the
+    /// asker.
     pub fn redirect(&mut self, extent: Extent, asker: SocketAddr) -> Option<SocketAddr> {
         if self.extent != extent || self.recipients.is_empty() {
             return None;
--- a/crates/roseshore_core/src/gateway/fingerprint.rs
+++ b/crates/roseshore_core/src/gateway/fingerprint.rs
@@ -1,7 +1,7 @@
-//! What makes two requests the same, whatever their ids.
+//! Identifies repeated requests independently of their ids.
 //!
-//! A caller that asks again has a new request id, so what a request did to a target can only be told
-//! of the next one by what it asks: who, where, and the body.
+//! A caller that repeats a request gives it a new id, so what a request did to a target can be
+//! related to the next one only by its content: caller, path and body.
 
 use super::peers::name_hash;
 use serde::{Deserialize, Serialize};
@@ -9,24 +9,25 @@
 use std::str::FromStr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A request by its caller, its path and its body. The organisation stands beside the digest, not only within
-/// it: whoever finds a body with another's digest is still told apart from them.
+/// Identifies a request by its caller, path and body. The organisation is stored beside the digest,
+/// not only hashed into it: whoever finds a body whose digest equals another's is still told apart
+/// from that caller.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint {
-    /// The mark of the organisation; 0 for a caller without one.
+    /// Hash of the organisation's name; 0 for a caller without one.
     pub organisation: u32,
-    /// Of the method, the host's name, the path and the body.
+    /// Digest of the method, the host's name, the path and the body.
     pub digest: u64,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(organisation: Option<&str>, parts: &[&[u8]]) -> Fingerprint {
         let mut digest = Xxh3::new();
         for part in parts {
-            // The length keeps the end of one part from passing for the start of the next.
+            // The length keeps the end of one part from being taken for the start of the next.
             digest.update(&(part.len() as u64).to_le_bytes());
             digest.update(part);
         }
@@ -34,7 +35,7 @@
     }
 }
 
-/// A text that is no fingerprint.
+/// Error for a text that is not a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseFingerprintError;
 
--- a/crates/roseshore_core/src/gateway/leaving.rs
+++ b/crates/roseshore_core/src/gateway/leaving.rs
@@ -1,22 +1,23 @@
-//! Which streams a host that was told to stop still takes.
+//! Decides which streams a host accepts while it shuts down.
 //!
-//! For some seconds after the stop signal callers are still sent here, and a refusal sends them to
-//! another host that may be leaving, too. A stream that will end within the grace is served; one
-//! that would be cut off is refused at once as not run.
+//! For some seconds after the stop signal callers still send requests here, and a refusal sends
+//! them to another host, which may be shutting down as well. A stream that is expected to end
+//! within the grace period is accepted; one that would be cut off is refused at once as not run.
 
 use crate::prelude::*;
 
-/// Streams take longer than others did of late by this factor, more or less: one in ten takes more.
+/// Margin on the recent pace: a stream takes longer than others did recently by up to this factor,
+/// and one in ten by more.
 const PACE_MARGIN: f64 = 1.6;
-/// Callers' guesses of an answer's length are right in the median and often far off: twice the
-/// guess covers nine in ten.
+/// Margin on callers' estimates of an answer's length. They are right in the median but often far
+/// off: twice the estimate covers nine in ten.
 const LENGTH_MARGIN: f64 = 2.0;
-/// Weight of the latest stream in the mean.
+/// Weight of the latest stream in the moving average.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Time for a token before any stream has ended, ms: some twice that of a quiet day.
+/// Time per token before any stream has ended, in milliseconds: about twice that of a quiet day.
 const INITIAL_TOKEN_MS: f64 = 12.0;
 
-/// How fast streams have run of late, reading and pauses included.
+/// Recent pace of streams, prefill and pauses included.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenPace {
     token_ms: f64,
@@ -29,7 +30,7 @@
 }
 
 impl TokenPace {
-    /// A stream of so many tokens took so long.
+    /// Records a stream of this many tokens.
     pub fn record_stream(&mut self, tokens: f64, took: Duration) {
         if tokens >= 1.0 {
             let token_ms = took.as_secs_f64() * 1000.0 / tokens;
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Whether a stream with this guess and bound of its length may be expected to end in `left`.
+    /// Whether a stream with an estimated and a maximum number of tokens is expected to end within
+    /// `left`; a `bound` of 0 means that there is no maximum.
     pub fn ends_within(&self, guess: f64, bound: f64, left: Duration) -> bool {
         let tokens =
             if bound > 0.0 { bound.min(LENGTH_MARGIN * guess) } else { LENGTH_MARGIN * guess };
--- a/crates/roseshore_core/src/gateway/limits.rs
+++ b/crates/roseshore_core/src/gateway/limits.rs
@@ -1,16 +1,19 @@
-//! Limits that targets name for all hosts together.
+//! Limits that targets advertise for all hosts together.
 //!
-//! A target in need says in its answers how many requests a second it takes from all hosts. No host sees that sum,
-//! so none may go by its own count: hosts that each obeyed the limit alone would send several times as much. The first
-//! host of each data centre therefore issues permits from one token bucket ([`issuer`]), and a host that wants to
-//! send there asks for one, which takes a millisecond or two. Data centres divide the limit by what their hosts
-//! have asked for of late ([`share`]).
+//! An overloaded target states in its responses how many requests per second it accepts from all
+//! hosts. No host sees the total, so none can obey the limit by its own count: hosts that each kept
+//! to the limit alone would together send several times as much. Therefore the first host of each
+//! data centre issues permits from one token bucket per target ([`issuer`]), and a host that wants
+//! to send there requests a permit, which takes a millisecond or two. Data centres divide the limit
+//! in proportion to their hosts' recent permit requests ([`share`]).
 //!
-//! Permits are asked for one by one, since most hosts send a target little: dealt out ahead, each for a part of the
-//! limit, they lie with hosts that have no request for them. The host that issues is the first by rank, as for other
-//! duties; nothing that it knows has to outlive it.
+//! Permits are requested one at a time, since most hosts send few requests to a given target.
+//! Permits dealt out in advance, a part of the limit to each host, would sit unused at hosts that
+//! have no requests for them. The issuer is the first host by rank, as for other roles, and holds
+//! no state that must outlive it.
 //!
-//! What a target said is told to the other hosts ([`advertisement`]), so that one which has not heard it keeps it too.
+//! What a target has advertised is forwarded to the other hosts (`advertisement`), so that a host
+//! which has not received it from the target obeys it, too.
 
 mod advertisement;
 pub mod issuer;
@@ -23,81 +26,85 @@
 pub use share::{PermitShare, RecentDemand};
 use std::collections::HashMap;
 
-/// How long an unused permit may be used: less than a second of a target's limit is late by it.
+/// How long an unused permit is valid. It delays less than a second's worth of the target's limit.
 const PERMIT_VALIDITY: Duration = Duration::from_secs(1);
-/// How long nothing more is asked for after a question that was not answered: the issuer is busy, or lost.
+/// How long no permit is requested after a request without a reply: the issuer is busy, or down.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
-/// How long the word of a target that is not known (any more) is kept: entries that lapse are back after seconds.
+/// How long the limit of a target that is unknown, or no longer known, is kept. Entries that lapsed
+/// are back within seconds.
 const RETENTION: Duration = Duration::from_mins(1);
-/// A change of a limit by less than this part of it is no news for the log.
+/// Smallest relative change of a limit that is logged.
 const LOGGED_CHANGE: f64 = 0.1;
 
-/// What an answer says of its target's limit.
+/// The limit that a response advertises.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// It names none.
+    /// The response advertises no limit.
     #[default]
     None,
-    /// Requests a second that the target takes from all hosts together; finite, not negative.
+    /// Requests per second that the target accepts from all hosts together; finite and not
+    /// negative.
     Limit(f64),
-    /// It names something that cannot be read, which says neither that there is a limit nor that there is none.
+    /// The limit cannot be parsed, which shows neither that there is a limit nor that there is
+    /// none.
     Unreadable,
 }
 
-/// Whether a request may be sent to a target as far as its limit goes.
+/// Whether the limit of a target allows a request to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permit {
-    /// The target names no limit.
+    /// The target has no limit.
     Unlimited,
-    /// This host has a permit.
+    /// This host holds a permit.
     Held,
-    /// The issuer is to be asked.
+    /// A permit must be requested from the issuer.
     Ask,
-    /// The issuer has just said that there is none, or does not answer.
+    /// The issuer has recently refused a permit, or does not reply.
     None,
 }
 
-/// A limit that changed, requests a second; none for no limit.
+/// A change of a limit, in requests per second; `None` stands for no limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// What it was.
+    /// Limit before the change.
     pub before: Option<f64>,
-    /// What it is.
+    /// Limit after the change.
     pub after: Option<f64>,
 }
 
-/// What this host knows of one limit.
+/// What this host knows about one target's limit.
 #[derive(Clone, Debug)]
 struct LimitState {
     advertisements: Advertisements,
-    /// When something was last heard of it.
+    /// When the limit was last advertised to this host or reported to it.
     last_heard: Instant,
-    /// Unused permits, and until when they may be used.
+    /// Number of unused permits, and the end of their validity.
     permits: u32,
     valid_until: Instant,
-    /// Until when the issuer is not to be asked.
+    /// When permits may be requested again.
     closed_until: Instant,
 }
 
-/// All limits, by the lives of their targets.
+/// Limits of all targets, by incarnation.
 #[derive(Clone, Debug)]
 pub struct TargetLimits {
-    /// This host as the origin of words.
+    /// Identifies this host as the origin of advertisements.
     origin: u32,
-    /// Of its last word.
+    /// Sequence number of this host's latest advertisement.
     number: u32,
     all: HashMap<TargetHash, LimitState>,
-    /// Counts the heartbeats that told only some of the words.
+    /// Counts the heartbeats that had room for only some of the limits.
     turn: usize,
 }
 
 impl TargetLimits {
-    /// No limit is known; `origin` tells this life of this host from others.
+    /// Creates an empty set of limits; `origin` identifies this process.
     pub fn new(origin: u32) -> TargetLimits {
         TargetLimits { origin, number: 0, all: HashMap::new(), turn: 0 }
     }
 
-    /// A target named its limit in an answer that came now; returns whether that is news.
+    /// Records a limit that a target advertised in a response received at `now`. Returns the change
+    /// if it is significant.
     pub fn advertised(
         &mut self,
         target: TargetHash,
@@ -108,7 +115,8 @@
         self.apply(target, Advertisement::limited(limit, now, (self.origin, self.number)), now)
     }
 
-    /// A target named no limit in the answer to a request that was sent at `sent`; returns whether that is news.
+    /// Records that a target advertised no limit in the response to a request sent at `sent`.
+    /// Returns the change if it is significant.
     pub fn not_advertised(
         &mut self,
         target: TargetHash,
@@ -117,47 +125,47 @@
     ) -> Option<LimitChange> {
         let known = self.all.get(&target)?.advertisements.current();
         self.number += 1;
-        let word = known.ended_by(sent, (self.origin, self.number))?;
-        self.apply(target, word, now)
+        let advertisement = known.ended_by(sent, (self.origin, self.number))?;
+        self.apply(target, advertisement, now)
     }
 
-    /// Another host told of a target's word; returns whether that is news.
-    pub fn receive(&mut self, note: &LimitReport, now: Instant) -> Option<LimitChange> {
-        self.apply(note.target, Advertisement::from_report(note, now)?, now)
+    /// Records another host's report of a limit. Returns the change if it is significant.
+    pub fn receive(&mut self, report: &LimitReport, now: Instant) -> Option<LimitChange> {
+        self.apply(report.target, Advertisement::from_report(report, now)?, now)
     }
 
     fn apply(
         &mut self,
         target: TargetHash,
-        word: Advertisement,
+        advertisement: Advertisement,
         now: Instant,
     ) -> Option<LimitChange> {
         if let Some(known) = self.all.get_mut(&target) {
             known.last_heard = now;
             let before = known.advertisements.current().named_limit();
-            known.advertisements.add(word);
+            known.advertisements.add(advertisement);
             return LimitChange { before, after: known.advertisements.current().named_limit() }
                 .significant();
         }
-        word.rate(now)?;
-        let advertisements = Advertisements::new(word);
-        let limited = LimitState {
+        advertisement.rate(now)?;
+        let advertisements = Advertisements::new(advertisement);
+        let state = LimitState {
             advertisements,
             last_heard: now,
             permits: 0,
             valid_until: now,
             closed_until: now,
         };
-        self.all.insert(target, limited);
-        LimitChange { before: None, after: word.named_limit() }.significant()
+        self.all.insert(target, state);
+        LimitChange { before: None, after: advertisement.named_limit() }.significant()
     }
 
-    /// Requests a second that a target takes from all hosts now; none where it names no limit.
+    /// Requests per second that a target accepts from all hosts now; `None` without a limit.
     pub fn rate(&self, target: TargetHash, now: Instant) -> Option<f64> {
         self.all.get(&target)?.rate(now)
     }
 
-    /// Whether a request may be sent to a target.
+    /// Whether the limit of a target allows a request to be sent.
     pub fn permit(&self, target: TargetHash, now: Instant) -> Permit {
         let Some(known) = self.all.get(&target).filter(|known| known.rate(now).is_some()) else {
             return Permit::Unlimited;
@@ -171,13 +179,13 @@
         }
     }
 
-    /// The targets to which nothing may be sent now.
+    /// Targets to which nothing may be sent now.
     pub fn without_permit(&self, now: Instant) -> impl Iterator<Item = TargetHash> {
         let none = move |target: &TargetHash| self.permit(*target, now) == Permit::None;
         self.all.keys().copied().filter(none)
     }
 
-    /// A request is sent to a target; returns whether that was permitted.
+    /// Uses up a permit for a request to a target. Returns whether it may be sent.
     pub fn consume(&mut self, target: TargetHash, now: Instant) -> bool {
         match self.permit(target, now) {
             Permit::Unlimited => true,
@@ -189,18 +197,18 @@
         }
     }
 
-    /// The question for a permit; none where the target names no limit.
+    /// Builds a permit request; `None` if the target's limit is unknown.
     pub fn permit_request(
         &self,
         target: TargetHash,
         number: u64,
         now: Instant,
     ) -> Option<PermitRequest> {
-        let word = self.all.get(&target)?.advertisements.current();
-        Some(PermitRequest { number, limit: word.report(target, 0, now) })
+        let advertisement = self.all.get(&target)?.advertisements.current();
+        Some(PermitRequest { number, limit: advertisement.report(target, 0, now) })
     }
 
-    /// The issuer's answer came.
+    /// Applies the issuer's reply.
     pub fn apply_grant(&mut self, grant: &PermitGrant, now: Instant) {
         let Some(known) = self.all.get_mut(&grant.target) else { return };
         if now >= known.valid_until {
@@ -213,15 +221,16 @@
         known.closed_until = now + Duration::from_millis(u64::from(grant.wait));
     }
 
-    /// The issuer's answer did not come.
+    /// Records that the issuer did not reply.
     pub fn request_failed(&mut self, target: TargetHash, now: Instant) {
         if let Some(known) = self.all.get_mut(&target) {
             known.closed_until = now + UNANSWERED_BACKOFF;
         }
     }
 
-    /// What is told to other hosts, so many at most, others with each turn; `wanted` says what this host, as the
-    /// issuer, was asked for, and none for a target that is not to be told of.
+    /// Up to `most` limits to report to other hosts, different ones with each turn. `wanted` gives
+    /// the permit requests that this host has got as the issuer, or `None` for a target that must
+    /// not be reported.
     pub fn reports(
         &mut self,
         most: usize,
@@ -229,26 +238,26 @@
         now: Instant,
     ) -> Vec<LimitReport> {
         let lasting = self.all.iter().filter(|(_, known)| known.rate(now).is_some());
-        let note = |(target, known): (&TargetHash, &LimitState)| {
+        let report = |(target, known): (&TargetHash, &LimitState)| {
             Some(known.advertisements.current().report(*target, wanted(*target)?, now))
         };
-        let mut notes: Vec<LimitReport> = lasting.filter_map(note).collect();
-        notes.sort_unstable_by_key(|note| note.target);
-        if notes.len() > most {
+        let mut reports: Vec<LimitReport> = lasting.filter_map(report).collect();
+        reports.sort_unstable_by_key(|report| report.target);
+        if reports.len() > most {
             self.turn = self.turn.wrapping_add(1);
-            let first = (self.turn * most) % notes.len();
-            notes.rotate_left(first);
-            notes.truncate(most);
+            let first = (self.turn * most) % reports.len();
+            reports.rotate_left(first);
+            reports.truncate(most);
         }
-        notes
+        reports
     }
 
-    /// Forgets limits that have ended, and those of lives that are not `known` any more.
+    /// Drops limits that have ended, and those of incarnations that are no longer `known`.
     pub fn expire(&mut self, known: impl Fn(TargetHash) -> bool, now: Instant) {
-        self.all.retain(|target, limited| {
-            let late = now.saturating_duration_since(limited.last_heard) >= RETENTION;
-            let lasts = limited.rate(now).is_some();
-            if known(*target) { lasts || !late } else { !late }
+        self.all.retain(|target, state| {
+            let expired = now.saturating_duration_since(state.last_heard) >= RETENTION;
+            let lasts = state.rate(now).is_some();
+            if known(*target) { lasts || !expired } else { !expired }
         });
     }
 }
@@ -260,7 +269,7 @@
 }
 
 impl LimitChange {
-    /// The change, where it is worth a line in the log.
+    /// Returns the change if it is large enough to be logged.
     fn significant(self) -> Option<LimitChange> {
         let small = match (self.before, self.after) {
             (Some(before), Some(after)) => (after - before).abs() <= LOGGED_CHANGE * before,
--- a/crates/roseshore_core/src/gateway/limits/advertisement.rs
+++ b/crates/roseshore_core/src/gateway/limits/advertisement.rs
@@ -1,70 +1,79 @@
-//! What a target said of its limit, and which of two words is the newer one.
+//! A target's advertised limit, and the order among advertisements.
 //!
-//! Answers do not come in the order in which a target made them: the head of one that waited is older than that of
-//! a later request. A named limit counts from when it came, since it may have been made then. That none was named
-//! counts from when the request was sent: all that is sure is that it was not before that, and an answer to a request
-//! that was sent before the limit was named does not show that the limit has ended.
+//! Responses do not arrive in the order in which a target made them: the head of one that was
+//! delayed is older than that of a later request. An advertised limit counts from the time of its
+//! arrival, since it may have been made then. The absence of a limit counts from the time when the
+//! request was sent: all that is certain is that the response was not made before that, and the
+//! response to a request that was sent before the limit was advertised does not show that the limit
+//! has ended.
 //!
-//! Each word has its origin, a host and a number. Told from host to host a word grows a little younger with each
-//! step. So the last word of each origin is kept, as old as its oldest telling, and of words of about the same moment
-//! the lowest limit counts: two hosts that took the younger one of two such words would hand each other theirs, and
-//! take them, for ever.
+//! Each advertisement has an origin: a host and a sequence number. When it is forwarded from host
+//! to host, its age shrinks a little with each hop. Therefore the last advertisement of each origin
+//! is kept with the greatest age reported, and among advertisements of about the same time the
+//! lowest limit applies. Two hosts that preferred the younger of two such advertisements would send
+//! each other theirs, and accept them, for ever.
 
 use super::super::peers::{LimitReport, TargetHash};
 use crate::prelude::*;
 
-/// The least limit that is kept: only an answer shows that a limit of 0 has ended, so it is tried now and then.
+/// Lowest limit, in requests per second. Only a response shows that a limit of 0 has ended, so such
+/// a target is tried now and then.
 const MIN_LIMIT: f64 = 0.2;
-/// The highest limit that is kept as one; no target takes as much.
+/// Highest limit, in requests per second; no target accepts as many.
 const MAX_LIMIT: f64 = 100_000.0;
-/// After a limit has ended, hosts send twice as much with each such time. All of them hear of it within a moment,
-/// and what comes back at once may bring the next limit.
+/// After a limit has ended, the rate that hosts may send doubles in each period of this length. All
+/// hosts learn of the end within a moment, and a sudden return of all requests could trigger the
+/// next limit.
 const DOUBLING: Duration = Duration::from_millis(500);
-/// How long that lasts: 64 times the limit, by then no bound any more.
+/// Duration of the ramp, which ends at 64 times the limit, where it no longer restricts anything.
 const RAMP_TIME: Duration = Duration::from_secs(3);
 
-/// Words of about the same moment: a word is on its way between hosts for so long at most, or waits for a
-/// heartbeat's turn of a busy host.
+/// Advertisements at most this far apart are taken as simultaneous: forwarding may take this long,
+/// including the wait for a busy host's next heartbeat.
 const CONCURRENT_WINDOW: Duration = Duration::from_millis(250);
-/// How long a word is kept beside a newer one, so that it is known again when it is told once more.
+/// How long an advertisement is kept beside a newer one, so that it is recognised when it is
+/// reported again.
 const SUPERSEDED_RETENTION: Duration = Duration::from_secs(2);
 
-/// A target's word on its limit.
+/// An advertised limit, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Advertisement {
-    /// Requests a second from all hosts together, as last named.
+    /// Limit last advertised, in requests per second from all hosts together.
     limit: f64,
-    /// Whether it names none any more.
+    /// Whether the target no longer advertises a limit.
     ended: bool,
-    /// From when the word counts.
+    /// Time from which the advertisement counts.
     at: Instant,
-    /// The host that heard it from the target, and the number of the word there.
+    /// The host that received it from the target, and its sequence number there.
     origin: (u32, u32),
 }
 
 impl Advertisement {
-    /// A limit named in an answer that came at `at`.
+    /// A limit advertised in a response that arrived at `at`.
     pub(super) fn limited(limit: f64, at: Instant, origin: (u32, u32)) -> Advertisement {
         let limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
         Advertisement { limit, ended: false, at, origin }
     }
 
-    /// The word of an answer that names no limit, to a request that was sent at `sent`; none where that shows
-    /// nothing.
+    /// The end of this limit, by a response without a limit to a request sent at `sent`; `None` if
+    /// that proves nothing.
     pub(super) fn ended_by(self, sent: Instant, origin: (u32, u32)) -> Option<Advertisement> {
         let shown = !self.ended && sent >= self.at;
         shown.then_some(Advertisement { ended: true, at: sent, origin, ..self })
     }
 
-    /// A word that another host told; none where it makes no sense.
-    pub(super) fn from_report(note: &LimitReport, now: Instant) -> Option<Advertisement> {
-        let at = now.checked_sub(Duration::from_millis(u64::from(note.age)))?;
+    /// Another host's report; `None` if it is invalid.
+    pub(super) fn from_report(report: &LimitReport, now: Instant) -> Option<Advertisement> {
+        let at = now.checked_sub(Duration::from_millis(u64::from(report.age)))?;
         let limit =
-            Some(f64::from(note.limit)).filter(|limit| limit.is_finite() && *limit >= 0.0)?;
-        Some(Advertisement { ended: note.ended, ..Advertisement::limited(limit, at, note.origin) })
+            Some(f64::from(report.limit)).filter(|limit| limit.is_finite() && *limit >= 0.0)?;
+        Some(Advertisement {
+            ended: report.ended,
+            ..Advertisement::limited(limit, at, report.origin)
+        })
     }
 
-    /// The word for other hosts.
+    /// The report for other hosts.
     pub(super) fn report(&self, target: TargetHash, wanted: u16, now: Instant) -> LimitReport {
         let age = now.saturating_duration_since(self.at).as_millis();
         LimitReport {
@@ -77,12 +86,12 @@
         }
     }
 
-    /// The limit that is named; none once it has ended.
+    /// The advertised limit; `None` once it has ended.
     pub(super) fn named_limit(&self) -> Option<f64> {
         (!self.ended).then_some(self.limit)
     }
 
-    /// Requests a second that all hosts may send now; none for no bound.
+    /// Requests per second that all hosts together may send now; `None` without a limit.
     pub(super) fn rate(&self, now: Instant) -> Option<f64> {
         if !self.ended {
             return Some(self.limit);
@@ -92,7 +101,7 @@
     }
 }
 
-/// The last words of several origins on one target's limit; never empty.
+/// The last advertisements of several origins for one target; never empty.
 #[derive(Clone, Debug)]
 pub(super) struct Advertisements {
     current: Advertisement,
@@ -100,33 +109,33 @@
 }
 
 impl Advertisements {
-    pub(super) fn new(word: Advertisement) -> Advertisements {
-        Advertisements { current: word, all: vec![word] }
+    pub(super) fn new(advertisement: Advertisement) -> Advertisements {
+        Advertisements { current: advertisement, all: vec![advertisement] }
     }
 
-    /// The word that counts.
+    /// The advertisement that applies.
     pub(super) fn current(&self) -> Advertisement {
         self.current
     }
 
-    /// Takes a word.
-    pub(super) fn add(&mut self, word: Advertisement) {
-        let (host, number) = word.origin;
+    /// Adds an advertisement and determines which one applies.
+    pub(super) fn add(&mut self, advertisement: Advertisement) {
+        let (host, number) = advertisement.origin;
         match self.all.iter_mut().find(|known| known.origin.0 == host) {
-            Some(known) if known.origin.1 == number => known.at = known.at.min(word.at),
-            Some(known) if known.origin.1 < number => *known = word,
+            Some(known) if known.origin.1 == number => known.at = known.at.min(advertisement.at),
+            Some(known) if known.origin.1 < number => *known = advertisement,
             Some(_) => {}
-            None => self.all.push(word),
+            None => self.all.push(advertisement),
         }
         let Some(newest) = self.all.iter().map(|known| known.at).max() else { return };
         self.all.retain(|known| known.at + SUPERSEDED_RETENTION > newest);
-        let together = self.all.iter().filter(|known| known.at + CONCURRENT_WINDOW > newest);
+        let concurrent = self.all.iter().filter(|known| known.at + CONCURRENT_WINDOW > newest);
         let lowest = |a: &&Advertisement, b: &&Advertisement| {
             let limits = a.limit.total_cmp(&b.limit);
             a.ended.cmp(&b.ended).then(limits).then(a.origin.cmp(&b.origin))
         };
-        if let Some(word) = together.min_by(lowest) {
-            self.current = *word;
+        if let Some(advertisement) = concurrent.min_by(lowest) {
+            self.current = *advertisement;
         }
     }
 }
--- a/crates/roseshore_core/src/gateway/limits/issuer.rs
+++ b/crates/roseshore_core/src/gateway/limits/issuer.rs
@@ -1,8 +1,8 @@
-//! Issues permits for the hosts of one data centre, from one token bucket for each limited target.
+//! Issues permits to the hosts of one data centre, from one token bucket per limited target.
 //!
-//! A bucket holds no more than may be sent at once, so however many hosts ask in one moment, what they send stays
-//! within the limit. One that takes over begins with a single permit: what the host before it has issued of late
-//! is not known.
+//! A bucket holds no more than may be sent at once, so however many hosts ask at the same time,
+//! what they send stays within the limit. A new issuer starts with a single permit, since it does
+//! not know what the former one has issued recently.
 
 use super::super::peers::{Peers, PermitGrant, PermitRequest, TargetHash};
 use super::TargetLimits;
@@ -10,18 +10,19 @@
 use crate::prelude::*;
 use std::collections::HashMap;
 
-/// Part of a bucket that is added to one permit. While there is plenty, the next requests of a host need not ask;
-/// when permits are short, each is for a request that waits for it.
+/// Fraction of the bucket that is issued in addition to one permit. While there are plenty, this
+/// spares a host's next requests the round trip; when there are few, each permit goes to a request
+/// that waits for it.
 const EXTRA_FRACTION: f64 = 0.125;
-/// The longest and shortest time for which a host is told not to ask again. Within the shortest one another host's
-/// request takes the next permit.
+/// Shortest and longest time for which a host is told not to ask again. The shortest lets the
+/// request of another host take the next permit.
 const WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(500));
-/// How long who asks a host that does not issue permits, or not any more, asks no more.
+/// How long a host that asked one which is not, or no longer, the issuer does not ask again.
 const NOT_ISSUER_BACKOFF: Duration = Duration::from_millis(100);
-/// How long a bucket is kept that nobody asks.
+/// How long an unused bucket is kept.
 const RETENTION: Duration = Duration::from_mins(1);
 
-/// The permits for one target.
+/// Permits for one target.
 #[derive(Clone, Debug)]
 struct Bucket {
     level: f64,
@@ -29,15 +30,15 @@
     demand: RecentDemand,
 }
 
-/// The buckets of all limited targets.
+/// Token buckets of all limited targets.
 #[derive(Clone, Debug, Default)]
 pub struct Issuer {
     buckets: HashMap<TargetHash, Bucket>,
 }
 
 impl Issuer {
-    /// The answer to a host of the own data centre that asks for a permit; `home` says whether the target is in
-    /// this data centre, too. The word that the question bears has been taken before.
+    /// Answers a permit request from a host of the own data centre; `home` states whether the
+    /// target is in it, too. The limit reported in the request must have been recorded before.
     pub fn answer(
         &mut self,
         ask: &PermitRequest,
@@ -61,7 +62,8 @@
         self.issue(target, number, now, share)
     }
 
-    /// A host asks for a permit. `share` says what may be issued where so much was asked for.
+    /// Issues permits; `share` computes the data centre's share from the number of its recent
+    /// permit requests.
     pub fn issue(
         &mut self,
         target: TargetHash,
@@ -79,12 +81,12 @@
         PermitGrant { target, number, permits, wait: wait.as_millis() as u16 }
     }
 
-    /// What was asked for of late.
+    /// Recent permit requests for a target.
     pub fn demand(&self, target: TargetHash, now: Instant) -> u16 {
         self.buckets.get(&target).map_or(0, |bucket| bucket.demand.count(now))
     }
 
-    /// Forgets buckets that nobody asks.
+    /// Drops unused buckets.
     pub fn expire(&mut self, now: Instant) {
         self.buckets.retain(|_, b| now.saturating_duration_since(b.filled) < RETENTION);
     }
@@ -106,7 +108,7 @@
         issued as u16
     }
 
-    /// The time until there is another permit.
+    /// Time until there is another permit, within the bounds.
     fn wait(&self, rate: f64) -> Duration {
         let left = (1.0 - self.level).max(0.0) / rate;
         Duration::try_from_secs_f64(left)
--- a/crates/roseshore_core/src/gateway/limits/share.rs
+++ b/crates/roseshore_core/src/gateway/limits/share.rs
@@ -1,62 +1,67 @@
-//! How data centres divide a target's limit.
+//! Divides a target's limit among data centres.
 //!
-//! Each goes by what the hosts of all have asked for, as told in heartbeats, so their parts add up to about the
-//! limit. One that is not heard keeps its part by its last word: both halves of a cut may reach the target.
+//! Each data centre computes its share from the permit requests of all, as reported in heartbeats,
+//! so the shares add up to about the limit. A data centre that is not heard keeps its share by its
+//! last report, since both sides of a network partition may reach the target.
 
 use crate::prelude::*;
 use std::collections::VecDeque;
 
-/// What was asked for in this time decides.
+/// Time for which permit requests are counted.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Counts as asked for by every data centre, so that one which begins to ask has a part to begin with.
+/// Weight of a data centre beside its requests, so that one that starts to ask has a share to begin
+/// with.
 const BASE_WEIGHT: f64 = 0.1;
-/// What may be sent at once beside the rate: so many requests, and the limit's part of this time.
+/// What may be sent in a burst beside the rate: a number of requests, and the limit's worth of a
+/// period.
 const BURST_REQUESTS: f64 = 2.5;
 const BURST_TIME: Duration = Duration::from_millis(800);
-/// What users bear beside the rate, in the same terms: half of the limit more within four seconds, and five requests.
+/// The burst that users tolerate, in the same terms: half more than the limit within four seconds,
+/// and five requests.
 const MAX_BURST_REQUESTS: f64 = 5.0;
 const MAX_BURST_TIME: Duration = Duration::from_secs(2);
 
 /// What one data centre may send to a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PermitShare {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at once.
+    /// Requests in a burst.
     pub burst: f64,
 }
 
-/// What decides a data centre's share.
+/// Inputs to a data centre's share.
 #[derive(Clone, Debug)]
 pub struct ShareInputs<'a> {
-    /// What its hosts have asked for.
+    /// Recent permit requests of its own hosts.
     pub own: u16,
-    /// What those of each other data centre have.
+    /// Recent permit requests in each other data centre.
     pub others: &'a [u16],
-    /// Whether the target is one of its own.
+    /// Whether the target is in this data centre.
     pub home: bool,
-    /// The part of its hosts that are heard: others of them may issue permits, too.
+    /// Fraction of its hosts that are heard; the others may have an issuer of their own.
     pub heard: f64,
 }
 
 impl PermitShare {
-    /// The share of a limit, requests a second.
-    pub fn of(limit: f64, claims: &ShareInputs<'_>) -> PermitShare {
+    /// Computes the share of a limit given in requests per second.
+    pub fn of(limit: f64, inputs: &ShareInputs<'_>) -> PermitShare {
         let weight = |asked: &u16| f64::from(*asked) + BASE_WEIGHT;
-        let own = weight(&claims.own);
-        let all = own + claims.others.iter().map(weight).sum::<f64>();
-        let part = own / all * claims.heard;
-        let (least, shared) = PermitShare::burst_parts(limit, claims);
-        PermitShare { rate: part * limit, burst: least + part * shared }
+        let own = weight(&inputs.own);
+        let all = own + inputs.others.iter().map(weight).sum::<f64>();
+        let part = own / all * inputs.heard;
+        let (fixed, shared) = PermitShare::burst_parts(limit, inputs);
+        PermitShare { rate: part * limit, burst: fixed + part * shared }
     }
 
-    /// What this data centre may send at once in any case, and what all of them divide beside that. Where users bear
-    /// a request of each, each may save up a whole one; else only the target's own.
-    fn burst_parts(limit: f64, claims: &ShareInputs<'_>) -> (f64, f64) {
+    /// Burst that this data centre may send in any case, and the burst that all data centres divide
+    /// in addition. Where users tolerate a request from each, every data centre may save up a whole
+    /// one, otherwise only the target's own.
+    fn burst_parts(limit: f64, inputs: &ShareInputs<'_>) -> (f64, f64) {
         let usual = BURST_REQUESTS + limit * BURST_TIME.as_secs_f64();
-        let centres = claims.others.len() as f64 + 1.0;
+        let centres = inputs.others.len() as f64 + 1.0;
         let left = MAX_BURST_REQUESTS + limit * MAX_BURST_TIME.as_secs_f64() - centres;
-        match (left >= 0.0, claims.home) {
+        match (left >= 0.0, inputs.home) {
             (true, _) => (1.0, usual.min(left)),
             (false, true) => (1.0, usual),
             (false, false) => (0.0, usual),
@@ -64,17 +69,17 @@
     }
 }
 
-/// What was asked for of late.
+/// Times of recent permit requests.
 #[derive(Clone, Debug, Default)]
 pub struct RecentDemand {
     times: VecDeque<Instant>,
 }
 
 impl RecentDemand {
-    /// The most that is counted; more says the same.
+    /// Most that are counted; a higher number would make no difference.
     const MAX_COUNTED: usize = 4096;
 
-    /// One more was asked for.
+    /// Adds a request.
     pub fn add(&mut self, now: Instant) {
         self.forget(now);
         if self.times.len() < RecentDemand::MAX_COUNTED {
@@ -82,18 +87,18 @@
         }
     }
 
-    /// How many were asked for.
+    /// Number of recent requests.
     pub fn count(&self, now: Instant) -> u16 {
-        let late = self.times.partition_point(|at| RecentDemand::over(*at, now));
-        (self.times.len() - late) as u16
+        let expired = self.times.partition_point(|at| RecentDemand::is_expired(*at, now));
+        (self.times.len() - expired) as u16
     }
 
     fn forget(&mut self, now: Instant) {
-        let late = self.times.partition_point(|at| RecentDemand::over(*at, now));
-        self.times.drain(..late);
+        let expired = self.times.partition_point(|at| RecentDemand::is_expired(*at, now));
+        self.times.drain(..expired);
     }
 
-    fn over(at: Instant, now: Instant) -> bool {
+    fn is_expired(at: Instant, now: Instant) -> bool {
         now.saturating_duration_since(at) >= WINDOW
     }
 }
--- a/crates/roseshore_core/src/gateway/position.rs
+++ b/crates/roseshore_core/src/gateway/position.rs
@@ -1,19 +1,20 @@
-//! How far a stream of the store was read.
+//! Read positions in a stream of the store.
 //!
-//! A store that comes back from an older copy gives its offsets out again, so an offset alone does not say what
-//! was read: a host that went on from its old one never saw what was written in its place. It names an era,
-//! which rises with each such return, and whatever orders or compares what hosts have read uses both.
+//! A store that is restored from an older copy reuses offsets, so an offset alone does not identify
+//! what was read: a host that continued from its old offset would miss what was written in its
+//! place. The store therefore has an era, which increases with each restoration, and whatever
+//! orders or compares positions uses both.
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 
-/// A place in a stream of the store; one of a later era is further than any of an earlier one.
+/// A position in a stream of the store; a position of a later era is after all of an earlier one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
-    /// The store's era.
+    /// Era of the store.
     pub era: Era,
-    /// The offset to read next.
+    /// Offset to read next.
     pub next: Offset,
 }
 
@@ -23,22 +24,22 @@
     }
 }
 
-/// What the era of a reply says.
+/// How the era of a reply compares with the known one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyEra {
-    /// The reply is of the era that is known.
+    /// The reply belongs to the known era.
     Known,
-    /// It names a later era, and nothing was read before.
+    /// The reply is of a later era, and nothing was read before.
     First(Era),
-    /// The store has come back from an older copy since.
+    /// The store has been restored from an older copy since.
     Later(Era),
-    /// The reply, or the offset that it was asked with, is of an earlier era.
+    /// The reply, or the offset that was requested, belongs to an earlier era.
     Stale,
 }
 
 impl ReplyEra {
-    /// Judges a reply that tells an era, if it does, to a question that bore an offset of the era `asked`, if it bore
-    /// one; `fresh` where nothing of the store was read yet.
+    /// Compares the era `told` by a reply, if any, with the known one. `asked` is the era of the
+    /// requested offset, if any; `fresh` states that nothing of the store was read yet.
     pub fn of(known: Era, asked: Option<Era>, told: Option<Era>, fresh: bool) -> ReplyEra {
         let era = told.or(asked).unwrap_or(known);
         match era.cmp(&known) {
--- a/crates/roseshore_core/tests/gateway/copies.rs
+++ b/crates/roseshore_core/tests/gateway/copies.rs
@@ -1,4 +1,4 @@
-//! When a host asks another for a copy of what it has read.
+//! When a host copies store data from another, and how copies spread.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::Copies;
@@ -9,25 +9,25 @@
 use roseshore_core::prelude::*;
 use std::net::SocketAddr;
 
-/// A place in the store's first era.
+/// A position in the store's first era.
 fn at(next: Offset) -> Position {
     Position { era: 0, next }
 }
 
-/// What happened to the copy that was asked for at first, and when the next may be asked for.
+/// Result of a first copy, and when the next one may be requested.
 struct Case {
     name: &'static str,
     outcome: CopyOutcome,
-    /// After so many milliseconds another may be asked for, and not a little before.
+    /// Milliseconds after which another copy may be requested, and not earlier.
     after: u64,
 }
 
 #[test]
 fn one_copy_at_a_time_and_the_store_after_a_failure() {
     let cases = [
-        Case { name: "it came", outcome: CopyOutcome::Received, after: 0 },
+        Case { name: "it arrived", outcome: CopyOutcome::Received, after: 0 },
         Case { name: "it failed", outcome: CopyOutcome::Failed, after: 1_000 },
-        Case { name: "turned away", outcome: CopyOutcome::Refused, after: 60 },
+        Case { name: "refused", outcome: CopyOutcome::Refused, after: 60 },
     ];
     for case in cases {
         let now = Instant::now();
@@ -46,31 +46,31 @@
     }
 }
 
-/// Copies that are asked for at these times (ms) and of these sizes, and whether they are given.
-struct Gifts {
+/// Requests for copies at these times (ms) and of these sizes, and whether they are served.
+struct Requests {
     name: &'static str,
     asked: &'static [(u64, usize, bool)],
 }
 
 #[test]
-fn a_host_gives_so_much_in_a_moment() {
+fn a_host_hands_out_limited_bytes_per_window() {
     let cases = [
-        Gifts {
-            name: "small ones until it is enough",
+        Requests {
+            name: "small ones up to the limit",
             asked: &[(0, 90_000, true), (1, 90_000, true), (2, 90_000, false), (3, 10_000, true)],
         },
-        Gifts { name: "a large one first", asked: &[(0, 400_000, true), (10, 1_000, false)] },
-        Gifts {
-            name: "the next moment",
+        Requests { name: "a large one first", asked: &[(0, 400_000, true), (10, 1_000, false)] },
+        Requests {
+            name: "the next window",
             asked: &[(0, 150_000, true), (199, 150_000, false), (200, 150_000, true)],
         },
     ];
     for case in cases {
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut copies = Copies::default();
-        for (at, bytes, given) in case.asked {
-            let now = begun + Duration::from_millis(*at);
-            assert_eq!(copies.take_budget(*bytes, now), *given, "{} at {at}", case.name);
+        for (at, bytes, served) in case.asked {
+            let now = start + Duration::from_millis(*at);
+            assert_eq!(copies.take_budget(*bytes, now), *served, "{} at {at}", case.name);
         }
     }
 }
@@ -79,19 +79,19 @@
     SocketAddr::from(([10, 0, 0, n as u8], 7000))
 }
 
-/// When the last of sixty hosts has a copy of so many bytes that three have at first, ms; the three
-/// are the only ones that the others hear. Links carry 20 Mbit/s.
-fn spread(bytes: usize, sent_on: bool) -> u64 {
+/// Time in ms until the last of sixty hosts has a copy of this size. Three hosts have it at first,
+/// and the others receive heartbeats only from these. Links carry 20 Mbit/s.
+fn spread(bytes: usize, redirected: bool) -> u64 {
     const HOSTS: usize = 60;
-    let begun = Instant::now();
+    let start = Instant::now();
     let extent = Extent { config: 2, list: at(9) };
     let mut copies = vec![Copies::default(); HOSTS];
-    // When each has it, and whom it asks next, and when.
+    // When each host has the copy, and when and whom it asks next.
     let mut has: Vec<Option<u64>> = (0..HOSTS).map(|n| (n < 3).then_some(0)).collect();
     let mut asks: Vec<(u64, usize)> = (0..HOSTS).map(|n| (0, n % 3)).collect();
-    let way = (bytes * 8 / 20_000) as u64 + 1;
+    let transfer_ms = (bytes * 8 / 20_000) as u64 + 1;
     for at in 0..60_000 {
-        let now = begun + Duration::from_millis(at);
+        let now = start + Duration::from_millis(at);
         for n in 0..HOSTS {
             let (due, from) = asks[n];
             if has[n].is_some() || due > at {
@@ -100,12 +100,12 @@
             let known = has[from].is_some_and(|since| since <= at);
             if known && copies[from].take_budget(bytes, now) {
                 copies[from].record_recipient(addr(n), extent);
-                has[n] = Some(at + way);
+                has[n] = Some(at + transfer_ms);
                 continue;
             }
-            let other = copies[from].redirect(extent, addr(n)).filter(|_| known && sent_on);
-            let other = other.and_then(|owner| (0..HOSTS).find(|n| addr(*n) == owner));
-            asks[n] = other.map_or((at + 60, n % 3), |owner| (at + 2, owner));
+            let other = copies[from].redirect(extent, addr(n)).filter(|_| known && redirected);
+            let other = other.and_then(|holder| (0..HOSTS).find(|n| addr(*n) == holder));
+            asks[n] = other.map_or((at + 60, n % 3), |holder| (at + 2, holder));
         }
         if has.iter().all(|since| since.is_some_and(|since| since <= at)) {
             return at;
@@ -115,9 +115,9 @@
 }
 
 #[test]
-fn a_copy_spreads_over_those_that_have_it() {
-    // A list of 195 targets, and a configuration of 1,400 routes: without and with hosts that are sent
-    // on to those that have it, ms.
+fn redirects_speed_up_the_spread_of_a_copy() {
+    // A list of 195 targets and a configuration of 1,400 routes: without and with redirects to
+    // hosts that have the copy, in ms.
     assert_eq!((spread(17_000, false), spread(17_000, true)), (247, 71));
     assert_eq!((spread(250_000, false), spread(250_000, true)), (4_421, 869));
 }
@@ -129,7 +129,7 @@
     next: usize,
 }
 
-/// What happens next: a record is written, a host reads so many records, or takes another's copy.
+/// A record is written, a host reads some records, or it takes another's copy.
 #[derive(Clone, Debug)]
 enum Step {
     Write(u8, Option<u8>),
@@ -161,7 +161,8 @@
 }
 
 proptest! {
-    /// Whoever takes another's changes has its list: whatever was read, copied and forgotten before.
+    /// A host that applies another's changes has the same list, whatever was read, copied and
+    /// forgotten before.
     #[test]
     fn changes_lead_to_the_same_list(steps in proptest::collection::vec(step(), 1..200)) {
         let mut log: Vec<(u8, Option<u8>)> = Vec::new();
@@ -191,8 +192,8 @@
                         None => targets.replace_list(changes.records, Absence::Left),
                     };
                     hosts[to].next = next;
-                    let mark = |host: usize| hosts[host].targets.list_version(at(0));
-                    prop_assert_eq!(mark(to), mark(from));
+                    let version = |host: usize| hosts[host].targets.list_version(at(0));
+                    prop_assert_eq!(version(to), version(from));
                 }
                 Step::Copy(..) => {}
             }
@@ -200,19 +201,24 @@
     }
 }
 
-/// In a crowd before 3,000 targets, what one more change costs each host to fetch: 3,000 records before.
+/// What a host has to copy for one more change when there are thousands of targets: only the
+/// change. Without the delta each host copied all 3,000 records.
 #[test]
-fn a_change_is_handed_on_alone() {
-    let mut giver = Targets::default();
-    giver.advance_to(at(3000));
+fn a_change_is_copied_without_the_whole_list() {
+    let mut source = Targets::default();
+    source.advance_to(at(3000));
     for id in 0..250 {
-        giver.upsert(named(id, 0));
+        source.upsert(named(id, 0));
     }
-    giver.advance_to(at(3001));
-    giver.upsert(named(7, 1));
-    giver.remove("t-9", Absence::Left);
-    let changes = giver.changes_since(at(3000));
+    source.advance_to(at(3001));
+    source.upsert(named(7, 1));
+    source.remove("t-9", Absence::Left);
+    let changes = source.changes_since(at(3000));
     assert_eq!(changes.records, [named(7, 1)]);
     assert_eq!(changes.dropped, Some(vec!["t-9".to_owned()]));
-    assert_eq!(giver.changes_since(at(0)).records.len(), 249, "who has nothing gets all");
+    assert_eq!(
+        source.changes_since(at(0)).records.len(),
+        249,
+        "a host with nothing gets the whole list"
+    );
 }
--- a/crates/roseshore_core/tests/gateway/fatal.rs
+++ b/crates/roseshore_core/tests/gateway/fatal.rs
@@ -1,4 +1,5 @@
-//! Requests that end targets: what is held against them, what clears them, and who knows.
+//! Requests that crash targets: what counts against them, what clears them, and how hosts learn of
+//! it.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::fatal::{FatalChange, FatalReport, REPORT_BYTES};
@@ -13,17 +14,18 @@
     Fingerprint::of(Some("acme"), &[b"POST", b"/draft/", body.as_bytes()])
 }
 
-/// What happens to a request, by milliseconds.
+/// An event concerning a request; the first field is its time in milliseconds.
 #[derive(Clone, Copy)]
 enum Step {
-    /// A target ended under it: its mark, and whether it had hardly begun to run there.
-    Ended(u64, u32, bool),
-    /// It ended whole.
-    Whole(u64),
-    /// Another host tells of an end of so long ago.
-    Told(u64, u32, u32),
-    /// Another host tells that it ended whole so long ago.
-    ToldWhole(u64, u32),
+    /// A target crashed under it: the target's hash, and whether the request had hardly begun to
+    /// run there.
+    Crash(u64, u32, bool),
+    /// It completed.
+    Done(u64),
+    /// Another host reports a crash of this target, with its age in milliseconds.
+    Remote(u64, u32, u32),
+    /// Another host reports that it completed, with the age in milliseconds.
+    RemoteDone(u64, u32),
 }
 
 struct Case {
@@ -32,23 +34,24 @@
     blocked: bool,
 }
 
-fn play(steps: &[Step], start: Instant) -> (FatalRequests, Instant) {
+fn apply(steps: &[Step], start: Instant) -> (FatalRequests, Instant) {
     let mut fatal = FatalRequests::new(start);
     let mut now = start;
     let request = print("a");
     for step in steps {
-        let (Step::Ended(at, ..) | Step::Whole(at) | Step::Told(at, ..) | Step::ToldWhole(at, _)) =
+        let (Step::Crash(at, ..) | Step::Done(at) | Step::Remote(at, ..) | Step::RemoteDone(at, _)) =
             *step;
         now = start + ms(at);
-        let note = |ends, well| FatalReport { fingerprint: request, ends, well };
+        let report = |ends, well| FatalReport { fingerprint: request, ends, well };
         match *step {
-            Step::Ended(_, target, early) => fatal.record_crash(request, target, early, now),
-            Step::Whole(_) => fatal.record_success(request, now),
-            Step::Told(_, target, age) => {
-                let end = roseshore_core::gateway::fatal::CrashReport { target, early: true, age };
-                fatal.receive(&note(vec![end], None), now)
+            Step::Crash(_, target, early) => fatal.record_crash(request, target, early, now),
+            Step::Done(_) => fatal.record_success(request, now),
+            Step::Remote(_, target, age) => {
+                let crash =
+                    roseshore_core::gateway::fatal::CrashReport { target, early: true, age };
+                fatal.receive(&report(vec![crash], None), now)
             }
-            Step::ToldWhole(_, age) => fatal.receive(&note(vec![], Some(age)), now),
+            Step::RemoteDone(_, age) => fatal.receive(&report(vec![], Some(age)), now),
         };
         fatal.expire(now);
     }
@@ -56,102 +59,107 @@
 }
 
 #[test]
-fn three_ends_block_a_request_unless_something_clears_it() {
-    use Step::{Ended, Told, ToldWhole, Whole};
+fn three_crashes_block_a_request_unless_something_clears_it() {
+    use Step::{Crash, Done, Remote, RemoteDone};
     const MINUTE: u64 = 60_000;
     let cases = [
-        Case { name: "two", steps: &[Ended(0, 1, true), Ended(9, 2, true)], blocked: false },
+        Case { name: "two", steps: &[Crash(0, 1, true), Crash(9, 2, true)], blocked: false },
         Case {
             name: "three",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Ended(20, 3, true)],
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Crash(20, 3, true)],
             blocked: true,
         },
         Case {
             name: "two seen here, one elsewhere",
-            steps: &[Ended(0, 1, true), Told(9, 2, 4), Ended(20, 3, true)],
+            steps: &[Crash(0, 1, true), Remote(9, 2, 4), Crash(20, 3, true)],
             blocked: true,
         },
         Case {
-            name: "one end that two hosts saw",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Told(20, 2, 11)],
+            name: "one crash that two hosts saw",
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Remote(20, 2, 11)],
             blocked: false,
         },
         Case {
-            name: "an end under a long run here and a short one elsewhere",
-            steps: &[Ended(0, 1, false), Told(9, 1, 8), Ended(20, 2, true), Ended(30, 3, true)],
+            name: "a crash late in a run here and early in one elsewhere",
+            steps: &[Crash(0, 1, false), Remote(9, 1, 8), Crash(20, 2, true), Crash(30, 3, true)],
             blocked: true,
         },
         Case {
-            name: "a target that started again and ended again",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Ended(5_000, 2, true)],
+            name: "a target that restarted and crashed again",
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Crash(5_000, 2, true)],
             blocked: true,
         },
         Case {
-            name: "a whole answer between",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Whole(15), Ended(20, 3, true)],
+            name: "a complete response between",
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Done(15), Crash(20, 3, true)],
             blocked: false,
         },
         Case {
-            name: "a whole answer after",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Ended(20, 3, true), Whole(900)],
+            name: "a complete response after",
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Crash(20, 3, true), Done(900)],
             blocked: false,
         },
         Case {
-            name: "a whole answer elsewhere",
-            steps: &[Ended(0, 1, true), Ended(9, 2, true), Ended(20, 3, true), ToldWhole(900, 8)],
+            name: "a complete response elsewhere",
+            steps: &[Crash(0, 1, true), Crash(9, 2, true), Crash(20, 3, true), RemoteDone(900, 8)],
             blocked: false,
         },
         Case {
-            name: "late words of ends before a whole answer",
-            steps: &[Whole(900), Told(1_000, 1, 300), Told(1_001, 2, 300), Told(1_002, 3, 300)],
+            name: "late reports of crashes before a complete response",
+            steps: &[
+                Done(900),
+                Remote(1_000, 1, 300),
+                Remote(1_001, 2, 300),
+                Remote(1_002, 3, 300),
+            ],
             blocked: false,
         },
         Case {
-            name: "ends after a whole answer",
-            steps: &[Whole(900), Told(1_000, 1, 10), Told(1_001, 2, 10), Told(1_002, 3, 10)],
+            name: "crashes after a complete response",
+            steps: &[Done(900), Remote(1_000, 1, 10), Remote(1_001, 2, 10), Remote(1_002, 3, 10)],
             blocked: true,
         },
         Case {
-            name: "four after a long run",
+            name: "four late in a run",
             steps: &[
-                Ended(0, 1, false),
-                Ended(9, 2, false),
-                Ended(20, 3, false),
-                Ended(30, 4, false),
+                Crash(0, 1, false),
+                Crash(9, 2, false),
+                Crash(20, 3, false),
+                Crash(30, 4, false),
             ],
             blocked: false,
         },
         Case {
-            name: "five after a long run",
+            name: "five late in a run",
             steps: &[
-                Ended(0, 1, false),
-                Ended(9, 2, false),
-                Ended(20, 3, false),
-                Ended(30, 4, false),
-                Ended(40, 5, false),
+                Crash(0, 1, false),
+                Crash(9, 2, false),
+                Crash(20, 3, false),
+                Crash(30, 4, false),
+                Crash(40, 5, false),
             ],
             blocked: true,
         },
         Case {
             name: "ten minutes later",
             steps: &[
-                Ended(0, 1, true),
-                Ended(9, 2, true),
-                Ended(20, 3, true),
-                Told(11 * MINUTE, 3, 11 * 60_000),
+                Crash(0, 1, true),
+                Crash(9, 2, true),
+                Crash(20, 3, true),
+                Remote(11 * MINUTE, 3, 11 * 60_000),
             ],
             blocked: false,
         },
     ];
     for case in cases {
-        let (fatal, now) = play(case.steps, Instant::now());
+        let (fatal, now) = apply(case.steps, Instant::now());
         assert_eq!(fatal.blocked(print("a"), now).is_some(), case.blocked, "{}", case.name);
         assert!(fatal.blocked(print("b"), now).is_none(), "{}", case.name);
     }
 }
 
 #[test]
-fn another_organisation_s_request_is_another_request() {
+fn requests_of_two_organisations_differ() {
     let parts: [&[u8]; 2] = [b"/draft/", b"body"];
     let (own, other) =
         (Fingerprint::of(Some("acme"), &parts), Fingerprint::of(Some("ajax"), &parts));
@@ -160,12 +168,12 @@
     assert_ne!(
         Fingerprint::of(None, &[b"/draft/", b"body"]),
         Fingerprint::of(None, &[b"/draft/b", b"ody"]),
-        "a part does not run over into the next"
+        "a part does not extend into the next"
     );
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_blocked_requests_stay() {
+fn memory_is_bounded_and_blocked_requests_stay() {
     let now = Instant::now();
     let mut fatal = FatalRequests::new(now);
     for target in 1..=3 {
@@ -174,67 +182,67 @@
     for n in 0..5_000_u32 {
         fatal.record_crash(print(&format!("beside-{n}")), 3, true, now + ms(u64::from(n)));
     }
-    // A moment at which blocked requests have their turn again.
+    // A moment at which it is the turn of the blocked requests again.
     let later = now + ms(6_100);
     assert!(fatal.blocked(print("guilty"), later).is_some());
     assert_eq!(fatal.blocked_count(), 1);
     let bytes: usize = fatal.reports(later).iter().map(FatalReport::max_bytes).sum();
     assert!(bytes <= REPORT_BYTES, "{bytes} bytes");
-    assert_eq!(fatal.reports(later)[0].fingerprint, print("guilty"), "the most ends first");
+    assert_eq!(fatal.reports(later)[0].fingerprint, print("guilty"), "the most crashes first");
 }
 
-/// Hosts that hear each other's words late, twice, out of order, or not at all.
+/// A transmission between two hosts: reports arrive late, repeatedly, out of order, or not at all.
 #[derive(Clone, Debug)]
-struct Word {
+struct Transmission {
     from: usize,
     to: usize,
     delay: u64,
     lost: bool,
 }
 
-fn words() -> impl Strategy<Value = Vec<Word>> {
-    let word = (0_usize..4, 0_usize..4, 0_u64..300, prop::bool::weighted(0.2))
-        .prop_map(|(from, to, delay, lost)| Word { from, to, delay, lost });
-    prop::collection::vec(word, 30..120)
+fn transmissions() -> impl Strategy<Value = Vec<Transmission>> {
+    let transmission = (0_usize..4, 0_usize..4, 0_u64..300, prop::bool::weighted(0.2))
+        .prop_map(|(from, to, delay, lost)| Transmission { from, to, delay, lost });
+    prop::collection::vec(transmission, 30..120)
 }
 
 proptest! {
-    /// However words come, nobody makes more of them than what was seen, nothing is told for ever, and once words
-    /// get through all hosts agree.
+    /// However reports arrive, no host counts more crashes than happened, nothing is reported for
+    /// ever, and once reports get through all hosts agree.
     #[test]
-    fn hosts_agree_in_the_end_and_fall_silent(
-        ends in prop::collection::vec((0_usize..4, 0_u64..900, 1_u32..6, any::<bool>()), 0..9),
-        whole in prop::option::of((0_usize..4, 0_u64..900)),
-        words in words(),
+    fn hosts_converge_and_stop_reporting(
+        crashes in prop::collection::vec((0_usize..4, 0_u64..900, 1_u32..6, any::<bool>()), 0..9),
+        completed in prop::option::of((0_usize..4, 0_u64..900)),
+        transmissions in transmissions(),
     ) {
         let start = Instant::now();
         let mut hosts = vec![FatalRequests::new(start); 4];
-        let mut flying: Vec<(Instant, usize, FatalReport)> = Vec::new();
-        for (step, word) in words.iter().enumerate() {
+        let mut in_transit: Vec<(Instant, usize, FatalReport)> = Vec::new();
+        for (step, transmission) in transmissions.iter().enumerate() {
             let now = start + ms(step as u64 * 10);
             let due = |at: u64| at / 10 == step as u64;
-            for (host, _, target, early) in ends.iter().filter(|(_, at, ..)| due(*at)) {
+            for (host, _, target, early) in crashes.iter().filter(|(_, at, ..)| due(*at)) {
                 hosts[*host].record_crash(print("a"), *target, *early, now);
             }
-            if let Some((host, _)) = whole.filter(|(_, at)| due(*at)) {
+            if let Some((host, _)) = completed.filter(|(_, at)| due(*at)) {
                 hosts[host].record_success(print("a"), now);
             }
-            if !word.lost {
-                let told = hosts[word.from].reports(now).into_iter();
-                flying.extend(told.map(|note| (now + ms(word.delay), word.to, note)));
+            if !transmission.lost {
+                let reports = hosts[transmission.from].reports(now).into_iter();
+                in_transit.extend(reports.map(|report| (now + ms(transmission.delay), transmission.to, report)));
             }
-            for (_, to, note) in flying.extract_if(.., |(at, ..)| *at <= now) {
-                hosts[to].receive(&note, now);
+            for (_, to, report) in in_transit.extract_if(.., |(at, ..)| *at <= now) {
+                hosts[to].receive(&report, now);
             }
         }
-        // From here on every word gets through.
-        let mut now = start + ms(words.len() as u64 * 10);
+        // From here on every report gets through.
+        let mut now = start + ms(transmissions.len() as u64 * 10);
         let end = now + ms(6_000);
         while now < end {
             for from in 0..4 {
-                for note in hosts[from].reports(now) {
+                for report in hosts[from].reports(now) {
                     for to in (0..4).filter(|to| *to != from) {
-                        hosts[to].receive(&note, now + ms(5));
+                        hosts[to].receive(&report, now + ms(5));
                     }
                 }
             }
@@ -243,12 +251,12 @@
         let blocked: Vec<bool> =
             hosts.iter().map(|h| h.blocked(print("a"), now).is_some()).collect();
         prop_assert!(blocked.iter().all(|b| *b == blocked[0]), "{:?}", blocked);
-        let mut targets: Vec<u32> = ends.iter().map(|(_, _, target, _)| *target).collect();
+        let mut targets: Vec<u32> = crashes.iter().map(|(_, _, target, _)| *target).collect();
         targets.sort_unstable();
         targets.dedup();
         prop_assert!(!blocked[0] || targets.len() >= 3);
-        let quiet = now + ms(2_000);
-        prop_assert!(blocked[0] || hosts.iter().all(|h| h.reports(quiet).is_empty()));
+        let later = now + ms(2_000);
+        prop_assert!(blocked[0] || hosts.iter().all(|h| h.reports(later).is_empty()));
     }
 }
 
@@ -265,8 +273,8 @@
     let mut changes = 0;
     for step in 0..200 {
         let now = start + ms(5_000 + step * 100);
-        for note in known.reports(now) {
-            let change = joined.receive(&note, now);
+        for report in known.reports(now) {
+            let change = joined.receive(&report, now);
             changes += usize::from(matches!(change, FatalChange::Blocked));
         }
     }
@@ -282,13 +290,13 @@
     }
 }
 
-/// What a host that reads the records finds, and what it does with them.
+/// What a host that reads the records finds, and its effect.
 struct RecordCase {
     name: &'static str,
-    /// Seconds of the time of day between writing and reading, which may have been set back.
+    /// Wall-clock seconds between writing and reading; negative if the clock was set back.
     later: i64,
-    /// Whether the request ended whole at this host a moment ago.
-    whole: bool,
+    /// Whether the request completed at this host just before.
+    completed: bool,
     blocked: bool,
 }
 
@@ -296,10 +304,10 @@
 fn a_record_blocks_a_request_until_it_lapses_or_is_cleared() {
     const WALL: u64 = 1_800_000_000_000;
     let cases = [
-        RecordCase { name: "soon after", later: 9, whole: false, blocked: true },
-        RecordCase { name: "the clock was set back", later: -30, whole: false, blocked: true },
-        RecordCase { name: "ten minutes later", later: 601, whole: false, blocked: false },
-        RecordCase { name: "it is well now", later: 9, whole: true, blocked: false },
+        RecordCase { name: "soon after", later: 9, completed: false, blocked: true },
+        RecordCase { name: "the clock was set back", later: -30, completed: false, blocked: true },
+        RecordCase { name: "ten minutes later", later: 601, completed: false, blocked: false },
+        RecordCase { name: "it completed since", later: 9, completed: true, blocked: false },
     ];
     for case in cases {
         let start = Instant::now();
@@ -308,14 +316,14 @@
             writer.record_crash(print("a"), target, true, start);
         }
         writer.record_crash(print("b"), 1, true, start);
-        let upkeep = writer.record_diff(&[], WALL, start);
-        assert_eq!(upkeep.missing.len(), 1, "{}: only what is blocked", case.name);
-        let record = &upkeep.missing[0];
+        let diff = writer.record_diff(&[], WALL, start);
+        assert_eq!(diff.missing.len(), 1, "{}: only what is blocked", case.name);
+        let record = &diff.missing[0];
         assert!(writer.record_diff(&[print("a")], WALL, start).missing.is_empty(), "{}", case.name);
         // Another host, later.
         let now = start + ms(700_000);
         let mut reader = FatalRequests::new(now);
-        if case.whole {
+        if case.completed {
             reader.record_success(print("a"), now);
         }
         let wall = WALL.saturating_add_signed(case.later * 1000);
--- a/crates/roseshore_core/tests/gateway/limits.rs
+++ b/crates/roseshore_core/tests/gateway/limits.rs
@@ -1,4 +1,5 @@
-//! Limits that targets name: which word is the newest, how data centres divide a limit, and what is issued.
+//! Limits that targets advertise: which advertisement applies, how data centres divide a limit, and
+//! what is issued.
 
 use proptest::prelude::*;
 use roseshore_core::gateway::limits::share::ShareInputs;
@@ -12,31 +13,31 @@
     Duration::from_millis(ms)
 }
 
-/// What happens to a host that has heard nothing, and the limit that it keeps afterwards.
+/// Events at a host that knows nothing, and the limit that it keeps afterwards.
 struct Case {
     name: &'static str,
     happens: fn(&mut TargetLimits, Instant),
     kept: Option<f64>,
 }
 
-fn told(limit: f32, ended: bool, age: u32, origin: (u32, u32)) -> LimitReport {
+fn report(limit: f32, ended: bool, age: u32, origin: (u32, u32)) -> LimitReport {
     LimitReport { target: TARGET, limit, ended, age, origin, wanted: 0 }
 }
 
-/// Each plays up to five seconds before the moment at which the limit is asked for.
+/// Each case takes at most five seconds; the limit is checked five seconds after its start.
 #[test]
-fn the_newest_word_of_a_target_counts() {
+fn the_newest_advertisement_of_a_target_applies() {
     let case = |name, happens, kept| Case { name, happens, kept };
     let cases = [
         case("nothing", |_, _| (), None),
-        case("named", |l, t| _ = l.advertised(TARGET, 6.0, t), Some(6.0)),
+        case("advertised", |l, t| _ = l.advertised(TARGET, 6.0, t), Some(6.0)),
         case(
-            "a limit of nothing is tried now and then",
+            "a limit of 0 still allows a trial now and then",
             |l, t| _ = l.advertised(TARGET, 0.0, t),
             Some(0.2),
         ),
         case(
-            "named anew, higher",
+            "advertised again, higher",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
                 l.advertised(TARGET, 8.0, t + ms(250));
@@ -44,7 +45,7 @@
             Some(8.0),
         ),
         case(
-            "none in an answer to a request that was sent before",
+            "none in the response to a request sent before",
             |l, t| {
                 l.advertised(TARGET, 6.0, t + ms(100));
                 assert_eq!(l.not_advertised(TARGET, t, t + ms(900)), None);
@@ -52,18 +53,18 @@
             Some(6.0),
         ),
         case(
-            "none in an answer to a request that was sent after",
+            "none in the response to a request sent after",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
                 let ended = LimitChange { before: Some(6.0), after: None };
                 assert_eq!(l.not_advertised(TARGET, t + ms(1), t + ms(20)), Some(ended));
-                // The load comes back step by step.
+                // The rate increases in steps.
                 assert_eq!(l.rate(TARGET, t + ms(501)), Some(12.0));
             },
             None,
         ),
         case(
-            "named again after its end",
+            "advertised again after its end",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
                 l.not_advertised(TARGET, t + ms(1), t + ms(20));
@@ -72,127 +73,123 @@
             Some(5.0),
         ),
         case(
-            "told by another host",
-            |l, t| _ = l.receive(&told(4.0, false, 100, (9, 1)), t),
+            "reported by another host",
+            |l, t| _ = l.receive(&report(4.0, false, 100, (9, 1)), t),
             Some(4.0),
         ),
         case(
-            "told, older than what this host heard",
+            "reported, older than what this host received",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
-                assert_eq!(l.receive(&told(4.0, false, 400, (9, 1)), t + ms(50)), None);
+                assert_eq!(l.receive(&report(4.0, false, 400, (9, 1)), t + ms(50)), None);
             },
             Some(6.0),
         ),
         case(
-            "of two words of about the same moment the lower one",
+            "the lower of two simultaneous advertisements",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
-                l.receive(&told(4.0, false, 100, (9, 1)), t + ms(50));
-                l.receive(&told(7.0, false, 0, (8, 1)), t + ms(60));
+                l.receive(&report(4.0, false, 100, (9, 1)), t + ms(50));
+                l.receive(&report(7.0, false, 0, (8, 1)), t + ms(60));
             },
             Some(4.0),
         ),
         case(
-            "its end told, older than what this host heard",
+            "its end reported, older than what this host received",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
-                l.receive(&told(4.0, true, 100, (9, 1)), t + ms(50));
+                l.receive(&report(4.0, true, 100, (9, 1)), t + ms(50));
             },
             Some(6.0),
         ),
         case(
-            "its own word told back is no younger",
+            "its own advertisement reported back is no younger",
             |l, t| {
                 l.advertised(TARGET, 6.0, t);
                 let own = l.reports(1, |_| Some(0), t + ms(10))[0];
-                l.receive(&told(4.0, true, 0, (9, 1)), t + ms(15));
+                l.receive(&report(4.0, true, 0, (9, 1)), t + ms(15));
                 l.receive(&LimitReport { age: 0, ..own }, t + ms(16));
                 l.receive(&LimitReport { age: 10, ..own }, t + ms(17));
             },
             Some(6.0),
         ),
-        case("rubbish told", |l, t| _ = l.receive(&told(f32::NAN, false, 0, (9, 1)), t), None),
-        case(
-            "less than nothing told",
-            |l, t| _ = l.receive(&told(-1.0, false, 0, (9, 1)), t),
-            None,
-        ),
+        case("invalid limit", |l, t| _ = l.receive(&report(f32::NAN, false, 0, (9, 1)), t), None),
+        case("negative limit", |l, t| _ = l.receive(&report(-1.0, false, 0, (9, 1)), t), None),
     ];
     for case in cases {
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut limits = TargetLimits::new(1);
-        (case.happens)(&mut limits, begun);
-        assert_eq!(limits.rate(TARGET, begun + ms(5_000)), case.kept, "{}", case.name);
+        (case.happens)(&mut limits, start);
+        assert_eq!(limits.rate(TARGET, start + ms(5_000)), case.kept, "{}", case.name);
     }
 }
 
 #[test]
-fn two_hosts_that_tell_each_other_all_they_know_come_to_rest() {
-    let begun = Instant::now();
+fn two_hosts_that_exchange_all_reports_converge() {
+    let start = Instant::now();
     let (mut a, mut b) = (TargetLimits::new(1), TargetLimits::new(2));
-    a.advertised(TARGET, 6.0, begun);
-    b.advertised(TARGET, 5.0, begun + ms(2));
+    a.advertised(TARGET, 6.0, start);
+    b.advertised(TARGET, 5.0, start + ms(2));
     let mut changes = 0;
     for turn in 1..100 {
-        let (sent, came) = (begun + ms(turn * 100), begun + ms(turn * 100 + 3));
+        let (sent, received) = (start + ms(turn * 100), start + ms(turn * 100 + 3));
         let (from_a, from_b) = (a.reports(9, |_| Some(0), sent), b.reports(9, |_| Some(0), sent));
-        changes += from_a.iter().filter_map(|note| b.receive(note, came)).count();
-        changes += from_b.iter().filter_map(|note| a.receive(note, came)).count();
+        changes += from_a.iter().filter_map(|report| b.receive(report, received)).count();
+        changes += from_b.iter().filter_map(|report| a.receive(report, received)).count();
     }
-    let end = begun + ms(10_000);
+    let end = start + ms(10_000);
     assert_eq!(a.rate(TARGET, end), b.rate(TARGET, end));
     assert!(changes <= 2, "{changes} changes");
 }
 
 #[test]
-fn a_word_lasts_as_long_as_its_target_s_life() {
-    let begun = Instant::now();
-    let late = begun + Duration::from_mins(10);
+fn a_limit_lasts_as_long_as_its_targets_incarnation() {
+    let start = Instant::now();
+    let later = start + Duration::from_mins(10);
     let mut limits = TargetLimits::new(1);
-    limits.advertised(TARGET, 6.0, begun);
-    limits.expire(|_| true, late);
-    assert_eq!(limits.rate(TARGET, late), Some(6.0));
-    limits.expire(|_| false, late);
-    assert_eq!(limits.rate(TARGET, late), None);
+    limits.advertised(TARGET, 6.0, start);
+    limits.expire(|_| true, later);
+    assert_eq!(limits.rate(TARGET, later), Some(6.0));
+    limits.expire(|_| false, later);
+    assert_eq!(limits.rate(TARGET, later), None);
 }
 
 #[test]
-fn a_word_on_a_target_that_is_not_listed_binds_and_is_not_told_on() {
-    let begun = Instant::now();
+fn a_limit_of_an_unlisted_target_applies_but_is_not_reported() {
+    let start = Instant::now();
     let mut limits = TargetLimits::new(1);
-    limits.receive(&told(6.0, false, 0, (2, 1)), begun);
-    assert_eq!(limits.permit(TARGET, begun), Permit::Ask);
-    assert_eq!(limits.reports(9, |_| None, begun), []);
-    assert_eq!(limits.reports(9, |_| Some(0), begun).len(), 1, "once it is listed");
+    limits.receive(&report(6.0, false, 0, (2, 1)), start);
+    assert_eq!(limits.permit(TARGET, start), Permit::Ask);
+    assert_eq!(limits.reports(9, |_| None, start), []);
+    assert_eq!(limits.reports(9, |_| Some(0), start).len(), 1, "once it is listed");
 }
 
 #[test]
-fn a_permit_is_used_once_and_not_late() {
-    let begun = Instant::now();
+fn a_permit_is_used_once_and_expires() {
+    let start = Instant::now();
     let mut limits = TargetLimits::new(1);
-    assert_eq!(limits.permit(TARGET, begun), Permit::Unlimited);
-    limits.advertised(TARGET, 6.0, begun);
-    assert_eq!(limits.permit(TARGET, begun), Permit::Ask);
-    let ask = limits.permit_request(TARGET, 3, begun).expect("a limit is known");
+    assert_eq!(limits.permit(TARGET, start), Permit::Unlimited);
+    limits.advertised(TARGET, 6.0, start);
+    assert_eq!(limits.permit(TARGET, start), Permit::Ask);
+    let ask = limits.permit_request(TARGET, 3, start).expect("a limit is known");
     assert_eq!((ask.number, ask.limit.limit), (3, 6.0));
     let grant = PermitGrant { target: TARGET, number: 3, permits: 2, wait: 0 };
-    limits.apply_grant(&grant, begun);
-    assert!(limits.consume(TARGET, begun) && limits.consume(TARGET, begun));
-    assert!(!limits.consume(TARGET, begun), "both are used");
-    limits.apply_grant(&grant, begun);
-    assert!(!limits.consume(TARGET, begun + ms(1_000)), "it lay too long");
-    limits.apply_grant(&PermitGrant { permits: 0, wait: 80, ..grant }, begun + ms(1_000));
-    assert_eq!(limits.permit(TARGET, begun + ms(1_079)), Permit::None);
-    assert_eq!(limits.without_permit(begun + ms(1_079)).collect::<Vec<_>>(), [TARGET]);
-    assert_eq!(limits.permit(TARGET, begun + ms(1_080)), Permit::Ask);
-    limits.request_failed(TARGET, begun + ms(1_080));
-    assert_eq!(limits.permit(TARGET, begun + ms(1_081)), Permit::None);
+    limits.apply_grant(&grant, start);
+    assert!(limits.consume(TARGET, start) && limits.consume(TARGET, start));
+    assert!(!limits.consume(TARGET, start), "both are used");
+    limits.apply_grant(&grant, start);
+    assert!(!limits.consume(TARGET, start + ms(1_000)), "they have expired");
+    limits.apply_grant(&PermitGrant { permits: 0, wait: 80, ..grant }, start + ms(1_000));
+    assert_eq!(limits.permit(TARGET, start + ms(1_079)), Permit::None);
+    assert_eq!(limits.without_permit(start + ms(1_079)).collect::<Vec<_>>(), [TARGET]);
+    assert_eq!(limits.permit(TARGET, start + ms(1_080)), Permit::Ask);
+    limits.request_failed(TARGET, start + ms(1_080));
+    assert_eq!(limits.permit(TARGET, start + ms(1_081)), Permit::None);
 }
 
 proptest! {
-    /// Data centres that know what all have asked for issue the limit together, and at once no more than users
-    /// bear beside it.
+    /// Data centres that know all permit requests together issue exactly the limit, and no larger
+    /// burst than users tolerate beside it.
     #[test]
     fn data_centres_divide_a_limit(
         limit in 0.2_f64..100.0,
@@ -209,15 +206,15 @@
         prop_assert!(burst <= 2.0 * limit + 5.0 + 1e-9, "{burst} at once");
     }
 
-    /// Whoever asks when, in no four seconds is more issued than the users' bound.
+    /// Whoever asks and when, no four seconds see more permits than the users' bound.
     #[test]
     fn an_issuer_keeps_to_the_bound(
         limit in 0.2_f64..60.0,
         pauses in proptest::collection::vec(0_u64..400, 1..400),
     ) {
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut issuer = Issuer::default();
-        let mut now = begun;
+        let mut now = start;
         let mut issued: Vec<(Instant, u16)> = Vec::new();
         for pause in pauses {
             now += ms(pause);
--- a/crates/roseshore_core/tests/gateway/position.rs
+++ b/crates/roseshore_core/tests/gateway/position.rs
@@ -1,4 +1,4 @@
-//! What the era of a store's reply says.
+//! How the era of a store's reply is judged.
 
 use roseshore_core::gateway::position::ReplyEra;
 
