--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -15,13 +15,16 @@
 use roseshore_ports::entry::Carried;
 use std::net::SocketAddr;
 
-/// Time-out for a connection to be established: a millisecond between data centres, and the retransmission of one lost packet.
+/// Time-out for a connection to be established: a millisecond between data centres, and the
+/// retransmission of one lost packet.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Longest time that a request without a response waits for capacity. It waits for at most an eighth
-/// ([`QUEUE_OBJECTIVE_DIVISOR`]) of its route's latency objective: a later refusal would be late.
+/// Longest time that a request without a response waits for capacity. It waits for at most an
+/// eighth ([`QUEUE_OBJECTIVE_DIVISOR`]) of its route's latency objective: a later refusal would be
+/// late.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(80);
 const QUEUE_OBJECTIVE_DIVISOR: u32 = 8;
-/// Longest time that a started stream waits for capacity: its caller leaves after two seconds without an event.
+/// Longest time that a started stream waits for capacity: its caller leaves after two seconds
+/// without an event.
 const MAX_STREAM_QUEUE_TIME: Duration = Duration::from_millis(1300);
 /// How long a request avoids a target after a fault with [`Blame::Unknown`].
 const AVOID_UNKNOWN_BLAME: Duration = Duration::from_millis(250);
@@ -39,11 +42,11 @@
     ttft_ms: f64,
     /// Predicted time between tokens in milliseconds.
     token_ms: f64,
-    /// Whether all targets have capacity for the request.
+    /// Whether every target has capacity for the whole answer and none failed recently.
     pub(super) suitable: bool,
     /// Expected number of tokens of the answer.
     expected: f64,
-    /// The highest cache utilization on the path as a fraction, and its target.
+    /// The highest cache utilisation on the path as a fraction, and its target.
     utilisation: (f64, TargetId),
 }
 
@@ -105,8 +108,8 @@
         if !self.charge_retry(key) {
             return self.end_without(key, Code::RetryBudget, "no more sends may be repeated");
         }
-        let fresh = self.exchanges.get(key).is_some_and(|e| !e.route.kind.is_idempotent());
-        let (socket, reused) = match self.acquire_connection(choice.addr, fresh) {
+        let new_only = self.exchanges.get(key).is_some_and(|e| !e.route.kind.is_idempotent());
+        let (socket, reused) = match self.acquire_connection(choice.addr, new_only) {
             Ok(connection) => connection,
             Err(err) => {
                 let why = format!("no connection to `{}`: {err}", choice.addr);
@@ -149,8 +152,9 @@
         for claim in &choice.claims {
             self.targets.reserve(claim);
         }
-        let life = |claim: &Claim| Some((claim.target.clone(), self.targets.hash(&claim.target)?));
-        let incarnations = choice.claims.iter().filter_map(life).collect();
+        let incarnation =
+            |claim: &Claim| Some((claim.target.clone(), self.targets.hash(&claim.target)?));
+        let incarnations = choice.claims.iter().filter_map(incarnation).collect();
         exchange.send = Some(InFlightSend {
             socket,
             target: choice.target,
@@ -166,7 +170,7 @@
             token_ms: choice.token_ms,
             reused,
             status: 0,
-            rest: None,
+            pause: None,
             leaving: false,
         });
         self.roles.insert(socket, Role::Target(key));
@@ -175,23 +179,23 @@
         self.set_timer(self.now + CONNECT_TIMEOUT, Timer::Exchange(key));
     }
 
-    /// Ends a request that is blocked, or makes it wait while it is not known whether it ends its targets. Returns whether
-    /// it did either.
+    /// Ends a request that is blocked, or makes it wait while it is not known whether it crashes
+    /// its targets. Returns whether it did either.
     fn block_or_wait(&mut self, key: Key) -> bool {
         let Some(exchange) = self.exchanges.get(key) else { return true };
         if self.fatal.blocked(exchange.fingerprint, self.now).is_some() {
             self.end_without(key, Code::EndsTargets, ENDS_TARGETS);
             return true;
         }
-        let waits = self.awaits_diagnosis(exchange);
-        if waits {
+        let must_wait = self.awaits_diagnosis(exchange);
+        if must_wait {
             self.set_timer(self.now + QUEUE_POLL_INTERVAL, Timer::Exchange(key));
         }
-        waits
+        must_wait
     }
 
-    /// Whether the retry budget permits a send; a retry is charged to it. A send after one whose connection was never
-    /// established is not a retry, since that one reached no target.
+    /// Whether the retry budget permits a send; a retry is charged to it. A send after one whose
+    /// connection was never established is not a retry, since that one reached no target.
     fn charge_retry(&mut self, key: Key) -> bool {
         let now = self.now;
         let Some(exchange) = self.exchanges.get(key).filter(|e| e.reached_target) else {
@@ -201,21 +205,21 @@
         self.retry_budget(&service).try_retry(now)
     }
 
-    /// Queues a request until a target has capacity, and ends it if that takes too long. A started stream waits longer, since
-    /// cutting it off helps nobody.
+    /// Queues a request until a target has capacity, and ends it if that takes too long. A started
+    /// stream waits longer, since cutting it off helps nobody.
     pub(super) fn wait_for_capacity(&mut self, key: Key, best: Option<Choice>) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let since = *exchange.waiting_since.get_or_insert(now);
-        let fresh = MAX_QUEUE_TIME.min(exchange.route.objective / QUEUE_OBJECTIVE_DIVISOR);
+        let queue_limit = MAX_QUEUE_TIME.min(exchange.route.objective / QUEUE_OBJECTIVE_DIVISOR);
         let started = exchange.delivery.started;
-        let max_wait = if started { MAX_STREAM_QUEUE_TIME } else { fresh };
+        let max_wait = if started { MAX_STREAM_QUEUE_TIME } else { queue_limit };
         let engine = exchange.service.engine.is_some();
         let left = (since + max_wait).saturating_duration_since(now);
         if best.is_none() && !started {
             match self.unavailable_reason(key) {
-                Unavailable::BackingOff(rest) if !engine || rest >= left => {
-                    return self.end_resting(key, rest);
+                Unavailable::BackingOff(pause) if !engine || pause >= left => {
+                    return self.end_paused(key, pause);
                 }
                 Unavailable::RateLimited => return self.end_limited(key),
                 Unavailable::BackingOff(_) | Unavailable::Other => {}
@@ -235,7 +239,7 @@
     fn unavailable_reason(&mut self, key: Key) -> Unavailable {
         let Some(exchange) = self.exchanges.get(key) else { return Unavailable::Other };
         let pause_ends = self.targets.pause_ends(&exchange.service.name, self.now);
-        let limited = self.limited(&exchange.service.name);
+        let limited = self.limited_targets(&exchange.service.name);
         Unavailable::of(pause_ends, !limited.is_empty(), self.now, |attempt| {
             let excluded = if attempt.enforce_limits { limited.as_slice() } else { &[] };
             self.choose_at(key, attempt.at, excluded).is_some()
@@ -245,11 +249,12 @@
     /// The best target or path for a request now, which may lack capacity.
     pub(super) fn choose(&mut self, key: Key) -> Option<Choice> {
         let exchange = self.exchanges.get(key)?;
-        let limited = self.limited(&exchange.service.name);
+        let limited = self.limited_targets(&exchange.service.name);
         self.choose_at(key, self.now, &limited)
     }
 
-    /// Like [`EntryHost::choose`], by the expected state at a time `at`, and without starting at the targets in `excluded_first`.
+    /// Like [`EntryHost::choose`], by the expected state at a time `at`, and without starting at
+    /// the targets in `excluded_first`.
     fn choose_at(&mut self, key: Key, at: Instant, excluded_first: &[TargetId]) -> Option<Choice> {
         let exchange = self.exchanges.get(key)?;
         let data_centre = self.settings.data_centre.as_str();
@@ -302,7 +307,8 @@
         })
     }
 
-    /// Handles a failed send; `culprit` is the target at fault if it is not the one that the request was sent to.
+    /// Handles a failed send; `culprit` is the target at fault if it is not the one that the
+    /// request was sent to.
     pub(super) fn send_failed(&mut self, key: Key, fault: Fault, culprit: Option<SocketAddr>) {
         let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
         let named = culprit.and_then(|addr| send.at(addr));
@@ -332,7 +338,7 @@
             exchange.delivery.events,
             send.reused,
             send.status,
-            millis(send.rest),
+            millis(send.pause),
             send.leaving,
             culprits.join(","),
         );
@@ -359,8 +365,8 @@
         self.retry_or_end(key, fault);
     }
 
-    /// Records a fault of a target, unless the blame is unknown. Returns the time until which the request avoids the
-    /// target, or `None` if it avoids the target until the request ends.
+    /// Records a fault of a target, unless the blame is unknown. Returns the time until which the
+    /// request avoids the target, or `None` if it avoids the target until the request ends.
     fn record_fault(&mut self, culprit: &TargetId, blame: Blame, fault: Fault) -> Option<Instant> {
         let now = self.now;
         if blame == Blame::Unknown {
@@ -369,7 +375,8 @@
         if self.targets.record_failure(culprit, now) {
             log_event!(self, TargetLost, "target={culprit} fault={}", fault.name());
         }
-        // A busy target may be the only one that holds its layers, and has room again when other requests end.
+        // A busy target may be the only one that holds its layers, and has capacity again when
+        // other requests end.
         self.targets.quarantine_end(culprit).filter(|_| blame == Blame::Busy)
     }
 
@@ -390,8 +397,8 @@
         self.end_without(key, code, why);
     }
 
-    /// Removes the send in flight, with its load on the targets. With `keep`, its connection is reused if it has no pending
-    /// input.
+    /// Removes the send in flight, with its load on the targets. With `keep`, its connection is
+    /// reused if it has no pending input.
     pub(super) fn drop_send(&mut self, key: Key, keep: bool) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         let Some(send) = exchange.send.take() else { return };
@@ -406,9 +413,10 @@
     }
 }
 
-/// Expected number of tokens of an answer: the caller's estimate or else the usual number, within the caller's maximum.
+/// Expected number of tokens of an answer: the caller's estimate or else the usual number, within
+/// the caller's maximum.
 fn expected_tokens(exchange: &Exchange, default: f64) -> f64 {
     let guess = exchange.asked.hint.map_or(default, f64::from);
-    let max_wait = f64::from(exchange.asked.longest);
-    if max_wait > 0.0 { guess.min(max_wait) } else { guess }
+    let max_tokens = f64::from(exchange.asked.longest);
+    if max_tokens > 0.0 { guess.min(max_tokens) } else { guess }
 }
--- a/crates/roseshore_relay/src/entry/heartbeats.rs
+++ b/crates/roseshore_relay/src/entry/heartbeats.rs
@@ -10,12 +10,13 @@
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use std::net::SocketAddr;
 
-/// Shortest interval between aggregations of the other hosts' heartbeats. A speaker among sixty hosts receives three
-/// hundred heartbeats per second, and a single one hardly changes the sum that a choice of target depends on.
+/// Shortest interval between aggregations of the other hosts' heartbeats. A speaker among sixty
+/// hosts receives three hundred heartbeats per second, and a single one hardly changes the sum that
+/// a choice of target depends on.
 const VIEW_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for a copy of a newer configuration before the store is read instead: refusals begin after 0.7 s, and a copy
-/// of 250 kB reaches the last of sixty hosts after 0.9 s.
+/// Longest wait for a copy of a newer configuration before the store is read instead: refusals
+/// begin after 0.7 s, and a copy of 250 kB reaches the last of sixty hosts after 0.9 s.
 const MAX_COPY_WAIT: Duration = Duration::from_millis(500);
 
 /// Maximum number of paces in a heartbeat; more do not fit a datagram with the other contents.
@@ -27,8 +28,8 @@
         let mut joined = false;
         while let Some((from, bytes)) = self.net.receive_datagram() {
             match frame::decode(bytes) {
-                Ok(Datagram::Beat(beat)) => joined |= self.apply_heartbeat(from, *beat),
-                Ok(Datagram::Ask(ask)) => self.answer_permit_request(from, &ask),
+                Ok(Datagram::Beat(heartbeat)) => joined |= self.apply_heartbeat(from, *heartbeat),
+                Ok(Datagram::Ask(request)) => self.answer_permit_request(from, &request),
                 Ok(Datagram::Grant(grant)) => self.apply_grant(&grant),
                 Err(err) => {
                     let why = err.to_string();
@@ -45,18 +46,18 @@
     }
 
     /// Applies a heartbeat; returns whether its sender has just joined.
-    fn apply_heartbeat(&mut self, from: SocketAddr, mut beat: Heartbeat) -> bool {
-        let (now, config, list) = (self.now, beat.config, beat.list);
-        let holds = std::mem::take(&mut beat.holds);
-        let paces = std::mem::take(&mut beat.paces);
-        let fatal = std::mem::take(&mut beat.fatal);
-        let limits = beat.limits.clone();
-        let Some(heard) = self.peers.receive(from, beat, now) else { return false };
+    fn apply_heartbeat(&mut self, from: SocketAddr, mut heartbeat: Heartbeat) -> bool {
+        let (now, config, list) = (self.now, heartbeat.config, heartbeat.list);
+        let holdings = std::mem::take(&mut heartbeat.holds);
+        let paces = std::mem::take(&mut heartbeat.paces);
+        let fatal = std::mem::take(&mut heartbeat.fatal);
+        let limits = heartbeat.limits.clone();
+        let Some(heard) = self.peers.receive(from, heartbeat, now) else { return false };
         if heard.joined {
             log_event!(self, HostJoined, "host={from} near={} config_version={config}", heard.near);
         }
-        for hold in holds {
-            self.apply_hold(hold);
+        for holding in holdings {
+            self.apply_holding_report(holding);
         }
         for report in paces {
             if let Some(pace) = EnginePace::from_report(&report, now) {
@@ -78,10 +79,11 @@
         heard.joined
     }
 
-    /// Whether a copy of a newer configuration is expected soon, and the wait has not been too long.
+    /// Whether a copy of a newer configuration is expected soon, and the wait has not been too
+    /// long.
     fn copy_expected(&self) -> bool {
-        let late = |since| self.now.saturating_duration_since(since) >= MAX_COPY_WAIT;
-        self.copies.expected(self.now) && !self.outdated_since.is_some_and(late)
+        let overdue = |since| self.now.saturating_duration_since(since) >= MAX_COPY_WAIT;
+        self.copies.expected(self.now) && !self.outdated_since.is_some_and(overdue)
     }
 
     /// Aggregates the loads and counts that other hosts reported.
@@ -98,8 +100,8 @@
         }
     }
 
-    /// The paces of engines to report to other hosts. Only speakers report them, since the other hosts of a data centre hear
-    /// only their speakers.
+    /// The paces of engines to report to other hosts. Only speakers report them, since the other
+    /// hosts of a data centre hear only their speakers.
     fn pace_reports(&self) -> Vec<PaceReport> {
         if !self.peers.speaking() {
             return Vec::new();
@@ -124,16 +126,16 @@
         self.send_heartbeats();
     }
 
-    /// Requests an urgent heartbeat to all hosts: at the end of this iteration of the event loop, or as soon as the interval
-    /// between urgent heartbeats allows.
+    /// Requests an urgent heartbeat to all hosts: at the end of this iteration of the event loop,
+    /// or as soon as the interval between urgent heartbeats allows.
     pub(super) fn heartbeat_soon(&mut self) {
         self.urgent_pending = true;
     }
 
     /// Sends a pending urgent heartbeat if it is due.
     pub(super) fn send_urgent(&mut self) {
-        let late = |at| self.now.saturating_duration_since(at) >= MIN_URGENT_GAP;
-        if self.urgent_pending && self.urgent_sent.is_none_or(late) {
+        let overdue = |at| self.now.saturating_duration_since(at) >= MIN_URGENT_GAP;
+        if self.urgent_pending && self.urgent_sent.is_none_or(overdue) {
             self.urgent_pending = false;
             self.urgent_sent = Some(self.now);
             self.heartbeat_now(true);
@@ -159,8 +161,8 @@
         };
         let due = self.peers.due(&own, self.now);
         self.log_speaking();
-        for (to, beat) in due {
-            self.send_message(to, &Datagram::Beat(Box::new(beat)));
+        for (to, heartbeat) in due {
+            self.send_message(to, &Datagram::Beat(Box::new(heartbeat)));
         }
     }
 
--- a/crates/roseshore_relay/src/entry/placement/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placement/holdings.rs
@@ -7,7 +7,8 @@
 use roseshore_core::gateway::targets::{LayersReport, Target};
 use roseshore_core::prelude::*;
 
-/// Maximum number of orders and held layers in a heartbeat; more do not fit a datagram with the other contents.
+/// Maximum number of orders and held layers in a heartbeat; more do not fit a datagram with the
+/// other contents.
 const MAX_REPORTS: usize = 16;
 /// Time for which a report of another host about a target's layers is valid.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1200);
@@ -15,7 +16,8 @@
 const NOTHING: LayerRange = (0, 0);
 
 impl EntryHost {
-    /// Records the layers that a target was found to hold, and reports them to the data centre at once.
+    /// Records the layers that a target was found to hold, and reports them to the data centre at
+    /// once.
     pub(super) fn record_held(&mut self, id: &str, layers: LayerRange) {
         let Some(target) = self.targets.hash(id) else { return };
         let word = self.targets.next_report(target, layers);
@@ -29,9 +31,10 @@
         self.heartbeat_now(false);
     }
 
-    /// Records that a target refused a request because it does not hold the layers of its part: it restarted or dropped
-    /// layers, and the list does not show that yet. All hosts are told at once. When each of 64 hosts had to find out by
-    /// itself, a single engine that restarted empty refused 172 sends within six seconds.
+    /// Records that a target refused a request because it does not hold the layers of its part: it
+    /// restarted or dropped layers, and the list does not show that yet. All hosts are told at
+    /// once. When each of 64 hosts had to find out by itself, a single engine that restarted empty
+    /// refused 172 sends within six seconds.
     pub(in crate::entry) fn record_not_held(&mut self, id: &str, part: LayerRange) {
         let held = self.targets.get(id).and_then(Target::holding).map(|h| h.layers);
         let Some((from, to)) = held.filter(|held| intersect(*held, part) == Some(part)) else {
@@ -44,11 +47,11 @@
 
     /// The ordered and learned layers to report to other hosts.
     pub(in crate::entry) fn holding_reports(&self) -> Vec<HoldingReport> {
-        let begun = self.placement.active_orders.iter();
-        let ordered = begun.filter_map(|(id, b)| {
+        let orders = self.placement.active_orders.iter();
+        let ordered = orders.filter_map(|(id, order)| {
             let target = self.targets.hash(id)?;
             let listed = self.targets.get(id)?.record.listed_layers();
-            let word = LayersReport { number: 0, layers: b.layers, listed };
+            let word = LayersReport { number: 0, layers: order.layers, listed };
             Some(HoldingReport { target, word, done: false })
         });
         let learned = self.placement.learned.iter().map(|(report, _)| *report);
@@ -56,21 +59,21 @@
     }
 
     /// Applies another host's report of ordered layers, or of layers that a target holds.
-    pub(in crate::entry) fn apply_hold(&mut self, hold: HoldingReport) {
-        if hold.done {
+    pub(in crate::entry) fn apply_holding_report(&mut self, holding: HoldingReport) {
+        if holding.done {
             let news =
-                self.targets.apply_report(hold.target, hold.word, self.now + REPORT_LIFETIME);
+                self.targets.apply_report(holding.target, holding.word, self.now + REPORT_LIFETIME);
             if news && self.peers.speaking() {
                 // The other hosts of the data centre hear only their speakers.
-                self.report_held(hold);
+                self.report_held(holding);
             }
             return;
         }
         // Another host gives orders, so this one need not step in.
         self.placement.differs_since = None;
-        let Some(id) = self.targets.id_of(hold.target).cloned() else { return };
+        let Some(id) = self.targets.id_of(holding.target).cloned() else { return };
         if !self.placement.active_orders.contains_key(&id) {
-            self.expect_layers(&id, hold.word.layers, REPORT_LIFETIME);
+            self.expect_layers(&id, holding.word.layers, REPORT_LIFETIME);
         }
     }
 }
