--- a/crates/roseshore_core/tests/once.rs
+++ b/crates/roseshore_core/tests/once.rs
@@ -43,7 +43,7 @@
         8 => (daemon(), fault()).prop_map(|(d, fault)| Step::Append(d, fault)),
         8 => (daemon(), prop::bool::weighted(0.8)).prop_map(|(d, works)| Step::Read(d, works)),
         5 => daemon().prop_map(Step::Dispatch),
-        3 => (daemon(), verdict).prop_map(|(d, verdict)| Step::Settle(d, verdict)),
+        3 => (daemon(), verdict).prop_map(|(d, verdict)| Step::RecordOutcome(d, verdict)),
         1 => daemon().prop_map(Step::Abandon),
         2 => Just(Step::DeliverLate),
         3 => prop_oneof![Just(10), Just(600), Just(6000), Just(70_000)].prop_map(Step::Advance),
@@ -200,12 +200,12 @@
     for case in cases {
         let mut keys = Keys::new(100);
         for (at, (nonce, act)) in case.records.into_iter().enumerate() {
-            let record = Record { key: PLAIN.into(), nonce, act };
+            let record = Record { key: PLAIN_KEY.into(), nonce, act };
             // Records are a minute apart, so that a claim with no time left can be settled by the
             // next one.
             keys.apply(at as Offset, LOG_START + at as u64 * 60_000, &record.line());
         }
-        let state = match keys.state(&PLAIN.into()) {
+        let state = match keys.state(&PLAIN_KEY.into()) {
             State::Ran(_) => "ran".into(),
             State::Free => "free".into(),
             State::Held(held) => format!("held {}", held.nonce),
@@ -239,9 +239,9 @@
             created_at: None,
         },
         Case { name: "not hex", key: "o/s/017f22e2-79b0-7cc3-98c4-dc0c0c07398z", created_at: None },
-        Case { name: "stamped", key: TIMED, created_at: Some(LOG_START) },
+        Case { name: "stamped", key: TIMED_KEY, created_at: Some(LOG_START) },
         Case { name: "stamp is no number", key: "o/s/a@b", created_at: None },
-        Case { name: "plain", key: PLAIN, created_at: None },
+        Case { name: "plain", key: PLAIN_KEY, created_at: None },
         Case { name: "ulid is no proof", key: "o/s/01ARZ3NDEKTSV4RRFFQ69G5FAV", created_at: None },
     ];
     for case in cases {
@@ -263,11 +263,23 @@
             name: "whole stream, plain key",
             oldest: 0,
             max_records: 9,
-            key: PLAIN,
+            key: PLAIN_KEY,
             covered: true,
         },
-        Case { name: "trimmed, plain key", oldest: 5, max_records: 9, key: PLAIN, covered: false },
-        Case { name: "trimmed, old key", oldest: 5, max_records: 9, key: TIMED, covered: false },
+        Case {
+            name: "trimmed, plain key",
+            oldest: 5,
+            max_records: 9,
+            key: PLAIN_KEY,
+            covered: false,
+        },
+        Case {
+            name: "trimmed, old key",
+            oldest: 5,
+            max_records: 9,
+            key: TIMED_KEY,
+            covered: false,
+        },
         Case {
             name: "trimmed, key inside the skew",
             oldest: 5,
@@ -286,7 +298,7 @@
             name: "memory full, plain key",
             oldest: 0,
             max_records: 1,
-            key: PLAIN,
+            key: PLAIN_KEY,
             covered: false,
         },
         Case {
--- a/crates/roseshore_core/tests/once/simulation.rs
+++ b/crates/roseshore_core/tests/once/simulation.rs
@@ -13,8 +13,10 @@
 pub(crate) const DAEMONS: usize = 3;
 /// The log's time at the start of each run, in milliseconds since the Unix epoch.
 pub(crate) const LOG_START: u64 = 1_800_000_000_000;
-pub(crate) const TIMED: &str = "o/s/timed@1800000000000";
-pub(crate) const PLAIN: &str = "o/s/plain";
+/// A key that carries its creation time, [`LOG_START`].
+pub(crate) const TIMED_KEY: &str = "o/s/timed@1800000000000";
+/// A key that carries no time.
+pub(crate) const PLAIN_KEY: &str = "o/s/plain";
 
 pub(crate) fn answer(text: &str) -> Outcome {
     let (content, body) = ("text/plain".into(), text.as_bytes().to_vec());
@@ -41,22 +43,30 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Step {
+    /// A daemon gets an attempt, with the timed key if `true`.
     Begin(usize, bool),
     /// A daemon gets an attempt with the plain key and another body.
     Reuse(usize),
+    /// A daemon's append in flight ends.
     Append(usize, AppendFault),
+    /// A daemon's read in flight ends; `true` if it succeeds.
     Read(usize, bool),
     Dispatch(usize),
-    Settle(usize, Verdict),
+    RecordOutcome(usize, Verdict),
     Abandon(usize),
+    /// The last late append takes effect.
     DeliverLate,
+    /// Time passes, and every daemon's timers run. Milliseconds.
     Advance(u64),
-    /// Time passes while no daemon runs.
+    /// Time passes while no daemon runs. Milliseconds.
     Freeze(u64),
+    /// A daemon is replaced by its next incarnation.
     Replace(usize),
+    /// The log trims all its records.
     Trim,
     /// The log service comes back without its records.
     LoseLog,
+    /// All daemons learn the current members.
     Members,
     /// An operator queries a key at a daemon, and then settles it truthfully.
     Operator(usize, bool),
@@ -144,12 +154,12 @@
     pub(crate) fn step(&mut self, step: Step) {
         self.step_count += 1;
         match step {
-            Step::Begin(d, timed) => self.begin(d, if timed { TIMED } else { PLAIN }, 7),
-            Step::Reuse(d) => self.begin(d, PLAIN, 8),
+            Step::Begin(d, timed) => self.begin(d, if timed { TIMED_KEY } else { PLAIN_KEY }, 7),
+            Step::Reuse(d) => self.begin(d, PLAIN_KEY, 8),
             Step::Append(d, fault) => self.append(d, fault),
             Step::Read(d, works) => self.read(d, works),
             Step::Dispatch(d) => self.dispatch(d),
-            Step::Settle(d, verdict) => self.settle(d, verdict),
+            Step::RecordOutcome(d, verdict) => self.settle(d, verdict),
             Step::Abandon(d) => {
                 // Abandoning a dispatched attempt must have no effect.
                 let daemon = &mut self.daemons[d];
@@ -175,7 +185,7 @@
             Step::Trim => self.oldest = self.log.len(),
             Step::LoseLog => self.log.clear(),
             Step::Operator(d, timed) => {
-                let key = if timed { TIMED } else { PLAIN };
+                let key = if timed { TIMED_KEY } else { PLAIN_KEY };
                 let limit = self.now + Duration::from_secs(5);
                 let id = self.daemons[d].machine.query_key(key.into(), true, limit);
                 self.daemons[d].asked.insert(id, key);
@@ -331,7 +341,7 @@
                 self.step(Step::Append(d, AppendFault::None));
                 self.step(Step::Read(d, true));
                 self.step(Step::Dispatch(d));
-                self.step(Step::Settle(d, Verdict::Answered));
+                self.step(Step::RecordOutcome(d, Verdict::Answered));
             }
             self.step(Step::Advance(5));
         }
--- a/crates/roseshore_core/tests/once_faults.rs
+++ b/crates/roseshore_core/tests/once_faults.rs
@@ -38,8 +38,11 @@
     Step::Read(0, true),
 ];
 const DISPATCH: &[Step] = &[Step::Dispatch(0)];
-const RECORD: &[Step] =
-    &[Step::Settle(0, Verdict::Answered), Step::Advance(20), Step::Append(0, AppendFault::None)];
+const RECORD: &[Step] = &[
+    Step::RecordOutcome(0, Verdict::Answered),
+    Step::Advance(20),
+    Step::Append(0, AppendFault::None),
+];
 const REPLACE_CLAIMANT: &[Step] = &[Step::Replace(0), Step::Members];
 /// Daemon 1 gets an attempt with the same key, and takes all steps that it may need.
 const OTHER_DAEMON: &[Step] = &[
@@ -210,7 +213,7 @@
     },
     Case {
         name: "host replaced before its outcome was taken",
-        before: &[CLAIM, DISPATCH, &[Step::Settle(0, Verdict::Answered)], REPLACE_CLAIMANT],
+        before: &[CLAIM, DISPATCH, &[Step::RecordOutcome(0, Verdict::Answered)], REPLACE_CLAIMANT],
         then: OTHER_DAEMON,
         expected: "RS402 may_have_run",
     },
@@ -226,7 +229,7 @@
             CLAIM,
             DISPATCH,
             &[
-                Step::Settle(0, Verdict::Answered),
+                Step::RecordOutcome(0, Verdict::Answered),
                 Step::Advance(20),
                 Step::Append(0, AppendFault::Unreachable),
             ],
@@ -240,7 +243,7 @@
         before: &[
             CLAIM,
             DISPATCH,
-            &[Step::Settle(0, Verdict::Answered), Step::Read(0, false), Step::Advance(600)],
+            &[Step::RecordOutcome(0, Verdict::Answered), Step::Read(0, false), Step::Advance(600)],
         ],
         then: &[Step::Begin(0, false)],
         expected: "repeat",
@@ -250,7 +253,11 @@
         before: &[
             CLAIM,
             DISPATCH,
-            &[Step::Begin(1, false), Step::Read(1, true), Step::Settle(0, Verdict::Answered)],
+            &[
+                Step::Begin(1, false),
+                Step::Read(1, true),
+                Step::RecordOutcome(0, Verdict::Answered),
+            ],
         ],
         then: &[Step::Read(1, false), Step::Advance(600)],
         expected: "ask h0 or RS402",
@@ -273,7 +280,7 @@
             CLAIM,
             DISPATCH,
             &[
-                Step::Settle(0, Verdict::NotRun),
+                Step::RecordOutcome(0, Verdict::NotRun),
                 Step::Advance(20),
                 Step::Append(0, AppendFault::None),
             ],
@@ -287,7 +294,7 @@
             CLAIM,
             DISPATCH,
             &[
-                Step::Settle(0, Verdict::MayHaveRun),
+                Step::RecordOutcome(0, Verdict::MayHaveRun),
                 Step::Advance(20),
                 Step::Append(0, AppendFault::None),
             ],
