--- a/crates/roseshore_relay/src/entry.rs
+++ b/crates/roseshore_relay/src/entry.rs
@@ -324,6 +324,7 @@
         }
     }
 
+    /// When the event loop has to wake up next: at the earliest timer or the next tick.
     fn next_timer(&self) -> Instant {
         let tick = self.last_tick + TICK_INTERVAL;
         self.timers.peek().map_or(tick, |Reverse((at, _))| tick.min(*at))
@@ -333,6 +334,7 @@
         self.timers.push(Reverse((at, timer)));
     }
 
+    /// Handles all timers that are due.
     fn fire_timers(&mut self) {
         while let Some(Reverse((at, timer))) = self.timers.peek().copied() {
             if at > self.now {
@@ -349,6 +351,7 @@
         }
     }
 
+    /// Does the periodic work of every [`TICK_INTERVAL`].
     fn tick(&mut self) {
         self.handle_signals();
         for id in self.targets.tick(self.now) {
@@ -368,6 +371,7 @@
         self.send_heartbeats();
     }
 
+    /// Passes a changed connection to the code for its role.
     fn handle_socket(&mut self, key: Key) {
         match self.roles.get(&key) {
             Some(Role::Caller(_)) => self.handle_caller(key),
@@ -391,6 +395,7 @@
         }
     }
 
+    /// Accepts all pending connections of a listener.
     fn accept_connections(&mut self, endpoint: Endpoint) {
         while let Some(key) = self.net.accept(endpoint) {
             let role = match endpoint {
@@ -453,6 +458,7 @@
         }
     }
 
+    /// Closes connections that have been idle for too long.
     fn close_idle(&mut self) {
         /// Targets close connections that are idle for some seconds; this is shorter than the time
         /// of any known target, so that a request is not sent on a connection that is being closed.
--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -55,6 +55,7 @@
         self.blocked_records.due = None;
     }
 
+    /// Reads the next page of records.
     fn read_blocked(&mut self) {
         self.blocked_records.in_flight = true;
         let request = self.platform.blocked(self.blocked_records.last_key.as_deref());
@@ -78,6 +79,7 @@
         self.write_blocked();
     }
 
+    /// Applies a record of a blocked request.
     fn apply_blocked_record(&mut self, key: &str, value: &[u8]) {
         let Ok(fingerprint) = key.parse::<Fingerprint>() else {
             return log_event!(
@@ -129,6 +131,7 @@
         }
     }
 
+    /// Returns the reply of a call; logs a fault and schedules the next read.
     fn blocked_reply(&mut self, reply: Result<CallReply, CallFault>) -> Option<CallReply> {
         self.blocked_records.in_flight = false;
         metrics::counter!("roseshore_store_calls_total").increment(1);
--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -17,6 +17,7 @@
     first_byte: Option<Instant>,
 }
 
+/// What a caller's connection is doing.
 enum Phase {
     /// Waiting for a request, or reading its head.
     Head,
@@ -28,6 +29,7 @@
     Closing,
 }
 
+/// A request whose body is being read.
 struct PartialRequest {
     head: RequestHead,
     decoder: BodyDecoder,
@@ -41,6 +43,7 @@
 }
 
 impl EntryHost {
+    /// Limits on requests in the configuration, or defaults while there is none.
     fn request_limits(&self) -> RequestLimits {
         self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
@@ -143,6 +146,7 @@
         }
     }
 
+    /// Starts to read the body of a request, unless its announced length is too large.
     fn start_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
         if let Framing::Length(length) = head.framing
             && length > limits.body_bytes as u64
@@ -160,6 +164,7 @@
         }
     }
 
+    /// Creates and dispatches the exchange of a complete request, or refuses the request.
     fn request_complete(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.first_byte = None;
--- a/crates/roseshore_relay/src/entry/calls.rs
+++ b/crates/roseshore_relay/src/entry/calls.rs
@@ -127,6 +127,8 @@
         }
     }
 
+    /// Removes a call, keeps its connection where it can be reused, and passes on its reply or
+    /// fault.
     fn end_call(&mut self, key: Key, fault: Option<CallFault>) {
         let Some(call) = self.calls.remove(key) else { return };
         let connected = self.net.get(call.socket).is_some_and(|s| s.connected);
@@ -158,6 +160,7 @@
         self.platform.report_reply(&reply).map_err(|err| err.to_string())
     }
 
+    /// Passes the reply or fault of a call to the code for its purpose.
     fn call_done(&mut self, purpose: Purpose, sent: Instant, reply: Result<CallReply, CallFault>) {
         if let (Purpose::Report(id) | Purpose::Pace(id) | Purpose::Place(id, _), Ok(reply)) =
             (&purpose, &reply)
@@ -167,7 +170,7 @@
         match purpose {
             Purpose::Newest(stream, era) => self.newest_received(stream, sent, era, reply),
             Purpose::Read(stream, from, wait) => {
-                self.records_received(stream, sent, from, wait, reply)
+                self.records_received(stream, sent, from, wait, reply);
             }
             Purpose::Report(id) => self.report_received(&id, reply),
             Purpose::Pace(id) => self.pace_received(&id, reply),
--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -73,6 +73,7 @@
         self.read_streams_now();
     }
 
+    /// Applies a copy, or asks the host that was named instead.
     fn copy_received(&mut self, copy: StoreCopy) {
         if !copy.is_empty() {
             self.copies.finish(CopyOutcome::Received, self.now);
@@ -90,6 +91,7 @@
         Extent { config: self.config_version(), list: self.store_sync.list_base() }
     }
 
+    /// Applies the configuration and the list of targets of a copy.
     fn apply_copy(&mut self, copy: StoreCopy) {
         if let Some(config) = copy.config {
             self.apply_config(config);
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -22,6 +22,7 @@
 /// eighth ([`QUEUE_OBJECTIVE_DIVISOR`]) of its route's latency objective: a later refusal would be
 /// late.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(80);
+/// See [`MAX_QUEUE_TIME`].
 const QUEUE_OBJECTIVE_DIVISOR: u32 = 8;
 /// Longest time that a started stream waits for capacity: its caller leaves after two seconds
 /// without an event.
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -82,6 +82,7 @@
 }
 
 impl Exchange {
+    /// The input of the retry decisions in [`failure`].
     pub(super) fn retry_state(&self, now: Instant) -> RetryState {
         RetryState {
             idempotent: self.route.kind.is_idempotent(),
@@ -136,6 +137,7 @@
         }
     }
 
+    /// Logs a request that is refused before an exchange exists for it.
     fn log_refusal(&mut self, refusal: Refusal, attempt: Option<String>) -> Refused {
         let version = self.config_version();
         let age = millis(self.config_lease.age(self.now));
@@ -153,6 +155,7 @@
         Refused { refusal, attempt }
     }
 
+    /// Checks the route, the API key and the deadline, and whether the request is blocked.
     fn admit(
         &mut self,
         caller: Key,
@@ -237,6 +240,7 @@
         }
     }
 
+    /// The refusal while the configuration is not confirmed to be the newest.
     fn unconfirmed_refusal(&mut self) -> Refusal {
         let text = "the configuration cannot be confirmed";
         Refusal::not_run(Code::ConfigUnconfirmed, text).after(self.with_jitter(RETRY_AFTER))
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -124,12 +124,14 @@
         another || target.liveness_failure() == Some(LivenessFailure::Reset)
     }
 
+    /// Whether a target's machine does not answer at all, rather than resetting connections.
     fn is_unreachable(&self, id: &str) -> bool {
         self.targets
             .get(id)
             .is_some_and(|target| target.liveness_failure() == Some(LivenessFailure::Silent))
     }
 
+    /// Records that a target crashed while it ran a request.
     fn record_crash(&mut self, broken: &BrokenSend, id: &str, hash: TargetHash) {
         let BrokenSend { fingerprint, attempt, early, .. } = broken;
         let change = self.fatal.record_crash(*fingerprint, hash, *early, self.now);
@@ -157,6 +159,8 @@
         self.apply_change(fingerprint, change, "own");
     }
 
+    /// Logs a change in what is known about a request, tells other hosts where that is urgent, and
+    /// ends runs of a request that is now blocked.
     fn apply_change(&mut self, fingerprint: Fingerprint, change: FatalChange, by: &str) {
         match change {
             FatalChange::None | FatalChange::Crashed => {}
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Closes the connection of a check and returns its target.
     fn end_check(&mut self, key: Key) -> Option<TargetId> {
         let Some(Role::Liveness(id)) = self.roles.get(&key) else { return None };
         let id = id.clone();
@@ -116,6 +117,7 @@
         Some(id)
     }
 
+    /// Records a failed check, and tells the data centre if the target was not known to be dead.
     fn mark_dead(&mut self, id: &str, failure: LivenessFailure) {
         if self.targets.liveness_failed(id, failure) {
             log_event!(self, TargetLost, "target={id} liveness={}", failure.name());
--- a/crates/roseshore_relay/src/entry/placement.rs
+++ b/crates/roseshore_relay/src/entry/placement.rs
@@ -283,6 +283,7 @@
         }
     }
 
+    /// Completes an order if the target now holds its layers.
     fn check_order(&mut self, id: &str, layers: LayerRange, busy: bool, held: Option<LayerRange>) {
         if busy || held != Some(layers) {
             return;
--- a/crates/roseshore_relay/src/entry/placement/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placement/holdings.rs
@@ -25,6 +25,7 @@
         self.report_held(HoldingReport { target, word, done: true });
     }
 
+    /// Reports the layers of a target to the data centre, instead of an earlier report on it.
     fn report_held(&mut self, report: HoldingReport) {
         self.placement.learned.retain(|(old, _)| old.target != report.target);
         self.placement.learned.push((report, self.now));
--- a/crates/roseshore_relay/src/entry/rate_limits.rs
+++ b/crates/roseshore_relay/src/entry/rate_limits.rs
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Logs a change of a target's limit.
     fn log_limit(&mut self, id: &str, change: LimitChange, by: &str) {
         let format_limit =
             |limit: Option<f64>| limit.map_or("none".to_owned(), |n| format!("{n:.2}"));
@@ -162,6 +163,7 @@
         }
     }
 
+    /// Requests a permit. Returns the choice if the request need not wait for it.
     fn request_permit(&mut self, key: Key, choice: Choice, hash: TargetHash) -> Option<Choice> {
         self.rate_limits.last_number += 1;
         let number = self.rate_limits.last_number;
@@ -212,6 +214,7 @@
         self.send_message(from, &Datagram::Grant(grant));
     }
 
+    /// Decides on a permit request as the issuer.
     fn issue_grant(&mut self, request: &PermitRequest) -> PermitGrant {
         let id = self.targets.id_of(request.limit.target);
         let record = id.and_then(|id| self.targets.get(id)).map(|t| &t.record);
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -66,6 +66,7 @@
         self.log_list(count, replaced, absence, "store");
     }
 
+    /// Logs an update of the whole list, and handles targets that dropped out or restarted.
     fn log_list(&mut self, count: usize, replaced: ListUpdate, absence: Absence, by: &str) {
         let ListUpdate { lost, restarted } = replaced;
         log_event!(
@@ -142,6 +143,7 @@
         log_event!(self, TargetListed, "{text}");
     }
 
+    /// Applies the deletion of a record of the list.
     pub(super) fn remove_record(&mut self, id: &str) {
         let absence = self.store_sync.outage.absence(self.now);
         if self.targets.remove(id, absence) {
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Reads the response head and decides whether the response is used.
     fn read_head(&mut self, key: Key) -> Step {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
@@ -124,6 +125,7 @@
         self.send_failed(key, Fault::Refused, feedback.faulty);
     }
 
+    /// Discards the response to another request, which precedes the expected one.
     fn skip_stale(&mut self, key: Key) -> Step {
         let Some(send) = self.exchanges.get_mut(key).and_then(|e| e.send.as_mut()) else {
             return Step::Finished;
@@ -161,6 +163,7 @@
         Some(Ok(whole))
     }
 
+    /// Reads a response that is forwarded once it is complete.
     fn read_body(&mut self, key: Key) -> Step {
         match self.read_bytes(key) {
             None => return Step::Finished,
@@ -277,6 +280,7 @@
         self.net.send(caller, &out);
     }
 
+    /// Reads a stream and forwards its complete events.
     fn read_events(&mut self, key: Key) -> Step {
         let Some(received) = self.read_bytes(key) else { return Step::Finished };
         let now = self.now;
@@ -326,6 +330,7 @@
         }
     }
 
+    /// Reads an error response on a stream route.
     fn read_error(&mut self, key: Key, received: Result<bool, Fault>) -> Step {
         match received {
             Ok(false) => Step::NeedMore,
@@ -337,6 +342,7 @@
         }
     }
 
+    /// Ends a complete stream; a stream that ends within an event is a fault.
     fn end_stream(&mut self, key: Key, keep: bool) -> Step {
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
         let Some(send) = exchange.send.as_mut() else { return Step::Finished };
--- a/crates/roseshore_relay/src/entry/signals.rs
+++ b/crates/roseshore_relay/src/entry/signals.rs
@@ -30,6 +30,7 @@
         }
     }
 
+    /// Reads the settings again and applies those that can change at run time.
     fn reload_settings(&mut self, requested: bool) {
         let fresh = match (self.read_settings)() {
             Ok(fresh) => fresh,
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -39,6 +39,7 @@
     failures: u32,
 }
 
+/// Pages of newest records, which are read one after the other.
 #[derive(Debug)]
 struct Pages {
     /// The end offset of the stream when the first page was read.
@@ -149,6 +150,8 @@
         }
     }
 
+    /// Calls the store for a stream, unless a call is in flight or not due, or other hosts have
+    /// confirmed the stream recently.
     fn sync_stream(&mut self, stream: Stream) {
         let now = self.now;
         // A long poll proves nothing until its reply arrives. A configuration that has not been
@@ -182,6 +185,8 @@
             && since < store_reads::startup_delay(self.settings.first_start, rank)
     }
 
+    /// Calls the store for the records from the next offset on, or for the next page of newest
+    /// records.
     fn read_store(&mut self, stream: Stream, wait: Duration) {
         self.log_read(stream);
         let (store, era) = (self.settings.store_addr, self.store_sync.era);
@@ -316,6 +321,7 @@
         }
     }
 
+    /// Handles the reply to a read of newest records.
     pub(super) fn newest_received(
         &mut self,
         stream: Stream,
@@ -330,6 +336,7 @@
         }
     }
 
+    /// Adds a page of newest records, and applies all of them after the last page.
     fn page_received(&mut self, stream: Stream, sent: Instant, page: Page) {
         self.store_available(stream);
         let progress = self.store_sync.stream(stream);
@@ -375,6 +382,7 @@
         }
     }
 
+    /// Handles the reply to a read from an offset.
     pub(super) fn records_received(
         &mut self,
         stream: Stream,
@@ -395,6 +403,7 @@
         }
     }
 
+    /// Applies the records from an offset on.
     fn reading_received(
         &mut self,
         stream: Stream,
--- a/crates/roseshore_relay/src/entry/store_sync/replies.rs
+++ b/crates/roseshore_relay/src/entry/store_sync/replies.rs
@@ -59,6 +59,8 @@
         }
     }
 
+    /// Handles a new era of the store: it was restored from an older copy, and is read from the
+    /// start.
     fn store_restored(&mut self, stream: Stream, era: Era) {
         let (before, version) = (self.store_sync.era, self.config_version());
         let list = self.store_sync.list.unwrap_or_default();
@@ -96,10 +98,13 @@
         }
     }
 
+    /// Handles a reply that reports or shows a failure.
     pub(super) fn store_refused(&mut self, stream: Stream, fault: &StoreFault) {
         self.store_failed(stream, &fault.to_string());
     }
 
+    /// Schedules the next call after a failed one, with a delay that grows with the failures in a
+    /// row.
     fn store_failed(&mut self, stream: Stream, why: &str) {
         let now = self.now;
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
@@ -114,6 +119,7 @@
         }
     }
 
+    /// Records that the store answered a call, which ends an outage.
     pub(super) fn store_available(&mut self, stream: Stream) {
         let now = self.now;
         for progress in [&mut self.store_sync.config, &mut self.store_sync.targets] {
--- a/crates/roseshore_relay/src/entry/target_feedback.rs
+++ b/crates/roseshore_relay/src/entry/target_feedback.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Applies what a target reports about its shutdown, or a pause that it asks for.
     fn apply_state(
         &mut self,
         id: &str,
