--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -42,7 +42,7 @@
                 self.copy_received(copy);
             }
             Ok(None) if !ended => {}
-            Ok(None) => self.copy_failed(key, "the connection ended"),
+            Ok(None) => self.copy_failed(key, "the connection ended before the copy was complete"),
             Err(err) => self.copy_failed(key, &err.to_string()),
         }
     }
@@ -59,7 +59,7 @@
                 *known = received;
                 self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
-            _ => self.copy_failed(key, "no answer in time"),
+            _ => self.copy_failed(key, "no further data before the time-out"),
         }
     }
 
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -223,8 +223,8 @@
     /// Whether a stream is expected to end before this host has to exit.
     fn ends_before_exit(&self, asked: &Asked, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
-        let usual = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
-        let guess = asked.hint.map_or(usual, f64::from);
+        let mean_answer = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
+        let guess = asked.hint.map_or(mean_answer, f64::from);
         self.pace.ends_within(guess, f64::from(asked.longest), left)
     }
 
@@ -255,7 +255,7 @@
     /// `pause`.
     pub(super) fn end_paused(&mut self, key: Key, pause: Duration) {
         // Targets may not have asked other hosts for a pause, so a retry may succeed sooner.
-        let delay = |usual: Duration| usual.min(pause);
+        let delay = |default_delay: Duration| default_delay.min(pause);
         self.end_with_delay(key, Code::TargetsRest, "the targets want a rest", delay);
     }
 
@@ -264,13 +264,13 @@
         let Some(exchange) = self.exchanges.get(key) else { return };
         let next_slot = self.next_slot(&exchange.service.name).unwrap_or_default();
         // If callers retried sooner, one of two would be refused again.
-        let delay = |usual: Duration| usual.max(next_slot).min(MAX_RETRY_AFTER);
+        let delay = |default_delay: Duration| default_delay.max(next_slot).min(MAX_RETRY_AFTER);
         self.end_with_delay(key, Code::TargetsLimited, "the targets take no more a second", delay);
     }
 
     /// Ends a request with a refusal or an error.
     pub(super) fn end_without(&mut self, key: Key, code: Code, why: &str) {
-        self.end_with_delay(key, code, why, |usual| usual);
+        self.end_with_delay(key, code, why, |default_delay| default_delay);
     }
 
     /// Like [`EntryHost::end_without`]; `delay` maps the default retry delay to the one to use.
@@ -302,12 +302,12 @@
             }
             FailureReply::NotRun => {
                 // A plain service that is full has capacity again within milliseconds.
-                let usual = match self.fatal.blocked(fingerprint, now) {
+                let default_delay = match self.fatal.blocked(fingerprint, now) {
                     Some(left) => left,
                     None if engine => self.shortage.record_refusal(now),
                     None => RETRY_AFTER,
                 };
-                Refusal::not_run(code, why).after(self.with_jitter(delay(usual)))
+                Refusal::not_run(code, why).after(self.with_jitter(delay(default_delay)))
             }
             FailureReply::Unknown => Refusal::may_have_run(code, why),
         };
--- a/crates/roseshore_relay/src/entry/placement.rs
+++ b/crates/roseshore_relay/src/entry/placement.rs
@@ -180,8 +180,8 @@
 
     /// The engines of this data centre that accept work.
     pub(super) fn live_engines<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Target> {
-        let near = &self.settings.data_centre;
-        let live = |t: &&Target| t.is_available() && !t.is_down() && t.record.data_centre == *near;
+        let local = &self.settings.data_centre;
+        let live = |t: &&Target| t.is_available() && !t.is_down() && t.record.data_centre == *local;
         self.targets.of_service(service).filter(live)
     }
 
--- a/crates/roseshore_relay/src/entry/placement/holdings.rs
+++ b/crates/roseshore_relay/src/entry/placement/holdings.rs
@@ -62,9 +62,9 @@
     /// Applies another host's report of ordered layers, or of layers that a target holds.
     pub(in crate::entry) fn apply_holding_report(&mut self, holding: HoldingReport) {
         if holding.done {
-            let news =
+            let changed =
                 self.targets.apply_report(holding.target, holding.word, self.now + REPORT_LIFETIME);
-            if news && self.peers.speaking() {
+            if changed && self.peers.speaking() {
                 // The other hosts of the data centre hear only their speakers.
                 self.report_held(holding);
             }
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -42,7 +42,12 @@
             self.store_sync.record_list_copy(copy.next);
         } else {
             // A change was missed, so the next copy has to be a whole list.
-            log_event!(self, CopyFailed, "list_next={} why=\"the digests differ\"", copy.next);
+            log_event!(
+                self,
+                CopyFailed,
+                "list_next={} why=\"the digest of the list differs after the copy\"",
+                copy.next
+            );
             self.store_sync.require_whole_list();
         }
     }
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -196,10 +196,10 @@
         }
         let mut avoid = exchange.avoided.list(self.now);
         avoid.push(send.target.clone());
-        let near = &self.settings.data_centre;
+        let local = &self.settings.data_centre;
         let service = &exchange.service;
         service.engine.is_some()
-            || self.targets.choose_plain(&service.name, near, &avoid, self.now).is_some()
+            || self.targets.choose_plain(&service.name, local, &avoid, self.now).is_some()
     }
 
     /// Forwards a complete response to the caller.
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -453,7 +453,11 @@
                     match entry {
                         Some(Record { key, value: Some(value) }) => self.apply_record(&key, &value),
                         Some(Record { key, value: None }) => self.remove_record(&key),
-                        None => log_event!(self, RecordSkipped, "target=- why=\"no key\""),
+                        None => log_event!(
+                            self,
+                            RecordSkipped,
+                            "target=- why=\"the record has no readable key\""
+                        ),
                     }
                 }
                 self.heartbeat_now(true);
--- a/crates/roseshore_relay/src/sse.rs
+++ b/crates/roseshore_relay/src/sse.rs
@@ -11,7 +11,7 @@
 pub struct CompleteEvents {
     /// The bytes of the events, without events that were forwarded before.
     pub bytes: Vec<u8>,
-    /// The id of the last event; `None` if no event so far had one.
+    /// The id of the last event, or that of an event forwarded before; `None` if none had an id.
     pub last: Option<u64>,
     /// Number of events in `bytes`.
     pub count: u32,
--- a/crates/roseshore_relay/tests/heartbeats.rs
+++ b/crates/roseshore_relay/tests/heartbeats.rs
@@ -36,13 +36,13 @@
     alive: bool,
     /// Datagrams and bytes sent, and those received, since the last count.
     sent: (usize, usize),
-    heard: (usize, usize),
+    received: (usize, usize),
 }
 
 /// Hosts that send each other heartbeats. The first three hosts of each data centre have a larger
 /// capacity.
 struct Cluster {
-    begun: Instant,
+    started: Instant,
     now: Instant,
     data_centres: usize,
     hosts: Vec<Host>,
@@ -59,10 +59,10 @@
 
 impl Cluster {
     fn new(count: usize, data_centres: usize) -> Cluster {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut cluster = Cluster {
-            begun,
-            now: begun,
+            started,
+            now: started,
             data_centres,
             hosts: Vec::new(),
             indices: (0..count).map(|n| (addr(n), n)).collect(),
@@ -106,7 +106,7 @@
             data_centre,
             alive: true,
             sent: (0, 0),
-            heard: (0, 0),
+            received: (0, 0),
         }
     }
 
@@ -168,8 +168,8 @@
                 continue;
             }
             self.cross_centre += usize::from(a != b);
-            host.heard.0 += 1;
-            host.heard.1 += bytes.len();
+            host.received.0 += 1;
+            host.received.1 += bytes.len();
             let Ok(Datagram::Beat(beat)) = frame::decode(&bytes) else {
                 panic!("the datagram is not a heartbeat")
             };
@@ -181,11 +181,11 @@
                     FatalChange::None | FatalChange::Crashed | FatalChange::Cleared => {}
                 }
             }
-            let heard = host.peers.receive(addr(from), *beat, at);
-            if heard.as_ref().is_some_and(|heard| heard.joined) {
+            let received = host.peers.receive(addr(from), *beat, at);
+            if received.as_ref().is_some_and(|received| received.joined) {
                 host.fatal.repeat_blocked(at);
             }
-            if heard.is_some() {
+            if received.is_some() {
                 host.own.config = host.own.config.max(config);
             }
             let due = |last_sent: Instant| at - last_sent >= MIN_URGENT_GAP;
@@ -202,12 +202,12 @@
 
     /// Runs until a condition holds; returns the time that this took.
     fn until(&mut self, what: &str, most: Duration, holds: impl Fn(&Cluster) -> bool) -> Duration {
-        let begun = self.now;
+        let started = self.now;
         while !holds(self) {
-            assert!(self.now - begun < most, "{what}: not within {most:?}");
+            assert!(self.now - started < most, "{what}: not within {most:?}");
             self.run(TICK);
         }
-        self.now - begun
+        self.now - started
     }
 
     /// Whether every host knows the load of all others, there are few speakers, and exactly one
@@ -232,12 +232,12 @@
     /// of all hosts.
     fn cost(&mut self, time: Duration) -> ((f64, f64), (f64, f64)) {
         for host in &mut self.hosts {
-            (host.sent, host.heard) = ((0, 0), (0, 0));
+            (host.sent, host.received) = ((0, 0), (0, 0));
         }
         self.cross_centre = 0;
         self.run(time);
         let seconds = time.as_secs_f64();
-        let counts = self.living().map(|h| (h.sent.0 + h.heard.0, h.sent.1 + h.heard.1));
+        let counts = self.living().map(|h| (h.sent.0 + h.received.0, h.sent.1 + h.received.1));
         let all: Vec<(usize, usize)> = counts.collect();
         let most = |pick: fn(&(usize, usize)) -> usize| {
             all.iter().map(pick).max().unwrap_or(0) as f64 / seconds
@@ -427,7 +427,7 @@
     cluster.run(ms(4000));
     cluster.partitioned = None;
     cluster.until("joined again", ms(7000), Cluster::settled);
-    assert!(cluster.now - cluster.begun < ms(30_000));
+    assert!(cluster.now - cluster.started < ms(30_000));
 }
 
 /// The request under which targets crash.
--- a/crates/roseshore_relay/tests/limits.rs
+++ b/crates/roseshore_relay/tests/limits.rs
@@ -257,7 +257,7 @@
     world.simulate(DISCOVERY_TIME, &discovery, &mut random);
     world.received.iter_mut().for_each(Vec::clear);
     world.stated_until = world.now + Duration::from_hours(1);
-    let begun = world.now;
+    let started = world.now;
     if let Some(killed) = case.killed {
         world.simulate(killed, case, &mut random);
         let first = (0..case.hosts)
@@ -269,10 +269,10 @@
         world.simulate(Duration::from_secs(5), case, &mut random);
         world.hosts[first] = world.fresh(first, case.data_centres, 2);
     }
-    world.simulate((begun + LOAD_TIME).saturating_duration_since(world.now), case, &mut random);
+    world.simulate((started + LOAD_TIME).saturating_duration_since(world.now), case, &mut random);
     let enforced_for = LOAD_TIME.saturating_sub(ENFORCED_AFTER).as_secs_f64();
     for (n, limit) in LIMITS.iter().enumerate() {
-        let (busiest, all) = world.counted(n, begun + ENFORCED_AFTER);
+        let (busiest, all) = world.counted(n, started + ENFORCED_AFTER);
         let bound = 1.5 * limit * WINDOW.as_secs_f64() + 5.0;
         let used = all as f64 / (limit * enforced_for);
         println!("{}: limit {limit}: {busiest} of {bound} in a span, {used:.2} used", case.name);
