--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -42,7 +42,7 @@
                 self.copy_received(copy);
             }
             Ok(None) if !ended => {}
-            Ok(None) => self.copy_failed(key, "the connection ended"),
+            Ok(None) => self.copy_failed(key, "the connection ended before the copy was complete"),
             Err(err) => self.copy_failed(key, &err.to_string()),
         }
     }
@@ -59,7 +59,7 @@
                 *known = received;
                 self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
-            _ => self.copy_failed(key, "no answer in time"),
+            _ => self.copy_failed(key, "no further data before the time-out"),
         }
     }
 
@@ -73,6 +73,7 @@
         self.read_streams_now();
     }
 
+    /// Applies a copy, or asks the host that was named instead.
     fn copy_received(&mut self, copy: StoreCopy) {
         if !copy.is_empty() {
             self.copies.finish(CopyOutcome::Received, self.now);
@@ -90,6 +91,7 @@
         Extent { config: self.config_version(), list: self.store_sync.list_base() }
     }
 
+    /// Applies the configuration and the list of targets of a copy.
     fn apply_copy(&mut self, copy: StoreCopy) {
         if let Some(config) = copy.config {
             self.apply_config(config);
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -42,7 +42,12 @@
             self.store_sync.record_list_copy(copy.next);
         } else {
             // A change was missed, so the next copy has to be a whole list.
-            log_event!(self, CopyFailed, "list_next={} why=\"the digests differ\"", copy.next);
+            log_event!(
+                self,
+                CopyFailed,
+                "list_next={} why=\"the digest of the list differs after the copy\"",
+                copy.next
+            );
             self.store_sync.require_whole_list();
         }
     }
@@ -66,6 +71,7 @@
         self.log_list(count, replaced, absence, "store");
     }
 
+    /// Logs an update of the whole list, and handles targets that dropped out or restarted.
     fn log_list(&mut self, count: usize, replaced: ListUpdate, absence: Absence, by: &str) {
         let ListUpdate { lost, restarted } = replaced;
         log_event!(
@@ -142,6 +148,7 @@
         log_event!(self, TargetListed, "{text}");
     }
 
+    /// Applies the deletion of a record of the list.
     pub(super) fn remove_record(&mut self, id: &str) {
         let absence = self.store_sync.outage.absence(self.now);
         if self.targets.remove(id, absence) {
