--- a/crates/roseshore/tests/apply.rs
+++ b/crates/roseshore/tests/apply.rs
@@ -145,7 +145,7 @@
 });
 
 /// Runs `apply --id c1` of [`FILE`] over three hosts; gives its end, and the truth after all.
-fn apply(fates: &[Fate], told: &[bool], raced: bool) -> (Done, Option<Judged>) {
+fn apply(fates: &[Fate], told: &[bool], raced: bool) -> (Done, Option<Decision>) {
     let change =
         r#"{"key":{"kind":"organisation","id":"mirrors"},"base":null,"put":{"organisation":{}}}"#;
     let rival =
@@ -166,7 +166,7 @@
     for data in std::mem::take(&mut world.delayed) {
         world.fold(&data);
     }
-    let truth = world.state.judged("c1").map(|it| it.2.clone());
+    let truth = world.state.decision("c1").map(|it| it.2.clone());
     (done, truth)
 }
 
@@ -223,8 +223,8 @@
     ) {
         let (done, truth) = apply(&fates, &told, raced);
         match done.exit as u8 {
-            0 | 5 => prop_assert_eq!(truth, Some(Judged::Accepted)),
-            1 => prop_assert_ne!(truth, Some(Judged::Accepted)),
+            0 | 5 => prop_assert_eq!(truth, Some(Decision::Accepted)),
+            1 => prop_assert_ne!(truth, Some(Decision::Accepted)),
             3 => prop_assert!(done.out.contains("roseshore command c1")),
             other => prop_assert!(false, "exit {}", other),
         }
--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -9,13 +9,13 @@
 use rand::rngs::SmallRng;
 use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity};
 use roseshore_core::config::{
-    Change, Command, FORMAT, Judged, Object, ObjectKey, Outcome as Folding, State,
+    Change, Command, Decision, FORMAT, Object, ObjectKey, Outcome as Folding, State,
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
 use roseshore_core::ledger::account::{AccountDelta, Counts, Fold, Row, RowKey};
 use roseshore_core::ledger::history::{EndedRequest, RequestHistory, RequestMeta};
 use roseshore_core::load::{EngineState, PollResult, TargetIndex};
-use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
+use roseshore_core::membership::{Heartbeat, ListedHost, Membership, Settings};
 use roseshore_core::once::keys::Keys;
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::prelude::*;
@@ -146,7 +146,7 @@
     let mut state = State::default();
     for record in records {
         let folded = state.fold(state.offset(), record).expect("in order");
-        assert_eq!(folded.outcome, Folding::Judged(Judged::Accepted));
+        assert_eq!(folded.outcome, Folding::Decided(Decision::Accepted));
     }
     state
 }
@@ -323,13 +323,13 @@
 fn members(count: usize, now: Instant) -> Membership {
     let addr = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 8081));
     let mut view = Membership::new(heartbeat(0, 0), addr(0), vec![], Settings::default(), now);
-    let listed = |n: usize| Listed {
+    let listed = |n: usize| ListedHost {
         host: format!("entry-{n:04}"),
         data_centre: format!("z{}", n / 18),
         peer: Some(addr(n)),
         leaving: false,
     };
-    view.listed(1, (0..count).map(listed).collect(), now);
+    view.on_host_list(1, (0..count).map(listed).collect(), now);
     view
 }
 
@@ -344,7 +344,9 @@
     let heard = points(SIZES, |n| {
         let mut view = members(n, now);
         let from = SocketAddr::from(([10, 0, 0, 1], 8081));
-        micros(|round| drop(black_box(view.heard(from, heartbeat(1, round as u64 + 1), now))))
+        micros(|round| {
+            drop(black_box(view.on_heartbeat(from, heartbeat(1, round as u64 + 1), now)))
+        })
     });
     let series = |cost, points| {
         let (role, size) = ("membership", "daemons");
--- a/crates/roseshore_core/examples/config_bench.rs
+++ b/crates/roseshore_core/examples/config_bench.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p roseshore_core --example config_bench`; ends within a minute. Each
 //! figure is the median and the 99th percentile of single calls, microseconds.
 
-use roseshore_core::config::{Assembly, Judged, Outcome, Snapshot, State};
+use roseshore_core::config::{Assembly, Decision, Outcome, Snapshot, State};
 use roseshore_core::prelude::*;
 use serde_json::{Value, json};
 
@@ -93,7 +93,7 @@
     let folded = state.fold(state.offset(), data);
     let took = begun.elapsed();
     let outcome = folded.expect("in order").outcome;
-    assert_eq!(outcome == Outcome::Judged(Judged::Accepted), accepted, "{outcome:?}");
+    assert_eq!(outcome == Outcome::Decided(Decision::Accepted), accepted, "{outcome:?}");
     took
 }
 
--- a/crates/roseshore_core/src/config.rs
+++ b/crates/roseshore_core/src/config.rs
@@ -4,28 +4,28 @@
 //! [`State`] accepts or rejects it by its place in the log alone, so every daemon that folds the
 //! same records reaches the same verdicts, and of racing commands exactly one wins each object.
 //! Records reach a daemon in any order, repeated and with holes; [`Follower`] folds them in order
-//! and only forward. [`Snapshot`] carries a state over the log's retention, [`Reader`] and [`Puller`] decide who
-//! asks the log and the peers when, [`Keeper`] who writes snapshots, and [`Submit`] what an operator may be told of a command.
+//! and only forward. [`Snapshot`] carries a state over the log's retention, [`Reader`] and [`PeerSelector`] decide who
+//! asks the log and the peers when, [`SnapshotSchedule`] who writes snapshots, and [`Submission`] what an operator may be told of a command.
 
 mod check;
 mod command;
 mod confirm;
 mod follower;
-mod keeper;
 mod reader;
 mod snapshot;
+mod snapshot_schedule;
 mod state;
 mod submit;
 
-pub use check::{Fault, MAX_CHANGES, MAX_ID, View, check_fleet};
+pub use check::{Fault, IndexedFleet, MAX_CHANGES, MAX_ID, check_fleet};
 pub use command::{Change, Command, FORMAT, Kind, Object, ObjectKey};
-pub use confirm::{Progress, Spread, spread};
+pub use confirm::{Confirmation, Progress, confirmation};
 pub use follower::{Follower, MAX_WAITING};
-pub use keeper::{Keep, Keeper, KeeperLimits};
-pub use reader::{Act, Peer, Puller, Reader, ReaderLimits, Transition, diverged};
-pub use snapshot::{Assembly, PART, Snapshot, SnapshotError, Tail};
-pub use state::{Author, Folded, Judged, Meta, Outcome, Reason, State, WINDOW, record_digest};
-pub use submit::{Settled, Step, Submit, Tried};
+pub use reader::{Peer, PeerSelector, ReadAction, Reader, ReaderLimits, Transition, diverged};
+pub use snapshot::{Assembly, MAX_PART_BYTES, Snapshot, SnapshotError, Tail};
+pub use snapshot_schedule::{SnapshotAction, SnapshotLimits, SnapshotSchedule};
+pub use state::{Author, Decision, Folded, Meta, Outcome, Reason, State, WINDOW, record_digest};
+pub use submit::{AppendOutcome, Settled, Step, Submission};
 
 /// The stream of commands.
 pub const STREAM: &str = "config";
--- a/crates/roseshore_core/src/config/check.rs
+++ b/crates/roseshore_core/src/config/check.rs
@@ -1,6 +1,6 @@
 //! What makes a declared fleet valid.
 //!
-//! A command is judged by the fleet that it would leave behind. [`View`] keeps, beside the fleet,
+//! A command is judged by the fleet that it would leave behind. [`IndexedFleet`] keeps, beside the fleet,
 //! the few counts that let one change be checked by what it touches and refers to, without a walk
 //! over all targets and organisations.
 
@@ -32,21 +32,21 @@
 
 /// A fleet with the counts that its checks need.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct IndexedFleet {
     fleet: Fleet,
     referrers: BTreeMap<ObjectKey, u32>,
     listeners: BTreeMap<(SocketAddr, String), u32>,
     ranges: BTreeMap<ModelId, BTreeMap<(Layer, Layer), u32>>,
 }
 
-impl View {
+impl IndexedFleet {
     /// The fleet.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
     /// Puts or deletes an object and returns what stood there.
-    pub fn swap(&mut self, key: &ObjectKey, new: Option<Object>) -> Option<Object> {
+    pub fn replace(&mut self, key: &ObjectKey, new: Option<Object>) -> Option<Object> {
         let old = self.fleet.object(key);
         if let Some(old) = &old {
             self.count(old, false);
@@ -228,10 +228,10 @@
 
 /// Every fault of a whole fleet, in order of key.
 pub fn check_fleet(fleet: &Fleet) -> Vec<Fault> {
-    let mut view = View::default();
+    let mut view = IndexedFleet::default();
     let objects = fleet.objects();
     for (key, object) in &objects {
-        view.swap(key, Some(object.clone()));
+        view.replace(key, Some(object.clone()));
     }
     let mut faults: Vec<Fault> =
         objects.iter().filter_map(|(key, _)| view.fault_of(key, None)).collect();
--- a/crates/roseshore_core/src/config/confirm.rs
+++ b/crates/roseshore_core/src/config/confirm.rs
@@ -14,7 +14,7 @@
 
 /// Data centres by whether a command is in force there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
+pub struct Confirmation {
     /// Every daemon known there has it in force.
     pub in_force: Vec<DataCentreId>,
     /// Some daemon there is behind, or none is known.
@@ -22,11 +22,11 @@
 }
 
 /// Sorts data centres by the progress of their daemons on the command at `version`.
-pub fn spread<'a>(
+pub fn confirmation<'a>(
     version: Offset,
     declared: impl IntoIterator<Item = &'a DataCentreId>,
     progress: &[Progress],
-) -> Spread {
+) -> Confirmation {
     let mut seen: BTreeMap<&DataCentreId, Option<bool>> = BTreeMap::new();
     for id in declared {
         seen.insert(id, None);
@@ -35,7 +35,7 @@
         let all = seen.entry(&one.data_centre).or_default();
         *all = Some(all.unwrap_or(true) && one.offset > version);
     }
-    let mut out = Spread::default();
+    let mut out = Confirmation::default();
     for (id, all) in seen {
         let list = if all == Some(true) { &mut out.in_force } else { &mut out.unconfirmed };
         list.push(id.clone());
--- a/crates/roseshore_core/src/config/reader.rs
+++ b/crates/roseshore_core/src/config/reader.rs
@@ -36,14 +36,14 @@
 
 /// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ReadAction {
     /// Read the log, waiting so long for a record.
     Read {
         /// How long to wait; zero returns at once.
         wait: Duration,
     },
     /// Nothing until then, unless the rank changes.
-    Rest {
+    Wait {
         /// When to ask again.
         until: Instant,
     },
@@ -55,7 +55,7 @@
     /// The log stopped answering.
     Lost,
     /// The log answers again.
-    Back,
+    Recovered,
 }
 
 /// When this daemon reads the log.
@@ -74,14 +74,14 @@
     }
 
     /// What to do now; `rank` is this daemon's place in rendezvous order.
-    pub fn next(&self, now: Instant, rank: Option<usize>) -> Act {
+    pub fn next(&self, now: Instant, rank: Option<usize>) -> ReadAction {
         let first = rank.is_some_and(|it| it < self.limits.readers);
         // The first answer, and the first after a failure, are worth having at once.
         let poll = first && self.answered && self.failures == 0;
         if poll || now >= self.due {
-            return Act::Read { wait: if poll { self.limits.wait } else { Duration::ZERO } };
+            return ReadAction::Read { wait: if poll { self.limits.wait } else { Duration::ZERO } };
         }
-        Act::Rest { until: self.due }
+        ReadAction::Wait { until: self.due }
     }
 
     /// The log answered; with `more`, records are left to be read at once.
@@ -90,7 +90,7 @@
         self.failures = 0;
         self.answered = true;
         self.due = if more { now } else { now + self.limits.backstop };
-        back.then_some(Transition::Back)
+        back.then_some(Transition::Recovered)
     }
 
     /// The log did not answer; `spread` in 0..1 keeps daemons from coming back together.
@@ -122,11 +122,11 @@
 
 /// Whom to pull records from.
 #[derive(Clone, Debug, Default)]
-pub struct Puller {
+pub struct PeerSelector {
     failures: usize,
 }
 
-impl Puller {
+impl PeerSelector {
     /// The peer to ask, if one is ahead: the near ones first, then the furthest ahead; a failure
     /// moves on to the next.
     pub fn next<'a>(&self, offset: Offset, peers: &'a [Peer]) -> Option<&'a Peer> {
--- a/crates/roseshore_core/src/config/snapshot.rs
+++ b/crates/roseshore_core/src/config/snapshot.rs
@@ -1,11 +1,11 @@
 //! Carrying a folded state over the log's retention.
 //!
 //! A snapshot is a pure function of the state, so two daemons that write one at the same offset
-//! write the same. It is cut into [`PART`]s, each a record of its own; [`Assembly`] puts parts of
+//! write the same. It is cut into [`MAX_PART_BYTES`]s, each a record of its own; [`Assembly`] puts parts of
 //! any order, repeated and mixed with those of other snapshots, together again.
 
 use super::command::{Object, ObjectKey};
-use super::state::{Author, Gone, Meta, Recent, State, object_hash};
+use super::state::{Author, Deletion, Meta, Recent, State, object_hash};
 use crate::ids::*;
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// The most bytes of one part's content.
-pub const PART: usize = 256 << 10;
+pub const MAX_PART_BYTES: usize = 256 << 10;
 const FORMAT: u32 = 1;
 const MAX_PARTS: u32 = 4096;
 /// Unfinished snapshots that are kept; older ones are dropped first.
@@ -52,7 +52,7 @@
     digest: u64,
     objects: Vec<Entry>,
     recent: BTreeMap<CommandId, Recent>,
-    gone: Vec<(ObjectKey, Gone)>,
+    gone: Vec<(ObjectKey, Deletion)>,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -140,7 +140,7 @@
         let hash = object_hash(&entry.key, entry.version, &entry.object);
         state.sum = state.sum.wrapping_add(hash);
         let meta = Meta { version: entry.version, author: entry.author, hash };
-        state.view.swap(&entry.key, Some(entry.object));
+        state.view.replace(&entry.key, Some(entry.object));
         state.meta.insert(entry.key, meta);
     }
     for (id, recent) in content.recent {
@@ -157,12 +157,12 @@
     state
 }
 
-/// Cuts a text into pieces of at most [`PART`] bytes, between characters.
+/// Cuts a text into pieces of at most [`MAX_PART_BYTES`] bytes, between characters.
 fn cuts(text: &str) -> Vec<&str> {
     let mut out = Vec::new();
     let mut rest = text;
-    while rest.len() > PART {
-        let (head, tail) = rest.split_at(rest.floor_char_boundary(PART));
+    while rest.len() > MAX_PART_BYTES {
+        let (head, tail) = rest.split_at(rest.floor_char_boundary(MAX_PART_BYTES));
         out.push(head);
         rest = tail;
     }
--- a/crates/roseshore_core/src/config/keeper.rs
+++ b/crates/roseshore_core/src/config/snapshot_schedule.rs
@@ -7,9 +7,9 @@
 use crate::ids::*;
 use std::time::{Duration, Instant};
 
-/// The settings of a [`Keeper`].
+/// The settings of a [`SnapshotSchedule`].
 #[derive(Clone, Debug)]
-pub struct KeeperLimits {
+pub struct SnapshotLimits {
     /// A snapshot is due after so many records.
     pub records: Offset,
     /// A snapshot is due after so long; well below the log's retention.
@@ -18,18 +18,22 @@
     pub pause: Duration,
 }
 
-impl Default for KeeperLimits {
-    fn default() -> KeeperLimits {
-        KeeperLimits { records: 256, age: Duration::from_mins(15), pause: Duration::from_secs(10) }
+impl Default for SnapshotLimits {
+    fn default() -> SnapshotLimits {
+        SnapshotLimits {
+            records: 256,
+            age: Duration::from_mins(15),
+            pause: Duration::from_secs(10),
+        }
     }
 }
 
 /// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Keep {
+pub enum SnapshotAction {
     /// Nothing is due.
     Nothing,
-    /// Look at the newest snapshot, then tell [`Keeper::seen`].
+    /// Look at the newest snapshot, then tell [`SnapshotSchedule::found`].
     Look,
     /// Write a snapshot.
     Write,
@@ -37,25 +41,25 @@
 
 /// When this daemon writes a snapshot.
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    limits: KeeperLimits,
+pub struct SnapshotSchedule {
+    limits: SnapshotLimits,
     newest: Option<(Offset, Instant)>,
     looked: bool,
     quiet: Instant,
 }
 
-impl Keeper {
+impl SnapshotSchedule {
     /// A keeper that knows of no snapshot.
-    pub fn new(limits: KeeperLimits, now: Instant) -> Keeper {
-        Keeper { limits, newest: None, looked: false, quiet: now }
+    pub fn new(limits: SnapshotLimits, now: Instant) -> SnapshotSchedule {
+        SnapshotSchedule { limits, newest: None, looked: false, quiet: now }
     }
 
     /// What to do now, as the `first` daemon of the data centre or not, with so much folded.
-    pub fn next(&self, now: Instant, first: bool, offset: Offset) -> Keep {
+    pub fn next(&self, now: Instant, first: bool, offset: Offset) -> SnapshotAction {
         if !first || offset == 0 || now < self.quiet || !self.due(now, offset) {
-            return Keep::Nothing;
+            return SnapshotAction::Nothing;
         }
-        if self.looked { Keep::Write } else { Keep::Look }
+        if self.looked { SnapshotAction::Write } else { SnapshotAction::Look }
     }
 
     fn due(&self, now: Instant, offset: Offset) -> bool {
@@ -65,7 +69,7 @@
     }
 
     /// A look found a snapshot of this offset and age, or none.
-    pub fn seen(&mut self, now: Instant, newest: Option<(Offset, Duration)>) {
+    pub fn found(&mut self, now: Instant, newest: Option<(Offset, Duration)>) {
         self.looked = true;
         let Some((offset, age)) = newest else { return };
         self.newest = now.checked_sub(age).map(|at| (offset, at));
--- a/crates/roseshore_core/src/config/state.rs
+++ b/crates/roseshore_core/src/config/state.rs
@@ -1,6 +1,6 @@
 //! The fold itself.
 
-use super::check::{MAX_CHANGES, MAX_ID, View};
+use super::check::{IndexedFleet, MAX_CHANGES, MAX_ID};
 use super::command::{Change, Command, FORMAT, Object, ObjectKey};
 use crate::fleet::Fleet;
 use crate::ids::*;
@@ -82,7 +82,7 @@
 /// What became of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Judged {
+pub enum Decision {
     /// It is in force from its offset on.
     Accepted,
     /// It changed nothing.
@@ -96,12 +96,12 @@
 pub(super) struct Recent {
     pub(super) offset: Offset,
     pub(super) digest: u64,
-    pub(super) judged: Judged,
+    pub(super) judged: Decision,
 }
 
 /// A deleted object, remembered so that a conflict can name who deleted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Gone {
+pub(super) struct Deletion {
     pub(super) offset: Offset,
     pub(super) author: Arc<Author>,
 }
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Its command is decided.
-    Judged(Judged),
+    Decided(Decision),
     /// The command of this id was decided at an earlier offset; this copy changed nothing.
     Repeated {
         /// The place of the copy that counted.
@@ -142,11 +142,11 @@
     pub(super) offset: Offset,
     pub(super) chain: u64,
     pub(super) sum: u64,
-    pub(super) view: View,
+    pub(super) view: IndexedFleet,
     pub(super) meta: BTreeMap<ObjectKey, Meta>,
     pub(super) recent: BTreeMap<CommandId, Recent>,
     pub(super) order: VecDeque<(Offset, CommandId)>,
-    pub(super) gone: BTreeMap<ObjectKey, Gone>,
+    pub(super) gone: BTreeMap<ObjectKey, Deletion>,
     pub(super) gone_order: BTreeSet<(Offset, ObjectKey)>,
 }
 
@@ -172,7 +172,7 @@
     }
 
     /// What became of a remembered command, where, and the digest of its record.
-    pub fn judged(&self, id: &str) -> Option<(Offset, u64, &Judged)> {
+    pub fn decision(&self, id: &str) -> Option<(Offset, u64, &Decision)> {
         self.recent.get(id).map(|it| (it.offset, it.digest, &it.judged))
     }
 
@@ -207,18 +207,18 @@
             return Folded { offset, author: Some(author), outcome };
         }
         let judged = if offset - command.made_at > WINDOW {
-            Judged::TooOld
+            Decision::TooOld
         } else {
             match self.attempt(offset, command.changes, &author) {
-                Ok(()) => Judged::Accepted,
-                Err(reason) => Judged::Rejected(reason),
+                Ok(()) => Decision::Accepted,
+                Err(reason) => Decision::Rejected(reason),
             }
         };
         let recent = Recent { offset, digest, judged: judged.clone() };
         self.sum = self.sum.wrapping_add(recent.hash(&author.command));
         self.recent.insert(author.command.clone(), recent);
         self.order.push_back((offset, author.command.clone()));
-        Folded { offset, author: Some(author), outcome: Outcome::Judged(judged) }
+        Folded { offset, author: Some(author), outcome: Outcome::Decided(judged) }
     }
 
     fn attempt(
@@ -231,12 +231,12 @@
         changes.iter().try_for_each(|change| self.current(change))?;
         let mut touched = Vec::with_capacity(changes.len());
         for change in changes {
-            let old = self.view.swap(&change.key, change.put);
+            let old = self.view.replace(&change.key, change.put);
             touched.push((change.key, old));
         }
         if let Some(fault) = self.view.fault(&touched) {
             for (key, old) in touched {
-                self.view.swap(&key, old);
+                self.view.replace(&key, old);
             }
             return Err(invalid(Some(fault.key), &fault.message));
         }
@@ -275,7 +275,7 @@
             self.revive(&key);
             self.meta.insert(key, Meta { version, author: Arc::clone(author), hash });
         } else {
-            let gone = Gone { offset: version, author: Arc::clone(author) };
+            let gone = Deletion { offset: version, author: Arc::clone(author) };
             self.sum = self.sum.wrapping_add(gone.hash(&key));
             self.gone_order.insert((version, key.clone()));
             self.gone.insert(key, gone);
@@ -309,17 +309,17 @@
     /// Its part of the digest; texts stay out, so that a clearer message is no divergence.
     pub(super) fn hash(&self, id: &str) -> u64 {
         let judged = match &self.judged {
-            Judged::Accepted => 0,
-            Judged::Rejected(Reason::Conflict { .. }) => 1,
-            Judged::Rejected(Reason::Invalid { .. }) => 2,
-            Judged::TooOld => 3,
+            Decision::Accepted => 0,
+            Decision::Rejected(Reason::Conflict { .. }) => 1,
+            Decision::Rejected(Reason::Invalid { .. }) => 2,
+            Decision::TooOld => 3,
         };
         let seed = self.digest.wrapping_add(judged);
         xxh3_64_with_seed(id.as_bytes(), seed.rotate_left(17) ^ self.offset)
     }
 }
 
-impl Gone {
+impl Deletion {
     /// Its part of the digest.
     pub(super) fn hash(&self, key: &ObjectKey) -> u64 {
         xxh3_64_with_seed(key.id.as_bytes(), self.offset ^ ((key.kind as u64) << 56))
--- a/crates/roseshore_core/src/config/submit.rs
+++ b/crates/roseshore_core/src/config/submit.rs
@@ -5,7 +5,7 @@
 //! decides. Only what the fold says is told as accepted or rejected; "nothing was appended" is
 //! told only when no append was ever lost; everything else is unknown.
 
-use super::state::{Judged, Reason, State, WINDOW};
+use super::state::{Decision, Reason, State, WINDOW};
 use crate::code::Code;
 use crate::ids::*;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 
 /// How an append went.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Tried {
+pub enum AppendOutcome {
     /// The record lies at this offset.
     Appended(Offset),
     /// Certainly nothing was appended.
@@ -39,19 +39,19 @@
 /// What to do now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Append the record, then tell [`Submit::tried`].
+    /// Append the record, then tell [`Submission::appended`].
     Append,
-    /// Read the log on, then tell [`Submit::looked`].
+    /// Read the log on, then tell [`Submission::log_read`].
     Read,
     /// Wait until then.
-    Rest(Instant),
+    Wait(Instant),
     /// Tell the operator.
     Done(Settled),
 }
 
 /// One command on its way.
 #[derive(Clone, Debug)]
-pub struct Submit {
+pub struct Submission {
     id: CommandId,
     digest: u64,
     until: Instant,
@@ -63,10 +63,10 @@
     why: String,
 }
 
-impl Submit {
+impl Submission {
     /// A command whose record has this digest, to be settled by `until`.
-    pub fn new(id: CommandId, digest: u64, now: Instant, until: Instant) -> Submit {
-        Submit {
+    pub fn new(id: CommandId, digest: u64, now: Instant, until: Instant) -> Submission {
+        Submission {
             id,
             digest,
             until,
@@ -90,19 +90,19 @@
         if self.place.is_some() || self.look {
             return Step::Read;
         }
-        if now < self.rest { Step::Rest(self.rest.min(self.until)) } else { Step::Append }
+        if now < self.rest { Step::Wait(self.rest.min(self.until)) } else { Step::Append }
     }
 
     /// How the append went.
-    pub fn tried(&mut self, now: Instant, tried: Tried) {
+    pub fn appended(&mut self, now: Instant, outcome: AppendOutcome) {
         self.rest = now + PAUSE;
-        match tried {
-            Tried::Appended(offset) => self.place = Some(offset),
-            Tried::Refused(why) => {
+        match outcome {
+            AppendOutcome::Appended(offset) => self.place = Some(offset),
+            AppendOutcome::Refused(why) => {
                 self.refused += 1;
                 self.why = why;
             }
-            Tried::Lost(why) => {
+            AppendOutcome::Lost(why) => {
                 self.lost = true;
                 self.look = true;
                 self.why = why;
@@ -111,13 +111,13 @@
     }
 
     /// The log was read on, or could not be.
-    pub fn looked(&mut self) {
+    pub fn log_read(&mut self) {
         self.look = false;
     }
 
     fn decided(&self, state: &State) -> Option<Settled> {
-        if let Some((offset, digest, judged)) = state.judged(&self.id) {
-            return Some(settle(&self.id, offset, digest == self.digest, judged));
+        if let Some((offset, digest, decision)) = state.decision(&self.id) {
+            return Some(settle(&self.id, offset, digest == self.digest, decision));
         }
         let place = self.place.filter(|it| *it < state.offset())?;
         if state.offset() - place > WINDOW {
@@ -143,7 +143,7 @@
 }
 
 /// What a remembered verdict says to the sender of a record, the `same` as the remembered or not.
-pub(super) fn settle(id: &str, offset: Offset, same: bool, judged: &Judged) -> Settled {
+pub(super) fn settle(id: &str, offset: Offset, same: bool, decision: &Decision) -> Settled {
     if !same {
         let message = format!(
             "the id `{id}` belongs to another command, at offset {offset}; choose a new id"
@@ -151,16 +151,16 @@
         let reason = Reason::Invalid { key: None, message: message.clone() };
         return Settled::Rejected(Code::CommandInvalid, Some(reason), message);
     }
-    match judged {
-        Judged::Accepted => Settled::Accepted(offset),
-        Judged::Rejected(reason) => {
+    match decision {
+        Decision::Accepted => Settled::Accepted(offset),
+        Decision::Rejected(reason) => {
             let code = match reason {
                 Reason::Conflict { .. } => Code::CommandConflict,
                 Reason::Invalid { .. } => Code::CommandInvalid,
             };
             Settled::Rejected(code, Some(reason.clone()), reason.to_string())
         }
-        Judged::TooOld => Settled::Unknown(format!(
+        Decision::TooOld => Settled::Unknown(format!(
             "the copy at offset {offset} is too old to be told from a first one and changed \
              nothing; an earlier copy may have been accepted: look at the difference"
         )),
@@ -171,6 +171,6 @@
 impl State {
     /// The end of a remembered command.
     pub fn settled(&self, id: &str) -> Option<Settled> {
-        self.judged(id).map(|(offset, _, judged)| settle(id, offset, true, judged))
+        self.decision(id).map(|(offset, _, decision)| settle(id, offset, true, decision))
     }
 }
--- a/crates/roseshore_core/src/declare.rs
+++ b/crates/roseshore_core/src/declare.rs
@@ -23,9 +23,9 @@
     pub text: String,
 }
 
-/// A place in a file.
+/// A location in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The file.
     pub file: String,
     /// From 1.
@@ -36,26 +36,26 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake {
+pub struct Diagnostic {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What, and a way out.
     pub message: String,
 }
 
-impl std::fmt::Display for Mistake {
+impl std::fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Place { file, line, column } = &self.place;
+        let Location { file, line, column } = &self.location;
         write!(f, "{file}:{line}:{column}: {}", self.message)
     }
 }
 
 impl Source {
-    fn place(&self, span: Option<Range<usize>>) -> Place {
+    fn location(&self, span: Option<Range<usize>>) -> Location {
         let at = span.map_or(0, |it| it.start.min(self.text.len()));
         let before = &self.text[..self.text.floor_char_boundary(at)];
         let line_start = before.rfind('\n').map_or(0, |it| it + 1);
-        Place {
+        Location {
             file: self.name.clone(),
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
@@ -67,49 +67,49 @@
 ///
 /// # Errors
 /// Every mistake found, in order of file; those of the whole fleet only when each file can be read.
-pub fn parse(sources: &[Source]) -> Result<Fleet, Vec<Mistake>> {
+pub fn parse(sources: &[Source]) -> Result<Fleet, Vec<Diagnostic>> {
     let mut fleet = Fleet::default();
-    let mut places: BTreeMap<ObjectKey, Place> = BTreeMap::new();
-    let mut mistakes = Vec::new();
+    let mut locations: BTreeMap<ObjectKey, Location> = BTreeMap::new();
+    let mut diagnostics = Vec::new();
     let mut tilings = Vec::new();
     for source in sources {
         let content = match file::read(&source.text) {
             Ok(content) => content,
             Err(err) => {
                 let message = format!("{}; correct the declaration", err.message());
-                mistakes.push(Mistake { place: source.place(err.span()), message });
+                diagnostics.push(Diagnostic { location: source.location(err.span()), message });
                 continue;
             }
         };
         tilings.extend(content.tilings.into_iter().map(|it| (source, it)));
         for declared in content.objects {
-            let place = source.place(Some(declared.span));
-            if let Some(first) = places.get(&declared.key) {
+            let location = source.location(Some(declared.span));
+            if let Some(first) = locations.get(&declared.key) {
                 let message = format!(
                     "{} is declared already at {}:{}; keep one",
                     declared.key, first.file, first.line
                 );
-                mistakes.push(Mistake { place, message });
+                diagnostics.push(Diagnostic { location, message });
                 continue;
             }
             fleet.put(&declared.key.id, declared.object);
-            places.insert(declared.key, place);
+            locations.insert(declared.key, location);
         }
     }
     for (source, tiling) in tilings {
         let layers = fleet.models.get(&tiling.model).map(|it| it.layers);
         if let Some((span, message)) = layers.and_then(|it| tiling.fault(it)) {
-            mistakes.push(Mistake { place: source.place(Some(span)), message });
+            diagnostics.push(Diagnostic { location: source.location(Some(span)), message });
         }
     }
-    if mistakes.is_empty() {
-        mistakes = check_fleet(&fleet)
+    if diagnostics.is_empty() {
+        diagnostics = check_fleet(&fleet)
             .into_iter()
             .filter_map(|fault| {
-                let place = places.get(&fault.key)?.clone();
-                Some(Mistake { place, message: format!("{}: {}", fault.key, fault.message) })
+                let location = locations.get(&fault.key)?.clone();
+                Some(Diagnostic { location, message: format!("{}: {}", fault.key, fault.message) })
             })
             .collect();
     }
-    if mistakes.is_empty() { Ok(fleet) } else { Err(mistakes) }
+    if diagnostics.is_empty() { Ok(fleet) } else { Err(diagnostics) }
 }
--- a/crates/roseshore_core/src/gateway/peers/relation.rs
+++ b/crates/roseshore_core/src/gateway/peers/relation.rs
@@ -2,11 +2,11 @@
 //!
 //! In a small data centre every host sends heartbeats to every other. In a larger one the first few
 //! by rank are speakers for the data centre: the other hosts exchange heartbeats only with these,
-//! and receive the combined state of all hosts from them. Speakers of different data centres
+//! and receive the combined state of all hosts from them. DigestSchedule of different data centres
 //! exchange the sums of their own. So the traffic of a host does not grow with the number of hosts,
 //! except for speakers, whose traffic grows with their own data centre.
 //!
-//! Speakers are not elected: each host derives them from the hosts that it hears, and a host that
+//! DigestSchedule are not elected: each host derives them from the hosts that it hears, and a host that
 //! finds itself among them acts as one. If for a while there are two sets of speakers, or none,
 //! state is less fresh.
 
@@ -26,7 +26,7 @@
 const NEAR_PERIOD_PER_HOST: Duration = Duration::from_millis(4);
 /// Period per receiver where every host sends to every other.
 const MESH_PERIOD_PER_HOST: Duration = Duration::from_millis(10);
-/// Shortest period in a data centre with speakers. Its other hosts know only some of each other,
+/// Shortest period in a data centre with schedule. Its other hosts know only some of each other,
 /// and would take the data centre for a small one.
 const LARGE_CENTRE_MIN_PERIOD: Duration = Duration::from_millis(200);
 /// Longest period of heartbeats within a data centre: a third of the silence after which a host is
--- a/crates/roseshore_core/src/membership.rs
+++ b/crates/roseshore_core/src/membership.rs
@@ -5,22 +5,22 @@
 //! means no new work. Gone needs silence past a bound and absence from the list, or silence past a
 //! longer bound. A heartbeat of an older life, or an older one of the same life, changes nothing.
 //!
-//! States change only by events ([`Membership::heard`], [`Membership::told`],
-//! [`Membership::listed`], [`Membership::tick`]); queries read the states as of the last event. A
+//! States change only by events ([`Membership::on_heartbeat`], [`Membership::on_digest`],
+//! [`Membership::on_host_list`], [`Membership::tick`]); queries read the states as of the last event. A
 //! process that was paused sees a jump between two ticks: the silence of that time was its own, so
 //! it is not held against others, and the view is [`Membership::stale`] until it has settled.
 
+mod digest_schedule;
 mod hosts;
 mod member;
 mod rank;
 mod settings;
-mod speakers;
 
-pub use hosts::{HostTable, Listed};
+pub use digest_schedule::{DigestCall, DigestSchedule};
+pub use hosts::{HostTable, ListedHost};
 pub use member::{Change, Heartbeat, Ignored, Member, MemberDigest, MemberState};
 pub use rank::{Order, ranked, weight};
 pub use settings::Settings;
-pub use speakers::{Call, Speakers};
 
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Why it was ignored; the view is unchanged then.
-    pub fn heard(
+    pub fn on_heartbeat(
         &mut self,
         from: SocketAddr,
         beat: Heartbeat,
@@ -92,10 +92,10 @@
     ) -> Result<Vec<Change>, Ignored> {
         self.wake(now);
         if beat.host == self.own.host {
-            return Err(Ignored::OwnName);
+            return Err(Ignored::OwnHost);
         }
         if !self.bound(from, &beat.host) {
-            return Err(Ignored::Stranger);
+            return Err(Ignored::UnknownSender);
         }
         let host = beat.host.clone();
         self.take(from, beat, now, now)?;
@@ -105,7 +105,7 @@
     /// Takes the digest of another data centre.
     ///
     /// Entries about own data centre are ignored: they are heard of directly or not at all.
-    pub fn told(&mut self, notes: Vec<MemberDigest>, now: Instant) -> Vec<Change> {
+    pub fn on_digest(&mut self, notes: Vec<MemberDigest>, now: Instant) -> Vec<Change> {
         self.wake(now);
         for note in notes {
             if note.beat.data_centre == self.own.data_centre {
@@ -121,7 +121,12 @@
     }
 
     /// Takes the host list; one with an older version than known is ignored.
-    pub fn listed(&mut self, version: u64, hosts: Vec<Listed>, now: Instant) -> Vec<Change> {
+    pub fn on_host_list(
+        &mut self,
+        version: u64,
+        hosts: Vec<ListedHost>,
+        now: Instant,
+    ) -> Vec<Change> {
         self.wake(now);
         if !self.hosts.replace(version, hosts, now) {
             return Vec::new();
@@ -167,7 +172,7 @@
 
     /// Where heartbeats go: every daemon of the own data centre that is listed or not gone, and the
     /// seeds among the others. Listed ones get them for ever: after a cut, somebody must begin.
-    pub fn audience(&self) -> Vec<SocketAddr> {
+    pub fn heartbeat_addrs(&self) -> Vec<SocketAddr> {
         let near = self.daemons.iter().filter(|(_, d)| self.near(d));
         let wanted = near.filter(|(h, d)| d.state != MemberState::Gone || self.hosts.contains(h));
         let mut peers: Vec<_> = wanted.map(|(_, d)| d.peer).collect();
@@ -295,10 +300,10 @@
         let daemon = self.daemons.entry(beat.host.clone()).or_insert(fresh);
         if let Some(last) = &daemon.beat {
             if beat.incarnation < last.incarnation {
-                return Err(Ignored::OldLife);
+                return Err(Ignored::OldIncarnation);
             }
             if beat.incarnation == last.incarnation && beat.sequence <= last.sequence {
-                return Err(Ignored::Repeat);
+                return Err(Ignored::Duplicate);
             }
         }
         // Before the first heartbeat, `heard` is only the time since which it is known.
--- a/crates/roseshore_core/src/membership/speakers.rs
+++ b/crates/roseshore_core/src/membership/digest_schedule.rs
@@ -14,7 +14,7 @@
 const PATIENCE: u32 = 2;
 
 /// The state of one daemon's talks.
-pub struct Speakers {
+pub struct DigestSchedule {
     own: DataCentreId,
     settings: Settings,
     talks: BTreeMap<DataCentreId, Talk>,
@@ -28,17 +28,17 @@
 
 /// A daemon of another data centre to exchange digests with now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct DigestCall {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// The daemon.
     pub to: Member,
 }
 
-impl Speakers {
+impl DigestSchedule {
     /// No talks yet.
-    pub fn new(own: DataCentreId, settings: Settings) -> Speakers {
-        Speakers { own, settings, talks: BTreeMap::new() }
+    pub fn new(own: DataCentreId, settings: Settings) -> DigestSchedule {
+        DigestSchedule { own, settings, talks: BTreeMap::new() }
     }
 
     /// The calls that are due. `far` are the daemons of other data centres; `place` is this daemon's
@@ -48,7 +48,7 @@
         far: Vec<Member>,
         place: impl Fn(&str) -> Option<usize>,
         now: Instant,
-    ) -> Vec<Call> {
+    ) -> Vec<DigestCall> {
         let mut centres: BTreeMap<DataCentreId, Vec<Member>> = BTreeMap::new();
         for member in far {
             centres.entry(member.data_centre.clone()).or_default().push(member);
@@ -66,7 +66,7 @@
             }
             talk.due = now + period;
             let to = choose(&self.own, members, talk.failures);
-            calls.push(Call { data_centre: centre, to });
+            calls.push(DigestCall { data_centre: centre, to });
         }
         calls
     }
--- a/crates/roseshore_core/src/membership/hosts.rs
+++ b/crates/roseshore_core/src/membership/hosts.rs
@@ -9,7 +9,7 @@
 
 /// One host of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedHost {
     /// Its name.
     pub host: HostId,
     /// Where it is.
@@ -23,7 +23,7 @@
 /// The newest list and the hosts that left it.
 pub struct HostTable {
     version: Option<u64>,
-    hosts: BTreeMap<HostId, Listed>,
+    hosts: BTreeMap<HostId, ListedHost>,
     left: BTreeMap<HostId, Instant>,
     /// The leaving ones of `hosts` and all of `left`: few, and asked for often.
     leaving: BTreeSet<HostId>,
@@ -38,7 +38,7 @@
     }
 
     /// Takes a list, or returns `false` if it is older than the known one.
-    pub fn replace(&mut self, version: u64, hosts: Vec<Listed>, now: Instant) -> bool {
+    pub fn replace(&mut self, version: u64, hosts: Vec<ListedHost>, now: Instant) -> bool {
         if self.version.is_some_and(|known| version < known) {
             return false;
         }
--- a/crates/roseshore_core/src/membership/member.rs
+++ b/crates/roseshore_core/src/membership/member.rs
@@ -70,23 +70,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ignored {
     /// The sender's address is neither in the host list nor a seed, or belongs to another host.
-    Stranger,
+    UnknownSender,
     /// It names this daemon's own host.
-    OwnName,
+    OwnHost,
     /// It is of an older life.
-    OldLife,
+    OldIncarnation,
     /// It was heard of before, or a newer one of the same life was.
-    Repeat,
+    Duplicate,
 }
 
 impl Ignored {
     /// The stable name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Ignored::Stranger => "stranger",
-            Ignored::OwnName => "own_name",
-            Ignored::OldLife => "old_life",
-            Ignored::Repeat => "repeat",
+            Ignored::UnknownSender => "stranger",
+            Ignored::OwnHost => "own_name",
+            Ignored::OldIncarnation => "old_life",
+            Ignored::Duplicate => "repeat",
         }
     }
 }
--- a/crates/roseshore_core/src/order/desired.rs
+++ b/crates/roseshore_core/src/order/desired.rs
@@ -20,7 +20,7 @@
     /// The number of layers of the whole model.
     pub depth: Layer,
     /// Whether the target refuses old fencing numbers.
-    pub checks: bool,
+    pub checks_fence: bool,
 }
 
 /// What every engine of a data centre should hold.
@@ -51,6 +51,6 @@
         adapters: model.adapters.clone(),
         bytes: u64::from(layers.1.saturating_sub(layers.0)) * model.layer_bytes,
         depth: model.layers,
-        checks: target.checks_fence,
+        checks_fence: target.checks_fence,
     })
 }
--- a/crates/roseshore_core/src/order/lease.rs
+++ b/crates/roseshore_core/src/order/lease.rs
@@ -1,7 +1,7 @@
 //! The lease by which one daemon of a data centre gives orders.
 //!
-//! [`Fold`] judges the records by their place and by the log's own times alone, so that every
-//! reader reaches the same verdict. [`Leaser`] is one daemon's view: it counts its own lease from
+//! [`LeaseState`] judges the records by their place and by the log's own times alone, so that every
+//! reader reaches the same verdict. [`LeaseClient`] is one daemon's view: it counts its own lease from
 //! the instant *before* the record was sent, which is never later than the log's time of the
 //! record, so its lease ends for itself before it ends for anybody else.
 
@@ -42,7 +42,7 @@
 
 /// The lease that runs, by the log's times.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct Lease {
     /// Who has it.
     pub holder: HostId,
     /// The holder's life.
@@ -55,7 +55,7 @@
 
 /// What became of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Folded {
+pub enum LeaseOutcome {
     /// It counts.
     Accepted,
     /// It came too late, too early, or from somebody else.
@@ -66,34 +66,34 @@
 
 /// The state of the lease stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fold {
-    held: Option<Held>,
+pub struct LeaseState {
+    held: Option<Lease>,
     next: Offset,
 }
 
-impl Fold {
+impl LeaseState {
     /// The lease taken last and not released; it may have ended by the log's clock.
-    pub fn held(&self) -> Option<&Held> {
+    pub fn lease(&self) -> Option<&Lease> {
         self.held.as_ref()
     }
 
     /// The offset to read next.
-    pub fn next(&self) -> Offset {
+    pub fn next_offset(&self) -> Offset {
         self.next
     }
 
     /// Takes the next record, with its place and the log's time of it in milliseconds.
-    pub fn take(&mut self, offset: Offset, time: u64, record: &LeaseRecord) -> Folded {
+    pub fn apply(&mut self, offset: Offset, time: u64, record: &LeaseRecord) -> LeaseOutcome {
         if offset < self.next {
-            return Folded::Repeat;
+            return LeaseOutcome::Repeat;
         }
         self.next = offset + 1;
         match record {
             LeaseRecord::Take { holder, incarnation, ttl, .. } => {
                 if self.held.as_ref().is_some_and(|h| time < h.until) {
-                    return Folded::Void;
+                    return LeaseOutcome::Void;
                 }
-                self.held = Some(Held {
+                self.held = Some(Lease {
                     holder: holder.clone(),
                     incarnation: *incarnation,
                     fence: offset,
@@ -105,14 +105,14 @@
                     // A short renewal never shortens what was promised to run longer.
                     held.until = held.until.max(time + ttl);
                 }
-                _ => return Folded::Void,
+                _ => return LeaseOutcome::Void,
             },
             LeaseRecord::Release { fence } => match &self.held {
                 Some(held) if held.fence == *fence => self.held = None,
-                _ => return Folded::Void,
+                _ => return LeaseOutcome::Void,
             },
         }
-        Folded::Accepted
+        LeaseOutcome::Accepted
     }
 
     /// Skips records that cannot be read or are no longer kept.
@@ -158,11 +158,11 @@
 
 /// One daemon's view of the lease and its wish to have it.
 #[derive(Clone, Debug)]
-pub struct Leaser {
+pub struct LeaseClient {
     host: HostId,
     incarnation: Incarnation,
     times: LeaseTimes,
-    fold: Fold,
+    state: LeaseState,
     /// When each of the own records that may still turn up was sent.
     sent: BTreeMap<u64, Instant>,
     own: Option<Own>,
@@ -172,14 +172,14 @@
     quiet: Option<Instant>,
 }
 
-impl Leaser {
+impl LeaseClient {
     /// A daemon that has read nothing yet.
-    pub fn new(host: HostId, incarnation: Incarnation, times: LeaseTimes) -> Leaser {
-        Leaser {
+    pub fn new(host: HostId, incarnation: Incarnation, times: LeaseTimes) -> LeaseClient {
+        LeaseClient {
             host,
             incarnation,
             times,
-            fold: Fold::default(),
+            state: LeaseState::default(),
             sent: BTreeMap::new(),
             own: None,
             read: None,
@@ -188,8 +188,8 @@
     }
 
     /// The stream's state as read here.
-    pub fn fold(&self) -> &Fold {
-        &self.fold
+    pub fn state(&self) -> &LeaseState {
+        &self.state
     }
 
     /// Takes a record that was read at `now`.
@@ -199,9 +199,9 @@
         time: u64,
         record: &LeaseRecord,
         now: Instant,
-    ) -> Folded {
-        let folded = self.fold.take(offset, time, record);
-        if folded != Folded::Accepted {
+    ) -> LeaseOutcome {
+        let folded = self.state.apply(offset, time, record);
+        if folded != LeaseOutcome::Accepted {
             return folded;
         }
         self.read = Some(now);
@@ -227,9 +227,9 @@
         folded
     }
 
-    /// Skips to an offset; see [`Fold::skip_to`].
+    /// Skips to an offset; see [`LeaseState::skip_to`].
     pub fn skip_to(&mut self, next: Offset) {
-        self.fold.skip_to(next);
+        self.state.skip_to(next);
     }
 
     /// The record to append now, if any.
@@ -266,7 +266,7 @@
     /// Whether the lease can have ended by the log's clock: a `ttl` after its record was read
     /// here, it has ended wherever the clocks stand.
     fn free(&self, now: Instant) -> bool {
-        match (self.fold.held(), self.read) {
+        match (self.state.lease(), self.read) {
             (Some(_), Some(read)) => now.saturating_duration_since(read) >= self.times.ttl,
             _ => true,
         }
--- a/crates/roseshore_core/src/order/placement.rs
+++ b/crates/roseshore_core/src/order/placement.rs
@@ -7,50 +7,50 @@
 //! have a pace, and a spare leaves only layers that stay far below the bound that calls for help.
 
 use crate::order::desired::Desired;
-use crate::order::giver::Seen;
+use crate::order::reconciler::Observed;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Layers of a model that engines hold together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Part {
+pub struct Shard {
     /// The model.
     pub model: ModelId,
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
 }
 
-impl Part {
-    fn of(want: &Desired) -> Part {
-        Part { model: want.model.clone(), layers: want.layers }
+impl Shard {
+    fn of(want: &Desired) -> Shard {
+        Shard { model: want.model.clone(), layers: want.layers }
     }
 }
 
 /// The bounds of [`Placement`].
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementBounds {
-    /// Answers for each slot from which on a part needs help.
-    pub hot: f64,
-    /// Answers for each slot that a part may have once a spare has left it.
-    pub cold: f64,
+    /// Answers for each slot from which on a shard needs help.
+    pub hot_ratio: f64,
+    /// Answers for each slot that a shard may have once a spare has left it.
+    pub cold_ratio: f64,
     /// How long a need has to last.
-    pub hold: Duration,
+    pub min_duration: Duration,
     /// Time between two moves by demand.
-    pub pace: Duration,
+    pub move_interval: Duration,
 }
 
 impl Default for PlacementBounds {
     fn default() -> PlacementBounds {
         PlacementBounds {
-            hot: 0.9,
-            cold: 0.4,
-            hold: Duration::from_secs(10),
-            pace: Duration::from_secs(30),
+            hot_ratio: 0.9,
+            cold_ratio: 0.4,
+            min_duration: Duration::from_secs(10),
+            move_interval: Duration::from_secs(30),
         }
     }
 }
 
-/// The load of a part, over the engines that serve it.
+/// The load of a shard, over the engines that serve it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     /// Engines that serve it.
@@ -67,13 +67,13 @@
     }
 
     /// The ratio once an engine has left; infinite if it is the last.
-    fn without(&self, seen: &Seen) -> f64 {
+    fn without(&self, seen: &Observed) -> f64 {
         let slots = self.slots - f64::from(seen.slots);
         if slots > 0.0 { self.work / slots } else { f64::INFINITY }
     }
 }
 
-/// Why a part needs a spare.
+/// Why a shard needs a spare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Need {
     Lost,
@@ -84,8 +84,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     bounds: PlacementBounds,
-    placed: BTreeMap<TargetId, Part>,
-    needs: BTreeMap<Part, (Need, Instant)>,
+    placed: BTreeMap<TargetId, Shard>,
+    needs: BTreeMap<Shard, (Need, Instant)>,
     moved: Option<Instant>,
 }
 
@@ -104,25 +104,25 @@
         now: Instant,
         fixed: &BTreeMap<TargetId, Desired>,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Seen>,
+        seen: &BTreeMap<TargetId, Observed>,
     ) -> BTreeMap<TargetId, Desired> {
-        let parts: BTreeMap<Part, &Desired> = fixed.values().map(|w| (Part::of(w), w)).collect();
-        self.adopt(&parts, spares, seen);
+        let shards: BTreeMap<Shard, &Desired> = fixed.values().map(|w| (Shard::of(w), w)).collect();
+        self.adopt(&shards, spares, seen);
         let loads = self.loads(fixed, seen);
         self.note_needs(now, &loads);
-        if let Some((part, need)) = self.pressing(now, &loads)
-            && let Some(spare) = self.donor(need, &part, spares, seen, &loads)
+        if let Some((shard, need)) = self.pressing(now, &loads)
+            && let Some(spare) = self.donor(need, &shard, spares, seen, &loads)
         {
             if need == Need::Hot {
                 self.moved = Some(now);
             }
-            self.needs.remove(&part);
-            self.placed.insert(spare, part);
+            self.needs.remove(&shard);
+            self.placed.insert(spare, shard);
         }
-        let want = |(id, part): (&TargetId, &Part)| {
-            let checks = *spares.get(id)?;
-            let like = *parts.get(part)?;
-            Some((id.clone(), Desired { checks, ..like.clone() }))
+        let want = |(id, shard): (&TargetId, &Shard)| {
+            let checks_fence = *spares.get(id)?;
+            let like = *shards.get(shard)?;
+            Some((id.clone(), Desired { checks_fence, ..like.clone() }))
         };
         self.placed.iter().filter_map(want).collect()
     }
@@ -130,15 +130,15 @@
     /// Takes over what spares hold, so that a new holder of the lease moves nothing.
     fn adopt(
         &mut self,
-        parts: &BTreeMap<Part, &Desired>,
+        shards: &BTreeMap<Shard, &Desired>,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Seen>,
+        seen: &BTreeMap<TargetId, Observed>,
     ) {
-        self.placed.retain(|id, part| spares.contains_key(id) && parts.contains_key(part));
+        self.placed.retain(|id, shard| spares.contains_key(id) && shards.contains_key(shard));
         for id in spares.keys() {
-            let Some(part) = seen.get(id).and_then(Seen::part) else { continue };
-            if parts.contains_key(&part) {
-                self.placed.entry(id.clone()).or_insert(part);
+            let Some(shard) = seen.get(id).and_then(Observed::shard) else { continue };
+            if shards.contains_key(&shard) {
+                self.placed.entry(id.clone()).or_insert(shard);
             }
         }
     }
@@ -146,16 +146,16 @@
     fn loads(
         &self,
         fixed: &BTreeMap<TargetId, Desired>,
-        seen: &BTreeMap<TargetId, Seen>,
-    ) -> BTreeMap<Part, Load> {
-        let mut loads: BTreeMap<Part, Load> = BTreeMap::new();
-        let declared = fixed.iter().map(|(id, want)| (id, Part::of(want)));
-        let placed = self.placed.iter().map(|(id, part)| (id, part.clone()));
-        for (id, part) in declared.chain(placed) {
-            let load = loads.entry(part.clone()).or_default();
+        seen: &BTreeMap<TargetId, Observed>,
+    ) -> BTreeMap<Shard, Load> {
+        let mut loads: BTreeMap<Shard, Load> = BTreeMap::new();
+        let declared = fixed.iter().map(|(id, want)| (id, Shard::of(want)));
+        let placed = self.placed.iter().map(|(id, shard)| (id, shard.clone()));
+        for (id, shard) in declared.chain(placed) {
+            let load = loads.entry(shard.clone()).or_default();
             let Some(holds) = seen.get(id) else { continue };
             load.coming += 1;
-            if holds.serves && holds.part() == Some(part) {
+            if holds.serves && holds.shard() == Some(shard) {
                 load.live += 1;
                 load.work += f64::from(holds.running) + f64::from(holds.queue);
                 load.slots += f64::from(holds.slots);
@@ -164,68 +164,68 @@
         loads
     }
 
-    fn note_needs(&mut self, now: Instant, loads: &BTreeMap<Part, Load>) {
+    fn note_needs(&mut self, now: Instant, loads: &BTreeMap<Shard, Load>) {
         let need = |load: &Load| {
-            let hot = load.live > 0 && load.ratio() >= self.bounds.hot;
+            let hot = load.live > 0 && load.ratio() >= self.bounds.hot_ratio;
             if load.coming == 0 { Some(Need::Lost) } else { hot.then_some(Need::Hot) }
         };
-        let needs = loads.iter().filter_map(|(part, load)| Some((part.clone(), need(load)?)));
-        let needs: Vec<(Part, Need)> = needs.collect();
-        let kept: BTreeSet<&(Part, Need)> = needs.iter().collect();
-        self.needs.retain(|part, (need, _)| kept.contains(&(part.clone(), *need)));
-        for (part, need) in needs {
-            self.needs.entry(part).or_insert((need, now));
+        let needs = loads.iter().filter_map(|(shard, load)| Some((shard.clone(), need(load)?)));
+        let needs: Vec<(Shard, Need)> = needs.collect();
+        let kept: BTreeSet<&(Shard, Need)> = needs.iter().collect();
+        self.needs.retain(|shard, (need, _)| kept.contains(&(shard.clone(), *need)));
+        for (shard, need) in needs {
+            self.needs.entry(shard).or_insert((need, now));
         }
     }
 
-    /// The part that needs a spare most, if one has needed it for long enough.
-    fn pressing(&self, now: Instant, loads: &BTreeMap<Part, Load>) -> Option<(Part, Need)> {
+    /// The shard that needs a spare most, if one has needed it for long enough.
+    fn pressing(&self, now: Instant, loads: &BTreeMap<Shard, Load>) -> Option<(Shard, Need)> {
         let paced = |need| {
             let moved = self.moved.map(|at| now.saturating_duration_since(at));
-            need == Need::Lost || moved.is_none_or(|past| past >= self.bounds.pace)
+            need == Need::Lost || moved.is_none_or(|past| past >= self.bounds.move_interval)
         };
         // Help that is on its way counts before more is sent.
-        let settled = |part: &Part| loads.get(part).is_some_and(|l| l.coming == l.live);
-        let lasting = self.needs.iter().filter(|(part, (need, since))| {
-            let lasts = now.saturating_duration_since(*since) >= self.bounds.hold;
-            lasts && paced(*need) && settled(part)
+        let settled = |shard: &Shard| loads.get(shard).is_some_and(|l| l.coming == l.live);
+        let lasting = self.needs.iter().filter(|(shard, (need, since))| {
+            let lasts = now.saturating_duration_since(*since) >= self.bounds.min_duration;
+            lasts && paced(*need) && settled(shard)
         });
-        let ratio = |part: &Part| loads.get(part).map_or(0.0, Load::ratio);
+        let ratio = |shard: &Shard| loads.get(shard).map_or(0.0, Load::ratio);
         let most = lasting.min_by(|(a, (x, _)), (b, (y, _))| {
             x.cmp(y).then_with(|| ratio(b).total_cmp(&ratio(a)))
         });
-        most.map(|(part, (need, _))| (part.clone(), *need))
+        most.map(|(shard, (need, _))| (shard.clone(), *need))
     }
 
-    /// A spare without a part, or else the one whose part misses it least.
+    /// A spare without a shard, or else the one whose shard misses it least.
     fn donor(
         &self,
         need: Need,
-        part: &Part,
+        shard: &Shard,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Seen>,
-        loads: &BTreeMap<Part, Load>,
+        seen: &BTreeMap<TargetId, Observed>,
+        loads: &BTreeMap<Shard, Load>,
     ) -> Option<TargetId> {
         let ready = |id: &&TargetId| seen.get(*id).is_some_and(|s| !s.loading);
         if let Some(free) = spares.keys().filter(ready).find(|id| !self.placed.contains_key(*id)) {
             return Some(free.clone());
         }
-        let bound = if need == Need::Lost { self.bounds.hot } else { self.bounds.cold };
-        let rest = |(id, from): (&TargetId, &Part)| {
+        let bound = if need == Need::Lost { self.bounds.hot_ratio } else { self.bounds.cold_ratio };
+        let rest = |(id, from): (&TargetId, &Shard)| {
             let holds = seen.get(id)?;
             let load = loads.get(from)?;
-            let serves = holds.serves && holds.part().as_ref() == Some(from);
-            (serves && from != part).then(|| (load.without(holds), id.clone()))
+            let serves = holds.serves && holds.shard().as_ref() == Some(from);
+            (serves && from != shard).then(|| (load.without(holds), id.clone()))
         };
         let rests = self.placed.iter().filter_map(rest).filter(|(ratio, _)| *ratio <= bound);
         rests.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
     }
 }
 
-impl Seen {
-    /// The part that it holds, if it is not loading.
-    fn part(&self) -> Option<Part> {
+impl Observed {
+    /// The shard that it holds, if it is not loading.
+    fn shard(&self) -> Option<Shard> {
         let model = self.model.clone().filter(|_| !self.loading)?;
-        Some(Part { model, layers: self.layers })
+        Some(Shard { model, layers: self.layers })
     }
 }
--- a/crates/roseshore_core/src/order/giver.rs
+++ b/crates/roseshore_core/src/order/reconciler.rs
@@ -4,7 +4,7 @@
 //! reports that. So a lost reply needs no memory, and an order of a former holder that lands late
 //! is put right by the next round. Four bounds hold: a target whose going would break the last
 //! whole chain of what it serves now waits for another, answers in flight get time to end before
-//! weights go, the weight store's backlog stays within a horizon, and a target is not ordered again
+//! weights go, the weight store's backlog stays within a max_backlog, and a target is not ordered again
 //! before its last order can have taken effect.
 
 mod serving;
@@ -18,7 +18,7 @@
 
 /// What a target reports that it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observed {
     /// The model, if any.
     pub model: Option<ModelId>,
     /// The version.
@@ -39,7 +39,7 @@
     pub slots: u32,
 }
 
-impl Seen {
+impl Observed {
     fn fits(&self, want: &Desired) -> bool {
         !self.loading
             && self.serves
@@ -59,52 +59,52 @@
     pub backlog: u64,
 }
 
-/// The bounds of [`Giver`].
+/// The bounds of [`Reconciler`].
 #[derive(Clone, Copy, Debug)]
-pub struct GiverBounds {
+pub struct ReconcilerLimits {
     /// The longest backlog that a new load may find at the weight store.
-    pub horizon: Duration,
+    pub max_backlog: Duration,
     /// How long an order has before it is given again.
-    pub again: Duration,
+    pub retry_after: Duration,
     /// The longest wait between repeats of an order that has no effect.
-    pub longest: Duration,
+    pub max_backoff: Duration,
     /// How long daemons may take to hear that a target takes no new answers, or that a new version
     /// serves.
-    pub quiet: Duration,
+    pub propagation: Duration,
     /// How long answers in flight may hold up a change.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
 }
 
-impl Default for GiverBounds {
-    fn default() -> GiverBounds {
-        GiverBounds {
-            horizon: Duration::from_secs(20),
-            again: Duration::from_secs(2),
-            longest: Duration::from_mins(1),
-            quiet: Duration::from_secs(1),
-            drain: Duration::from_secs(30),
+impl Default for ReconcilerLimits {
+    fn default() -> ReconcilerLimits {
+        ReconcilerLimits {
+            max_backlog: Duration::from_secs(20),
+            retry_after: Duration::from_secs(2),
+            max_backoff: Duration::from_mins(1),
+            propagation: Duration::from_secs(1),
+            drain_timeout: Duration::from_secs(30),
         }
     }
 }
 
 /// What a target is ordered to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Action {
     /// To take no new answers, and to keep what it holds.
-    Drain(Seen),
+    Drain(Observed),
     /// To hold what it should.
     Hold(Desired),
 }
 
 /// An order that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct DueOrder {
     /// The target.
     pub target: TargetId,
     /// Whether it refuses old fencing numbers.
-    pub checks: bool,
+    pub checks_fence: bool,
     /// What it is to do.
-    pub step: Step,
+    pub step: Action,
 }
 
 /// Since when a target waits for its answers in flight.
@@ -118,7 +118,7 @@
 struct Open<'a> {
     id: &'a TargetId,
     want: &'a Desired,
-    holds: &'a Seen,
+    holds: &'a Observed,
     going: Going,
 }
 
@@ -138,46 +138,46 @@
 
 /// Decides which orders to give.
 #[derive(Clone, Debug, Default)]
-pub struct Giver {
-    bounds: GiverBounds,
+pub struct Reconciler {
+    bounds: ReconcilerLimits,
     given: BTreeMap<TargetId, Given>,
     waits: BTreeMap<TargetId, Wait>,
 }
 
-impl Giver {
-    /// A giver that has given nothing yet.
-    pub fn new(bounds: GiverBounds) -> Giver {
-        Giver { bounds, ..Giver::default() }
+impl Reconciler {
+    /// A reconciler that has given nothing yet.
+    pub fn new(bounds: ReconcilerLimits) -> Reconciler {
+        Reconciler { bounds, ..Reconciler::default() }
     }
 
     /// The orders to give now.
     ///
     /// `seen` has only targets whose report is fresh; a silent target is not ordered. `allowed`
-    /// says whether orders may be given to a target with this `checks` mark. `store` is `None`
+    /// says whether orders may be given to a target with this `checks_fence` mark. `store` is `None`
     /// while the weight store does not answer; loads wait for it then.
     pub fn due(
         &mut self,
         now: Instant,
         wants: &BTreeMap<TargetId, Desired>,
-        seen: &BTreeMap<TargetId, Seen>,
+        seen: &BTreeMap<TargetId, Observed>,
         store: Option<Store>,
         allowed: impl Fn(bool) -> bool,
-    ) -> Vec<Due> {
+    ) -> Vec<DueOrder> {
         self.forget(wants, seen);
         let open = self.open(wants, seen);
         self.waits.retain(|id, _| open.iter().any(|o| o.id == id));
-        let mut budget = Budget::new(store, self.bounds.horizon);
+        let mut budget = Budget::new(store, self.bounds.max_backlog);
         let mut orders = Vec::new();
         for open in open {
             let bytes = if same_weights(open.holds, open.want) { 0 } else { open.want.bytes };
             let step = self.step(now, &open);
-            let Some(step) = step.filter(|_| allowed(open.want.checks)) else { continue };
-            let drain = matches!(step, Step::Drain(_));
+            let Some(step) = step.filter(|_| allowed(open.want.checks_fence)) else { continue };
+            let drain = matches!(step, Action::Drain(_));
             // A drained target needs the store next, so draining takes its place there as well.
             if self.waited(open.id, open.want, drain, now) && budget.take(bytes) {
                 self.note(open.id, open.want, drain, now);
-                let checks = open.want.checks;
-                orders.push(Due { target: open.id.clone(), checks, step });
+                let checks_fence = open.want.checks_fence;
+                orders.push(DueOrder { target: open.id.clone(), checks_fence, step });
             }
         }
         orders
@@ -187,7 +187,7 @@
     fn open<'a>(
         &self,
         wants: &'a BTreeMap<TargetId, Desired>,
-        seen: &'a BTreeMap<TargetId, Seen>,
+        seen: &'a BTreeMap<TargetId, Observed>,
     ) -> Vec<Open<'a>> {
         let mut serving = Serving::new(seen, wants);
         let (mut open, blocked): (Vec<_>, Vec<_>) = wants
@@ -208,14 +208,14 @@
     }
 
     /// What a target is to do now, if its answers in flight leave it anything to do.
-    fn step(&mut self, now: Instant, open: &Open<'_>) -> Option<Step> {
-        let hold = || Some(Step::Hold(open.want.clone()));
+    fn step(&mut self, now: Instant, open: &Open<'_>) -> Option<Action> {
+        let hold = || Some(Action::Hold(open.want.clone()));
         let holds = open.holds;
         if same_weights(holds, open.want) {
             return hold();
         }
         if open.going == Going::Spare {
-            return Some(Step::Drain(holds.clone()));
+            return Some(Action::Drain(holds.clone()));
         }
         let wait = Wait { since: now, serves: holds.serves };
         let known = self.waits.entry(open.id.clone()).or_insert(wait);
@@ -225,13 +225,13 @@
         let waited = now.saturating_duration_since(known.since);
         // Daemons that have not heard of it yet may still send new answers.
         let trailing = !holds.serves || open.going == Going::Replaced;
-        let quiet = if trailing { self.bounds.quiet } else { Duration::ZERO };
+        let quiet = if trailing { self.bounds.propagation } else { Duration::ZERO };
         let idle = holds.running == 0 && waited >= quiet;
-        if idle || waited >= self.bounds.drain { hold() } else { None }
+        if idle || waited >= self.bounds.drain_timeout { hold() } else { None }
     }
 
     /// The models of which a load is under way or ordered.
-    fn changing<'a>(&'a self, seen: &'a BTreeMap<TargetId, Seen>) -> BTreeSet<&'a ModelId> {
+    fn changing<'a>(&'a self, seen: &'a BTreeMap<TargetId, Observed>) -> BTreeSet<&'a ModelId> {
         let loading = seen.values().filter(|holds| holds.loading);
         let ordered = self.given.values().map(|given| &given.want.model);
         loading.filter_map(|holds| holds.model.as_ref()).chain(ordered).collect()
@@ -246,13 +246,13 @@
             Some(given) if given.same(want, drain) => given.tries + 1,
             _ => 0,
         };
-        let backoff = self.bounds.again * 2_u32.saturating_pow(tries.min(10));
-        let next = now + backoff.min(self.bounds.longest);
+        let backoff = self.bounds.retry_after * 2_u32.saturating_pow(tries.min(10));
+        let next = now + backoff.min(self.bounds.max_backoff);
         self.given.insert(id.clone(), Given { want: want.clone(), drain, next, tries });
     }
 
     /// Drops what was given to targets that hold it by now or are no longer declared.
-    fn forget(&mut self, wants: &BTreeMap<TargetId, Desired>, seen: &BTreeMap<TargetId, Seen>) {
+    fn forget(&mut self, wants: &BTreeMap<TargetId, Desired>, seen: &BTreeMap<TargetId, Observed>) {
         self.given.retain(|id, given| {
             // A silent target does not hold up the change of the others.
             let open = seen.get(id).is_some_and(|holds| !holds.fits(&given.want));
@@ -262,7 +262,7 @@
 }
 
 /// An order that changes adapters only costs the weight store nothing worth counting.
-fn same_weights(holds: &Seen, want: &Desired) -> bool {
+fn same_weights(holds: &Observed, want: &Desired) -> bool {
     holds.model.as_ref() == Some(&want.model)
         && holds.version.as_ref() == Some(&want.version)
         && holds.layers == want.layers
@@ -275,8 +275,8 @@
 }
 
 impl Budget {
-    fn new(store: Option<Store>, horizon: Duration) -> Budget {
-        let most = store.map_or(0, |s| (s.rate as f64 * horizon.as_secs_f64()) as u64);
+    fn new(store: Option<Store>, max_backlog: Duration) -> Budget {
+        let most = store.map_or(0, |s| (s.rate as f64 * max_backlog.as_secs_f64()) as u64);
         let backlog = store.map_or(0, |s| s.backlog);
         Budget { left: most.saturating_sub(backlog), idle: store.is_some() && backlog == 0 }
     }
--- a/crates/roseshore_core/src/order/giver/serving.rs
+++ b/crates/roseshore_core/src/order/reconciler/serving.rs
@@ -1,6 +1,6 @@
 //! Which targets of a model serve now, and what is lost when one of them goes.
 
-use super::Seen;
+use super::Observed;
 use crate::order::desired::Desired;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
 
 impl<'a> Serving<'a> {
     pub(super) fn new(
-        seen: &'a BTreeMap<TargetId, Seen>,
+        seen: &'a BTreeMap<TargetId, Observed>,
         wants: &'a BTreeMap<TargetId, Desired>,
     ) -> Serving<'a> {
         let depths = wants.values().map(|want| (&want.model, want.depth)).collect();
@@ -69,7 +69,7 @@
     }
 
     /// Takes a target out of service if nothing is lost by it.
-    pub(super) fn leave(&mut self, id: &TargetId, holds: &Seen, want: &'a Desired) -> Going {
+    pub(super) fn leave(&mut self, id: &TargetId, holds: &Observed, want: &'a Desired) -> Going {
         let (Some(model), Some(version)) = (&holds.model, &holds.version) else {
             return Going::Free;
         };
@@ -106,7 +106,7 @@
 
 fn peers<'a>(
     wants: &'a BTreeMap<TargetId, Desired>,
-    seen: &BTreeMap<TargetId, Seen>,
+    seen: &BTreeMap<TargetId, Observed>,
 ) -> BTreeMap<(&'a ModelId, (Layer, Layer)), Peers> {
     let mut peers: BTreeMap<_, Peers> = BTreeMap::new();
     for (id, want) in wants {
--- a/crates/roseshore_core/src/order/rollout.rs
+++ b/crates/roseshore_core/src/order/rollout.rs
@@ -5,28 +5,28 @@
 //! The step is taken once: an older version is not used again unless it is declared again. An
 //! answer keeps the version that it began with, so texts of two versions are never mixed.
 
-use crate::order::giver::tiles;
+use crate::order::reconciler::tiles;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Layers of one version of a model that an engine can run now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct LoadedRange {
     /// The version of the weights.
     pub version: VersionId,
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
     /// Whether the engine stands in the own data centre.
-    pub near: bool,
+    pub local: bool,
 }
 
 /// What the engines of a model hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Pieces {
+pub struct LoadedRanges {
     /// Of usable engines.
-    pub held: Vec<Piece>,
+    pub ranges: Vec<LoadedRange>,
     /// Whether every engine of the own data centre has been heard of, or is out of use.
-    pub heard: bool,
+    pub complete: bool,
 }
 
 /// The versions of which a whole chain serves.
@@ -36,12 +36,12 @@
 }
 
 impl Whole {
-    fn new(pieces: &Pieces, depth: Layer) -> Whole {
+    fn new(loaded: &LoadedRanges, depth: Layer) -> Whole {
         let of = |version: &VersionId, far: bool| {
-            let held = pieces.held.iter().filter(|p| p.version == *version && (far || p.near));
+            let held = loaded.ranges.iter().filter(|p| p.version == *version && (far || p.local));
             tiles(held.map(|p| p.layers), depth)
         };
-        let versions: BTreeSet<&VersionId> = pieces.held.iter().map(|p| &p.version).collect();
+        let versions: BTreeSet<&VersionId> = loaded.ranges.iter().map(|p| &p.version).collect();
         let whole = |far| versions.iter().filter(|v| of(v, far)).map(|v| (*v).clone()).collect();
         Whole { near: whole(false), anywhere: whole(true) }
     }
@@ -81,18 +81,19 @@
         model: &ModelId,
         declared: &VersionId,
         depth: Layer,
-        look: impl FnOnce() -> Pieces,
+        look: impl FnOnce() -> LoadedRanges,
     ) -> Choice {
         let serving = self.serving.get(model).cloned();
         let stay = |version: &VersionId| Choice { version: version.clone(), switched: false };
         if serving.as_ref() == Some(declared) {
             return stay(declared);
         }
-        let pieces = look();
-        let whole = Whole::new(&pieces, depth);
+        let loaded = look();
+        let whole = Whole::new(&loaded, depth);
         // A daemon that has just started knows no former version. It takes what it finds, but
         // only once a chain of the declared one cannot merely be unheard of.
-        let old = serving.clone().or_else(|| whole.newest_but(declared).filter(|_| pieces.heard));
+        let old =
+            serving.clone().or_else(|| whole.newest_but(declared).filter(|_| loaded.complete));
         let old = old.as_ref();
         let new = Some(declared);
         let order = [(new, &whole.near), (old, &whole.near), (new, &whole.anywhere)];
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -19,7 +19,7 @@
 use crate::admit::Capacity;
 use crate::fleet::TargetKind;
 use crate::load::{DataCentreIndex, LoadTable, PollResult, ReportChange, TargetIndex, Ticket};
-use crate::order::rollout::{Piece, Pieces};
+use crate::order::rollout::{LoadedRange, LoadedRanges};
 use crate::prelude::*;
 use chain::{ChainSearch, Scratch};
 use cost::Work;
@@ -242,22 +242,22 @@
     }
 
     /// Versions and layer ranges of a model that the usable engines hold.
-    pub fn pieces(&self, model: &str, now: Instant) -> Pieces {
-        let mut pieces = Pieces { held: Vec::new(), heard: true };
+    pub fn loaded_ranges(&self, model: &str, now: Instant) -> LoadedRanges {
+        let mut loaded = LoadedRanges { ranges: Vec::new(), complete: true };
         for row in self.loads.declared().map(|index| self.loads.row(index)) {
             if row.kind != TargetKind::Engine {
                 continue;
             }
             let near = row.data_centre == self.local;
-            pieces.heard &= !near || row.reported() || !row.usable(now);
+            loaded.complete &= !near || row.reported() || !row.usable(now);
             let Some(engine) = row.engine.as_ref().filter(|_| row.usable(now)) else { continue };
             let serves = engine.both_phases && !engine.loading && !engine.draining;
             let Some(version) = engine.version.clone().filter(|_| serves) else { continue };
             if engine.model.as_deref() == Some(model) {
-                pieces.held.push(Piece { version, layers: engine.layers, near });
+                loaded.ranges.push(LoadedRange { version, layers: engine.layers, local: near });
             }
         }
-        pieces
+        loaded
     }
 
     /// Capacity of the layer with the fewest slots among a model's engines.
--- a/crates/roseshore_core/tests/config.rs
+++ b/crates/roseshore_core/tests/config.rs
@@ -60,9 +60,9 @@
 
 fn verdict(folded: &Folded) -> String {
     match &folded.outcome {
-        Outcome::Judged(Judged::Accepted) => "accepted".into(),
-        Outcome::Judged(Judged::TooOld) => "too old".into(),
-        Outcome::Judged(Judged::Rejected(reason)) => format!("rejected: {reason}"),
+        Outcome::Decided(Decision::Accepted) => "accepted".into(),
+        Outcome::Decided(Decision::TooOld) => "too old".into(),
+        Outcome::Decided(Decision::Rejected(reason)) => format!("rejected: {reason}"),
         Outcome::Repeated { first, same } => format!("repeat of {first}, same: {same}"),
         Outcome::Skipped { why } => format!("skipped: {why}"),
     }
@@ -247,7 +247,7 @@
         for it in folded {
             let Ok(command) = serde_json::from_str::<Command>(&records[it.offset as usize]) else { continue };
             match it.outcome {
-                Outcome::Judged(Judged::Accepted) => {
+                Outcome::Decided(Decision::Accepted) => {
                     prop_assert!(ids.insert(command.id.clone()), "two effects");
                     for change in &command.changes {
                         let (version, _) = won.get(&change.key).cloned().unwrap_or_default();
@@ -256,7 +256,7 @@
                         won.insert(change.key.clone(), (now, Some(command.id.clone())));
                     }
                 }
-                Outcome::Judged(Judged::Rejected(Reason::Conflict { key, base, version, winner })) => {
+                Outcome::Decided(Decision::Rejected(Reason::Conflict { key, base, version, winner })) => {
                     ids.insert(command.id);
                     let (stands, by) = won.get(&key).cloned().unwrap_or_default();
                     prop_assert_ne!(base, stands);
--- a/crates/roseshore_core/tests/config_submit.rs
+++ b/crates/roseshore_core/tests/config_submit.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    fn append(&mut self, data: &str) -> Tried {
+    fn append(&mut self, data: &str) -> AppendOutcome {
         let how = if self.appends.is_empty() { Refused } else { self.appends.remove(0) };
         match how {
             Replied | ReplyLost => self.log.push(data.to_owned()),
@@ -55,9 +55,9 @@
             Vanished | Refused => {}
         }
         match how {
-            Replied => Tried::Appended(self.log.len() as Offset - 1),
-            Refused => Tried::Refused("outage".into()),
-            _ => Tried::Lost("timeout".into()),
+            Replied => AppendOutcome::Appended(self.log.len() as Offset - 1),
+            Refused => AppendOutcome::Refused("outage".into()),
+            _ => AppendOutcome::Lost("timeout".into()),
         }
     }
 
@@ -70,33 +70,33 @@
         let start = Instant::now();
         let mut now = start;
         let mut state = State::default();
-        let mut submit =
-            Submit::new(ID.into(), record_digest(data), now, start + Duration::from_secs(3));
+        let mut submission =
+            Submission::new(ID.into(), record_digest(data), now, start + Duration::from_secs(3));
         loop {
-            match submit.next(now, &state) {
+            match submission.next(now, &state) {
                 Step::Done(settled) => return settled,
                 Step::Append => {
-                    let tried = self.append(data);
-                    submit.tried(now, tried);
+                    let outcome = self.append(data);
+                    submission.appended(now, outcome);
                 }
                 Step::Read => {
                     if self.readable() {
                         fold_on(&mut state, &self.log);
                     }
-                    submit.looked();
+                    submission.log_read();
                 }
-                Step::Rest(until) => now = until,
+                Step::Wait(until) => now = until,
             }
             now += Duration::from_millis(50);
         }
     }
 
     /// What the log says in the end, once what was delayed has come.
-    fn truth(mut self) -> Option<Judged> {
+    fn truth(mut self) -> Option<Decision> {
         self.log.append(&mut self.delayed);
         let mut state = State::default();
         fold_on(&mut state, &self.log);
-        state.judged(ID).map(|(_, _, judged)| judged.clone())
+        state.decision(ID).map(|(_, _, judged)| judged.clone())
     }
 }
 
@@ -174,8 +174,8 @@
         let settled = world.run(&record(ID, "null", if valid { "1" } else { "0" }));
         let truth = world.truth();
         match settled {
-            Settled::Accepted(_) => prop_assert_eq!(truth, Some(Judged::Accepted)),
-            Settled::Rejected(..) => prop_assert_ne!(truth, Some(Judged::Accepted)),
+            Settled::Accepted(_) => prop_assert_eq!(truth, Some(Decision::Accepted)),
+            Settled::Rejected(..) => prop_assert_ne!(truth, Some(Decision::Accepted)),
             Settled::Unknown(_) => {}
         }
     }
@@ -200,7 +200,7 @@
         let declared = ["a".to_owned(), "b".to_owned()];
         let word = |it: &(&str, Offset)| Progress { data_centre: it.0.into(), offset: it.1 };
         let words: Vec<Progress> = case.words.iter().map(word).collect();
-        let got = spread(5, &declared, &words);
+        let got = confirmation(5, &declared, &words);
         assert_eq!(got.in_force, case.in_force, "{}", case.name);
         assert_eq!(got.unconfirmed, case.unconfirmed, "{}", case.name);
     }
@@ -241,12 +241,12 @@
         }
         let act = reader.next(start + Duration::from_millis(case.since_ms), case.rank);
         let got = match act {
-            Act::Read { wait } => Some(wait.as_millis() as u64),
-            Act::Rest { .. } => None,
+            ReadAction::Read { wait } => Some(wait.as_millis() as u64),
+            ReadAction::Wait { .. } => None,
         };
         assert_eq!(got, case.want, "{}", case.name);
         let back = reader.answered(start, true);
-        assert_eq!(back, (case.failures > 0).then_some(Transition::Back), "{}", case.name);
+        assert_eq!(back, (case.failures > 0).then_some(Transition::Recovered), "{}", case.name);
     }
 }
 
@@ -274,9 +274,9 @@
         Case { name: "nobody is ahead", offset: 9, failures: 2, want: None },
     ];
     for case in cases {
-        let mut puller = Puller::default();
-        (0..case.failures).for_each(|_| puller.asked(false));
-        let got = puller.next(case.offset, &peers).map(|it| it.host.as_str());
+        let mut selector = PeerSelector::default();
+        (0..case.failures).for_each(|_| selector.asked(false));
+        let got = selector.next(case.offset, &peers).map(|it| it.host.as_str());
         assert_eq!(got, case.want, "{}", case.name);
     }
     let differing: Vec<_> = diverged(7, 1, &peers).into_iter().map(|it| it.host.as_str()).collect();
@@ -291,34 +291,43 @@
         first: bool,
         offset: Offset,
         newest: Option<(Offset, u64)>,
-        want: Keep,
+        want: SnapshotAction,
     }
     let minutes = |it: u64| Duration::from_mins(it);
     #[rustfmt::skip] // One case a line.
     let cases = [
-        Case { name: "no records yet", first: true, offset: 0, newest: None, want: Keep::Nothing },
-        Case { name: "not the first", first: false, offset: 900, newest: None, want: Keep::Nothing },
-        Case { name: "there is none", first: true, offset: 1, newest: None, want: Keep::Write },
-        Case { name: "a fresh one", first: true, offset: 300, newest: Some((45, 14)), want: Keep::Nothing },
-        Case { name: "many records since", first: true, offset: 301, newest: Some((45, 14)), want: Keep::Write },
-        Case { name: "an old one, nothing new", first: true, offset: 45, newest: Some((45, 15)), want: Keep::Write },
+        Case { name: "no records yet", first: true, offset: 0, newest: None, want: SnapshotAction::Nothing },
+        Case { name: "not the first", first: false, offset: 900, newest: None, want: SnapshotAction::Nothing },
+        Case { name: "there is none", first: true, offset: 1, newest: None, want: SnapshotAction::Write },
+        Case { name: "a fresh one", first: true, offset: 300, newest: Some((45, 14)), want: SnapshotAction::Nothing },
+        Case { name: "many records since", first: true, offset: 301, newest: Some((45, 14)), want: SnapshotAction::Write },
+        Case { name: "an old one, nothing new", first: true, offset: 45, newest: Some((45, 15)), want: SnapshotAction::Write },
     ];
     for case in cases {
         let now = Instant::now() + minutes(60);
-        let mut keeper = Keeper::new(KeeperLimits::default(), now);
-        let look = if case.first && case.offset > 0 { Keep::Look } else { Keep::Nothing };
-        assert_eq!(keeper.next(now, case.first, case.offset), look, "{}", case.name);
-        keeper.seen(now, case.newest.map(|(offset, age)| (offset, minutes(age))));
-        assert_eq!(keeper.next(now, case.first, case.offset), case.want, "{}", case.name);
-        keeper.failed(now);
+        let mut schedule = SnapshotSchedule::new(SnapshotLimits::default(), now);
+        let look = if case.first && case.offset > 0 {
+            SnapshotAction::Look
+        } else {
+            SnapshotAction::Nothing
+        };
+        assert_eq!(schedule.next(now, case.first, case.offset), look, "{}", case.name);
+        schedule.found(now, case.newest.map(|(offset, age)| (offset, minutes(age))));
+        assert_eq!(schedule.next(now, case.first, case.offset), case.want, "{}", case.name);
+        schedule.failed(now);
         assert_eq!(
-            keeper.next(now, case.first, case.offset),
-            Keep::Nothing,
+            schedule.next(now, case.first, case.offset),
+            SnapshotAction::Nothing,
             "{}: a pause",
             case.name
         );
-        keeper.written(now, case.offset);
+        schedule.written(now, case.offset);
         let later = now + minutes(1);
-        assert_eq!(keeper.next(later, case.first, case.offset), Keep::Nothing, "{}", case.name);
+        assert_eq!(
+            schedule.next(later, case.first, case.offset),
+            SnapshotAction::Nothing,
+            "{}",
+            case.name
+        );
     }
 }
--- a/crates/roseshore_core/tests/lease.rs
+++ b/crates/roseshore_core/tests/lease.rs
@@ -1,7 +1,9 @@
 //! The lease for orders: one holder at a time, whatever is lost, paused or repeated.
 
 use proptest::prelude::*;
-use roseshore_core::order::lease::{Fold, Folded, LeaseRecord, LeaseTimes, Leaser};
+use roseshore_core::order::lease::{
+    LeaseClient, LeaseOutcome, LeaseRecord, LeaseState, LeaseTimes,
+};
 use roseshore_core::prelude::*;
 
 const TTL: u64 = 6_000;
@@ -17,12 +19,12 @@
 struct Case {
     name: &'static str,
     records: Vec<(Offset, u64, LeaseRecord)>,
-    folded: Vec<Folded>,
+    folded: Vec<LeaseOutcome>,
     holder: Option<(&'static str, Fence)>,
 }
 
 fn cases() -> Vec<Case> {
-    use Folded::{Accepted, Repeat, Void};
+    use LeaseOutcome::{Accepted, Repeat, Void};
     vec![
         Case {
             name: "two writers at once, the first in the log wins",
@@ -76,11 +78,11 @@
 #[test]
 fn folds() {
     for case in cases() {
-        let mut fold = Fold::default();
-        let folded: Vec<Folded> =
-            case.records.iter().map(|(o, t, r)| fold.take(*o, *t, r)).collect();
+        let mut state = LeaseState::default();
+        let folded: Vec<LeaseOutcome> =
+            case.records.iter().map(|(o, t, r)| state.apply(*o, *t, r)).collect();
         assert_eq!(folded, case.folded, "{}", case.name);
-        let held = fold.held().map(|h| (h.holder.as_str(), h.fence));
+        let held = state.lease().map(|h| (h.holder.as_str(), h.fence));
         assert_eq!(held, case.holder, "{}", case.name);
     }
 }
@@ -88,16 +90,16 @@
 #[test]
 fn a_holder_paused_past_its_lease_gives_no_order() {
     let start = Instant::now();
-    let mut leaser = Leaser::new("a".into(), 1, LeaseTimes::default());
-    let record = leaser.due(start, true, 1).expect("nobody holds it");
-    leaser.record(0, 50, &record, start + Duration::from_millis(60));
+    let mut client = LeaseClient::new("a".into(), 1, LeaseTimes::default());
+    let record = client.due(start, true, 1).expect("nobody holds it");
+    client.record(0, 50, &record, start + Duration::from_millis(60));
     let awake = start + Duration::from_secs(1);
-    assert_eq!(leaser.may_order(awake, true), Some(0));
-    assert_eq!(leaser.may_order(awake, false), None, "the last holder's orders may still land");
-    assert_eq!(leaser.may_order(start + Duration::from_secs(2), false), Some(0));
+    assert_eq!(client.may_order(awake, true), Some(0));
+    assert_eq!(client.may_order(awake, false), None, "the last holder's orders may still land");
+    assert_eq!(client.may_order(start + Duration::from_secs(2), false), Some(0));
     let paused = start + Duration::from_hours(1);
-    assert_eq!(leaser.may_order(paused, true), None);
-    assert_eq!(leaser.may_order(paused, false), None);
+    assert_eq!(client.may_order(paused, true), None);
+    assert_eq!(client.may_order(paused, false), None);
 }
 
 /// One step of a run of three daemons on one log.
@@ -128,14 +130,14 @@
     now: u64,
     flying: Vec<(u64, LeaseRecord)>,
     log: Vec<(u64, LeaseRecord)>,
-    daemons: Vec<Leaser>,
+    daemons: Vec<LeaseClient>,
     nonce: u64,
 }
 
 impl World {
     fn new() -> World {
-        let leaser = |i: usize| Leaser::new(format!("host-{i}"), 1, LeaseTimes::default());
-        let daemons = (0..3).map(leaser).collect();
+        let client = |i: usize| LeaseClient::new(format!("host-{i}"), 1, LeaseTimes::default());
+        let daemons = (0..3).map(client).collect();
         let start = Instant::now();
         World { start, now: 0, flying: Vec::new(), log: Vec::new(), daemons, nonce: 0 }
     }
@@ -172,19 +174,19 @@
 
     fn read(&mut self, daemon: usize, count: usize) {
         let now = self.at(self.now);
-        let from = self.daemons[daemon].fold().next() as usize;
+        let from = self.daemons[daemon].state().next_offset() as usize;
         for (offset, (time, record)) in self.log.iter().enumerate().skip(from).take(count) {
             self.daemons[daemon].record(offset as Offset, *time, record, now);
         }
     }
 
     /// The lease by a reader who has read everything.
-    fn truth(&self) -> Fold {
-        let mut fold = Fold::default();
+    fn truth(&self) -> LeaseState {
+        let mut state = LeaseState::default();
         for (offset, (time, record)) in self.log.iter().enumerate() {
-            fold.take(offset as Offset, *time, record);
+            state.apply(offset as Offset, *time, record);
         }
-        fold
+        state
     }
 }
 
@@ -204,7 +206,7 @@
                 .collect();
             prop_assert!(givers.len() <= 1, "two holders: {givers:?}");
             if let Some((daemon, fence)) = givers.first() {
-                let held = truth.held().expect("somebody holds it");
+                let held = truth.lease().expect("somebody holds it");
                 prop_assert_eq!(&held.holder, &format!("host-{daemon}"));
                 prop_assert_eq!(held.fence, *fence);
                 prop_assert!(world.now < held.until, "ordered past the end");
--- a/crates/roseshore_core/tests/membership.rs
+++ b/crates/roseshore_core/tests/membership.rs
@@ -2,7 +2,8 @@
 
 use proptest::prelude::*;
 use roseshore_core::membership::{
-    Heartbeat, Ignored, Listed, MemberDigest, MemberState, Membership, Settings, Speakers, ranked,
+    DigestSchedule, Heartbeat, Ignored, ListedHost, MemberDigest, MemberState, Membership,
+    Settings, ranked,
 };
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -24,9 +25,9 @@
     Heartbeat { host: name(n), data_centre, incarnation, sequence, leaving, offset: 0, digest: 0 }
 }
 
-fn listed(n: u16, leaving: bool) -> Listed {
+fn listed(n: u16, leaving: bool) -> ListedHost {
     let data_centre = beat(n, 1, 1, false).data_centre;
-    Listed { host: name(n), data_centre, peer: Some(addr(n)), leaving }
+    ListedHost { host: name(n), data_centre, peer: Some(addr(n)), leaving }
 }
 
 fn view(n: u16, now: Instant) -> Membership {
@@ -155,12 +156,12 @@
     Case {
         name: "addresses bind names",
         steps: &[
-            From(1, 1, Err(Ignored::Stranger)),
+            From(1, 1, Err(Ignored::UnknownSender)),
             List(1, &[(1, false), (2, false)]),
             From(1, 1, Ok(())),
-            From(1, 2, Err(Ignored::Stranger)),
-            From(2, 9, Err(Ignored::Stranger)),
-            From(0, 1, Err(Ignored::OwnName)),
+            From(1, 2, Err(Ignored::UnknownSender)),
+            From(2, 9, Err(Ignored::UnknownSender)),
+            From(0, 1, Err(Ignored::OwnHost)),
             From(9, 9, Ok(())),
             Is(9, Alive),
         ],
@@ -214,19 +215,19 @@
         let at = format!("{case}, step {i}");
         match *step {
             Beat(incarnation, sequence, leaving) => {
-                let _ = view.heard(addr(1), beat(1, incarnation, sequence, leaving), now);
+                let _ = view.on_heartbeat(addr(1), beat(1, incarnation, sequence, leaving), now);
             }
             From(host, from, want) => {
-                let got = view.heard(addr(from), beat(host, 1, 1, false), now).map(drop);
+                let got = view.on_heartbeat(addr(from), beat(host, 1, 1, false), now).map(drop);
                 assert_eq!(got, want, "{at}");
             }
             Told(sequence, age_ms) => {
                 let beat = beat(50, 1, sequence, false);
-                view.told(vec![MemberDigest { beat, age_ms }], now);
+                view.on_digest(vec![MemberDigest { beat, age_ms }], now);
             }
             List(version, hosts) => {
                 let hosts = hosts.iter().map(|(n, leaving)| listed(*n, *leaving)).collect();
-                view.listed(version, hosts, now);
+                view.on_host_list(version, hosts, now);
             }
             Pass(time) => {
                 for _ in 0..time / 100 {
@@ -255,13 +256,13 @@
 fn listed_peers_are_spoken_to_for_ever() {
     let mut now = Instant::now();
     let mut view = view(0, now);
-    view.listed(1, vec![listed(0, false), listed(1, false), listed(50, false)], now);
+    view.on_host_list(1, vec![listed(0, false), listed(1, false), listed(50, false)], now);
     for _ in 0..700 {
         now += ms(100);
         view.tick(now);
     }
     assert_eq!(state(&view, 1), None);
-    assert_eq!(view.audience(), vec![addr(1), addr(9)], "the gone peer and the silent seed");
+    assert_eq!(view.heartbeat_addrs(), vec![addr(1), addr(9)], "the gone peer and the silent seed");
 }
 
 /// What may happen in the world of the property below.
@@ -332,7 +333,7 @@
 
     fn list(&mut self) {
         for view in &mut self.views {
-            view.listed(1, (0..4).map(|n| listed(n, false)).collect(), self.now);
+            view.on_host_list(1, (0..4).map(|n| listed(n, false)).collect(), self.now);
         }
     }
 
@@ -357,7 +358,7 @@
         let i = i % self.mail.len();
         let Mail { from, to, beat } = &self.mail[i];
         if self.awake(*to) {
-            let got = self.views[*to as usize].heard(addr(*from), beat.clone(), self.now);
+            let got = self.views[*to as usize].on_heartbeat(addr(*from), beat.clone(), self.now);
             let heard = &mut self.heard[*to as usize][*from as usize];
             let order = |b: &Heartbeat| (b.incarnation, b.sequence);
             let newer = heard.as_ref().is_none_or(|(last, _)| order(beat) > order(last));
@@ -409,7 +410,7 @@
         self.asleep[i] = self.now;
         let own = beat(n, self.lives[i], 0, false);
         self.views[i] = Membership::new(own, addr(n), vec![], Settings::default(), self.now);
-        self.views[i].listed(1, (0..4).map(|n| listed(n, false)).collect(), self.now);
+        self.views[i].on_host_list(1, (0..4).map(|n| listed(n, false)).collect(), self.now);
         self.heard[i] = vec![None; 4];
     }
 
@@ -549,7 +550,7 @@
         let mut order: Vec<_> = far.iter().filter(|m| m.state == Alive).collect();
         order.extend(far.iter().filter(|m| m.state != Alive));
         let mut now = Instant::now();
-        let mut speakers = Speakers::new(case.own.into(), Settings::default());
+        let mut speakers = DigestSchedule::new(case.own.into(), Settings::default());
         for (i, step) in case.steps.iter().enumerate() {
             match *step {
                 At(time, place, want) => {
--- a/crates/roseshore_core/tests/placement.rs
+++ b/crates/roseshore_core/tests/placement.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use roseshore_core::order::desired::Desired;
-use roseshore_core::order::giver::Seen;
 use roseshore_core::order::placement::{Placement, PlacementBounds};
+use roseshore_core::order::reconciler::Observed;
 use roseshore_core::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,12 +18,12 @@
         adapters: BTreeSet::new(),
         bytes: 500,
         depth: 8,
-        checks: true,
+        checks_fence: true,
     }
 }
 
-fn seen(model: Option<&str>, running: u32) -> Seen {
-    Seen {
+fn seen(model: Option<&str>, running: u32) -> Observed {
+    Observed {
         model: model.map(Into::into),
         version: model.map(|_| "1".into()),
         layers: if model.is_some() { (0, 8) } else { (0, 0) },
@@ -68,7 +68,7 @@
         holders.filter(|(id, _)| !self.lost.contains(*id)).count() as u32
     }
 
-    fn seen(&self) -> BTreeMap<TargetId, Seen> {
+    fn seen(&self) -> BTreeMap<TargetId, Observed> {
         let live = self.holds.iter().filter(|(id, _)| !self.lost.contains(*id));
         let share =
             |model: &str| self.demand.get(model).map_or(0, |d| d.div_ceil(self.live(model)));
--- a/crates/roseshore_core/tests/giver.rs
+++ b/crates/roseshore_core/tests/reconciler.rs
@@ -1,7 +1,9 @@
 //! Which orders are given: level-triggered, whole chains kept, within the weight store's rate.
 
 use roseshore_core::order::desired::{Desired, desired};
-use roseshore_core::order::giver::{Due, Giver, GiverBounds, Seen, Step, Store, tiles};
+use roseshore_core::order::reconciler::{
+    Action, DueOrder, Observed, Reconciler, ReconcilerLimits, Store, tiles,
+};
 use roseshore_core::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,12 +17,12 @@
         adapters: BTreeSet::default(),
         bytes: 500,
         depth: 8,
-        checks: true,
+        checks_fence: true,
     }
 }
 
-fn holds(version: &str, layers: (Layer, Layer)) -> Seen {
-    Seen {
+fn holds(version: &str, layers: (Layer, Layer)) -> Observed {
+    Observed {
         model: Some("m".into()),
         version: Some(version.into()),
         layers,
@@ -33,22 +35,22 @@
     }
 }
 
-fn loading(version: &str, layers: (Layer, Layer)) -> Seen {
-    Seen { loading: true, ..holds(version, layers) }
+fn loading(version: &str, layers: (Layer, Layer)) -> Observed {
+    Observed { loading: true, ..holds(version, layers) }
 }
 
-fn drained(version: &str, layers: (Layer, Layer), running: u32) -> Seen {
-    Seen { serves: false, running, ..holds(version, layers) }
+fn drained(version: &str, layers: (Layer, Layer), running: u32) -> Observed {
+    Observed { serves: false, running, ..holds(version, layers) }
 }
 
-fn busy(version: &str, layers: (Layer, Layer)) -> Seen {
-    Seen { running: 3, ..holds(version, layers) }
+fn busy(version: &str, layers: (Layer, Layer)) -> Observed {
+    Observed { running: 3, ..holds(version, layers) }
 }
 
 struct Case {
     name: &'static str,
     wants: Vec<(&'static str, Desired)>,
-    seen: Vec<(&'static str, Seen)>,
+    seen: Vec<(&'static str, Observed)>,
     store: Option<Store>,
     /// Given at once; `-` marks those that only end new answers.
     orders: &'static [&'static str],
@@ -58,8 +60,8 @@
     late: &'static [&'static str],
 }
 
-fn names(due: &[Due]) -> Vec<String> {
-    let mark = |due: &Due| if matches!(due.step, Step::Drain(_)) { "-" } else { "" };
+fn names(due: &[DueOrder]) -> Vec<String> {
+    let mark = |due: &DueOrder| if matches!(due.step, Action::Drain(_)) { "-" } else { "" };
     due.iter().map(|d| format!("{}{}", mark(d), d.target)).collect()
 }
 
@@ -257,28 +259,30 @@
 fn orders() {
     // Repeats are left out: each order is given once here.
     let far = Duration::from_hours(1);
-    let bounds = GiverBounds { again: far, longest: far, ..GiverBounds::default() };
+    let bounds =
+        ReconcilerLimits { retry_after: far, max_backoff: far, ..ReconcilerLimits::default() };
     for case in cases() {
-        let mut giver = Giver::new(bounds);
+        let mut reconciler = Reconciler::new(bounds);
         let start = Instant::now();
         let (wants, seen) = (map(&case.wants), map(&case.seen));
-        let mut at = |after| names(&giver.due(start + after, &wants, &seen, case.store, |_| true));
+        let mut at =
+            |after| names(&reconciler.due(start + after, &wants, &seen, case.store, |_| true));
         assert_eq!(at(Duration::ZERO), case.orders, "{}", case.name);
-        assert_eq!(at(bounds.quiet), case.quiet, "{}: quiet", case.name);
-        assert_eq!(at(bounds.drain), case.late, "{}: late", case.name);
+        assert_eq!(at(bounds.propagation), case.quiet, "{}: quiet", case.name);
+        assert_eq!(at(bounds.drain_timeout), case.late, "{}: late", case.name);
     }
 }
 
 #[test]
 fn an_order_without_effect_is_repeated_with_growing_waits() {
-    let mut giver = Giver::new(GiverBounds::default());
+    let mut reconciler = Reconciler::new(ReconcilerLimits::default());
     let start = Instant::now();
     let wants = map(&[("a1", want("2", LOW))]);
     let seen = map(&[("a1", holds("1", LOW))]);
     let mut times = Vec::new();
     for second in 0..30 {
         let now = start + Duration::from_secs(second);
-        if !giver.due(now, &wants, &seen, Some(STORE), |_| true).is_empty() {
+        if !reconciler.due(now, &wants, &seen, Some(STORE), |_| true).is_empty() {
             times.push(second);
         }
     }
@@ -287,11 +291,12 @@
 
 #[test]
 fn a_target_that_checks_nothing_waits_for_the_lease_to_settle() {
-    let mut giver = Giver::new(GiverBounds::default());
-    let unchecked = Desired { checks: false, ..want("2", LOW) };
+    let mut reconciler = Reconciler::new(ReconcilerLimits::default());
+    let unchecked = Desired { checks_fence: false, ..want("2", LOW) };
     let wants = map(&[("a1", unchecked), ("b1", want("2", LOW))]);
     let seen = map(&[("a1", holds("1", LOW)), ("b1", holds("1", LOW))]);
-    let due = giver.due(Instant::now(), &wants, &seen, Some(STORE), |checks| checks);
+    let due =
+        reconciler.due(Instant::now(), &wants, &seen, Some(STORE), |checks_fence| checks_fence);
     assert_eq!(names(&due), ["b1"]);
 }
 
--- a/crates/roseshore_core/tests/rollout.rs
+++ b/crates/roseshore_core/tests/rollout.rs
@@ -1,21 +1,21 @@
 //! The version for new answers while targets change.
 
 use proptest::prelude::*;
-use roseshore_core::order::rollout::{Piece, Pieces, Rollout};
+use roseshore_core::order::rollout::{LoadedRange, LoadedRanges, Rollout};
 use roseshore_core::prelude::*;
 
 const DEPTH: Layer = 8;
 
 /// What is held: versions by name, `n` before it for the own data centre, `f` for another; a name
 /// in brackets lacks its last layers.
-fn pieces(held: &str, heard: bool) -> Pieces {
-    let piece = |word: &str| {
-        let (near, version) = (word.starts_with('n'), &word[1..]);
+fn loaded(held: &str, complete: bool) -> LoadedRanges {
+    let range = |word: &str| {
+        let (local, version) = (word.starts_with('n'), &word[1..]);
         let whole = version.trim_matches(['(', ')']);
         let end = if whole == version { DEPTH } else { DEPTH / 2 };
-        Piece { version: whole.to_owned(), layers: (0, end), near }
+        LoadedRange { version: whole.to_owned(), layers: (0, end), local }
     };
-    Pieces { held: held.split_whitespace().map(piece).collect(), heard }
+    LoadedRanges { ranges: held.split_whitespace().map(range).collect(), complete }
 }
 
 struct Step {
@@ -112,7 +112,7 @@
     for case in CASES {
         let mut rollout = Rollout::default();
         for (at, step) in case.steps.iter().enumerate() {
-            let look = || pieces(step.held, case.heard);
+            let look = || loaded(step.held, case.heard);
             let choice = rollout.choose(&"m".into(), &step.declared.into(), DEPTH, look);
             assert_eq!(choice.version, step.version, "{}: step {at}", case.name);
         }
@@ -136,7 +136,7 @@
             used &= declared == before;
             let words: Vec<String> =
                 held.iter().map(|(v, near)| format!("{}{v}", if *near { 'n' } else { 'f' })).collect();
-            let look = || pieces(&words.join(" "), heard);
+            let look = || loaded(&words.join(" "), heard);
             let wanted = declared.to_string();
             let choice = rollout.choose(&"m".into(), &wanted, DEPTH, look);
             let whole = held.iter().any(|(v, _)| v.to_string() == choice.version);
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -4,7 +4,7 @@
 //! measured here, on one thread, the socket calls over loopback. What one daemon spends a second is
 //! worked out from them and the rates that the decisions keep. The targets' HTTP is not in it.
 
-use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
+use roseshore_core::membership::{Heartbeat, ListedHost, Membership, Settings};
 use roseshore_core::polling::{Action, Polling};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::ReportContent;
@@ -119,21 +119,21 @@
     let own = heartbeat(0, 0);
     let mut view = Membership::new(own, addr(0, 0), vec![], Settings::default(), now);
     let all = (0..size.centres).flat_map(|c| (0..size.daemons).map(move |n| (c, n)));
-    let listed = |(c, n): (usize, usize)| Listed {
+    let listed = |(c, n): (usize, usize)| ListedHost {
         host: host(c, n),
         data_centre: format!("korangi-{c:02}"),
         peer: Some(addr(c, n)),
         leaving: false,
     };
-    let targets = (0..size.targets * size.centres).map(|n| Listed {
+    let targets = (0..size.targets * size.centres).map(|n| ListedHost {
         host: format!("target-{n}"),
         data_centre: "korangi-00".into(),
         peer: None,
         leaving: false,
     });
-    view.listed(1, all.map(listed).chain(targets).collect(), now);
+    view.on_host_list(1, all.map(listed).chain(targets).collect(), now);
     for n in 1..size.daemons {
-        view.heard(addr(0, n), heartbeat(n, 1), now).expect("a listed peer");
+        view.on_heartbeat(addr(0, n), heartbeat(n, 1), now).expect("a listed peer");
     }
     view
 }
@@ -219,7 +219,7 @@
 }
 
 fn costs(size: &Size, view: &mut Membership, now: Instant) -> Costs {
-    let heard = time(|round| drop(view.heard(addr(0, 1), heartbeat(1, round), now)));
+    let heard = time(|round| drop(view.on_heartbeat(addr(0, 1), heartbeat(1, round), now)));
     let tick = time(|_| drop(view.tick(now)));
     let (send, receive) = sockets(size);
     let mut polling = Polling::new(roseshore_core::polling::Settings::default());
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -13,7 +13,7 @@
 use crate::event;
 use parking_lot::{Condvar, Mutex, RwLock};
 use roseshore_core::config::{
-    Assembly, Folded, Follower, Judged, KeeperLimits, Outcome, ReaderLimits, STREAM, State,
+    Assembly, Decision, Folded, Follower, Outcome, ReaderLimits, STREAM, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Fleets, InForce, Records};
@@ -29,7 +29,7 @@
     /// Who reads the log when.
     pub reader: ReaderLimits,
     /// Who writes snapshots when.
-    pub keeper: KeeperLimits,
+    pub snapshots: SnapshotLimits,
     /// How often peers are looked at.
     pub tick: Duration,
     /// How long a peer may take to answer.
@@ -40,7 +40,7 @@
     fn default() -> FleetSettings {
         FleetSettings {
             reader: ReaderLimits::default(),
-            keeper: KeeperLimits::default(),
+            snapshots: SnapshotLimits::default(),
             tick: Duration::from_millis(200),
             peer: Duration::from_secs(2),
         }
@@ -131,7 +131,7 @@
 
     /// Publishes and logs what records did.
     fn after(&self, folding: &Folding, folded: &[Folded]) {
-        let accepted = |it: &Folded| it.outcome == Outcome::Judged(Judged::Accepted);
+        let accepted = |it: &Folded| it.outcome == Outcome::Decided(Decision::Accepted);
         if !folded.is_empty() {
             self.publish(folding, folded.iter().any(accepted));
         }
@@ -163,21 +163,21 @@
     let by = folded.author.as_ref();
     let (id, operator) = by.map_or(("", ""), |it| (it.command.as_str(), it.operator.as_str()));
     let outcome = match &folded.outcome {
-        Outcome::Judged(Judged::Accepted) => {
+        Outcome::Decided(Decision::Accepted) => {
             event!(
                 Event::ConfigApplied,
                 "command `{id}` of `{operator}` is in force, offset={offset}"
             );
             "accepted"
         }
-        Outcome::Judged(Judged::Rejected(reason)) => {
+        Outcome::Decided(Decision::Rejected(reason)) => {
             event!(
                 Event::ConfigRejected,
                 "command `{id}` of `{operator}`, offset={offset}: {reason}"
             );
             "rejected"
         }
-        Outcome::Judged(Judged::TooOld) => {
+        Outcome::Decided(Decision::TooOld) => {
             event!(
                 Event::ConfigRejected,
                 "command `{id}` of `{operator}`, offset={offset}: made too long ago"
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -4,7 +4,8 @@
 use super::source::Reach;
 use crate::event;
 use roseshore_core::config::{
-    Act, Keep, Keeper, Peer, Puller, Reader, SNAPSHOTS, Snapshot, Tail, Transition, diverged,
+    Peer, PeerSelector, ReadAction, Reader, SNAPSHOTS, Snapshot, SnapshotAction, SnapshotSchedule,
+    Tail, Transition, diverged,
 };
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -44,15 +45,15 @@
 
     fn log_loop(&self, members: &dyn Members) {
         let mut reader = Reader::new(self.settings.reader.clone(), Instant::now());
-        let mut keeper = Keeper::new(self.settings.keeper.clone(), Instant::now());
+        let mut schedule = SnapshotSchedule::new(self.settings.snapshots.clone(), Instant::now());
         while self.running() {
             let rank = rank(members);
             match reader.next(Instant::now(), rank) {
-                Act::Read { wait } => self.read_turn(&mut reader, wait),
-                Act::Rest { until } => self.rest(until),
+                ReadAction::Read { wait } => self.read_turn(&mut reader, wait),
+                ReadAction::Wait { until } => self.rest(until),
             }
             if reader.healthy() {
-                self.keep(&mut keeper, rank == Some(0));
+                self.keep(&mut schedule, rank == Some(0));
             }
         }
     }
@@ -73,7 +74,7 @@
                 turn
             }
         };
-        if turn == Some(Transition::Back) {
+        if turn == Some(Transition::Recovered) {
             event!(Event::LogBack, "stream=config");
         }
         self.healthy.store(reader.healthy(), Ordering::SeqCst);
@@ -85,15 +86,17 @@
         std::thread::sleep(left.min(self.settings.tick));
     }
 
-    fn keep(&self, keeper: &mut Keeper, first: bool) {
+    fn keep(&self, schedule: &mut SnapshotSchedule, first: bool) {
         let offset = self.inspect(roseshore_core::config::State::offset);
-        let done = match keeper.next(Instant::now(), first, offset) {
-            Keep::Nothing => return,
-            Keep::Look => self.newest().map(|it| keeper.seen(Instant::now(), it)),
-            Keep::Write => self.write_snapshot().map(|at| keeper.written(Instant::now(), at)),
+        let done = match schedule.next(Instant::now(), first, offset) {
+            SnapshotAction::Nothing => return,
+            SnapshotAction::Look => self.newest().map(|it| schedule.found(Instant::now(), it)),
+            SnapshotAction::Write => {
+                self.write_snapshot().map(|at| schedule.written(Instant::now(), at))
+            }
         };
         if done.is_err() {
-            keeper.failed(Instant::now());
+            schedule.failed(Instant::now());
         }
     }
 
@@ -116,7 +119,7 @@
     }
 
     fn peer_loop(&self, members: &dyn Members, peers: &dyn Peers) {
-        let mut puller = Puller::default();
+        let mut selector = PeerSelector::default();
         let mut told = BTreeSet::new();
         while self.running() {
             let all = others(members);
@@ -133,11 +136,11 @@
                 }
             }
             told.retain(|(_, at)| *at == offset);
-            let ask = puller.next(offset, &seen);
+            let ask = selector.next(offset, &seen);
             let member = ask.and_then(|ask| all.iter().find(|it| it.host == ask.host));
             let gave = member.map(|it| self.pull(peers, it.peer));
             if let Some(gave) = gave {
-                puller.asked(gave);
+                selector.asked(gave);
             }
             if gave != Some(true) {
                 self.rest(Instant::now() + self.settings.tick);
--- a/crates/roseshored/src/fleets/submit.rs
+++ b/crates/roseshored/src/fleets/submit.rs
@@ -2,7 +2,8 @@
 
 use super::FleetDriver;
 use roseshore_core::config::{
-    Command, Progress, Settled, Spread, Step, Submit, Tried, record_digest, spread,
+    AppendOutcome, Command, Confirmation, Progress, Settled, Step, Submission, confirmation,
+    record_digest,
 };
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{MemberState, Members};
@@ -22,38 +23,38 @@
             }
         };
         let id = command.id.clone();
-        let mut submit = Submit::new(id, record_digest(&data), Instant::now(), until);
+        let mut submission = Submission::new(id, record_digest(&data), Instant::now(), until);
         loop {
-            match self.inspect(|state| submit.next(Instant::now(), state)) {
+            match self.inspect(|state| submission.next(Instant::now(), state)) {
                 Step::Done(settled) => return settled,
                 Step::Append => {
-                    let tried = self.append(&data);
-                    submit.tried(Instant::now(), tried);
+                    let outcome = self.append(&data);
+                    submission.appended(Instant::now(), outcome);
                 }
                 Step::Read => {
                     let left = until.saturating_duration_since(Instant::now());
                     if self.read_log(left.min(LOOK)).is_err() {
                         std::thread::sleep(PAUSE.min(left));
                     }
-                    submit.looked();
+                    submission.log_read();
                 }
-                Step::Rest(until) => {
+                Step::Wait(until) => {
                     std::thread::sleep(until.saturating_duration_since(Instant::now()));
                 }
             }
         }
     }
 
-    fn append(&self, data: &str) -> Tried {
+    fn append(&self, data: &str) -> AppendOutcome {
         match self.log.append(roseshore_core::config::STREAM, &[data.to_owned()]) {
-            Ok(offset) => Tried::Appended(offset),
-            Err(err) if err.verdict() == Verdict::NotRun => Tried::Refused(told(&err)),
-            Err(err) => Tried::Lost(told(&err)),
+            Ok(offset) => AppendOutcome::Appended(offset),
+            Err(err) if err.verdict() == Verdict::NotRun => AppendOutcome::Refused(told(&err)),
+            Err(err) => AppendOutcome::Lost(told(&err)),
         }
     }
 
     /// Where the command at `version` is in force, by the progress of all daemons.
-    pub fn spread(&self, members: &dyn Members, version: Offset) -> Spread {
+    pub fn confirmation(&self, members: &dyn Members, version: Offset) -> Confirmation {
         let own = members.own();
         let mut progress: Vec<Progress> = members
             .all()
@@ -65,7 +66,7 @@
             (it.offset(), it.fleet().data_centres.keys().cloned().collect::<Vec<_>>())
         });
         progress.push(Progress { data_centre: own.data_centre, offset });
-        spread(version, &declared, &progress)
+        confirmation(version, &declared, &progress)
     }
 
     /// Waits until a command is in force everywhere, or `until`.
@@ -74,11 +75,11 @@
         members: &dyn Members,
         version: Offset,
         until: Instant,
-    ) -> Spread {
+    ) -> Confirmation {
         loop {
-            let spread = self.spread(members, version);
-            if spread.unconfirmed.is_empty() || Instant::now() >= until {
-                return spread;
+            let confirmation = self.confirmation(members, version);
+            if confirmation.unconfirmed.is_empty() || Instant::now() >= until {
+                return confirmation;
             }
             std::thread::sleep(PAUSE);
         }
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -6,7 +6,9 @@
 use crate::app::Drain;
 use crate::event;
 use parking_lot::Mutex;
-use roseshore_core::membership::{Change, Heartbeat, Listed, MemberDigest, Membership, Settings};
+use roseshore_core::membership::{
+    Change, Heartbeat, ListedHost, MemberDigest, Membership, Settings,
+};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Fleets, Member, MemberState, Members};
 use roseshore_ports::outside::{Datagrams, HostList, Received};
@@ -157,7 +159,7 @@
 
     /// Takes the digest of another data centre.
     pub fn take_digest(&self, notes: Vec<MemberDigest>) {
-        let changes = self.view.lock().told(notes, Instant::now());
+        let changes = self.view.lock().on_digest(notes, Instant::now());
         self.report(&changes);
     }
 
@@ -176,7 +178,7 @@
     fn take(&self, received: Received, tell: &flume::Sender<Told>) {
         let at = Instant::now();
         let Datagram::Beat { heartbeat, notes } = received.datagram;
-        let heard = self.view.lock().heard(received.from, heartbeat, at);
+        let heard = self.view.lock().on_heartbeat(received.from, heartbeat, at);
         match heard {
             Ok(changes) => {
                 self.report(&changes);
@@ -220,7 +222,7 @@
 
     fn beat(&self, fresh: Vec<Fresh>) {
         let now = Instant::now();
-        let audience = self.view.lock().audience();
+        let audience = self.view.lock().heartbeat_addrs();
         for notes in split(fresh.into_iter().map(|f| f.note(now))) {
             let heartbeat = self.heartbeat();
             let datagram = Datagram::Beat { heartbeat, notes };
@@ -252,7 +254,7 @@
     }
 
     fn take_list(&self, list: Hosts) {
-        let hosts = list.hosts.into_iter().map(|h| Listed {
+        let hosts = list.hosts.into_iter().map(|h| ListedHost {
             host: h.host,
             data_centre: h.data_centre,
             peer: h.peer,
@@ -260,7 +262,7 @@
         });
         let mut view = self.view.lock();
         let before = view.leaving_targets();
-        let changes = view.listed(list.version, hosts.collect(), Instant::now());
+        let changes = view.on_host_list(list.version, hosts.collect(), Instant::now());
         let leaving = view.leaving_targets();
         drop(view);
         for host in leaving.difference(&before) {
--- a/crates/roseshored/src/operators.rs
+++ b/crates/roseshored/src/operators.rs
@@ -155,8 +155,8 @@
     fn outcome(&self, settled: Settled, until: Instant) -> Outcome {
         match settled {
             Settled::Accepted(version) => {
-                let spread = self.fleets.settle_everywhere(&*self.members, version, until);
-                let (in_force, unconfirmed) = (spread.in_force, spread.unconfirmed);
+                let confirmation = self.fleets.settle_everywhere(&*self.members, version, until);
+                let (in_force, unconfirmed) = (confirmation.in_force, confirmation.unconfirmed);
                 Outcome::Accepted { version, in_force, unconfirmed }
             }
             Settled::Rejected(code, reason, message) => Outcome::Rejected { code, reason, message },
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -10,9 +10,11 @@
 use crate::stream::{Met, read_on};
 use parking_lot::Mutex;
 use roseshore_core::order::desired::{desired, spares};
-use roseshore_core::order::giver::{Due, Giver, GiverBounds, Seen, Step, Store};
-use roseshore_core::order::lease::{LeaseRecord, LeaseTimes, Leaser};
+use roseshore_core::order::lease::{LeaseClient, LeaseRecord, LeaseTimes};
 use roseshore_core::order::placement::{Placement, PlacementBounds};
+use roseshore_core::order::reconciler::{
+    Action, DueOrder, Observed, Reconciler, ReconcilerLimits, Store,
+};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Fleets, Members, Report, ReportContent, Reports};
 use roseshore_ports::outside::{CallError, Engine, Log, WeightStore};
@@ -34,7 +36,7 @@
     /// Those of the lease.
     pub lease: LeaseTimes,
     /// Those of the choice of orders.
-    pub giver: GiverBounds,
+    pub reconciler: ReconcilerLimits,
     /// Those of the placement of spare engines.
     pub placement: PlacementBounds,
     /// A report older than this says nothing about what a target holds.
@@ -47,7 +49,7 @@
     fn default() -> OrderTimes {
         OrderTimes {
             lease: LeaseTimes::default(),
-            giver: GiverBounds::default(),
+            reconciler: ReconcilerLimits::default(),
             placement: PlacementBounds::default(),
             fresh: Duration::from_secs(3),
             flight: Duration::from_secs(1),
@@ -79,8 +81,8 @@
     parts: OrderParts,
     stream: String,
     data_centre: DataCentreId,
-    leaser: Arc<Mutex<Leaser>>,
-    giver: Giver,
+    lease_client: Arc<Mutex<LeaseClient>>,
+    reconciler: Reconciler,
     bounds: PlacementBounds,
     placement: Placement,
     fresh: Duration,
@@ -92,19 +94,19 @@
     /// Orders of a daemon that holds no lease yet; starts the threads that send.
     pub fn new(parts: OrderParts, times: OrderTimes) -> Orders {
         let own = parts.members.own();
-        let leaser = Leaser::new(own.host, own.incarnation, times.lease);
-        let leaser = Arc::new(Mutex::new(leaser));
-        let sender = Sender::start(parts.engine.clone(), leaser.clone(), times.flight);
+        let lease_client = LeaseClient::new(own.host, own.incarnation, times.lease);
+        let lease_client = Arc::new(Mutex::new(lease_client));
+        let sender = Sender::start(parts.engine.clone(), lease_client.clone(), times.flight);
         Orders {
             stream: format!("orders-{}", own.data_centre),
             data_centre: own.data_centre,
-            giver: Giver::new(times.giver),
+            reconciler: Reconciler::new(times.reconciler),
             bounds: times.placement,
             placement: Placement::new(times.placement),
             fresh: times.fresh,
             holding: false,
             parts,
-            leaser,
+            lease_client,
             sender,
         }
     }
@@ -119,7 +121,7 @@
 
     /// The fencing number with which this daemon may order now, if it holds the lease.
     pub fn fence(&self) -> Option<Fence> {
-        self.leaser.lock().may_order(Instant::now(), true)
+        self.lease_client.lock().may_order(Instant::now(), true)
     }
 
     /// One round: read the stream, hold the lease if it is this daemon's turn, give what is due.
@@ -136,7 +138,7 @@
         }
         let leaving = self.parts.drain.draining();
         let first = ranked.first().is_some_and(|m| m.host == host);
-        let due = self.leaser.lock().due(Instant::now(), first && !leaving, rand::random());
+        let due = self.lease_client.lock().due(Instant::now(), first && !leaving, rand::random());
         if let Some(record) = due {
             self.append(&record);
         }
@@ -150,14 +152,14 @@
 
     /// Reads the stream up to its end; `false` when the log does not answer.
     fn read(&self) -> bool {
-        let from = self.leaser.lock().fold().next();
+        let from = self.lease_client.lock().state().next_offset();
         let read = read_on(&*self.parts.log, &self.stream, from, |met| {
-            let mut leaser = self.leaser.lock();
+            let mut lease_client = self.lease_client.lock();
             match met {
-                Met::Records(records) => records.iter().for_each(|it| take(&mut leaser, it)),
-                Met::Trimmed(oldest) => leaser.skip_to(oldest),
+                Met::Records(records) => records.iter().for_each(|it| take(&mut lease_client, it)),
+                Met::Trimmed(oldest) => lease_client.skip_to(oldest),
             }
-            Ok(leaser.fold().next())
+            Ok(lease_client.state().next_offset())
         });
         read.is_ok()
     }
@@ -189,7 +191,7 @@
         if self.sender.flying() > 0 {
             return;
         }
-        let record = self.leaser.lock().release();
+        let record = self.lease_client.lock().release();
         if let Some(record) = record {
             self.append(&record);
             self.holding = false;
@@ -206,9 +208,9 @@
         let store = self.parts.weights.weights().ok();
         let store = store.map(|s| Store { rate: s.rate, backlog: s.backlog });
         let now = Instant::now();
-        let leaser = self.leaser.clone();
-        let allowed = |checks| leaser.lock().may_order(now, checks).is_some();
-        let due = self.giver.due(now, &wants, &seen, store, allowed);
+        let lease_client = self.lease_client.clone();
+        let allowed = |checks_fence| lease_client.lock().may_order(now, checks_fence).is_some();
+        let due = self.reconciler.due(now, &wants, &seen, store, allowed);
         metrics::gauge!("roseshore_orders_waiting").set(due.len() as f64);
         for due in due {
             if let Some(target) = fleet.fleet.targets.get(&due.target) {
@@ -218,26 +220,26 @@
     }
 }
 
-fn take(leaser: &mut Leaser, record: &roseshore_wire::platform::Record) {
+fn take(lease_client: &mut LeaseClient, record: &roseshore_wire::platform::Record) {
     match serde_json::from_str::<LeaseRecord>(&record.data) {
         Ok(lease) => {
-            leaser.record(record.offset, record.time_ms, &lease, Instant::now());
+            lease_client.record(record.offset, record.time_ms, &lease, Instant::now());
         }
         // A record of a later version is skipped by every reader alike.
-        Err(_) => leaser.skip_to(record.offset + 1),
+        Err(_) => lease_client.skip_to(record.offset + 1),
     }
 }
 
 /// What targets hold, by their fresh reports.
-fn seen(reports: &[Report], now: Instant, limit: Duration) -> BTreeMap<TargetId, Seen> {
+fn seen(reports: &[Report], now: Instant, limit: Duration) -> BTreeMap<TargetId, Observed> {
     let fresh = reports.iter().filter(|r| now.saturating_duration_since(r.seen) < limit);
     fresh.filter_map(|r| Some((r.target.clone(), holding(&r.content)?))).collect()
 }
 
-fn holding(content: &ReportContent) -> Option<Seen> {
+fn holding(content: &ReportContent) -> Option<Observed> {
     let ReportContent::Engine(load) = content else { return None };
     let holding = &load.holding;
-    Some(Seen {
+    Some(Observed {
         model: holding.model.clone(),
         version: holding.version.clone(),
         layers: holding.layers,
@@ -252,14 +254,14 @@
 
 struct Job {
     addr: SocketAddr,
-    due: Due,
+    due: DueOrder,
 }
 
 impl Job {
     fn order(&self, fence: Fence) -> Order {
         let target = &self.due.target;
         match &self.due.step {
-            Step::Hold(want) => Order {
+            Action::Hold(want) => Order {
                 fence,
                 order: format!("{fence}-{target}-{}-{}", want.model, want.version),
                 model: Some(want.model.clone()),
@@ -269,7 +271,7 @@
                 role: Role::Both,
             },
             // Answers in flight go on; routers choose only targets that prefill as well.
-            Step::Drain(holds) => Order {
+            Action::Drain(holds) => Order {
                 fence,
                 order: format!("{fence}-{target}-drain"),
                 model: holds.model.clone(),
@@ -289,15 +291,19 @@
 }
 
 impl Sender {
-    fn start(engine: Arc<dyn Engine>, leaser: Arc<Mutex<Leaser>>, flight: Duration) -> Sender {
+    fn start(
+        engine: Arc<dyn Engine>,
+        lease_client: Arc<Mutex<LeaseClient>>,
+        flight: Duration,
+    ) -> Sender {
         let (jobs, queue) = flume::bounded::<Job>(SENDERS * 16);
         let flying = Arc::new(AtomicUsize::new(0));
         for _ in 0..SENDERS {
             let (queue, engine) = (queue.clone(), engine.clone());
-            let (leaser, flying) = (leaser.clone(), flying.clone());
+            let (lease_client, flying) = (lease_client.clone(), flying.clone());
             thread::spawn(move || {
                 for job in queue {
-                    send(engine.as_ref(), &leaser, &job, flight);
+                    send(engine.as_ref(), &lease_client, &job, flight);
                     flying.fetch_sub(1, Ordering::SeqCst);
                 }
             });
@@ -319,9 +325,11 @@
     }
 }
 
-fn send(engine: &dyn Engine, leaser: &Mutex<Leaser>, job: &Job, flight: Duration) {
+fn send(engine: &dyn Engine, lease_client: &Mutex<LeaseClient>, job: &Job, flight: Duration) {
     // Asked here and not when the order was decided: the thread may have waited long.
-    let Some(fence) = leaser.lock().may_order(Instant::now(), job.due.checks) else { return };
+    let Some(fence) = lease_client.lock().may_order(Instant::now(), job.due.checks_fence) else {
+        return;
+    };
     let order = job.order(fence);
     let target = &job.due.target;
     let (role, version) = (order.role, order.version.as_deref().unwrap_or_default());
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -1,6 +1,6 @@
 //! Exchanges digests with the other data centres.
 //!
-//! [`roseshore_core::membership::Speakers`] decides who speaks with whom; this driver carries the
+//! [`roseshore_core::membership::DigestSchedule`] decides who speaks with whom; this driver carries the
 //! digests and passes what was learned on to the own data centre. Nothing else waits for its
 //! thread, so a data centre that is cut off delays no other part.
 
@@ -10,7 +10,7 @@
 
 use crate::members::MemberDriver;
 use parking_lot::Mutex;
-use roseshore_core::membership::{Call, Settings, Speakers};
+use roseshore_core::membership::{DigestCall, DigestSchedule, Settings};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Answers, MemberState, Members, Reports};
 use roseshore_ports::outside::Peers;
@@ -55,7 +55,7 @@
     members: Arc<MemberDriver>,
     peers: Arc<dyn Peers>,
     reports: Arc<dyn Reports>,
-    speakers: Mutex<Speakers>,
+    schedule: Mutex<DigestSchedule>,
     far: Mutex<BTreeMap<DataCentreId, FarLoad>>,
     learn: flume::Sender<Learned>,
     stopped: AtomicBool,
@@ -79,7 +79,7 @@
             members: parts.members,
             peers: parts.peers,
             reports: parts.reports,
-            speakers: Mutex::new(Speakers::new(own, parts.settings)),
+            schedule: Mutex::new(DigestSchedule::new(own, parts.settings)),
             far: Mutex::new(BTreeMap::new()),
             learn,
             stopped: AtomicBool::new(false),
@@ -112,21 +112,21 @@
             }
             let far = self.members.far();
             let place = |subject: &str| self.members.place(subject);
-            let calls = self.speakers.lock().tick(far, place, Instant::now());
+            let calls = self.schedule.lock().tick(far, place, Instant::now());
             for call in calls {
                 self.call(call);
             }
         }
     }
 
-    fn call(&self, call: Call) {
+    fn call(&self, call: DigestCall) {
         let ask = Ask::Digests { digests: vec![self.digest()], speaker: true };
         if let Ok(Reply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
             self.learned(digests);
             return;
         }
         metrics::counter!("roseshore_digests_failed_total").increment(1);
-        self.speakers.lock().failed(&call.data_centre, Instant::now());
+        self.schedule.lock().failed(&call.data_centre, Instant::now());
     }
 
     /// Takes digests from another data centre, and lets the own one know.
@@ -142,7 +142,7 @@
         for digest in digests {
             let data_centre = digest.data_centre.clone();
             self.members.take_digest(digest.members.clone());
-            self.speakers.lock().heard(&data_centre, told);
+            self.schedule.lock().heard(&data_centre, told);
             let summaries = digest.summaries.clone();
             let load = FarLoad { data_centre: data_centre.clone(), told, summaries };
             self.far.lock().insert(data_centre, load);
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -183,7 +183,7 @@
         let mut state = self.state.lock();
         let State { router, rollout, fleet, .. } = &mut *state;
         let declared = fleet.models.get(model)?;
-        let look = || router.pieces(model, now);
+        let look = || router.loaded_ranges(model, now);
         let choice = rollout.choose(model, &declared.version, declared.layers, look);
         drop(state);
         if choice.switched {
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::config::{
-    Command, KeeperLimits, ReaderLimits, SNAPSHOTS, STREAM, Settled, State,
+    Command, ReaderLimits, SNAPSHOTS, STREAM, Settled, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
 use roseshore_fakes::wait::wait_until as eventually;
@@ -219,7 +219,7 @@
                 pause: ms(10),
                 most: ms(100),
             },
-            keeper: KeeperLimits { records: 8, age: Duration::from_hours(1), pause: ms(50) },
+            snapshots: SnapshotLimits { records: 8, age: Duration::from_hours(1), pause: ms(50) },
             tick: ms(10),
             peer: ms(500),
         };
@@ -283,8 +283,8 @@
     assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), Settled::Accepted(0));
     eventually("every daemon has it", || nodes.iter().all(|it| rate(it) == Some(5.0)));
     let view = &cluster.views[&nodes[4].host];
-    let spread = nodes[4].driver.settle_everywhere(&**view, 0, Instant::now() + BOUND);
-    assert_eq!((spread.in_force.len(), spread.unconfirmed.len()), (3, 0));
+    let confirmation = nodes[4].driver.settle_everywhere(&**view, 0, Instant::now() + BOUND);
+    assert_eq!((confirmation.in_force.len(), confirmation.unconfirmed.len()), (3, 0));
     let digests: BTreeSet<u64> = nodes.iter().map(|it| it.driver.inspect(State::digest)).collect();
     assert_eq!(digests.len(), 1);
 }
@@ -346,7 +346,7 @@
             eventually(case.name, || nodes.iter().all(|it| rate(it) == Some(6.0)));
         } else {
             let view = &cluster.views[&nodes[0].host];
-            let unconfirmed = || nodes[0].driver.spread(&**view, 1).unconfirmed;
+            let unconfirmed = || nodes[0].driver.confirmation(&**view, 1).unconfirmed;
             eventually("only the cut one is behind", || unconfirmed() == ["landhi"]);
             assert_eq!(rate(&nodes[2]), Some(5.0), "{}: serves what it knew", case.name);
         }
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -4,9 +4,9 @@
 use roseshore_adapters::engine::EngineClient;
 use roseshore_adapters::platform::HttpPlatform;
 use roseshore_core::fleet::TargetKind;
-use roseshore_core::order::giver::GiverBounds;
 use roseshore_core::order::lease::LeaseTimes;
 use roseshore_core::order::placement::PlacementBounds;
+use roseshore_core::order::reconciler::ReconcilerLimits;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineSettings};
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
@@ -33,9 +33,10 @@
 pub(crate) fn times(ttl: Duration) -> OrderTimes {
     let lease = LeaseTimes { ttl, renew: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
     let soon = Duration::from_millis(100);
-    let giver = GiverBounds { again: soon, quiet: soon, ..GiverBounds::default() };
-    let placement = PlacementBounds { hold: soon, ..PlacementBounds::default() };
-    OrderTimes { lease, giver, placement, ..OrderTimes::default() }
+    let reconciler =
+        ReconcilerLimits { retry_after: soon, propagation: soon, ..ReconcilerLimits::default() };
+    let placement = PlacementBounds { min_duration: soon, ..PlacementBounds::default() };
+    OrderTimes { lease, reconciler, placement, ..OrderTimes::default() }
 }
 
 /// One daemon's view of the configuration.
