--- a/crates/roseshore_core/src/gateway/copies.rs
+++ b/crates/roseshore_core/src/gateway/copies.rs
@@ -171,13 +171,13 @@
         self.recipients.push(host);
     }
 
-    /// A host that was given a copy of this extent, in rotation; `None` if there is none but the
-    /// asker.
+    /// A host that was given a copy of this extent, in rotation; `None` if there is none, or it is
+    /// the asker's turn.
     pub fn redirect(&mut self, extent: Extent, asker: SocketAddr) -> Option<SocketAddr> {
         if self.extent != extent || self.recipients.is_empty() {
             return None;
         }
         self.last_redirect = (self.last_redirect + 1) % self.recipients.len();
-        Some(self.recipients[self.last_redirect]).filter(|owner| *owner != asker)
+        Some(self.recipients[self.last_redirect]).filter(|host| *host != asker)
     }
 }
--- a/crates/roseshore_core/src/gateway/fatal.rs
+++ b/crates/roseshore_core/src/gateway/fatal.rs
@@ -35,9 +35,9 @@
 impl CrashLimits {
     /// Operators tolerate three early crashes. In a simulation, three requests that crash engines
     /// each came once a second for two minutes at twelve engines, beside a rack of four engines
-    /// that failed every ten seconds. Each of them crashed 3.7 engines, and 14 in 10,000 other
-    /// requests were refused as well. With a limit of two this was 2.9 and 63, with four 4.9 and
-    /// 16, and without a limit 93 and none.
+    /// that failed every ten seconds. Each of the requests crashed 3.7 engines, and 14 in 10,000
+    /// other requests were refused as well. With a limit of two this was 2.9 and 63, with four 4.9
+    /// and 16, and without a limit 93 and none.
     ///
     /// A total of five leaves a request that crashes its targets late two runs after the third
     /// crash, where operators tolerate three. In 40 s of the same load it refuses no more other
--- a/crates/roseshore_core/src/gateway/limits.rs
+++ b/crates/roseshore_core/src/gateway/limits.rs
@@ -33,7 +33,7 @@
 /// How long the limit of a target that is unknown, or no longer known, is kept. Entries that lapsed
 /// are back within seconds.
 const RETENTION: Duration = Duration::from_mins(1);
-/// Smallest relative change of a limit that is logged.
+/// Relative change of a limit up to which it is not logged.
 const LOGGED_CHANGE: f64 = 0.1;
 
 /// The limit that a response advertises.
@@ -82,7 +82,7 @@
     permits: u32,
     valid_until: Instant,
     /// When permits may be requested again.
-    closed_until: Instant,
+    backoff_until: Instant,
 }
 
 /// Limits of all targets, by incarnation.
@@ -142,10 +142,13 @@
     ) -> Option<LimitChange> {
         if let Some(known) = self.all.get_mut(&target) {
             known.last_heard = now;
-            let before = known.advertisements.current().named_limit();
+            let before = known.advertisements.current().advertised_limit();
             known.advertisements.add(advertisement);
-            return LimitChange { before, after: known.advertisements.current().named_limit() }
-                .significant();
+            return LimitChange {
+                before,
+                after: known.advertisements.current().advertised_limit(),
+            }
+            .significant();
         }
         advertisement.rate(now)?;
         let advertisements = Advertisements::new(advertisement);
@@ -154,10 +157,10 @@
             last_heard: now,
             permits: 0,
             valid_until: now,
-            closed_until: now,
+            backoff_until: now,
         };
         self.all.insert(target, state);
-        LimitChange { before: None, after: advertisement.named_limit() }.significant()
+        LimitChange { before: None, after: advertisement.advertised_limit() }.significant()
     }
 
     /// Requests per second that a target accepts from all hosts now; `None` without a limit.
@@ -172,7 +175,7 @@
         };
         if known.permits > 0 && now < known.valid_until {
             Permit::Held
-        } else if now < known.closed_until {
+        } else if now < known.backoff_until {
             Permit::None
         } else {
             Permit::Ask
@@ -218,13 +221,13 @@
             known.permits += u32::from(grant.permits);
             known.valid_until = now + PERMIT_VALIDITY;
         }
-        known.closed_until = now + Duration::from_millis(u64::from(grant.wait));
+        known.backoff_until = now + Duration::from_millis(u64::from(grant.wait));
     }
 
     /// Records that the issuer did not reply.
     pub fn request_failed(&mut self, target: TargetHash, now: Instant) {
         if let Some(known) = self.all.get_mut(&target) {
-            known.closed_until = now + UNANSWERED_BACKOFF;
+            known.backoff_until = now + UNANSWERED_BACKOFF;
         }
     }
 
--- a/crates/roseshore_core/src/gateway/limits/advertisement.rs
+++ b/crates/roseshore_core/src/gateway/limits/advertisement.rs
@@ -11,7 +11,7 @@
 //! to host, its age shrinks a little with each hop. Therefore the last advertisement of each origin
 //! is kept with the greatest age reported, and among advertisements of about the same time the
 //! lowest limit applies. Two hosts that preferred the younger of two such advertisements would send
-//! each other theirs, and accept them, for ever.
+//! each other theirs, and accept them, forever.
 
 use super::super::peers::{LimitReport, TargetHash};
 use crate::prelude::*;
@@ -87,7 +87,7 @@
     }
 
     /// The advertised limit; `None` once it has ended.
-    pub(super) fn named_limit(&self) -> Option<f64> {
+    pub(super) fn advertised_limit(&self) -> Option<f64> {
         (!self.ended).then_some(self.limit)
     }
 
--- a/crates/roseshore_core/src/gateway/peers/sending.rs
+++ b/crates/roseshore_core/src/gateway/peers/sending.rs
@@ -224,7 +224,7 @@
 
     /// Hosts that a heartbeat names: the first of the receiver's data centre, and speakers of
     /// others, in rotation for receivers that get further heartbeats soon. Only hosts that are
-    /// heard here are named, otherwise a dead one would be named for ever.
+    /// heard here are named, otherwise a dead one would be named forever.
     fn hosts_to_name(
         &mut self,
         to: SocketAddr,
--- a/crates/roseshore_core/src/gateway/position.rs
+++ b/crates/roseshore_core/src/gateway/position.rs
@@ -38,14 +38,16 @@
 }
 
 impl ReplyEra {
-    /// Compares the era `told` by a reply, if any, with the known one. `asked` is the era of the
-    /// requested offset, if any; `fresh` states that nothing of the store was read yet.
-    pub fn of(known: Era, asked: Option<Era>, told: Option<Era>, fresh: bool) -> ReplyEra {
-        let era = told.or(asked).unwrap_or(known);
+    /// Compares the era `replied` by the store, if any, with the known one. `requested` is the era
+    /// of the requested offset, if any; `fresh` states that nothing of the store was read yet.
+    pub fn of(known: Era, requested: Option<Era>, replied: Option<Era>, fresh: bool) -> ReplyEra {
+        let era = replied.or(requested).unwrap_or(known);
         match era.cmp(&known) {
             Ordering::Greater if fresh => ReplyEra::First(era),
             Ordering::Greater => ReplyEra::Later(era),
-            Ordering::Equal if asked.is_none_or(|asked| asked == known) => ReplyEra::Known,
+            Ordering::Equal if requested.is_none_or(|requested| requested == known) => {
+                ReplyEra::Known
+            }
             Ordering::Equal | Ordering::Less => ReplyEra::Stale,
         }
     }
--- a/crates/roseshore_core/src/gateway/targets/availability.rs
+++ b/crates/roseshore_core/src/gateway/targets/availability.rs
@@ -42,7 +42,7 @@
 }
 
 impl Targets {
-    /// Records that a target is leaving. Returns whether that was unknown.
+    /// Records that a target is leaving. Returns whether that is new.
     pub fn mark_leaving(&mut self, hash: TargetHash, now: Instant) -> bool {
         let availability = self.availability_entry(hash, now);
         let new = !availability.leaving;
--- a/crates/roseshore_core/tests/gateway/peers.rs
+++ b/crates/roseshore_core/tests/gateway/peers.rs
@@ -135,10 +135,10 @@
 }
 
 /// The longest report of a request under which targets crash.
-fn largest_report(digest: u64, ends: usize) -> FatalReport {
+fn largest_report(digest: u64, crashes: usize) -> FatalReport {
     let fingerprint = Fingerprint { organisation: u32::MAX, digest };
-    let end = |n| CrashReport { target: u32::MAX - n, early: true, age: 600_000 };
-    FatalReport { fingerprint, ends: (0..ends as u32).map(end).collect(), well: Some(600_000) }
+    let crash = |n| CrashReport { target: u32::MAX - n, early: true, age: 600_000 };
+    FatalReport { fingerprint, ends: (0..crashes as u32).map(crash).collect(), well: Some(600_000) }
 }
 
 #[test]
--- a/crates/roseshore_core/tests/gateway/targets.rs
+++ b/crates/roseshore_core/tests/gateway/targets.rs
@@ -352,7 +352,7 @@
 }
 
 /// Hosts that find out different things at the same moment, and forward every report that is new.
-/// Without an order among reports, they would forward them for ever.
+/// Without an order among reports, they would forward them forever.
 #[test]
 fn contradicting_reports_converge() {
     const HOSTS: usize = 5;
@@ -377,7 +377,7 @@
                 queue.push_back((to, report));
             }
         }
-        assert!(forwarded <= HOSTS * 3, "reports are forwarded for ever");
+        assert!(forwarded <= HOSTS * 3, "reports are forwarded forever");
     }
     let holds = |host: &Targets| host.get("a").and_then(Target::holding);
     assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all hosts agree");
