--- a/crates/roseshore_adapters/src/call.rs
+++ b/crates/roseshore_adapters/src/call.rs
@@ -8,7 +8,7 @@
 
 use roseshore_core::prelude::*;
 use roseshore_core::retry;
-use roseshore_ports::outside::{CallError, Called};
+use roseshore_ports::outside::{CallError, CallResult};
 use serde::de::DeserializeOwned;
 use std::io::ErrorKind;
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// [`CallError::Unreached`] when the connection was refused, [`CallError::Lost`] after that.
-pub fn send(request: minreq::Request, limit: Duration) -> Called<minreq::Response> {
+pub fn send(request: minreq::Request, limit: Duration) -> CallResult<minreq::Response> {
     let seconds = limit.as_millis().div_ceil(1000).max(1) as u64;
     let request = request
         .with_header("Connection", "close")
@@ -39,7 +39,7 @@
 /// # Errors
 /// Those of [`send`]; [`CallError::Refused`] for `429` and `503`; [`CallError::Garbled`] for any
 /// other reply.
-pub fn send_json<T: DeserializeOwned>(request: minreq::Request, limit: Duration) -> Called<T> {
+pub fn send_json<T: DeserializeOwned>(request: minreq::Request, limit: Duration) -> CallResult<T> {
     read_json(&send(request, limit)?)
 }
 
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 /// As for [`send_json`].
-pub fn read_json<T: DeserializeOwned>(reply: &minreq::Response) -> Called<T> {
+pub fn read_json<T: DeserializeOwned>(reply: &minreq::Response) -> CallResult<T> {
     let status = reply.status_code;
     if REFUSALS.contains(&status) {
         let body = String::from_utf8_lossy(reply.as_bytes()).into_owned();
--- a/crates/roseshore_adapters/src/engine.rs
+++ b/crates/roseshore_adapters/src/engine.rs
@@ -11,7 +11,7 @@
 
 use client::Client;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order};
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 impl Engine for EngineClient {
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<Load> {
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load> {
         parse(&self.kept.get(addr, "/v1/load", limit)?)
     }
 
@@ -48,36 +48,36 @@
         addr: SocketAddr,
         ask: &Generate,
         deadline: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         self.streams.open(addr, ask, deadline)
     }
 
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> Called<()> {
+    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()> {
         self.fresh.post(addr, "/v1/cancel", body(ask)?, limit).map(drop)
     }
 
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> Called<Kv> {
+    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv> {
         parse(&self.fresh.post(addr, "/v1/kv/export", body(ask)?, limit)?)
     }
 
-    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> Called<()> {
+    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()> {
         self.fresh.post(addr, "/v1/kv/import", body(kv)?, limit).map(drop)
     }
 
-    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> Called<CacheEvents> {
+    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents> {
         parse(&self.kept.get(addr, &format!("/v1/cache?from={from}"), limit)?)
     }
 
-    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> Called<Holding> {
+    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding> {
         parse(&self.fresh.post(addr, "/v1/order", body(order)?, limit)?)
     }
 }
 
 /// A message that cannot be coded was never sent.
-fn body<T: serde::Serialize>(message: &T) -> Called<Vec<u8>> {
+fn body<T: serde::Serialize>(message: &T) -> CallResult<Vec<u8>> {
     serde_json::to_vec(message).map_err(|e| CallError::Unreached(e.to_string()))
 }
 
-fn parse<T: DeserializeOwned>(bytes: &[u8]) -> Called<T> {
+fn parse<T: DeserializeOwned>(bytes: &[u8]) -> CallResult<T> {
     serde_json::from_slice(bytes).map_err(|e| CallError::Garbled(e.to_string()))
 }
--- a/crates/roseshore_adapters/src/engine/client.rs
+++ b/crates/roseshore_adapters/src/engine/client.rs
@@ -7,7 +7,7 @@
 use super::status::Reply;
 use crate::agent::{Kept, agent, failure};
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::Called;
+use roseshore_ports::outside::CallResult;
 use std::net::SocketAddr;
 use ureq::{Agent, Body, Error};
 
@@ -35,7 +35,7 @@
     }
 
     /// Calls without a body.
-    pub(super) fn get(&self, addr: SocketAddr, path: &str, limit: Duration) -> Called<Vec<u8>> {
+    pub(super) fn get(&self, addr: SocketAddr, path: &str, limit: Duration) -> CallResult<Vec<u8>> {
         let request = self.agent.get(url(addr, path)).config();
         let request = request.timeout_global(Some(limit)).timeout_connect(Some(connect(limit)));
         finish(request.build().call())
@@ -48,7 +48,7 @@
         path: &str,
         body: Vec<u8>,
         limit: Duration,
-    ) -> Called<Vec<u8>> {
+    ) -> CallResult<Vec<u8>> {
         let request = self.agent.post(url(addr, path)).content_type("application/json");
         let request = request.header("Connection", "close").config();
         let request = request.timeout_global(Some(limit)).timeout_connect(Some(connect(limit)));
@@ -68,12 +68,12 @@
 }
 
 /// Reads a whole reply.
-pub(super) fn finish(outcome: Result<ureq::http::Response<Body>, Error>) -> Called<Vec<u8>> {
+pub(super) fn finish(outcome: Result<ureq::http::Response<Body>, Error>) -> CallResult<Vec<u8>> {
     reply(outcome.map_err(failure)?)?.accept()
 }
 
 /// Reads the body of a reply.
-pub(super) fn reply(mut response: ureq::http::Response<Body>) -> Called<Reply> {
+pub(super) fn reply(mut response: ureq::http::Response<Body>) -> CallResult<Reply> {
     let status = response.status().as_u16();
     let after = response.headers().get("retry-after");
     let after = after.and_then(|value| value.to_str().ok()).map(str::to_owned);
--- a/crates/roseshore_adapters/src/engine/status.rs
+++ b/crates/roseshore_adapters/src/engine/status.rs
@@ -1,7 +1,7 @@
 //! What an HTTP status proves.
 
 use roseshore_core::retry;
-use roseshore_ports::outside::{CallError, Called};
+use roseshore_ports::outside::{CallError, CallResult};
 
 /// What came back.
 pub(super) struct Reply {
@@ -20,7 +20,7 @@
     /// [`CallError::Refused`] for statuses by which an engine says that it did nothing;
     /// [`CallError::Garbled`] for those that the protocol does not know, a redirect among them;
     /// [`CallError::Lost`] for a failure in the engine.
-    pub(super) fn accept(self) -> Called<Vec<u8>> {
+    pub(super) fn accept(self) -> CallResult<Vec<u8>> {
         match self.status {
             200 => Ok(self.body),
             400 | 404 | 409 | 412 | 413 | 429 | 503 => Err(self.refused()),
--- a/crates/roseshore_adapters/src/engine/stream.rs
+++ b/crates/roseshore_adapters/src/engine/stream.rs
@@ -7,7 +7,7 @@
 use super::client;
 use crate::agent::{Kept, agent, failure};
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, StreamItem};
 use roseshore_wire::engine::{Generate, Output};
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
         addr: SocketAddr,
         ask: &Generate,
         deadline: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         let body = super::body(ask)?;
         let limit = deadline.saturating_duration_since(Instant::now());
         if limit.is_zero() {
@@ -71,7 +71,7 @@
     ask: &Generate,
     body: &[u8],
     limit: Duration,
-) -> Called<ureq::http::Response<ureq::Body>> {
+) -> CallResult<ureq::http::Response<ureq::Body>> {
     let mut request = agent
         .post(client::url(addr, "/v1/generate"))
         .content_type("application/json")
@@ -109,7 +109,7 @@
     let _ = items.send(StreamItem::Ended(end));
 }
 
-fn line(lines: &mut impl BufRead) -> Called<Option<Output>> {
+fn line(lines: &mut impl BufRead) -> CallResult<Option<Output>> {
     let mut bytes = Vec::new();
     let read = lines.take(MAX_LINE).read_until(b'\n', &mut bytes);
     read.map_err(|e| CallError::Lost(e.to_string()))?;
--- a/crates/roseshore_adapters/src/peer/client.rs
+++ b/crates/roseshore_adapters/src/peer/client.rs
@@ -8,9 +8,9 @@
 use super::Numbered;
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Peers};
+use roseshore_ports::outside::{CallError, CallResult, Peers};
 use roseshore_wire::frame::{self, FrameError};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -70,7 +70,7 @@
 #[derive(Default)]
 struct Waiting {
     next: u64,
-    replies: HashMap<u64, flume::Sender<Called<Reply>>>,
+    replies: HashMap<u64, flume::Sender<CallResult<PeerReply>>>,
     broken: bool,
     answered: bool,
     missed: u32,
@@ -82,7 +82,7 @@
         TcpPeers { limits, links: Mutex::new(HashMap::new()) }
     }
 
-    fn line(&self, addr: SocketAddr, deadline: Instant) -> Called<Arc<Line>> {
+    fn line(&self, addr: SocketAddr, deadline: Instant) -> CallResult<Arc<Line>> {
         let shared = self.links.lock().entry(addr).or_default().clone();
         let Some(mut link) = shared.try_lock_until(deadline) else {
             return Err(CallError::Unreached(format!("`{addr}` is still being connected to")));
@@ -130,7 +130,7 @@
 }
 
 impl Peers for TcpPeers {
-    fn ask(&self, addr: SocketAddr, ask: &Ask, limit: Duration) -> Called<Reply> {
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply> {
         let deadline = Instant::now() + limit;
         let line = self.line(addr, deadline)?;
         let reply = line.ask(ask, deadline, self.limits.pending);
@@ -157,7 +157,7 @@
         Ok(line)
     }
 
-    fn ask(&self, ask: &Ask, deadline: Instant, pending: usize) -> Called<Reply> {
+    fn ask(&self, ask: &PeerRequest, deadline: Instant, pending: usize) -> CallResult<PeerReply> {
         let (send, reply) = flume::bounded(1);
         let number = self.enrol(send, pending)?;
         let message = frame::encode(&Numbered { number, body: ask }, frame::MAX_FRAME);
@@ -185,7 +185,7 @@
         why
     }
 
-    fn enrol(&self, send: flume::Sender<Called<Reply>>, pending: usize) -> Called<u64> {
+    fn enrol(&self, send: flume::Sender<CallResult<PeerReply>>, pending: usize) -> CallResult<u64> {
         let mut state = self.state.lock();
         if state.broken {
             return Err(CallError::Unreached("the connection broke".into()));
@@ -199,7 +199,7 @@
         Ok(number)
     }
 
-    fn write(&self, bytes: &[u8], deadline: Instant) -> Called<()> {
+    fn write(&self, bytes: &[u8], deadline: Instant) -> CallResult<()> {
         let Some(_turn) = self.writing.try_lock_until(deadline) else {
             return Err(CallError::Unreached("the connection is busy".into()));
         };
@@ -221,7 +221,7 @@
     fn read(&self, input: &TcpStream) {
         let mut input = BufReader::new(input);
         loop {
-            match frame::read::<Numbered<Reply>>(&mut input) {
+            match frame::read::<Numbered<PeerReply>>(&mut input) {
                 Ok(reply) => self.hand(reply),
                 Err(FrameError::Io(e)) => return self.fail(&CallError::Lost(e.to_string())),
                 Err(e) => return self.fail(&CallError::Garbled(e.to_string())),
@@ -229,7 +229,7 @@
         }
     }
 
-    fn hand(&self, reply: Numbered<Reply>) {
+    fn hand(&self, reply: Numbered<PeerReply>) {
         let mut state = self.state.lock();
         state.answered = true;
         state.missed = 0;
--- a/crates/roseshore_adapters/src/peer/server.rs
+++ b/crates/roseshore_adapters/src/peer/server.rs
@@ -3,9 +3,9 @@
 use super::Numbered;
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::Answers;
+use roseshore_ports::inside::PeerHandler;
 use roseshore_wire::frame;
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use std::collections::HashMap;
 use std::io::{self, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -29,7 +29,7 @@
 }
 
 struct Shared {
-    answers: Vec<Arc<dyn Answers>>,
+    answers: Vec<Arc<dyn PeerHandler>>,
     open: Mutex<HashMap<u64, TcpStream>>,
     stopped: AtomicBool,
 }
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// When the listener does not say its address or the thread cannot be started.
-pub fn serve(listener: TcpListener, answers: Vec<Arc<dyn Answers>>) -> io::Result<Server> {
+pub fn serve(listener: TcpListener, answers: Vec<Arc<dyn PeerHandler>>) -> io::Result<Server> {
     let addr = listener.local_addr()?;
     let open = Mutex::new(HashMap::new());
     let shared = Arc::new(Shared { answers, open, stopped: AtomicBool::new(false) });
@@ -110,16 +110,16 @@
         let mut input = BufReader::new(stream);
         let mut out = stream;
         while !self.stopped.load(Ordering::SeqCst) {
-            let ask: Numbered<Ask> = frame::read(&mut input)?;
+            let ask: Numbered<PeerRequest> = frame::read(&mut input)?;
             let body = self.answer(&ask.body);
             frame::write(&mut out, &Numbered { number: ask.number, body })?;
         }
         Ok(())
     }
 
-    fn answer(&self, ask: &Ask) -> Reply {
+    fn answer(&self, ask: &PeerRequest) -> PeerReply {
         let known = self.answers.iter().find_map(|part| part.answer(ask));
-        known.unwrap_or_else(|| Reply::Unable { reason: "no part knows this question".into() })
+        known.unwrap_or_else(|| PeerReply::Unable { reason: "no part knows this question".into() })
     }
 }
 
--- a/crates/roseshore_adapters/src/peer/udp.rs
+++ b/crates/roseshore_adapters/src/peer/udp.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Datagrams, Received};
+use roseshore_ports::outside::{CallError, CallResult, Datagrams, ReceivedDatagram};
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 use roseshore_wire::peer::Datagram;
 use std::io;
@@ -47,7 +47,7 @@
 }
 
 impl Datagrams for UdpSocket {
-    fn send(&self, to: SocketAddr, datagram: &Datagram) -> Called<()> {
+    fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()> {
         let unreached = |e: &dyn std::fmt::Display| CallError::Unreached(e.to_string());
         let bytes = frame::encode(datagram, MAX_DATAGRAM).map_err(|e| unreached(&e))?;
         self.socket.send_to(&bytes, to).map_err(|e| unreached(&e))?;
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    fn receive(&self, limit: Duration) -> Option<Received> {
+    fn receive(&self, limit: Duration) -> Option<ReceivedDatagram> {
         self.set_wait(limit).ok()?;
         let mut bytes = [0; MAX_DATAGRAM + 1];
         let (len, from) = self.socket.recv_from(&mut bytes).ok()?;
@@ -64,7 +64,7 @@
         if len <= MAX_DATAGRAM
             && let Ok(datagram) = frame::decode(&bytes[..len])
         {
-            return Some(Received { from, datagram });
+            return Some(ReceivedDatagram { from, datagram });
         }
         metrics::counter!("roseshore_datagrams_ignored_total", "why" => "garbled").increment(1);
         None
--- a/crates/roseshore_adapters/src/platform.rs
+++ b/crates/roseshore_adapters/src/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::call;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, HostList, Log, WeightStore};
+use roseshore_ports::outside::{CallError, CallResult, HostList, Log, WeightStore};
 use roseshore_wire::platform::{Append, Appended, Hosts, Records, Trimmed, Weights};
 use std::net::SocketAddr;
 
@@ -28,7 +28,7 @@
 }
 
 impl Log for HttpPlatform {
-    fn append(&self, stream: &str, records: &[String]) -> Called<Offset> {
+    fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset> {
         let body = serde_json::to_vec(&Append { records: records.to_vec() });
         let body = body.map_err(|e| CallError::Unreached(e.to_string()))?;
         let url = self.url(&format!("/v1/streams/{stream}/records"));
@@ -37,7 +37,7 @@
         Ok(appended.first)
     }
 
-    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> Called<Records> {
+    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> CallResult<Records> {
         let wait_ms = wait.as_millis();
         let query = format!("from={from}&max={max}&wait_ms={wait_ms}");
         let url = self.url(&format!("/v1/streams/{stream}/records?{query}"));
@@ -54,7 +54,7 @@
 }
 
 /// Holds a read against the protocol: from the asked offset on, without holes.
-fn check(records: &Records, from: Offset) -> Called<()> {
+fn check(records: &Records, from: Offset) -> CallResult<()> {
     let offsets = records.records.iter().map(|r| r.offset);
     if offsets.zip(from..).any(|(found, wanted)| found != wanted) {
         return Err(CallError::Garbled("the records have a hole".to_owned()));
@@ -63,13 +63,13 @@
 }
 
 impl HostList for HttpPlatform {
-    fn hosts(&self) -> Called<Hosts> {
+    fn hosts(&self) -> CallResult<Hosts> {
         call::send_json(minreq::get(self.url("/v1/hosts")), self.limit)
     }
 }
 
 impl WeightStore for HttpPlatform {
-    fn weights(&self) -> Called<Weights> {
+    fn weights(&self) -> CallResult<Weights> {
         call::send_json(minreq::get(self.url("/v1/weights")), self.limit)
     }
 }
--- a/crates/roseshore_adapters/src/service.rs
+++ b/crates/roseshore_adapters/src/service.rs
@@ -7,9 +7,9 @@
 
 use crate::agent::{Kept, agent, failure};
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Hop, ServiceReply, Services};
+use roseshore_ports::outside::{CallContext, CallError, CallResult, ServiceReply, Services};
 use roseshore_wire::service::{
-    DEADLINE_MS, IDEMPOTENCY_KEY, REPLAYED, REQUEST_ID, ServiceLoad, TRACEPARENT, Unstarted,
+    DEADLINE_MS, IDEMPOTENCY_KEY, NotStarted, REPLAYED, REQUEST_ID, ServiceLoad, TRACEPARENT,
 };
 use std::net::SocketAddr;
 use ureq::http::{Request, Response, request::Builder};
@@ -40,8 +40,8 @@
         addr: SocketAddr,
         source: &str,
         name: &str,
-        hop: &Hop,
-    ) -> Called<ServiceReply> {
+        hop: &CallContext,
+    ) -> CallResult<ServiceReply> {
         let left = left(hop.deadline)?;
         let url = format!("http://{addr}/v1/lookup/{source}/{name}");
         let request = travel(Request::get(url), hop, left).body(()).map_err(unsent)?;
@@ -56,8 +56,8 @@
         service: &str,
         body: &[u8],
         key: Option<&str>,
-        hop: &Hop,
-    ) -> Called<ServiceReply> {
+        hop: &CallContext,
+    ) -> CallResult<ServiceReply> {
         let left = left(hop.deadline)?;
         let url = format!("http://{addr}/v1/call/{service}");
         let mut request = travel(Request::post(url), hop, left).header("connection", "close");
@@ -74,7 +74,7 @@
         Ok(reply)
     }
 
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<ServiceLoad> {
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<ServiceLoad> {
         let request = Request::get(format!("http://{addr}/v1/load")).body(()).map_err(unsent)?;
         let request = self.kept.configure_request(request);
         let reply = self.kept.run(request.timeout_global(Some(limit)).build());
@@ -84,7 +84,7 @@
 }
 
 /// The time left, if there is any to begin with.
-fn left(deadline: Instant) -> Called<Duration> {
+fn left(deadline: Instant) -> CallResult<Duration> {
     let left = deadline.saturating_duration_since(Instant::now());
     if left.is_zero() {
         return Err(CallError::Unreached("the deadline passed".to_owned()));
@@ -92,7 +92,7 @@
     Ok(left)
 }
 
-fn travel(request: Builder, hop: &Hop, left: Duration) -> Builder {
+fn travel(request: Builder, hop: &CallContext, left: Duration) -> Builder {
     let request =
         request.header(REQUEST_ID, &hop.request).header(DEADLINE_MS, left.as_millis().to_string());
     match &hop.trace {
@@ -101,7 +101,7 @@
     }
 }
 
-fn read(mut reply: Response<Body>) -> Called<ServiceReply> {
+fn read(mut reply: Response<Body>) -> CallResult<ServiceReply> {
     let headers = reply.headers();
     let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
     let content = text("content-type").to_owned();
@@ -115,7 +115,7 @@
 }
 
 fn unstarted(reply: &ServiceReply) -> bool {
-    let said = serde_json::from_slice::<Unstarted>(&reply.body);
+    let said = serde_json::from_slice::<NotStarted>(&reply.body);
     reply.status == UNAVAILABLE && said.is_ok_and(|u| u.not_run)
 }
 
--- a/crates/roseshore_adapters/tests/engine.rs
+++ b/crates/roseshore_adapters/tests/engine.rs
@@ -6,7 +6,7 @@
 use roseshore_fakes::engine::rig::{ADAPTER, Rig, VERSION, whole, words};
 use roseshore_fakes::engine::{EngineFaults, EngineSettings};
 use roseshore_fakes::wait::wait_until;
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{Cancel, Generate, Holding, Order, Output, Role, Stage, Stamp};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -19,7 +19,7 @@
     Rig::start(stages, tune).expect("free ports")
 }
 
-fn open(ask: &Generate, limit: Duration) -> Called<flume::Receiver<StreamItem>> {
+fn open(ask: &Generate, limit: Duration) -> CallResult<flume::Receiver<StreamItem>> {
     EngineClient::new().generate(ask.route[0].addr, ask, Instant::now() + limit)
 }
 
@@ -30,7 +30,7 @@
     lineages: Vec<Vec<Stamp>>,
     strays: usize,
     last: Option<Output>,
-    end: Option<Called<()>>,
+    end: Option<CallResult<()>>,
 }
 
 fn hear(ask: &Generate, stream: &flume::Receiver<StreamItem>) -> Heard {
@@ -164,7 +164,12 @@
     }
 }
 
-fn check(name: &str, ask: &Generate, opened: Called<flume::Receiver<StreamItem>>, report: Report) {
+fn check(
+    name: &str,
+    ask: &Generate,
+    opened: CallResult<flume::Receiver<StreamItem>>,
+    report: Report,
+) {
     if let Report::Refused(status, after) = report {
         let Err(CallError::Refused(got, wait, _)) = opened else { panic!("{name}") };
         return assert_eq!((got, wait), (status, after), "{name}");
@@ -349,7 +354,7 @@
 }
 
 /// Each kind of call once, every one to a server of its own.
-fn calls(limit: Duration, server: impl Fn() -> SocketAddr) -> Vec<(&'static str, Called<()>)> {
+fn calls(limit: Duration, server: impl Fn() -> SocketAddr) -> Vec<(&'static str, CallResult<()>)> {
     let client = EngineClient::new();
     let cancel = Cancel { answer: "answer".to_owned(), epoch: 1, keep_kv: false };
     let addr = server();
--- a/crates/roseshore_adapters/tests/peer.rs
+++ b/crates/roseshore_adapters/tests/peer.rs
@@ -2,10 +2,10 @@
 
 use roseshore_adapters::peer::{Limits, Numbered, TcpPeers, UdpSocket, serve};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::Answers;
+use roseshore_ports::inside::PeerHandler;
 use roseshore_ports::outside::{CallError, Datagrams, Peers};
 use roseshore_wire::frame;
-use roseshore_wire::peer::{Ask, Datagram, Heartbeat, Reply};
+use roseshore_wire::peer::{Datagram, Heartbeat, PeerReply, PeerRequest};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket as Raw};
 use std::sync::Arc;
@@ -15,21 +15,21 @@
 const LIMIT: Duration = Duration::from_secs(10);
 const SHORT: Duration = Duration::from_millis(100);
 
-fn ask(key: &str) -> Ask {
-    Ask::Outcome { key: key.into() }
+fn ask(key: &str) -> PeerRequest {
+    PeerRequest::Outcome { key: key.into() }
 }
 
-fn outcome(key: &str) -> Reply {
-    Reply::Outcome { outcome: Some(key.into()) }
+fn outcome(key: &str) -> PeerReply {
+    PeerReply::Outcome { outcome: Some(key.into()) }
 }
 
 /// Answers each key with itself.
 struct Echo;
 
-impl Answers for Echo {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
+impl PeerHandler for Echo {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
         match ask {
-            Ask::Outcome { key } => Some(outcome(key)),
+            PeerRequest::Outcome { key } => Some(outcome(key)),
             _ => None,
         }
     }
@@ -53,13 +53,13 @@
     (addr, count)
 }
 
-fn read(stream: &mut TcpStream) -> Option<(u64, Reply)> {
-    let ask: Numbered<Ask> = frame::read(stream).ok()?;
-    let Ask::Outcome { key } = ask.body else { return None };
+fn read(stream: &mut TcpStream) -> Option<(u64, PeerReply)> {
+    let ask: Numbered<PeerRequest> = frame::read(stream).ok()?;
+    let PeerRequest::Outcome { key } = ask.body else { return None };
     Some((ask.number, outcome(&key)))
 }
 
-fn reply(stream: &mut TcpStream, number: u64, body: Reply) {
+fn reply(stream: &mut TcpStream, number: u64, body: PeerReply) {
     let _ = frame::write(stream, &Numbered { number, body });
 }
 
@@ -230,16 +230,16 @@
         let mut stream = TcpStream::connect(server.addr()).expect(case.name);
         stream.set_read_timeout(Some(LIMIT)).expect(case.name);
         stream.write_all(case.bytes).expect(case.name);
-        let got = frame::read::<Numbered<Reply>>(&mut stream).expect_err(case.name);
+        let got = frame::read::<Numbered<PeerReply>>(&mut stream).expect_err(case.name);
         let frame::FrameError::Io(e) = got else { panic!("{}: {got}", case.name) };
         assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "{}: left open", case.name);
         let peers = TcpPeers::new(Limits::default());
         assert_eq!(peers.ask(server.addr(), &ask("k"), LIMIT), Ok(outcome("k")), "{}", case.name);
     }
-    let other = Ask::Query { query: String::new() };
+    let other = PeerRequest::Query { query: String::new() };
     let peers = TcpPeers::new(Limits::default());
     let got = peers.ask(server.addr(), &other, LIMIT);
-    assert!(matches!(got, Ok(Reply::Unable { .. })), "no part knows it: {got:?}");
+    assert!(matches!(got, Ok(PeerReply::Unable { .. })), "no part knows it: {got:?}");
 }
 
 #[test]
--- a/crates/roseshore_adapters/tests/service.rs
+++ b/crates/roseshore_adapters/tests/service.rs
@@ -5,7 +5,7 @@
 use roseshore_fakes::closed::Closed;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
-use roseshore_ports::outside::{CallError, Called, Hop, ServiceReply, Services};
+use roseshore_ports::outside::{CallContext, CallError, CallResult, ServiceReply, Services};
 use roseshore_wire::service::Missing;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -20,9 +20,9 @@
     ServiceFake::start(settings).unwrap()
 }
 
-fn hop(limit: Duration) -> Hop {
+fn hop(limit: Duration) -> CallContext {
     let trace = Some("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".to_owned());
-    Hop { deadline: Instant::now() + limit, trace, request: "r1".to_owned() }
+    CallContext { deadline: Instant::now() + limit, trace, request: "r1".to_owned() }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     Garbled,
 }
 
-fn told(called: &Called<ServiceReply>) -> Told {
+fn told(called: &CallResult<ServiceReply>) -> Told {
     match called {
         Ok(reply) => Told::Status(reply.status),
         Err(CallError::Unreached(_)) => Told::Unreached,
--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -5,8 +5,8 @@
 use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings};
-use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Output, Stage, Stamp,
 };
@@ -128,7 +128,7 @@
 }
 
 impl Router for FirstFree {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let seen = self.seen.lock();
         let out = |t: &TargetId| {
             need.avoid.contains(t) || seen.failed.contains(t) || seen.leaving.contains(t)
@@ -148,7 +148,7 @@
         self.seen.lock().failed.insert(target.clone());
     }
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 
     fn leaving(&self, target: &TargetId) -> bool {
         self.seen.lock().leaving.contains(target)
@@ -256,9 +256,9 @@
     }
 }
 
-fn ask(tokens: u32) -> Ask {
+fn ask(tokens: u32) -> RequestInfo {
     let now = Instant::now();
-    Ask {
+    RequestInfo {
         request: format!("r{}", rand::random::<u64>()),
         organisation: "o".to_owned(),
         service: "s".to_owned(),
@@ -317,7 +317,7 @@
         _: SocketAddr,
         ask: &Generate,
         _: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         let (sender, items) = flume::unbounded();
         let stamp = |stage: &Stage| Stamp {
             target: stage.target.clone(),
@@ -339,27 +339,27 @@
         Ok(items)
     }
 
-    fn load(&self, _: SocketAddr, _: Duration) -> Called<Load> {
+    fn load(&self, _: SocketAddr, _: Duration) -> CallResult<Load> {
         Err(none())
     }
 
-    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> Called<()> {
+    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
         Err(none())
     }
 
-    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> Called<Kv> {
+    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
         Err(none())
     }
 
-    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> Called<()> {
+    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
         Err(none())
     }
 
-    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> Called<CacheEvents> {
+    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
         Err(none())
     }
 
-    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> Called<Holding> {
+    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
         Err(none())
     }
 }
--- a/crates/roseshore_bench/src/bin/claims.rs
+++ b/crates/roseshore_bench/src/bin/claims.rs
@@ -8,9 +8,9 @@
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::prelude::*;
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
-use roseshore_ports::inside::{Begin, Claims, Member, MemberState, Members, Outcome};
-use roseshore_ports::outside::{CallError, Called, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{ClaimResult, Claims, Member, MemberState, Members, Outcome};
+use roseshore_ports::outside::{CallError, CallResult, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshored::claims::{ClaimsConfig, ClaimsDriver};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,7 +49,12 @@
 struct Nobody;
 
 impl Peers for Nobody {
-    fn ask(&self, _addr: SocketAddr, _ask: &Ask, _limit: Duration) -> Called<Reply> {
+    fn ask(
+        &self,
+        _addr: SocketAddr,
+        _ask: &PeerRequest,
+        _limit: Duration,
+    ) -> CallResult<PeerReply> {
         Err(CallError::Unreached("no peers in this run".into()))
     }
 }
@@ -136,7 +141,7 @@
 /// Runs one key; the time until it was won.
 fn one(driver: &ClaimsDriver, key: usize) -> Option<Duration> {
     let began = Instant::now();
-    let Begin::Won(claim) = driver.begin(&format!("o/s/{key}"), 7, began + LIMIT) else {
+    let ClaimResult::Won(claim) = driver.begin(&format!("o/s/{key}"), 7, began + LIMIT) else {
         return None;
     };
     let took = began.elapsed();
--- a/crates/roseshore_fakes/src/service/handler.rs
+++ b/crates/roseshore_fakes/src/service/handler.rs
@@ -6,7 +6,7 @@
 use crate::http::{self, Handler};
 use roseshore_core::prelude::*;
 use roseshore_wire::service::{
-    IDEMPOTENCY_KEY, Missing, REPLAYED, REQUEST_ID, ServiceLoad, Unstarted,
+    IDEMPOTENCY_KEY, Missing, NotStarted, REPLAYED, REQUEST_ID, ServiceLoad,
 };
 use std::io::Write;
 use std::thread;
@@ -43,7 +43,7 @@
         let _slot = self.slots.take();
         let faults = self.faults.get();
         if faults.not_run {
-            return http::reply_json(request, 503, &Unstarted { not_run: true });
+            return http::reply_json(request, 503, &NotStarted { not_run: true });
         }
         self.book.looked_up();
         self.work(&faults);
@@ -69,7 +69,7 @@
         let _slot = self.slots.take();
         let faults = self.faults.get();
         if faults.not_run {
-            return http::reply_json(request, 503, &Unstarted { not_run: true });
+            return http::reply_json(request, 503, &NotStarted { not_run: true });
         }
         let run = || {
             self.book.called(key.as_deref(), id.as_deref());
--- a/crates/roseshore_ports/src/entry.rs
+++ b/crates/roseshore_ports/src/entry.rs
@@ -89,7 +89,7 @@
 
 /// One record; without a value its key was dropped.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct KeyedRecord {
     /// The key.
     pub key: String,
     /// The value.
@@ -98,69 +98,69 @@
 
 /// Records in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reading {
+pub struct ReadBatch {
     /// One past the last offset of the stream.
     pub end: u64,
     /// The records; `None` for one whose key cannot be read, so that it still counts as an offset.
-    pub entries: Vec<Option<Entry>>,
+    pub entries: Vec<Option<KeyedRecord>>,
 }
 
 /// A page of the newest record of each key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     /// The records.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<KeyedRecord>,
     /// The key to go on after, if there are more.
-    pub more: Option<String>,
+    pub next_key: Option<String>,
     /// One past the last offset when the page was made.
     pub end: u64,
 }
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestFields {
     /// The id of this attempt.
     pub attempt: String,
     /// How long the caller waits.
     pub deadline: Option<Duration>,
     /// Its API key.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The last event of a stream that it has.
     pub last_event: Option<u64>,
     /// The model.
     pub model: Option<String>,
     /// Tokens of the prompt.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The most tokens that the answer may have.
-    pub longest: u32,
+    pub max_tokens: u32,
     /// The caller's guess of the answer's tokens.
-    pub hint: Option<u32>,
+    pub length_hint: Option<u32>,
 }
 
 /// What goes to a target beside the caller's own fields.
 #[derive(Clone, Copy, Debug)]
-pub struct Carried<'a> {
+pub struct ForwardedFields<'a> {
     /// How long the caller still waits.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The target that is meant; any other must not run the request.
     pub target: &'a str,
     /// The organisation that the key belongs to.
     pub organisation: Option<&'a str>,
     /// The event after which a stream goes on.
-    pub after: Option<u64>,
+    pub last_event: Option<u64>,
     /// The path through the layers; empty for plain services.
     pub path: &'a [(SocketAddr, Hop)],
 }
 
 /// What a target says of its answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Answered {
+pub struct ResponseFields {
     /// Proof that the request did not run.
     pub not_run: bool,
     /// The attempt that it answers.
     pub attempt: Option<String>,
     /// The target at fault, when another on the path was.
-    pub faulty: Option<SocketAddr>,
+    pub faulty_target: Option<SocketAddr>,
     /// Requests running, requests waiting, slots.
     pub load: Option<(u32, u32, u32)>,
     /// Whether it bears the target's seal.
@@ -168,7 +168,7 @@
     /// Whether the target says that it leaves; true for the rest of its life.
     pub leaving: bool,
     /// For how long the target wants nothing from this host, where it says so.
-    pub rest: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// What it says of the requests that the target takes from all hosts together.
     pub limit: AdvertisedLimit,
 }
@@ -179,7 +179,7 @@
     /// The life that it speaks of; 0 where targets do not tell it.
     pub life: Incarnation,
     /// Orders taken in this life.
-    pub orders: u64,
+    pub orders_taken: u64,
     /// Whether an order is being carried out.
     pub busy: bool,
     /// The layers held.
@@ -202,13 +202,13 @@
     ///
     /// # Errors
     /// When a field that is needed is missing or wrong.
-    fn asked(&self, fields: &[Field]) -> Result<Asked, WireError>;
+    fn read_request(&self, fields: &[Field]) -> Result<RequestFields, WireError>;
     /// The fields that go to a target.
-    fn carried(&self, fields: &[Field], carried: &Carried<'_>) -> Vec<Field>;
+    fn forwarded_headers(&self, fields: &[Field], carried: &ForwardedFields<'_>) -> Vec<Field>;
     /// Reads what a target says.
-    fn answered(&self, fields: &[Field]) -> Answered;
+    fn read_response(&self, fields: &[Field]) -> ResponseFields;
     /// The fields of an answer that go to the caller.
-    fn returned(&self, fields: &[Field]) -> Vec<Field>;
+    fn caller_headers(&self, fields: &[Field]) -> Vec<Field>;
     /// The era that the store names in its reply, if it does.
     fn era(&self, reply: &CallReply) -> Option<Era>;
     /// A read of a stream from an offset; waits for a record at most `wait`.
@@ -217,24 +217,24 @@
     ///
     /// # Errors
     /// When it brought no records, and why.
-    fn read_reply(&self, reply: &CallReply) -> Result<Reading, StoreFault>;
+    fn read_reply(&self, reply: &CallReply) -> Result<ReadBatch, StoreFault>;
     /// A read of the newest record of each key, after the key `since`.
-    fn newest(&self, stream: Stream, since: Option<&str>) -> CallRequest;
-    /// Reads the reply to [`EntryPlatform::newest`].
+    fn read_latest(&self, stream: Stream, since: Option<&str>) -> CallRequest;
+    /// Reads the reply to [`EntryPlatform::read_latest`].
     ///
     /// # Errors
     /// When it brought no records, and why.
-    fn newest_reply(&self, reply: &CallReply) -> Result<Page, StoreFault>;
+    fn latest_reply(&self, reply: &CallReply) -> Result<Page, StoreFault>;
     /// A read of the records of blocked requests, after the key `since`; its reply is read by
-    /// [`EntryPlatform::newest_reply`].
-    fn blocked(&self, since: Option<&str>) -> CallRequest;
+    /// [`EntryPlatform::latest_reply`].
+    fn read_blocked(&self, since: Option<&str>) -> CallRequest;
     /// Writes records of blocked requests; those without a value are dropped.
-    fn put_blocked(&self, records: &[Entry]) -> CallRequest;
-    /// Reads the reply to [`EntryPlatform::put_blocked`].
+    fn write_blocked(&self, records: &[KeyedRecord]) -> CallRequest;
+    /// Reads the reply to [`EntryPlatform::write_blocked`].
     ///
     /// # Errors
     /// When the records may not have been written, and why.
-    fn put_reply(&self, reply: &CallReply) -> Result<(), StoreFault>;
+    fn write_reply(&self, reply: &CallReply) -> Result<(), StoreFault>;
     /// The key of the configuration in its stream.
     fn config_key(&self) -> &'static str;
     /// Reads a configuration.
@@ -255,7 +255,7 @@
     /// When it cannot be read.
     fn report_reply(&self, reply: &CallReply) -> Result<Report, WireError>;
     /// Orders a target to hold these layers, if it has taken `expected` orders so far.
-    fn place(&self, layers: (u16, u16), expected: u64) -> CallRequest;
+    fn assign_layers(&self, layers: (u16, u16), expected: u64) -> CallRequest;
     /// Orders the first target of a path to go on over another one.
-    fn repath(&self, attempt: &str, path: &[(SocketAddr, Hop)]) -> CallRequest;
+    fn reroute(&self, attempt: &str, path: &[(SocketAddr, Hop)]) -> CallRequest;
 }
--- a/crates/roseshore_ports/src/inside.rs
+++ b/crates/roseshore_ports/src/inside.rs
@@ -13,14 +13,14 @@
 use std::sync::Arc;
 
 /// The configuration in force.
-pub trait Fleets: Send + Sync {
+pub trait ConfigSource: Send + Sync {
     /// The fleet, and one past the last record folded; `None` until the first is known.
-    fn current(&self) -> Option<InForce>;
+    fn current(&self) -> Option<ActiveConfig>;
 }
 
 /// A configuration with its place in the log.
 #[derive(Clone, Debug)]
-pub struct InForce {
+pub struct ActiveConfig {
     /// The declared state.
     pub fleet: Arc<Fleet>,
     /// One past the last record folded.
@@ -31,7 +31,7 @@
 
 /// Whose request it is and by when it must be answered.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct RequestInfo {
     /// The request.
     pub request: RequestId,
     /// The customer.
@@ -49,14 +49,14 @@
 }
 
 /// Admission and limits.
-pub trait Gate: Send + Sync {
+pub trait AdmissionControl: Send + Sync {
     /// Lets a request in, waiting for its turn if need be, or refuses it at once.
     ///
     /// The permit gives its place back when it is dropped.
     ///
     /// # Errors
     /// A refusal with [`Verdict::NotRun`] and, where it makes sense, when to come back.
-    fn enter(&self, ask: &Ask) -> Result<Permit, Refusal>;
+    fn admit(&self, ask: &RequestInfo) -> Result<Permit, Refusal>;
 }
 
 /// A place among the admitted requests.
@@ -81,7 +81,7 @@
 
 /// What an answer needs of its chain.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct ChainNeeds {
     /// The model.
     pub model: ModelId,
     /// The version.
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// [`Code::NoRoute`] when the live targets leave a hole.
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal>;
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal>;
 
     /// The version that a new answer of a model is to use: the declared one, or while targets
     /// change to it, the one that serves still. `None` leaves it at the declared one.
@@ -135,10 +135,10 @@
     fn failed(&self, target: &TargetId);
 
     /// Tells how long one step over a whole chain took, links included.
-    fn paced(&self, _stages: &[Stage], _took: Duration) {}
+    fn record_step_time(&self, _stages: &[Stage], _took: Duration) {}
 
     /// Tells how long a target took for one step or call.
-    fn observed(&self, target: &TargetId, took: Duration);
+    fn record_latency(&self, target: &TargetId, took: Duration);
 
     /// Whether a target is known to be going away, so that answers on it should be handed over.
     fn leaving(&self, _target: &TargetId) -> bool {
@@ -178,7 +178,7 @@
 }
 
 /// How the start of unrepeatable work went.
-pub enum Begin {
+pub enum ClaimResult {
     /// This daemon won the key and must call [`Claims::settle`] or [`Claims::abandon`] once.
     Won(Claim),
     /// The key was settled before; this is the recorded answer.
@@ -201,7 +201,7 @@
     /// Claims a key; waits for the log, or for another's outcome, until the deadline at most.
     ///
     /// `digest` is over the request's body: a key that comes back with another body is refused.
-    fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> Begin;
+    fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> ClaimResult;
 
     /// Whether a won claim may be dispatched now; asked right before the first byte is sent. After a
     /// `true` the claim cannot be abandoned, after a `false` it has been.
@@ -216,7 +216,7 @@
 
 /// An operator's word on a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeyWord {
+pub struct OperatorDecision {
     /// Who says so.
     pub operator: String,
     /// What the operator looked at.
@@ -231,14 +231,19 @@
     fn known(&self, key: &Key, deadline: Instant) -> Option<KeyStatus>;
 
     /// Records an operator's word on a key that nobody else can settle.
-    fn settle_by(&self, key: &Key, word: KeyWord, deadline: Instant) -> SettleResult;
+    fn settle_by_operator(
+        &self,
+        key: &Key,
+        word: OperatorDecision,
+        deadline: Instant,
+    ) -> SettleResult;
 }
 
 /// How a request ended, for the account, the operators' queries and the metrics.
 #[derive(Clone, Debug)]
-pub struct End {
+pub struct RequestEnd {
     /// Whose it was.
-    pub ask: Ask,
+    pub ask: RequestInfo,
     /// What the caller was told.
     pub verdict: Verdict,
     /// The code of a refusal, or of the answer that a name is not found.
@@ -257,7 +262,7 @@
     pub advisory: bool,
 }
 
-impl End {
+impl RequestEnd {
     /// Whether it is advisory work that ended without a whole answer in time.
     pub fn missed(&self) -> bool {
         let in_time = self.ended <= self.ask.deadline && !self.left;
@@ -268,10 +273,10 @@
 /// The record of running and ended requests.
 pub trait Ledger: Send + Sync {
     /// A request has come in.
-    fn begun(&self, ask: &Ask);
+    fn begun(&self, ask: &RequestInfo);
 
     /// A request got its final verdict.
-    fn ended(&self, end: &End);
+    fn ended(&self, end: &RequestEnd);
 
     /// What became of a request, by its id or the part of it before `~`, which its caller gave.
     fn find(&self, _id: &str) -> Option<RequestState> {
@@ -296,7 +301,7 @@
 }
 
 /// Takes reports of targets, polled here or told by a peer.
-pub trait Reports: Send + Sync {
+pub trait ReportStore: Send + Sync {
     /// Takes one report; an older one than known is ignored.
     fn take(&self, report: Report);
 
@@ -305,26 +310,29 @@
 }
 
 /// Takes what entered and left the prefix caches of engines; it may be late and have gaps.
-pub trait Caches: Send + Sync {
+pub trait CacheEventSink: Send + Sync {
     /// Takes events of one engine, in order.
     fn take_cache(&self, target: &TargetId, events: &[CacheEvent]);
 }
 
-/// Answers questions of peers; every part that knows an [`roseshore_wire::peer::Ask`] is asked in
+/// Answers questions of peers; every part that knows a [`roseshore_wire::peer::PeerRequest`] is asked in
 /// turn.
-pub trait Answers: Send + Sync {
+pub trait PeerHandler: Send + Sync {
     /// The reply, or `None` when the question is for another part.
-    fn answer(&self, ask: &roseshore_wire::peer::Ask) -> Option<roseshore_wire::peer::Reply>;
+    fn answer(
+        &self,
+        ask: &roseshore_wire::peer::PeerRequest,
+    ) -> Option<roseshore_wire::peer::PeerReply>;
 }
 
 /// Takes records of a stream that came from a peer or the log.
-pub trait Records: Send + Sync {
+pub trait RecordSink: Send + Sync {
     /// Takes records in any order, repeats and holes allowed.
     fn take(&self, records: &[roseshore_wire::platform::Record]);
 }
 
 /// Answers operators' questions about requests, for the whole system.
-pub trait Queries: Send + Sync {
+pub trait QueryHandler: Send + Sync {
     /// The rows, with the daemons that could not be asked.
     fn ask(&self, query: &roseshore_wire::query::Query) -> roseshore_wire::query::Reply;
 }
--- a/crates/roseshore_ports/src/outside.rs
+++ b/crates/roseshore_ports/src/outside.rs
@@ -9,7 +9,7 @@
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Output,
 };
-use roseshore_wire::peer::{Ask, Datagram, Reply};
+use roseshore_wire::peer::{Datagram, PeerReply, PeerRequest};
 use roseshore_wire::platform::{Hosts, Records, Weights};
 use roseshore_wire::service::ServiceLoad;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
 }
 
 /// The outcome of a call to the outside.
-pub type Called<T> = Result<T, CallError>;
+pub type CallResult<T> = Result<T, CallError>;
 
 /// The platform's log service.
 pub trait Log: Send + Sync {
@@ -62,13 +62,13 @@
     ///
     /// # Errors
     /// [`CallError::Lost`] when the append may have taken effect.
-    fn append(&self, stream: &str, records: &[String]) -> Called<Offset>;
+    fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset>;
 
     /// Reads at most `max` records from `from` on, waiting up to `wait` for the first.
     ///
     /// # Errors
     /// [`CallError::Trimmed`] when `from` is no longer kept.
-    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> Called<Records>;
+    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> CallResult<Records>;
 }
 
 /// The platform's host list.
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     /// When the platform does not answer.
-    fn hosts(&self) -> Called<Hosts>;
+    fn hosts(&self) -> CallResult<Hosts>;
 }
 
 /// The platform's weight store.
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// When the platform does not answer.
-    fn weights(&self) -> Called<Weights>;
+    fn weights(&self) -> CallResult<Weights>;
 }
 
 /// What comes out of an open stream, in the order of arrival.
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     /// When the engine does not answer within `limit`.
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<Load>;
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load>;
 
     /// Opens a stream and returns once its head has come.
     ///
@@ -118,37 +118,37 @@
         addr: SocketAddr,
         ask: &Generate,
         deadline: Instant,
-    ) -> Called<flume::Receiver<StreamItem>>;
+    ) -> CallResult<flume::Receiver<StreamItem>>;
 
     /// Ends an answer's work on one stage.
     ///
     /// # Errors
     /// When the engine does not answer within `limit`.
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> Called<()>;
+    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()>;
 
     /// Takes an answer's KV cache out of a stage.
     ///
     /// # Errors
     /// [`CallError::Refused`] when it is gone.
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> Called<Kv>;
+    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv>;
 
     /// Puts an answer's KV cache into a stage.
     ///
     /// # Errors
     /// [`CallError::Refused`] when the stage cannot take it.
-    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> Called<()>;
+    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()>;
 
     /// Reads cache events.
     ///
     /// # Errors
     /// When the engine does not answer within `limit`.
-    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> Called<CacheEvents>;
+    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents>;
 
     /// Gives an order; the reply is what the engine holds then.
     ///
     /// # Errors
     /// [`CallError::Refused`] with status 412 for an old fencing number.
-    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> Called<Holding>;
+    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding>;
 }
 
 /// A reply of a plain or lookup service.
@@ -170,8 +170,13 @@
     ///
     /// # Errors
     /// When no whole reply came by the deadline.
-    fn lookup(&self, addr: SocketAddr, source: &str, name: &str, hop: &Hop)
-    -> Called<ServiceReply>;
+    fn lookup(
+        &self,
+        addr: SocketAddr,
+        source: &str,
+        name: &str,
+        hop: &CallContext,
+    ) -> CallResult<ServiceReply>;
 
     /// Runs a call. A reply that says something ran, or may have, is `Ok` whatever its status.
     ///
@@ -183,19 +188,19 @@
         service: &str,
         body: &[u8],
         key: Option<&str>,
-        hop: &Hop,
-    ) -> Called<ServiceReply>;
+        hop: &CallContext,
+    ) -> CallResult<ServiceReply>;
 
     /// Asks for the replica's report.
     ///
     /// # Errors
     /// When the replica does not answer within `limit`.
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<ServiceLoad>;
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<ServiceLoad>;
 }
 
 /// What travels with a call over a hop.
 #[derive(Clone, Debug)]
-pub struct Hop {
+pub struct CallContext {
     /// When the answer must be here.
     pub deadline: Instant,
     /// The W3C `traceparent` of this hop's span.
@@ -210,12 +215,12 @@
     ///
     /// # Errors
     /// When it does not answer within `limit`.
-    fn ask(&self, addr: SocketAddr, ask: &Ask, limit: Duration) -> Called<Reply>;
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply>;
 }
 
 /// A datagram with the address it came from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Received {
+pub struct ReceivedDatagram {
     /// The sender's address, as the network gives it.
     pub from: SocketAddr,
     /// What it said.
@@ -228,9 +233,9 @@
     ///
     /// # Errors
     /// When it exceeds the bound or the socket refuses it; a loss on the way is not noticed.
-    fn send(&self, to: SocketAddr, datagram: &Datagram) -> Called<()>;
+    fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()>;
 
     /// The next message that can be read, or `None` when none came within `limit`; what cannot be
     /// read is counted and passed over.
-    fn receive(&self, limit: Duration) -> Option<Received>;
+    fn receive(&self, limit: Duration) -> Option<ReceivedDatagram>;
 }
--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -9,7 +9,7 @@
 use roseshore_core::gateway::fatal::{FatalRecord, RecordDiff};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
-use roseshore_ports::entry::{CallReply, Entry as Record, StoreFault};
+use roseshore_ports::entry::{CallReply, KeyedRecord as Record, StoreFault};
 use roseshore_wire::frame::{self, MAX_DATAGRAM};
 
 /// Interval between reads. All hosts have to know of a blocked request within three seconds, of
@@ -58,21 +58,21 @@
     /// Reads the next page of records.
     fn read_blocked(&mut self) {
         self.blocked_records.in_flight = true;
-        let request = self.platform.blocked(self.blocked_records.last_key.as_deref());
+        let request = self.platform.read_blocked(self.blocked_records.last_key.as_deref());
         self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
     /// Handles the reply to a read of a page of records.
     pub(super) fn blocked_page_received(&mut self, reply: Result<CallReply, CallFault>) {
         let Some(reply) = self.blocked_reply(reply) else { return };
-        let page = match self.platform.newest_reply(&reply) {
+        let page = match self.platform.latest_reply(&reply) {
             Ok(page) => page,
             Err(fault) => return self.blocked_refused(&fault),
         };
         for Record { key, value } in page.entries {
             self.apply_blocked_record(&key, &value.unwrap_or_default());
         }
-        self.blocked_records.last_key = page.more;
+        self.blocked_records.last_key = page.next_key;
         if self.blocked_records.last_key.is_some() {
             return self.read_blocked();
         }
@@ -118,7 +118,7 @@
         }
         log_event!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
         self.blocked_records.in_flight = true;
-        let request = self.platform.put_blocked(&records);
+        let request = self.platform.write_blocked(&records);
         self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
@@ -126,7 +126,7 @@
     /// writes them again.
     pub(super) fn blocked_write_done(&mut self, reply: Result<CallReply, CallFault>) {
         let Some(reply) = self.blocked_reply(reply) else { return };
-        if let Err(fault) = self.platform.put_reply(&reply) {
+        if let Err(fault) = self.platform.write_reply(&reply) {
             self.blocked_refused(&fault);
         }
     }
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -12,7 +12,7 @@
 use roseshore_core::gateway::targets::Claim;
 use roseshore_core::gateway::{Hop, Unavailable};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Carried;
+use roseshore_ports::entry::ForwardedFields;
 use std::net::SocketAddr;
 
 /// Time-out for a connection to be established: a millisecond between data centres, and the
@@ -123,17 +123,17 @@
         if !exchange.tried_targets.contains(&choice.target) {
             exchange.tried_targets.push(choice.target.clone());
         }
-        let left = exchange.deadline.saturating_duration_since(self.now);
+        let remaining = exchange.deadline.saturating_duration_since(self.now);
         let wire_path: Vec<(SocketAddr, Hop)> =
             choice.path.iter().map(|(_, addr, hop)| (*addr, *hop)).collect();
-        let carried = Carried {
-            left,
+        let carried = ForwardedFields {
+            remaining,
             target: &choice.target,
             organisation: exchange.organisation.as_deref(),
-            after: exchange.delivery.last_id,
+            last_event: exchange.delivery.last_id,
             path: &wire_path,
         };
-        let fields = self.platform.carried(&exchange.head.fields, &carried);
+        let fields = self.platform.forwarded_headers(&exchange.head.fields, &carried);
         let mut out = Vec::with_capacity(1024 + exchange.body.len());
         let head = &exchange.head;
         http::write_request(&mut out, &head.method, &head.path, &fields, exchange.body.len());
@@ -144,8 +144,8 @@
             exchange.fingerprint,
             exchange.sends,
             choice.log_text(),
-            exchange.asked.prompt,
-            left.as_millis(),
+            exchange.asked.prompt_tokens,
+            remaining.as_millis(),
         );
         if let Some(hash) = self.targets.hash(&choice.target) {
             self.rate_limits.limits.consume(hash, self.now);
@@ -275,7 +275,7 @@
         let expected = expected_tokens(exchange, spec.mean_answer);
         let path_request = PathRequest {
             layers: spec.layers,
-            prompt_tokens: f64::from(exchange.asked.prompt) + written,
+            prompt_tokens: f64::from(exchange.asked.prompt_tokens) + written,
             answer_tokens: (expected - written).max(spec.event_tokens),
             data_centre,
             avoided: &avoid,
@@ -417,7 +417,7 @@
 /// Expected number of tokens of an answer: the caller's estimate or else the usual number, within
 /// the caller's maximum.
 fn expected_tokens(exchange: &Exchange, default: f64) -> f64 {
-    let guess = exchange.asked.hint.map_or(default, f64::from);
-    let max_tokens = f64::from(exchange.asked.longest);
+    let guess = exchange.asked.length_hint.map_or(default, f64::from);
+    let max_tokens = f64::from(exchange.asked.max_tokens);
     if max_tokens > 0.0 { guess.min(max_tokens) } else { guess }
 }
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -8,7 +8,7 @@
 use roseshore_core::gateway::routes::Denied;
 use roseshore_core::gateway::{AvoidedTargets, Fingerprint, RetryState, Route, ServiceSpec};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Asked;
+use roseshore_ports::entry::RequestFields;
 use std::sync::Arc;
 
 use super::callers::refusal_fields;
@@ -34,7 +34,7 @@
     pub(super) caller: Key,
     pub(super) head: RequestHead,
     pub(super) body: Vec<u8>,
-    pub(super) asked: Asked,
+    pub(super) asked: RequestFields,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<ServiceSpec>,
     pub(super) organisation: Option<OrganisationId>,
@@ -116,7 +116,7 @@
         head: RequestHead,
         body: Vec<u8>,
     ) -> Result<Key, Refused> {
-        let asked = match self.platform.asked(&head.fields) {
+        let asked = match self.platform.read_request(&head.fields) {
             Ok(asked) => asked,
             Err(err) => {
                 let refusal = Refusal::not_run(Code::BadRequest, err.to_string());
@@ -161,7 +161,7 @@
         caller: Key,
         head: RequestHead,
         body: Vec<u8>,
-        asked: Asked,
+        asked: RequestFields,
     ) -> Result<Exchange, Refusal> {
         let Some(snapshot) = self.snapshot.clone() else {
             let refusal = Refusal::not_run(Code::NoConfiguration, "no configuration yet");
@@ -170,7 +170,7 @@
         let host = http::field(&head.fields, "host").unwrap_or("");
         let route = snapshot.route(host, &head.path).cloned();
         let route = route.map_err(|denied| self.denial_refusal(denied))?;
-        let organisation = snapshot.authorise(&route, asked.key.as_deref());
+        let organisation = snapshot.authorise(&route, asked.api_key.as_deref());
         let organisation = organisation.map_err(|denied| self.denial_refusal(denied))?;
         let organisation = organisation.map(|o| o.name.clone());
         if self.config_outdated() || (organisation.is_some() && !self.config_current()) {
@@ -221,11 +221,11 @@
     }
 
     /// Whether a stream is expected to end before this host has to exit.
-    fn ends_before_exit(&self, asked: &Asked, service: &ServiceSpec) -> bool {
+    fn ends_before_exit(&self, asked: &RequestFields, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
         let usual = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
-        let guess = asked.hint.map_or(usual, f64::from);
-        self.pace.ends_within(guess, f64::from(asked.longest), left)
+        let guess = asked.length_hint.map_or(usual, f64::from);
+        self.pace.ends_within(guess, f64::from(asked.max_tokens), left)
     }
 
     /// The refusal of a request that the configuration denies. While the configuration is not known
--- a/crates/roseshore_relay/src/entry/placement.rs
+++ b/crates/roseshore_relay/src/entry/placement.rs
@@ -329,14 +329,14 @@
             ReportAction::Replan(held) => return self.record_held(id, held),
         }
         let Some(addr) = self.call_address(id) else { return };
-        let request = self.platform.place(layers, report.orders);
+        let request = self.platform.assign_layers(layers, report.orders_taken);
         log_event!(
             self,
             OrderSent,
             "target={id} layers={}-{} expected={} held={held:?}",
             layers.0,
             layers.1,
-            report.orders
+            report.orders_taken
         );
         let target = self.targets.hash(id);
         self.placement.learned.retain(|(report, _)| Some(report.target) != target);
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -6,7 +6,7 @@
 use roseshore_core::gateway::targets::{Absence, ListDelta, ListUpdate, RecordChange};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Entry as Record;
+use roseshore_ports::entry::KeyedRecord as Record;
 use std::sync::Arc;
 
 impl EntryHost {
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -13,7 +13,7 @@
 use crate::sse;
 use roseshore_core::gateway::Fault;
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Answered;
+use roseshore_ports::entry::ResponseFields;
 
 /// Maximum bytes of a response head.
 const MAX_HEAD: usize = 32 << 10;
@@ -70,9 +70,9 @@
                 return Step::Finished;
             }
         };
-        let feedback = self.platform.answered(&head.fields);
+        let feedback = self.platform.read_response(&head.fields);
         send.status = head.status;
-        (send.pause, send.leaving) = (feedback.rest, feedback.leaving);
+        (send.pause, send.leaving) = (feedback.retry_after, feedback.leaving);
         if let Some((running, waiting, _)) = feedback.load {
             self.targets.record_load(&send.target, running, waiting, now);
         }
@@ -110,19 +110,19 @@
     }
 
     /// Handles a response by which a target states that it did not run the request.
-    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, feedback: &Answered) {
+    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, feedback: &ResponseFields) {
         let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
         if head.status == MISDIRECTED {
-            let named = feedback.faulty.and_then(|addr| send.at(addr));
+            let named = feedback.faulty_target.and_then(|addr| send.at(addr));
             if let Some((id, layers)) = named.map(|(id, layers)| (id.clone(), layers)) {
                 self.record_not_held(&id, layers);
-            } else if feedback.faulty.is_none() {
+            } else if feedback.faulty_target.is_none() {
                 let target = send.target.clone();
                 self.targets.mark_replaced(&target);
                 log_event!(self, TargetLeft, "target={target} state=replaced");
             }
         }
-        self.send_failed(key, Fault::Refused, feedback.faulty);
+        self.send_failed(key, Fault::Refused, feedback.faulty_target);
     }
 
     /// Discards the response to another request, which precedes the expected one.
@@ -211,7 +211,7 @@
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         exchange.verdict = Verdict::Answered;
         exchange.delivery.first_at.get_or_insert(self.now);
-        let fields = self.platform.returned(&head.fields);
+        let fields = self.platform.caller_headers(&head.fields);
         let mut out = Vec::with_capacity(512 + body.len());
         let close = !keep || self.stopping_since.is_some();
         http::write_response(
@@ -266,7 +266,7 @@
         }
         exchange.delivery.started = true;
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
-        let fields = self.platform.returned(&head.fields);
+        let fields = self.platform.caller_headers(&head.fields);
         let mut out = Vec::with_capacity(512);
         let close = !keep || self.stopping_since.is_some();
         http::write_response(
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -16,7 +16,9 @@
 use roseshore_core::gateway::store_reads::{self, CONFIG_LONG_POLL, TARGETS_INTERVAL};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
+use roseshore_ports::entry::{
+    CallReply, KeyedRecord as Record, Page, ReadBatch, StoreFault, Stream,
+};
 use std::net::SocketAddr;
 
 /// Shortest interval between reads because of another host's newer configuration.
@@ -198,7 +200,7 @@
             self.call(purpose, store, &request, wait + STORE_TIMEOUT);
         } else {
             let since = progress.pages.as_ref().and_then(|p| p.last_key.clone());
-            let request = self.platform.newest(stream, since.as_deref());
+            let request = self.platform.read_latest(stream, since.as_deref());
             let era = since.map(|_| era);
             self.call(Purpose::Newest(stream, era), store, &request, STORE_TIMEOUT);
         }
@@ -330,7 +332,7 @@
         reply: Result<CallReply, CallFault>,
     ) {
         let Some(reply) = self.store_replied(stream, era, reply) else { return };
-        match self.platform.newest_reply(&reply) {
+        match self.platform.latest_reply(&reply) {
             Ok(page) => self.page_received(stream, sent, page),
             Err(fault) => self.store_refused(stream, &fault),
         }
@@ -348,7 +350,7 @@
         let empty = Pages { end: page.end, last_key: None, entries: Vec::new() };
         let pages = progress.pages.get_or_insert(empty);
         pages.entries.extend(page.entries);
-        pages.last_key = page.more;
+        pages.last_key = page.next_key;
         if pages.last_key.is_some() {
             // The next page is read without a pause: a list of 3,000 targets has sixty pages.
             return self.read_store(stream, Duration::ZERO);
@@ -410,7 +412,7 @@
         sent: Instant,
         from: Offset,
         wait: Duration,
-        mut reading: Reading,
+        mut reading: ReadBatch,
     ) {
         self.store_available(stream);
         let now = self.now;
--- a/crates/roseshore_relay/src/entry/target_feedback.rs
+++ b/crates/roseshore_relay/src/entry/target_feedback.rs
@@ -8,7 +8,7 @@
 use crate::slab::Key;
 use roseshore_core::gateway::peers::TargetHash;
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::{Answered, CallReply};
+use roseshore_ports::entry::{CallReply, ResponseFields};
 use std::net::SocketAddr;
 
 /// Statuses with which a target refuses requests for a time that it states.
@@ -18,8 +18,8 @@
 
 impl EntryHost {
     /// Applies the feedback in a target's response to a request.
-    pub(super) fn apply_feedback(&mut self, key: Key, status: u16, feedback: &Answered) {
-        if status == MISDIRECTED && feedback.faulty.is_none() {
+    pub(super) fn apply_feedback(&mut self, key: Key, status: u16, feedback: &ResponseFields) {
+        if status == MISDIRECTED && feedback.faulty_target.is_none() {
             // The response is of another process at the address, not of the target.
             return;
         }
@@ -29,8 +29,10 @@
         let incarnation =
             |id: &TargetId| send.incarnations.iter().find(|(known, _)| known == id).cloned();
         let first = incarnation(&send.target);
-        let faulty =
-            feedback.faulty.and_then(|addr| send.at(addr)).and_then(|(id, _)| incarnation(id));
+        let faulty = feedback
+            .faulty_target
+            .and_then(|addr| send.at(addr))
+            .and_then(|(id, _)| incarnation(id));
         let later = faulty.filter(|faulty| Some(faulty) != first.as_ref());
         // For the response to an earlier request, it is not known when that was sent.
         let own =
@@ -43,14 +45,15 @@
         if let Some((id, hash)) = later {
             // The first target of the path passes on the pause that a later one asked for. If it
             // reports leaving, that concerns itself.
-            let rest = Answered { rest: feedback.rest, ..Answered::default() };
+            let rest =
+                ResponseFields { retry_after: feedback.retry_after, ..ResponseFields::default() };
             self.apply_state(&id, hash, status, &rest, &by);
         }
     }
 
     /// Applies the feedback in a target's reply to a call.
     pub(super) fn apply_reply_feedback(&mut self, id: &TargetId, reply: &CallReply) {
-        let feedback = self.platform.answered(&reply.fields);
+        let feedback = self.platform.read_response(&reply.fields);
         if let Some(hash) = self.targets.hash(id).filter(|_| reply.status != MISDIRECTED) {
             self.apply_state(id, hash, reply.status, &feedback, "call");
             // Replies to calls need not state a limit, so one without a limit does not end it.
@@ -64,14 +67,16 @@
         id: &str,
         hash: TargetHash,
         status: u16,
-        feedback: &Answered,
+        feedback: &ResponseFields,
         by: &str,
     ) {
         let now = self.now;
         if feedback.leaving && self.targets.mark_leaving(hash, now) {
             log_event!(self, TargetLeft, "target={id} state=leaving by=answer {by}");
         }
-        let Some(rest) = feedback.rest.filter(|_| PAUSE_STATUSES.contains(&status)) else { return };
+        let Some(rest) = feedback.retry_after.filter(|_| PAUSE_STATUSES.contains(&status)) else {
+            return;
+        };
         if let Some(given) = self.targets.pause(hash, rest, now) {
             let (asked, given) = (rest.as_millis(), given.as_millis());
             let text = format!("target={id} status={status} rest_ms={given} asked_ms={asked} {by}");
--- a/crates/roseshore_wire/src/admin.rs
+++ b/crates/roseshore_wire/src/admin.rs
@@ -124,7 +124,7 @@
     /// Where it stands.
     pub state: KeyState,
     /// The last operator's word that took effect.
-    pub word: Option<WordReport>,
+    pub word: Option<DecisionReport>,
 }
 
 /// Where a key stands.
@@ -162,7 +162,7 @@
 
 /// An operator's word that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WordReport {
+pub struct DecisionReport {
     /// Who said so.
     pub operator: String,
     /// What the operator looked at.
--- a/crates/roseshore_wire/src/peer.rs
+++ b/crates/roseshore_wire/src/peer.rs
@@ -1,6 +1,6 @@
 //! What daemons say to each other.
 //!
-//! [`Datagram`] goes over UDP and may be lost; [`Ask`] and [`Reply`] go over one TCP connection per
+//! [`Datagram`] goes over UDP and may be lost; [`PeerRequest`] and [`PeerReply`] go over one TCP connection per
 //! pair, one reply per question.
 
 use crate::engine::Load;
@@ -27,15 +27,15 @@
     /// Its age when it was sent, milliseconds.
     pub age_ms: u32,
     /// What it says.
-    pub content: NoteContent,
+    pub content: LoadReport,
 }
 
 /// Six bytes of a hash: short on the wire, and a data centre has a few hundred of them at most.
-pub type NoteKey = [u8; 6];
+pub type LoadReportKey = [u8; 6];
 
 /// The content of a [`TargetLoad`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum NoteContent {
+pub enum LoadReport {
     /// An engine's whole report.
     Engine {
         /// The target.
@@ -53,7 +53,7 @@
     /// Only what changes from poll to poll; the rest is as in the last whole report with this key.
     Brief {
         /// Hash of the target and all that is not in here.
-        key: NoteKey,
+        key: LoadReportKey,
         /// Requests waiting.
         queue: u32,
         /// Requests being worked on.
@@ -98,7 +98,7 @@
 
 /// A question over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Records of a stream from an offset on, as this daemon knows them.
     Records {
         /// The stream.
@@ -125,27 +125,27 @@
     },
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
-    /// See [`Ask::Records`]; offset, time in milliseconds of the epoch, data.
+pub enum PeerReply {
+    /// See [`PeerRequest::Records`]; offset, time in milliseconds of the epoch, data.
     Records {
         /// The records.
         records: Vec<(Offset, u64, String)>,
         /// One past the last record known to the sender.
         end: Offset,
     },
-    /// See [`Ask::Outcome`]: the recorded answer, as JSON, once there is one.
+    /// See [`PeerRequest::Outcome`]: the recorded answer, as JSON, once there is one.
     Outcome {
         /// The answer.
         outcome: Option<String>,
     },
-    /// See [`Ask::Query`]: rows, as JSON.
+    /// See [`PeerRequest::Query`]: rows, as JSON.
     Rows {
         /// The rows.
         rows: String,
     },
-    /// See [`Ask::Digests`]: what the receiver's data centre says of itself.
+    /// See [`PeerRequest::Digests`]: what the receiver's data centre says of itself.
     Digests {
         /// The digests.
         digests: Vec<Digest>,
--- a/crates/roseshore_wire/src/query.rs
+++ b/crates/roseshore_wire/src/query.rs
@@ -1,8 +1,8 @@
 //! Operators' questions about requests, and their rows.
 //!
 //! `POST /v1/admin/query` takes a [`Query`] and answers [`Reply`] for the whole system; between
-//! daemons the same two travel as JSON in [`crate::peer::Ask::Query`] and
-//! [`crate::peer::Reply::Rows`], where the reply is about the receiver alone.
+//! daemons the same two travel as JSON in [`crate::peer::PeerRequest::Query`] and
+//! [`crate::peer::PeerReply::Rows`], where the reply is about the receiver alone.
 
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
--- a/crates/roseshore_wire/src/service.rs
+++ b/crates/roseshore_wire/src/service.rs
@@ -4,7 +4,7 @@
 //! source certainly does not hold the name, and anything else when it cannot say. `POST /v1/call/SERVICE`
 //! runs a call whose body is opaque and answers `200` with the result; the header `idempotency-key`
 //! is passed on, and a target that remembers it answers a repeat with the first result and the
-//! header `idempotency-replayed: true`. `503` with [`Unstarted`] says that nothing ran.
+//! header `idempotency-replayed: true`. `503` with [`NotStarted`] says that nothing ran.
 //! `GET /v1/load` answers [`ServiceLoad`].
 
 use roseshore_core::prelude::*;
@@ -32,7 +32,7 @@
 
 /// A replica's reply that a call was not begun.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unstarted {
+pub struct NotStarted {
     /// Always true.
     pub not_run: bool,
 }
--- a/crates/roseshored/examples/lookup_paths.rs
+++ b/crates/roseshored/examples/lookup_paths.rs
@@ -9,8 +9,10 @@
 use roseshore_core::prelude::*;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceSettings};
-use roseshore_ports::inside::{Ask, Chain, Fleets, InForce, Need, Permit, Replica, Router};
-use roseshore_ports::outside::{Hop, Services};
+use roseshore_ports::inside::{
+    ActiveConfig, Chain, ChainNeeds, ConfigSource, Permit, Replica, RequestInfo, Router,
+};
+use roseshore_ports::outside::{CallContext, Services};
 use roseshored::lookups::{Lookups, Parts};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +23,10 @@
 const LIMIT: Duration = Duration::from_secs(5);
 const THREADS: [usize; 2] = [1, 8];
 
-struct OneFleet(InForce);
+struct OneFleet(ActiveConfig);
 
-impl Fleets for OneFleet {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for OneFleet {
+    fn current(&self) -> Option<ActiveConfig> {
         Some(self.0.clone())
     }
 }
@@ -32,7 +34,7 @@
 struct OneReplica(Replica);
 
 impl Router for OneReplica {
-    fn chain(&self, _: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, _: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         Err(Refusal::not_run(Code::NoRoute, "no chains here"))
     }
 
@@ -45,13 +47,13 @@
 
     fn failed(&self, _: &TargetId) {}
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
 type Way = Box<dyn Fn() + Send + Sync>;
 
-fn hop() -> Hop {
-    Hop { deadline: Instant::now() + LIMIT, trace: None, request: "r".to_owned() }
+fn hop() -> CallContext {
+    CallContext { deadline: Instant::now() + LIMIT, trace: None, request: "r".to_owned() }
 }
 
 fn minreq_way(addr: SocketAddr) -> Way {
@@ -91,14 +93,14 @@
     let services = [("cards".to_owned(), service)].into();
     let fleet = Arc::new(Fleet { services, ..Fleet::default() });
     let parts = Parts {
-        fleets: Arc::new(OneFleet(InForce { fleet, offset: 1, digest: 1 })),
+        fleets: Arc::new(OneFleet(ActiveConfig { fleet, offset: 1, digest: 1 })),
         router: Arc::new(OneReplica(Replica { target: "t".to_owned(), addr })),
         services: Arc::new(HttpServices::default()),
     };
     let lookups = Lookups::new(256);
     Box::new(move || {
         let arrived = Instant::now();
-        let ask = Ask {
+        let ask = RequestInfo {
             request: "r".to_owned(),
             organisation: "o".to_owned(),
             service: "cards".to_owned(),
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -10,7 +10,7 @@
 use roseshore_ports::inside::ReportContent;
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::frame::{self, MAX_DATAGRAM, MAX_FRAME};
-use roseshore_wire::peer::{Ask, Datagram, Digest, Summary, TargetLoad};
+use roseshore_wire::peer::{Datagram, Digest, PeerRequest, Summary, TargetLoad};
 use roseshored::loads::notes::{Packer, Unpacker};
 use std::hint::black_box;
 use std::net::{SocketAddr, UdpSocket};
@@ -191,7 +191,7 @@
         members: view.digest(now),
         summaries: (0..MODELS).map(summary).collect(),
     };
-    let ask = Ask::Digests { digests: vec![digest], speaker: true };
+    let ask = PeerRequest::Digests { digests: vec![digest], speaker: true };
     frame::encode(&ask, MAX_FRAME).expect("below the bound").len()
 }
 
--- a/crates/roseshored/src/answer.rs
+++ b/crates/roseshored/src/answer.rs
@@ -14,7 +14,7 @@
 use crate::budgets::Budgets;
 use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Router};
+use roseshore_ports::inside::{RequestInfo, Router};
 use roseshore_ports::outside::Engine;
 use std::sync::Arc;
 
@@ -78,7 +78,12 @@
 ///
 /// # Errors
 /// [`Verdict::NotRun`] only when no target took the answer.
-pub fn run(app: &App, ask: &Ask, prompt: AnswerAsk, sink: &mut dyn Sink) -> Result<Whole, Refusal> {
+pub fn run(
+    app: &App,
+    ask: &RequestInfo,
+    prompt: AnswerAsk,
+    sink: &mut dyn Sink,
+) -> Result<Whole, Refusal> {
     let (router, engine) = (app.router.clone(), app.engine.clone());
     let parts =
         Parts { router, engine, budgets: app.budgets.clone(), rules: AnswerSettings::default() };
@@ -104,7 +109,7 @@
 /// As [`run`].
 pub fn run_over(
     parts: &Parts,
-    ask: &Ask,
+    ask: &RequestInfo,
     prompt: AnswerAsk,
     sink: &mut dyn Sink,
 ) -> Result<Whole, Refusal> {
--- a/crates/roseshored/src/answer/calls.rs
+++ b/crates/roseshored/src/answer/calls.rs
@@ -5,7 +5,7 @@
 use roseshore_core::answer::{CacheMove, Input, ProbeResult, StreamFailure};
 use roseshore_core::cost::MoveCostModel;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{Cancel, Generate, KvExport, Stage};
 use std::net::SocketAddr;
 use std::sync::{Arc, LazyLock};
@@ -133,7 +133,7 @@
     }
 }
 
-fn bring_all(engine: &dyn Engine, all: &Moves) -> Called<()> {
+fn bring_all(engine: &dyn Engine, all: &Moves) -> CallResult<()> {
     for one in &all.list {
         let began = Instant::now();
         let cancel = Cancel { answer: all.answer.clone(), epoch: all.epoch - 1, keep_kv: true };
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -11,7 +11,7 @@
     Action, Answer, AnswerSettings, Finish, Input, Job, Route, StreamLine,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Need, Permit};
+use roseshore_ports::inside::{ChainNeeds, Permit, RequestInfo};
 use roseshore_ports::outside::StreamItem;
 use roseshore_wire::engine::{Cancel, Generate, Output};
 use std::mem;
@@ -27,7 +27,7 @@
 /// One running answer.
 pub(super) struct Driver<'a> {
     parts: &'a Parts,
-    ask: &'a Ask,
+    ask: &'a RequestInfo,
     prompt: AnswerAsk,
     sink: &'a mut dyn Sink,
     machine: Answer,
@@ -56,7 +56,7 @@
 impl<'a> Driver<'a> {
     pub(super) fn new(
         parts: &'a Parts,
-        ask: &'a Ask,
+        ask: &'a RequestInfo,
         prompt: AnswerAsk,
         sink: &'a mut dyn Sink,
     ) -> Driver<'a> {
@@ -259,9 +259,9 @@
         changed
     }
 
-    fn need(&self, avoid: Vec<TargetId>) -> Need {
+    fn need(&self, avoid: Vec<TargetId>) -> ChainNeeds {
         let done = self.machine.tokens().len() as u32;
-        Need {
+        ChainNeeds {
             model: self.prompt.model.clone(),
             version: self.prompt.version.clone(),
             layers: self.prompt.layers,
@@ -316,7 +316,7 @@
             self.machine.restart_timeout(now);
             self.meter.reset();
         } else if let Some(pace) = self.meter.record_token(now) {
-            self.parts.router.paced(self.machine.stages(), pace);
+            self.parts.router.record_step_time(self.machine.stages(), pace);
         }
     }
 
@@ -349,7 +349,7 @@
     Refusal::may_have_run(Code::TargetLost, "the caller left before the answer was whole")
 }
 
-fn job(ask: &Ask, prompt: &AnswerAsk) -> Job {
+fn job(ask: &RequestInfo, prompt: &AnswerAsk) -> Job {
     Job {
         answer: ask.request.clone(),
         layers: prompt.layers,
--- a/crates/roseshored/src/app.rs
+++ b/crates/roseshored/src/app.rs
@@ -1,7 +1,9 @@
 //! The parts of a running daemon.
 
 use crate::budgets::Budgets;
-use roseshore_ports::inside::{Claims, Fleets, Gate, Ledger, MemberState, Members, Router};
+use roseshore_ports::inside::{
+    AdmissionControl, Claims, ConfigSource, Ledger, MemberState, Members, Router,
+};
 use roseshore_ports::outside::{Engine, Services};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,9 +12,9 @@
 #[derive(Clone)]
 pub struct App {
     /// The configuration in force.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// Admission and limits.
-    pub gate: Arc<dyn Gate>,
+    pub gate: Arc<dyn AdmissionControl>,
     /// The choice of targets.
     pub router: Arc<dyn Router>,
     /// Unrepeatable work.
--- a/crates/roseshored/src/calls.rs
+++ b/crates/roseshored/src/calls.rs
@@ -8,8 +8,8 @@
 use crate::app::App;
 use crate::claims::Won;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Begin, Outcome, Replica};
-use roseshore_ports::outside::{CallError, Hop, ServiceReply};
+use roseshore_ports::inside::{ClaimResult, Outcome, Replica, RequestInfo};
+use roseshore_ports::outside::{CallContext, CallError, ServiceReply};
 
 /// Replicas that one call is offered to at most.
 const ATTEMPTS: usize = 4;
@@ -31,7 +31,7 @@
 /// [`Verdict::NotRun`] only when no replica began it.
 pub fn run(
     app: &App,
-    ask: &Ask,
+    ask: &RequestInfo,
     body: &[u8],
     key: Option<&Key>,
     digest: u64,
@@ -41,9 +41,9 @@
     let mut call = Call { app, ask, body, key, trace, idempotent, won: None };
     let Some(key) = key.filter(|_| !idempotent) else { return call.run() };
     match app.claims.begin(key, digest, ask.deadline) {
-        Begin::Settled(outcome) => Ok(repeat(outcome)),
-        Begin::Refused(refusal) => Err(refusal),
-        Begin::Won(claim) => {
+        ClaimResult::Settled(outcome) => Ok(repeat(outcome)),
+        ClaimResult::Refused(refusal) => Err(refusal),
+        ClaimResult::Won(claim) => {
             call.won = Some(Won::new(&*app.claims, claim));
             call.run()
         }
@@ -69,7 +69,7 @@
 
 struct Call<'a> {
     app: &'a App,
-    ask: &'a Ask,
+    ask: &'a RequestInfo,
     body: &'a [u8],
     key: Option<&'a Key>,
     trace: Option<&'a str>,
@@ -111,7 +111,7 @@
     }
 
     fn send(&self, replica: &Replica) -> Result<ServiceReply, CallError> {
-        let hop = Hop {
+        let hop = CallContext {
             deadline: self.ask.deadline,
             trace: self.trace.map(str::to_owned),
             request: self.ask.request.clone(),
@@ -120,7 +120,7 @@
         let began = Instant::now();
         let call = self.app.services.call(replica.addr, &self.ask.service, self.body, key, &hop);
         match &call {
-            Ok(_) => self.app.router.observed(&replica.target, began.elapsed()),
+            Ok(_) => self.app.router.record_latency(&replica.target, began.elapsed()),
             // A target that refuses is alive; the next one is tried, and its load report tells.
             Err(CallError::Refused(..)) => {}
             Err(_) => self.app.router.failed(&replica.target),
--- a/crates/roseshored/src/claims.rs
+++ b/crates/roseshored/src/claims.rs
@@ -17,9 +17,9 @@
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::once::{PARTITIONS, partition_of, stream_of};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, Begin, Claim, Claims, Members, Outcome};
+use roseshore_ports::inside::{Claim, ClaimResult, Claims, Members, Outcome, PeerHandler};
 use roseshore_ports::outside::{Log, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use std::io;
 use std::sync::Arc;
 
@@ -102,39 +102,45 @@
     }
 
     /// Reads a recorded answer that is not held in memory any more.
-    fn stored(&self, key: &Key, offset: Offset, refusal: Refusal) -> Begin {
+    fn stored(&self, key: &Key, offset: Offset, refusal: Refusal) -> ClaimResult {
         let stream = stream_of(partition_of(key, self.partitions.len()));
         let read = self.log.read(&stream, offset, 1, Duration::ZERO);
         let line = read.ok().and_then(|read| read.records.into_iter().next());
         let record = line.filter(|line| line.offset == offset);
         match record.and_then(|line| Record::parse(&line.data)) {
             Some(Record { key: of, act: Act::Outcome { outcome, .. }, .. }) if of == *key => {
-                Begin::Settled(outcome)
+                ClaimResult::Settled(outcome)
             }
-            _ => Begin::Refused(refusal),
+            _ => ClaimResult::Refused(refusal),
         }
     }
 
-    fn ask_owner(&self, key: &Key, owner: &Owner, deadline: Instant, refusal: Refusal) -> Begin {
+    fn ask_owner(
+        &self,
+        key: &Key,
+        owner: &Owner,
+        deadline: Instant,
+        refusal: Refusal,
+    ) -> ClaimResult {
         if self.members.own().host == owner.host {
             return match self.work(key) {
                 LocalWork::Done(outcome) if outcome.verdict == Verdict::Answered => {
-                    Begin::Settled(Outcome::clone(&outcome))
+                    ClaimResult::Settled(Outcome::clone(&outcome))
                 }
-                _ => Begin::Refused(refusal),
+                _ => ClaimResult::Refused(refusal),
             };
         }
         let limit = ASK_LIMIT.min(deadline.saturating_duration_since(Instant::now()));
-        let ask = Ask::Outcome { key: key.clone() };
+        let ask = PeerRequest::Outcome { key: key.clone() };
         let members = self.members.all();
         let member = members.iter().find(|member| member.host == owner.host);
         let reply = member.and_then(|member| self.peers.ask(member.peer, &ask, limit).ok());
         match reply {
-            Some(Reply::Outcome { outcome: Some(json) }) => serde_json::from_str(&json)
+            Some(PeerReply::Outcome { outcome: Some(json) }) => serde_json::from_str(&json)
                 .ok()
                 .filter(|outcome: &Outcome| outcome.verdict == Verdict::Answered)
-                .map_or(Begin::Refused(refusal), Begin::Settled),
-            _ => Begin::Refused(refusal),
+                .map_or(ClaimResult::Refused(refusal), ClaimResult::Settled),
+            _ => ClaimResult::Refused(refusal),
         }
     }
 }
@@ -149,19 +155,19 @@
 }
 
 impl Claims for ClaimsDriver {
-    fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> Begin {
+    fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> ClaimResult {
         let (told, decided): (Sender<Decision>, Receiver<Decision>) = flume::bounded(1);
         let ask = Attempt { key: key.clone(), digest, deadline };
         self.send(key, Event::Begin(ask, told));
         match decided.recv_deadline(deadline + GRACE) {
-            Ok(Decision::Won(offset)) => Begin::Won(Claim { key: key.clone(), offset }),
-            Ok(Decision::Replay(outcome)) => Begin::Settled(Outcome::clone(&outcome)),
+            Ok(Decision::Won(offset)) => ClaimResult::Won(Claim { key: key.clone(), offset }),
+            Ok(Decision::Replay(outcome)) => ClaimResult::Settled(Outcome::clone(&outcome)),
             Ok(Decision::ReadFromLog(offset, refusal)) => self.stored(key, offset, refusal),
             Ok(Decision::AskOwner(owner, refusal)) => {
                 self.ask_owner(key, &owner, deadline, refusal)
             }
-            Ok(Decision::Refused(refusal)) => Begin::Refused(refusal),
-            Err(_) => Begin::Refused(lost(key)),
+            Ok(Decision::Refused(refusal)) => ClaimResult::Refused(refusal),
+            Err(_) => ClaimResult::Refused(lost(key)),
         }
     }
 
@@ -185,17 +191,17 @@
     }
 }
 
-impl Answers for ClaimsDriver {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
-        let Ask::Outcome { key } = ask else { return None };
+impl PeerHandler for ClaimsDriver {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Outcome { key } = ask else { return None };
         let reply = match self.work(key) {
             LocalWork::Unknown => {
-                Reply::Unable { reason: format!("key `{key}` is not worked on here") }
+                PeerReply::Unable { reason: format!("key `{key}` is not worked on here") }
             }
-            LocalWork::InProgress => Reply::Outcome { outcome: None },
+            LocalWork::InProgress => PeerReply::Outcome { outcome: None },
             LocalWork::Done(outcome) => match serde_json::to_string(&*outcome) {
-                Ok(json) => Reply::Outcome { outcome: Some(json) },
-                Err(err) => Reply::Unable { reason: err.to_string() },
+                Ok(json) => PeerReply::Outcome { outcome: Some(json) },
+                Err(err) => PeerReply::Unable { reason: err.to_string() },
             },
         };
         Some(reply)
--- a/crates/roseshored/src/claims/desk.rs
+++ b/crates/roseshored/src/claims/desk.rs
@@ -9,8 +9,8 @@
 };
 use roseshore_core::once::record::{Owner, Settlement};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{KeyWord, Keys};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{Keys, OperatorDecision};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 
 /// How long past its deadline a question waits for the machine's word.
 const GRACE: Duration = Duration::from_secs(1);
@@ -20,7 +20,12 @@
         self.look(key, false, deadline)
     }
 
-    fn settle_by(&self, key: &Key, said: KeyWord, deadline: Instant) -> SettleResult {
+    fn settle_by_operator(
+        &self,
+        key: &Key,
+        said: OperatorDecision,
+        deadline: Instant,
+    ) -> SettleResult {
         let Some(known) = self.look(key, true, deadline) else {
             return SettleResult::Rejected(gone());
         };
@@ -29,7 +34,7 @@
             Ok(claim) => claim,
             Err(refusal) => return SettleResult::Rejected(refusal),
         };
-        let KeyWord { operator, note, ran } = said;
+        let OperatorDecision { operator, note, ran } = said;
         let word = Settlement { operator, note, ran, claim };
         let settling = SettleRequest { key: key.clone(), settlement: word.clone(), deadline };
         let (told, ruled) = flume::bounded(1);
@@ -76,9 +81,9 @@
         else {
             return ClaimantStatus::Gone;
         };
-        match self.peers.ask(member.peer, &Ask::Outcome { key: key.clone() }, ASK_LIMIT) {
-            Ok(Reply::Outcome { .. }) => ClaimantStatus::Working,
-            Ok(Reply::Unable { .. }) => ClaimantStatus::Idle,
+        match self.peers.ask(member.peer, &PeerRequest::Outcome { key: key.clone() }, ASK_LIMIT) {
+            Ok(PeerReply::Outcome { .. }) => ClaimantStatus::Working,
+            Ok(PeerReply::Unable { .. }) => ClaimantStatus::Idle,
             Ok(_) | Err(_) => ClaimantStatus::Unresponsive,
         }
     }
--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -13,7 +13,7 @@
 use roseshore_core::once::record::Owner;
 use roseshore_core::prelude::{Code, Duration, Instant, Key, Offset, Verdict};
 use roseshore_ports::inside::Members;
-use roseshore_ports::outside::{CallError, Called, Log};
+use roseshore_ports::outside::{CallError, CallResult, Log};
 use roseshore_wire::platform::Records;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -140,7 +140,7 @@
     }
 }
 
-fn read_end(read: Called<Records>) -> ReadResult {
+fn read_end(read: CallResult<Records>) -> ReadResult {
     match read {
         Ok(read) => {
             let line = |record: roseshore_wire::platform::Record| LogRecord {
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -16,7 +16,7 @@
     Assembly, Folded, Follower, Judged, KeeperLimits, Outcome, ReaderLimits, STREAM, State,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, InForce, Records};
+use roseshore_ports::inside::{ActiveConfig, ConfigSource, RecordSink};
 use roseshore_ports::outside::Log;
 use roseshore_wire::platform::Record;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     settings: FleetSettings,
     folding: Mutex<Folding>,
     folded: Condvar,
-    current: RwLock<Option<InForce>>,
+    current: RwLock<Option<ActiveConfig>>,
     healthy: AtomicBool,
     stopped: AtomicBool,
 }
@@ -123,7 +123,7 @@
         let mut current = self.current.write();
         let old = current.as_ref().filter(|_| !changed).map(|it| Arc::clone(&it.fleet));
         let fleet = old.unwrap_or_else(|| Arc::new(state.fleet().clone()));
-        *current = Some(InForce { fleet, offset: state.offset(), digest: state.digest() });
+        *current = Some(ActiveConfig { fleet, offset: state.offset(), digest: state.digest() });
         drop(current);
         metrics::gauge!("roseshore_config_offset").set(state.offset() as f64);
         self.folded.notify_all();
@@ -139,13 +139,13 @@
     }
 }
 
-impl Fleets for FleetDriver {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for FleetDriver {
+    fn current(&self) -> Option<ActiveConfig> {
         self.current.read().clone()
     }
 }
 
-impl Records for FleetDriver {
+impl RecordSink for FleetDriver {
     fn take(&self, records: &[Record]) {
         let mut folding = self.folding.lock();
         let mut folded = Vec::new();
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -9,7 +9,7 @@
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
 use roseshore_ports::inside::{Member, MemberState, Members};
-use roseshore_ports::outside::{Called, Peers};
+use roseshore_ports::outside::{CallResult, Peers};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -98,7 +98,7 @@
     }
 
     /// The offset and age of the newest snapshot on the log.
-    fn newest(&self) -> Called<Option<(Offset, Duration)>> {
+    fn newest(&self) -> CallResult<Option<(Offset, Duration)>> {
         let Some((end, _)) = self.snapshot_bounds()? else { return Ok(None) };
         let found = self.log.read(SNAPSHOTS, end - 1, 1, Duration::ZERO)?;
         Ok(found.records.last().and_then(|it| {
@@ -108,7 +108,7 @@
         }))
     }
 
-    fn write_snapshot(&self) -> Called<Offset> {
+    fn write_snapshot(&self) -> CallResult<Offset> {
         let (offset, records) = self.inspect(|it| (it.offset(), Snapshot::records(it)));
         self.log.append(SNAPSHOTS, &records)?;
         event!(Event::SnapshotWritten, "offset={offset} records={}", records.len());
--- a/crates/roseshored/src/fleets/source.rs
+++ b/crates/roseshored/src/fleets/source.rs
@@ -4,9 +4,9 @@
 use crate::event;
 use roseshore_core::config::{SNAPSHOTS, STREAM, Snapshot, Tail};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, Records as _};
-use roseshore_ports::outside::{CallError, Called, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{PeerHandler, RecordSink as _};
+use roseshore_ports::outside::{CallError, CallResult, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshore_wire::platform::{Record, Records};
 use std::net::SocketAddr;
 
@@ -29,7 +29,7 @@
 
 impl FleetDriver {
     /// Reads the log on from where this daemon stands.
-    pub(super) fn read_log(&self, wait: Duration) -> Called<Reach> {
+    pub(super) fn read_log(&self, wait: Duration) -> CallResult<Reach> {
         let from = self.inspect(roseshore_core::config::State::offset);
         match self.log.read(STREAM, from, BATCH, wait) {
             Ok(found) => {
@@ -64,7 +64,7 @@
     }
 
     /// Fetches the newest snapshot that the log keeps.
-    fn log_snapshot(&self) -> Called<()> {
+    fn log_snapshot(&self) -> CallResult<()> {
         let Some((end, oldest)) = self.snapshot_bounds()? else { return Ok(()) };
         let last = self.log.read(SNAPSHOTS, end - 1, 1, Duration::ZERO)?;
         let tail = last.records.last().and_then(|it| Tail::read(&it.data));
@@ -82,7 +82,7 @@
     }
 
     /// The end and the oldest offset of the snapshot stream, if it has records.
-    pub(super) fn snapshot_bounds(&self) -> Called<Option<(Offset, Offset)>> {
+    pub(super) fn snapshot_bounds(&self) -> CallResult<Option<(Offset, Offset)>> {
         let (end, oldest) = match self.log.read(SNAPSHOTS, 0, 1, Duration::ZERO) {
             Ok(Records { end, oldest, .. }) | Err(CallError::Trimmed(oldest, end)) => (end, oldest),
             Err(err) => return Err(err),
@@ -141,8 +141,8 @@
         stream: &str,
         from: Offset,
     ) -> Option<(Vec<Record>, Offset)> {
-        let ask = Ask::Records { stream: stream.to_owned(), from };
-        let Reply::Records { records, end } = peers.ask(addr, &ask, self.settings.peer).ok()?
+        let ask = PeerRequest::Records { stream: stream.to_owned(), from };
+        let PeerReply::Records { records, end } = peers.ask(addr, &ask, self.settings.peer).ok()?
         else {
             return None;
         };
@@ -151,9 +151,9 @@
     }
 }
 
-impl Answers for FleetDriver {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
-        let Ask::Records { stream, from } = ask else { return None };
+impl PeerHandler for FleetDriver {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Records { stream, from } = ask else { return None };
         let mut folding = self.folding.lock();
         match stream.as_str() {
             STREAM => Some(folding.records(*from)),
@@ -164,15 +164,15 @@
 }
 
 impl Folding {
-    fn records(&self, from: Offset) -> Reply {
+    fn records(&self, from: Offset) -> PeerReply {
         let end = self.follower.state().offset();
         let run = self.tail.run(from, end).into_iter();
         let records = run.map(|it| (it.offset, it.time_ms, it.data.clone()));
-        Reply::Records { records: bounded(records), end }
+        PeerReply::Records { records: bounded(records), end }
     }
 
     /// Parts of a snapshot, numbered from 0; the snapshot is made when the first is asked for.
-    fn snapshot(&mut self, from: Offset) -> Reply {
+    fn snapshot(&mut self, from: Offset) -> PeerReply {
         if from == 0 {
             self.served = Snapshot::records(self.follower.state());
         }
@@ -182,7 +182,7 @@
         if from + records.len() as Offset >= end {
             self.served = Vec::new();
         }
-        Reply::Records { records, end }
+        PeerReply::Records { records, end }
     }
 }
 
--- a/crates/roseshored/src/front/exchange.rs
+++ b/crates/roseshored/src/front/exchange.rs
@@ -10,7 +10,7 @@
 use crate::spans::{Trace, hex16};
 use rand::RngExt;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, End};
+use roseshore_ports::inside::{RequestEnd, RequestInfo};
 use serde_json::json;
 use std::net::TcpStream;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -42,7 +42,7 @@
     fn is_sight(&self, request: &Request) -> bool;
 
     /// Whose request it is, if it is one that must not be dropped silently.
-    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<Ask>;
+    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo>;
 }
 
 /// One request on its way to its end.
@@ -59,7 +59,7 @@
     /// The way back.
     pub reply: Reply,
     /// Whose it is, once that is known.
-    pub ask: Option<Ask>,
+    pub ask: Option<RequestInfo>,
     /// Whether a target may have been given it.
     pub dispatched: bool,
     /// Whether the record of its key was read.
@@ -249,7 +249,8 @@
         let Finish { repeated, resumed } = finish;
         let first = self.first;
         let advisory = self.advisory;
-        let end = End { ask, verdict, code, repeated, left, ended: now, first, resumed, advisory };
+        let end =
+            RequestEnd { ask, verdict, code, repeated, left, ended: now, first, resumed, advisory };
         if end.missed() {
             tell_missed(&end);
         }
@@ -264,7 +265,7 @@
     attempt: Verdict,
 }
 
-fn count(ask: &Ask, verdict: Verdict, code: Option<Code>, left: bool) {
+fn count(ask: &RequestInfo, verdict: Verdict, code: Option<Code>, left: bool) {
     let code = code.map(|it| it.to_string()).unwrap_or_default();
     metrics::counter!(
         "roseshore_requests_total",
@@ -279,8 +280,8 @@
 }
 
 /// Says that advisory work ended without a whole answer in time.
-fn tell_missed(end: &End) {
-    let Ask { request, organisation, service, .. } = &end.ask;
+fn tell_missed(end: &RequestEnd) {
+    let RequestInfo { request, organisation, service, .. } = &end.ask;
     let verdict = end.verdict.name();
     let code = end.code.map(|it| it.to_string()).unwrap_or_default();
     let late = end.ended.saturating_duration_since(end.ask.deadline).as_millis();
--- a/crates/roseshored/src/gate.rs
+++ b/crates/roseshored/src/gate.rs
@@ -12,7 +12,7 @@
     Admission, AdmitResult, Arrival, Capacity, Slot, WaitOutcome, WaiterId,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Fleets, Gate, Members, Permit};
+use roseshore_ports::inside::{AdmissionControl, ConfigSource, Members, Permit, RequestInfo};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
 
 /// Admission for the services of the configuration in force.
 pub struct AdmissionDriver {
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     members: Arc<dyn Members>,
     capacities: Arc<dyn CapacitySource>,
     state: Arc<Mutex<State>>,
@@ -46,7 +46,7 @@
 impl AdmissionDriver {
     /// Admission for the services of the configuration in force.
     pub fn new(
-        fleets: Arc<dyn Fleets>,
+        fleets: Arc<dyn ConfigSource>,
         members: Arc<dyn Members>,
         capacities: Arc<dyn CapacitySource>,
     ) -> AdmissionDriver {
@@ -116,7 +116,7 @@
         })
     }
 
-    fn arrive(&self, fleet: &Fleet, offset: Offset, ask: &Ask) -> Arrived {
+    fn arrive(&self, fleet: &Fleet, offset: Offset, ask: &RequestInfo) -> Arrived {
         let who = Arrival {
             organisation: &ask.organisation,
             service: &ask.service,
@@ -178,8 +178,8 @@
     }
 }
 
-impl Gate for AdmissionDriver {
-    fn enter(&self, ask: &Ask) -> Result<Permit, Refusal> {
+impl AdmissionControl for AdmissionDriver {
+    fn admit(&self, ask: &RequestInfo) -> Result<Permit, Refusal> {
         let Some(force) = self.fleets.current() else { return Err(no_configuration()) };
         self.renew_at_times(Instant::now());
         let end = match self.arrive(&force.fleet, force.offset, ask) {
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -13,7 +13,9 @@
     EndedRequest, RequestHistory, RequestMeta, RequestState, RunningRequest,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, Ask, End, Ledger, Member, MemberState, Members, Queries};
+use roseshore_ports::inside::{
+    Ledger, Member, MemberState, Members, PeerHandler, QueryHandler, RequestEnd, RequestInfo,
+};
 use roseshore_ports::outside::Peers;
 use roseshore_wire::peer;
 use roseshore_wire::query::{Query, Reply, Rows, Topic};
@@ -49,7 +51,7 @@
 }
 
 impl Ledger for LedgerDriver {
-    fn begun(&self, ask: &Ask) {
+    fn begun(&self, ask: &RequestInfo) {
         let running = RunningRequest {
             meta: whose(ask),
             started: wall(ask.arrived),
@@ -58,7 +60,7 @@
         self.book.lock().begin(running);
     }
 
-    fn ended(&self, end: &End) {
+    fn ended(&self, end: &RequestEnd) {
         let ended = EndedRequest {
             meta: whose(&end.ask),
             ended_at: wall(end.ended),
@@ -79,16 +81,16 @@
     }
 }
 
-impl Answers for LedgerDriver {
-    fn answer(&self, ask: &peer::Ask) -> Option<peer::Reply> {
-        let peer::Ask::Query { query } = ask else { return None };
+impl PeerHandler for LedgerDriver {
+    fn answer(&self, ask: &peer::PeerRequest) -> Option<peer::PeerReply> {
+        let peer::PeerRequest::Query { query } = ask else { return None };
         let reply = match serde_json::from_str::<Query>(query) {
             Ok(query) => serde_json::to_string(&self.local(&query)),
-            Err(err) => return Some(peer::Reply::Unable { reason: err.to_string() }),
+            Err(err) => return Some(peer::PeerReply::Unable { reason: err.to_string() }),
         };
         Some(match reply {
-            Ok(rows) => peer::Reply::Rows { rows },
-            Err(err) => peer::Reply::Unable { reason: err.to_string() },
+            Ok(rows) => peer::PeerReply::Rows { rows },
+            Err(err) => peer::PeerReply::Unable { reason: err.to_string() },
         })
     }
 }
@@ -124,7 +126,7 @@
     /// Asks the members side by side, so that silent ones cost one limit and not one each.
     fn ask_all(&self, query: &Query, others: Vec<Member>) -> Vec<(HostId, Option<Reply>)> {
         let Ok(text) = serde_json::to_string(query) else { return Vec::new() };
-        let ask = peer::Ask::Query { query: text };
+        let ask = peer::PeerRequest::Query { query: text };
         let (jobs, queue) = flume::unbounded::<Member>();
         let (results, replies) = flume::unbounded();
         let askers = ASKERS.min(others.len());
@@ -149,7 +151,7 @@
     }
 }
 
-impl Queries for Asker {
+impl QueryHandler for Asker {
     fn ask(&self, query: &Query) -> Reply {
         if query.topic == Topic::Account {
             return self.account.reply(query);
@@ -166,14 +168,14 @@
     }
 }
 
-fn read(reply: peer::Reply) -> Option<Reply> {
+fn read(reply: peer::PeerReply) -> Option<Reply> {
     match reply {
-        peer::Reply::Rows { rows } => serde_json::from_str(&rows).ok(),
+        peer::PeerReply::Rows { rows } => serde_json::from_str(&rows).ok(),
         _ => None,
     }
 }
 
-fn whose(ask: &Ask) -> RequestMeta {
+fn whose(ask: &RequestInfo) -> RequestMeta {
     RequestMeta {
         request: ask.request.clone(),
         service: ask.service.clone(),
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -7,7 +7,7 @@
 use roseshore_core::ledger::history::EndedRequest;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Member, Members};
-use roseshore_ports::outside::{Called, Log};
+use roseshore_ports::outside::{CallResult, Log};
 use roseshore_wire::platform::Record;
 use roseshore_wire::query::{AccountRow, Query, Reply, Rows};
 use std::sync::Arc;
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// When the log does not take it; it is kept and due again.
-    pub fn flush(&self) -> Called<()> {
+    pub fn flush(&self) -> CallResult<()> {
         let Some(part) = self.counter.lock().next_delta() else { return Ok(()) };
         let Ok(line) = serde_json::to_string(&part) else { return Ok(()) };
         match self.log.append(PARTS, &[line]) {
@@ -102,7 +102,7 @@
     ///
     /// The part's own writer does it, so that nobody has to be chosen; a writer that dies here
     /// leaves the work to the next turn.
-    fn summarize(&self, offset: Offset) -> Called<()> {
+    fn summarize(&self, offset: Offset) -> CallResult<()> {
         if !(offset + 1).is_multiple_of(SUMMARY_EVERY) {
             return Ok(());
         }
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// When the log does not answer.
-    pub fn keep(&self) -> Called<()> {
+    pub fn keep(&self) -> CallResult<()> {
         self.read()?;
         let summary = self.fold.lock().summary();
         let Ok(line) = serde_json::to_string(&summary) else { return Ok(()) };
@@ -124,7 +124,7 @@
     ///
     /// # Errors
     /// When the log does not answer.
-    pub fn read(&self) -> Called<()> {
+    pub fn read(&self) -> CallResult<()> {
         if self.fold.lock().next() == 0 {
             self.resume()?;
         }
@@ -158,7 +158,7 @@
     }
 
     /// Goes on from the newest summary that is kept.
-    fn resume(&self) -> Called<()> {
+    fn resume(&self) -> CallResult<()> {
         let mut next = 0;
         read_on(&*self.log, SUMMARIES, next, |met| {
             match met {
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -1,7 +1,7 @@
 //! Polls targets and shares what they say.
 //!
 //! One thread drives [`roseshore_core::polling`]; a bounded pool of threads asks the targets, so
-//! that a frozen one holds up nothing but its own poll. Reports go to [`Reports`] here and, with
+//! that a frozen one holds up nothing but its own poll. Reports go to [`ReportStore`] here and, with
 //! the next heartbeat, to the other daemons of the data centre.
 
 pub mod caches;
@@ -13,7 +13,7 @@
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::polling::{Action, Polling, Settings};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, Members, Report, ReportContent, Reports};
+use roseshore_ports::inside::{ConfigSource, Members, Report, ReportContent, ReportStore};
 use roseshore_ports::outside::{Engine, Services};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -33,13 +33,13 @@
     /// The daemons.
     pub members: Arc<MemberDriver>,
     /// The configuration in force; its targets of the own data centre are polled.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// Model engines.
     pub engine: Arc<dyn Engine>,
     /// Plain and lookup services.
     pub services: Arc<dyn Services>,
     /// Who takes the reports.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// The times of polling.
     pub settings: Settings,
 }
@@ -141,8 +141,8 @@
 struct Driver {
     polling: Polling,
     members: Arc<MemberDriver>,
-    fleets: Arc<dyn Fleets>,
-    reports: Arc<dyn Reports>,
+    fleets: Arc<dyn ConfigSource>,
+    reports: Arc<dyn ReportStore>,
     period: Duration,
     full: usize,
     offset: Option<Offset>,
--- a/crates/roseshored/src/loads/caches.rs
+++ b/crates/roseshored/src/loads/caches.rs
@@ -5,7 +5,7 @@
 
 use roseshore_core::polling;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Caches, Fleets, ReportContent, Reports};
+use roseshore_ports::inside::{CacheEventSink, ConfigSource, ReportContent, ReportStore};
 use roseshore_ports::outside::Engine;
 use roseshore_wire::engine::CacheEvent;
 use std::sync::Arc;
@@ -20,13 +20,13 @@
 /// Reads the events of the engines that report.
 pub struct CacheReader {
     /// Where the engines are.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// The engines.
     pub engine: Arc<dyn Engine>,
     /// Which of them answer.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// Who takes the events.
-    pub caches: Arc<dyn Caches>,
+    pub caches: Arc<dyn CacheEventSink>,
 }
 
 impl CacheReader {
--- a/crates/roseshored/src/loads/notes.rs
+++ b/crates/roseshored/src/loads/notes.rs
@@ -7,7 +7,7 @@
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::ReportContent;
 use roseshore_wire::engine::Load;
-use roseshore_wire::peer::{NoteContent, NoteKey};
+use roseshore_wire::peer::{LoadReport, LoadReportKey};
 use roseshore_wire::service::ServiceLoad;
 use rustc_hash::FxHashMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -22,20 +22,15 @@
 }
 
 struct Sent {
-    key: NoteKey,
+    key: LoadReportKey,
     at: Instant,
 }
 
 impl Packer {
     /// What to send of a report.
-    pub fn pack(
-        &mut self,
-        target: &TargetId,
-        content: &ReportContent,
-        now: Instant,
-    ) -> NoteContent {
+    pub fn pack(&mut self, target: &TargetId, content: &ReportContent, now: Instant) -> LoadReport {
         let Some(key) = key(target, content) else {
-            return NoteContent::Silent { target: target.clone() };
+            return LoadReport::Silent { target: target.clone() };
         };
         let last = self.sent.get(target);
         if last.is_some_and(|s| s.key == key && now.saturating_duration_since(s.at) < REFRESH) {
@@ -59,8 +54,8 @@
 /// Completes shortened reports.
 #[derive(Default)]
 pub struct Unpacker {
-    whole: FxHashMap<NoteKey, Whole>,
-    keys: FxHashMap<TargetId, NoteKey>,
+    whole: FxHashMap<LoadReportKey, Whole>,
+    keys: FxHashMap<TargetId, LoadReportKey>,
 }
 
 struct Whole {
@@ -79,18 +74,18 @@
 
 impl Unpacker {
     /// The whole report, or `None` when the part that did not change is not known here.
-    pub fn unpack(&mut self, note: NoteContent) -> Option<Unpacked> {
+    pub fn unpack(&mut self, note: LoadReport) -> Option<Unpacked> {
         match note {
-            NoteContent::Engine { target, load } => {
+            LoadReport::Engine { target, load } => {
                 Some(self.learn(target, ReportContent::Engine(load)))
             }
-            NoteContent::Service { target, load } => {
+            LoadReport::Service { target, load } => {
                 Some(self.learn(target, ReportContent::Service(load)))
             }
-            NoteContent::Silent { target } => {
+            LoadReport::Silent { target } => {
                 Some(Unpacked { target, content: ReportContent::Silent })
             }
-            NoteContent::Brief { key, queue, running, step_us, kv_used } => {
+            LoadReport::Brief { key, queue, running, step_us, kv_used } => {
                 let known = self.whole.get(&key)?;
                 let mut content = known.content.clone();
                 match &mut content {
@@ -128,26 +123,26 @@
     }
 }
 
-fn whole(target: &TargetId, content: &ReportContent) -> NoteContent {
+fn whole(target: &TargetId, content: &ReportContent) -> LoadReport {
     let target = target.clone();
     match content {
-        ReportContent::Engine(load) => NoteContent::Engine { target, load: load.clone() },
-        ReportContent::Service(load) => NoteContent::Service { target, load: load.clone() },
-        ReportContent::Silent => NoteContent::Silent { target },
+        ReportContent::Engine(load) => LoadReport::Engine { target, load: load.clone() },
+        ReportContent::Service(load) => LoadReport::Service { target, load: load.clone() },
+        ReportContent::Silent => LoadReport::Silent { target },
     }
 }
 
-fn brief(key: NoteKey, content: &ReportContent) -> NoteContent {
+fn brief(key: LoadReportKey, content: &ReportContent) -> LoadReport {
     let (queue, running, step_us, kv_used) = match content {
         ReportContent::Engine(load) => (load.queue, load.running, load.step_us, load.kv_used),
         ReportContent::Service(load) => (load.queue, load.running, load.call_us, 0),
         ReportContent::Silent => (0, 0, 0, 0),
     };
-    NoteContent::Brief { key, queue, running, step_us, kv_used }
+    LoadReport::Brief { key, queue, running, step_us, kv_used }
 }
 
 /// The hash of the target and all that is not a count; `None` for a silent target.
-fn key(target: &TargetId, content: &ReportContent) -> Option<NoteKey> {
+fn key(target: &TargetId, content: &ReportContent) -> Option<LoadReportKey> {
     let fixed = match content.clone() {
         ReportContent::Engine(load) => {
             ReportContent::Engine(Load { queue: 0, running: 0, step_us: 0, kv_used: 0, ..load })
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -20,7 +20,7 @@
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::lookup::{Action, Lookup, Outcome, Policy};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Fleets, Router};
+use roseshore_ports::inside::{ConfigSource, RequestInfo, Router};
 use roseshore_ports::outside::{ServiceReply, Services};
 use shared::{Service, Shared};
 use std::sync::{Arc, LazyLock};
@@ -40,7 +40,12 @@
 /// # Errors
 /// [`Code::NotFound`] only when every source that could hold the name says that it does not;
 /// [`Code::SourceSilent`] when a source that could hold it was given up on.
-pub fn run(app: &App, ask: &Ask, name: &str, trace: Option<&str>) -> Result<ServiceReply, Refusal> {
+pub fn run(
+    app: &App,
+    ask: &RequestInfo,
+    name: &str,
+    trace: Option<&str>,
+) -> Result<ServiceReply, Refusal> {
     let parts = Parts {
         fleets: app.fleets.clone(),
         router: app.router.clone(),
@@ -53,7 +58,7 @@
 #[derive(Clone)]
 pub struct Parts {
     /// The configuration in force.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// The choice of replicas.
     pub router: Arc<dyn Router>,
     /// The replicas.
@@ -88,7 +93,7 @@
     pub fn run(
         &self,
         parts: &Parts,
-        ask: &Ask,
+        ask: &RequestInfo,
         name: &str,
         trace: Option<&str>,
     ) -> Result<ServiceReply, Refusal> {
@@ -162,7 +167,7 @@
 }
 
 /// The name goes into a path as it came, so nothing but a part of a path may be in it.
-fn check(ask: &Ask, name: &str) -> Result<(), Refusal> {
+fn check(ask: &RequestInfo, name: &str) -> Result<(), Refusal> {
     let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#' | b'"' | b'<' | b'>');
     if name.is_empty() || !name.bytes().all(plain) {
         let text = "the name is empty or has characters that a path may not have; encode them";
@@ -207,7 +212,7 @@
 
 fn finish(
     service: &Service,
-    ask: &Ask,
+    ask: &RequestInfo,
     name: &str,
     outcome: Outcome<Found>,
     retry_after: Duration,
--- a/crates/roseshored/src/lookups/ask.rs
+++ b/crates/roseshored/src/lookups/ask.rs
@@ -7,8 +7,8 @@
 use metrics::counter;
 use roseshore_core::lookup::{Policy, Reason, SourceIndex, SourceReply};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Permit, Replica};
-use roseshore_ports::outside::{Called, Hop, ServiceReply};
+use roseshore_ports::inside::{Permit, Replica, RequestInfo};
+use roseshore_ports::outside::{CallContext, CallResult, ServiceReply};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
         parts: &Parts,
         pool: &Arc<Pool>,
         service: &Arc<Service>,
-        ask: &Ask,
+        ask: &RequestInfo,
         name: &str,
         trace: Option<&str>,
     ) -> Asked {
@@ -79,7 +79,11 @@
             replica,
             source: source.name.clone(),
             name: self.name.clone(),
-            hop: Hop { deadline: limit, trace: self.trace.clone(), request: self.request.clone() },
+            hop: CallContext {
+                deadline: limit,
+                trace: self.trace.clone(),
+                request: self.request.clone(),
+            },
         };
         let tell = self.tell.clone();
         self.pool.give(Box::new(move || {
@@ -131,7 +135,7 @@
     replica: Replica,
     source: String,
     name: String,
-    hop: Hop,
+    hop: CallContext,
 }
 
 impl Call {
@@ -144,10 +148,10 @@
 
     /// Tells the router how the target did. Running into a caller's short deadline proves nothing
     /// against the target; running into the attempt's whole limit does.
-    fn report(&self, began: Instant, reply: &Called<ServiceReply>) {
+    fn report(&self, began: Instant, reply: &CallResult<ServiceReply>) {
         let target = &self.replica.target;
         if reply.is_ok() {
-            return self.parts.router.observed(target, began.elapsed());
+            return self.parts.router.record_latency(target, began.elapsed());
         }
         let had_time = self.hop.deadline - began >= Policy::default().attempt_limit / 2;
         if had_time || Instant::now() < self.hop.deadline {
--- a/crates/roseshored/src/lookups/said.rs
+++ b/crates/roseshored/src/lookups/said.rs
@@ -3,8 +3,8 @@
 use super::Found;
 use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{Called, ServiceReply};
-use roseshore_wire::service::{Missing, Unstarted};
+use roseshore_ports::outside::{CallResult, ServiceReply};
+use roseshore_wire::service::{Missing, NotStarted};
 use std::sync::Arc;
 
 const FOUND: u16 = 200;
@@ -15,7 +15,7 @@
 ///
 /// A `404` counts only with the body that names both; one of a web server on the way, or for
 /// another source, is no reply of the source.
-pub fn said(called: Called<ServiceReply>, source: &str, name: &str) -> SourceReply<Found> {
+pub fn said(called: CallResult<ServiceReply>, source: &str, name: &str) -> SourceReply<Found> {
     let reply = match called {
         Ok(reply) => reply,
         Err(error) => return SourceReply::Failed(error.verdict()),
@@ -34,5 +34,5 @@
 }
 
 fn is_unstarted(reply: &ServiceReply) -> bool {
-    serde_json::from_slice::<Unstarted>(&reply.body).is_ok_and(|w| w.not_run)
+    serde_json::from_slice::<NotStarted>(&reply.body).is_ok_and(|w| w.not_run)
 }
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -8,10 +8,10 @@
 use parking_lot::Mutex;
 use roseshore_core::membership::{Change, Heartbeat, Listed, MemberDigest, Membership, Settings};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, Member, MemberState, Members};
-use roseshore_ports::outside::{Datagrams, HostList, Received};
+use roseshore_ports::inside::{ConfigSource, Member, MemberState, Members};
+use roseshore_ports::outside::{Datagrams, HostList, ReceivedDatagram};
 use roseshore_wire::frame::MAX_DATAGRAM;
-use roseshore_wire::peer::{Datagram, NoteContent, TargetLoad};
+use roseshore_wire::peer::{Datagram, LoadReport, TargetLoad};
 use roseshore_wire::platform::{HostState, Hosts};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,7 +42,7 @@
     /// The platform's host list.
     pub list: Arc<dyn HostList>,
     /// The configuration in force.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// Whether this daemon takes no new work.
     pub drain: Arc<Drain>,
 }
@@ -62,7 +62,7 @@
     /// When the target was polled; its age is worked out when it is sent.
     pub seen: Instant,
     /// What it said.
-    pub content: NoteContent,
+    pub content: LoadReport,
     /// Whether it cannot wait for the next heartbeat.
     pub urgent: bool,
 }
@@ -72,7 +72,7 @@
     view: Mutex<Membership>,
     socket: Arc<dyn Datagrams>,
     list: Arc<dyn HostList>,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
     outbox: flume::Sender<Fresh>,
     inbox: flume::Receiver<Told>,
@@ -173,7 +173,7 @@
         }
     }
 
-    fn take(&self, received: Received, tell: &flume::Sender<Told>) {
+    fn take(&self, received: ReceivedDatagram, tell: &flume::Sender<Told>) {
         let at = Instant::now();
         let Datagram::Beat { heartbeat, notes } = received.datagram;
         let heard = self.view.lock().heard(received.from, heartbeat, at);
--- a/crates/roseshored/src/operators.rs
+++ b/crates/roseshored/src/operators.rs
@@ -9,7 +9,7 @@
 use crate::fleets::FleetDriver;
 use roseshore_core::config::{Command, FORMAT, Settled};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Keys, Member, MemberState, Members, Queries};
+use roseshore_ports::inside::{Keys, Member, MemberState, Members, QueryHandler};
 use roseshore_wire::admin::{Config, Daemon, Drained, Outcome, Problem, Report, Status, Versioned};
 use roseshore_wire::query::{Query, Rows};
 use serde::Serialize;
@@ -28,7 +28,7 @@
     /// The daemons.
     pub members: Arc<dyn Members>,
     /// Rows about requests; without it such questions are refused.
-    pub queries: Option<Arc<dyn Queries>>,
+    pub queries: Option<Arc<dyn QueryHandler>>,
     /// What is known of keys.
     pub keys: Arc<dyn Keys>,
     /// Whether this daemon takes no new work.
--- a/crates/roseshored/src/operators/keys.rs
+++ b/crates/roseshored/src/operators/keys.rs
@@ -4,8 +4,8 @@
 use percent_encoding::percent_decode_str;
 use roseshore_core::once::keys::{Holder, State};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{KeyStatus, KeyWord, Keys, SettleResult};
-use roseshore_wire::admin::{KeyReport, KeyState, Settle, Settled, WordReport};
+use roseshore_ports::inside::{KeyStatus, Keys, OperatorDecision, SettleResult};
+use roseshore_wire::admin::{DecisionReport, KeyReport, KeyState, Settle, Settled};
 
 /// The longest note, bytes.
 const MAX_NOTE: usize = 1000;
@@ -41,8 +41,8 @@
         let text = "name `operator`, and what you looked at in `note`, 1 to 1000 bytes";
         return problem(Code::BadRequest, text);
     }
-    let word = KeyWord { operator: ask.operator, note: ask.note, ran: ask.ran };
-    let settled = match keys.settle_by(&key, word, Instant::now() + DEFAULT_WAIT) {
+    let word = OperatorDecision { operator: ask.operator, note: ask.note, ran: ask.ran };
+    let settled = match keys.settle_by_operator(&key, word, Instant::now() + DEFAULT_WAIT) {
         SettleResult::Applied(offset) => Settled::Taken { offset },
         SettleResult::Rejected(refusal) => {
             Settled::Rejected { code: refusal.code, message: refusal.message }
@@ -75,7 +75,7 @@
         }
         State::Ran(_) => KeyState::Ran,
     };
-    let word = known.settlement.as_ref().map(|said| WordReport {
+    let word = known.settlement.as_ref().map(|said| DecisionReport {
         operator: said.settlement.operator.clone(),
         note: said.settlement.note.clone(),
         ran: said.settlement.ran,
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -14,7 +14,7 @@
 use roseshore_core::order::lease::{LeaseRecord, LeaseTimes, Leaser};
 use roseshore_core::order::placement::{Placement, PlacementBounds};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, Members, Report, ReportContent, Reports};
+use roseshore_ports::inside::{ConfigSource, Members, Report, ReportContent, ReportStore};
 use roseshore_ports::outside::{CallError, Engine, Log, WeightStore};
 use roseshore_wire::engine::{Order, Role};
 use std::collections::BTreeMap;
@@ -65,9 +65,9 @@
     /// Gives the weights.
     pub weights: Arc<dyn WeightStore>,
     /// What should be held.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// What is held.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// Who else could order.
     pub members: Arc<dyn Members>,
     /// Whether this daemon is leaving.
--- a/crates/roseshored/src/parts.rs
+++ b/crates/roseshored/src/parts.rs
@@ -26,7 +26,7 @@
 use roseshore_adapters::peer::{Server, serve};
 use roseshore_core::polling;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, Fleets, Members};
+use roseshore_ports::inside::{ConfigSource, Members, PeerHandler};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -55,7 +55,7 @@
     outside: Outside,
     drain: Arc<Drain>,
     configuration: Arc<FleetDriver>,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     joined: Arc<MemberDriver>,
     members: Arc<dyn Members>,
 }
@@ -159,7 +159,7 @@
         let loads = ground.loads(settings, &routing)?;
         let speaker = ground.speaker(settings, &routing)?;
         let workers = ground.workers(&routing, books.account)?;
-        let answers: Vec<Arc<dyn Answers>> = vec![
+        let answers: Vec<Arc<dyn PeerHandler>> = vec![
             ground.configuration.clone(),
             claims.clone(),
             books.ledger.clone(),
--- a/crates/roseshored/src/parts/outside.rs
+++ b/crates/roseshored/src/parts/outside.rs
@@ -10,7 +10,7 @@
 use roseshore_core::membership::{self, Heartbeat};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
-use roseshore_ports::inside::Fleets;
+use roseshore_ports::inside::ConfigSource;
 use roseshore_ports::outside::{Engine, HostList, Log, Peers, Services, WeightStore};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -68,7 +68,7 @@
     settings: &Settings,
     outside: &Outside,
     socket: UdpSocket,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
 ) -> io::Result<members::Parts> {
     let own = Heartbeat {
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -12,9 +12,9 @@
 use parking_lot::Mutex;
 use roseshore_core::membership::{Call, Settings, Speakers};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, MemberState, Members, Reports};
+use roseshore_ports::inside::{MemberState, Members, PeerHandler, ReportStore};
 use roseshore_ports::outside::Peers;
-use roseshore_wire::peer::{Ask, Digest, Reply, Summary};
+use roseshore_wire::peer::{Digest, PeerReply, PeerRequest, Summary};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -34,7 +34,7 @@
     /// The links.
     pub peers: Arc<dyn Peers>,
     /// The reports of the own data centre's targets.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// The bounds that the members go by.
     pub settings: Settings,
 }
@@ -50,11 +50,11 @@
     pub summaries: Vec<Summary>,
 }
 
-/// The running driver; put it among the [`Answers`] that serve peers.
+/// The running driver; put it among the [`PeerHandler`] that serve peers.
 pub struct PeerDriver {
     members: Arc<MemberDriver>,
     peers: Arc<dyn Peers>,
-    reports: Arc<dyn Reports>,
+    reports: Arc<dyn ReportStore>,
     speakers: Mutex<Speakers>,
     far: Mutex<BTreeMap<DataCentreId, FarLoad>>,
     learn: flume::Sender<Learned>,
@@ -120,8 +120,8 @@
     }
 
     fn call(&self, call: Call) {
-        let ask = Ask::Digests { digests: vec![self.digest()], speaker: true };
-        if let Ok(Reply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
+        let ask = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
+        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
             self.learned(digests);
             return;
         }
@@ -157,7 +157,7 @@
                 let near = member.data_centre == own.data_centre && member.host != own.host;
                 if near && member.state != MemberState::Suspect {
                     let digests = aged(&digests, at.elapsed());
-                    let ask = Ask::Digests { digests, speaker: false };
+                    let ask = PeerRequest::Digests { digests, speaker: false };
                     // A loss is made good by the next digest.
                     let _ = self.peers.ask(member.peer, &ask, LIMIT);
                 }
@@ -174,15 +174,15 @@
     }
 }
 
-impl Answers for PeerDriver {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
-        let Ask::Digests { digests, speaker } = ask else { return None };
+impl PeerHandler for PeerDriver {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Digests { digests, speaker } = ask else { return None };
         if !speaker {
             self.take(digests, Instant::now());
-            return Some(Reply::Done);
+            return Some(PeerReply::Done);
         }
         self.learned(digests.clone());
-        Some(Reply::Digests { digests: vec![self.digest()] })
+        Some(PeerReply::Digests { digests: vec![self.digest()] })
     }
 }
 
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -14,7 +14,8 @@
 use roseshore_core::route::prefix::CacheChange;
 use roseshore_core::route::{self, ChainChoice, ChainRequest, SampleSizes, StageChoice};
 use roseshore_ports::inside::{
-    Caches, Chain, Fleets, Members, Need, Permit, Replica, Report, ReportContent, Reports, Router,
+    CacheEventSink, Chain, ChainNeeds, ConfigSource, Members, Permit, Replica, Report,
+    ReportContent, ReportStore, Router,
 };
 use roseshore_wire::engine::{CacheEvent, Load, Role, Stage};
 use roseshore_wire::service::ServiceLoad;
@@ -30,7 +31,7 @@
 
 /// The daemon's choice of targets.
 pub struct Routing {
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     members: Arc<dyn Members>,
     state: Arc<Mutex<State>>,
 }
@@ -47,7 +48,7 @@
 
 impl Routing {
     /// A choice among the targets of the configuration in force.
-    pub fn new(fleets: Arc<dyn Fleets>, members: Arc<dyn Members>) -> Routing {
+    pub fn new(fleets: Arc<dyn ConfigSource>, members: Arc<dyn Members>) -> Routing {
         let own = members.own().data_centre;
         let random = SmallRng::from_rng(&mut rand::rng());
         let state = State {
@@ -159,7 +160,7 @@
 }
 
 impl Router for Routing {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let wants = ChainRequest {
             model: &need.model,
             version: &need.version,
@@ -209,7 +210,7 @@
         crate::event!(Event::TargetLost, "target=`{target}` out of use for a while");
     }
 
-    fn paced(&self, stages: &[Stage], took: Duration) {
+    fn record_step_time(&self, stages: &[Stage], took: Duration) {
         let mut state = self.state.lock();
         let rows = stages.iter().filter_map(|s| state.router.loads().find(&s.target));
         let rows: Vec<TargetIndex> = rows.collect();
@@ -218,7 +219,7 @@
         }
     }
 
-    fn observed(&self, target: &TargetId, took: Duration) {
+    fn record_latency(&self, target: &TargetId, took: Duration) {
         self.state.lock().router.record_step(target, took, Instant::now());
     }
 
@@ -236,7 +237,7 @@
     }
 }
 
-impl Reports for Routing {
+impl ReportStore for Routing {
     fn take(&self, report: Report) {
         self.refresh(Instant::now());
         let mut state = self.state.lock();
@@ -259,7 +260,7 @@
     }
 }
 
-impl Caches for Routing {
+impl CacheEventSink for Routing {
     fn take_cache(&self, target: &TargetId, events: &[CacheEvent]) {
         let changes: Vec<CacheChange> = events.iter().map(cache_change).collect();
         self.state.lock().router.apply_cache_changes(target, &changes);
@@ -321,7 +322,7 @@
     }
 }
 
-fn no_chain(need: &Need) -> Refusal {
+fn no_chain(need: &ChainNeeds) -> Refusal {
     let text = format!(
         "no live chain of targets covers all {} layers of model `{}` version `{}`; \
          see `roseshore running` for its targets, or come back later",
--- a/crates/roseshored/src/serve.rs
+++ b/crates/roseshored/src/serve.rs
@@ -15,7 +15,7 @@
 use crate::front::read::Request;
 use crate::site::Site;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::Ask;
+use roseshore_ports::inside::RequestInfo;
 use tiny_http::Method;
 
 /// The path of chats.
@@ -39,7 +39,7 @@
         is_sight(request)
     }
 
-    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<Ask> {
+    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo> {
         advisory::ask(site, request, id)
     }
 }
--- a/crates/roseshored/src/serve/advisory.rs
+++ b/crates/roseshored/src/serve/advisory.rs
@@ -8,7 +8,7 @@
 use crate::site::Site;
 use roseshore_core::ledger::account::OTHERS;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::Ask;
+use roseshore_ports::inside::RequestInfo;
 use serde::Deserialize;
 
 /// The part of a body that names the service.
@@ -19,12 +19,12 @@
 
 /// Whose request it is, if it names an advisory service; an organisation that is not declared is
 /// counted under [`OTHERS`].
-pub(super) fn ask(site: &Site, request: &Request, id: &RequestId) -> Option<Ask> {
+pub(super) fn ask(site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo> {
     let fleet = site.app.fleets.current()?.fleet;
     let service = service(request)?;
     let declared = fleet.services.get(&service).filter(|it| it.advisory)?;
     let organisation = super::asking::organisation(request, &fleet);
-    Some(Ask {
+    Some(RequestInfo {
         request: id.clone(),
         organisation: organisation.unwrap_or_else(|_| OTHERS.to_owned()),
         service,
--- a/crates/roseshored/src/serve/asking.rs
+++ b/crates/roseshored/src/serve/asking.rs
@@ -3,7 +3,7 @@
 use crate::front::exchange::Exchange;
 use crate::front::read::Request;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Permit};
+use roseshore_ports::inside::{Permit, RequestInfo};
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -39,12 +39,12 @@
         &self,
         request: &Request,
         exchange: &mut Exchange<'_>,
-    ) -> Result<Ask, Refusal> {
+    ) -> Result<RequestInfo, Refusal> {
         exchange.idempotent = Some(self.declared.idempotent);
         exchange.advisory = self.declared.advisory;
         let organisation = organisation(request, self.fleet)?;
         let limit = deadline(request)?.unwrap_or(self.declared.deadline);
-        let ask = Ask {
+        let ask = RequestInfo {
             request: exchange.id.clone(),
             organisation,
             service: self.service.to_owned(),
@@ -60,9 +60,9 @@
 }
 
 /// Waits for the request's turn.
-pub(super) fn admit(exchange: &Exchange<'_>, ask: &Ask) -> Result<Permit, Refusal> {
+pub(super) fn admit(exchange: &Exchange<'_>, ask: &RequestInfo) -> Result<Permit, Refusal> {
     let _span = tracing::info_span!("admit").entered();
-    exchange.site.app.gate.enter(ask)
+    exchange.site.app.gate.admit(ask)
 }
 
 /// The customer: its own header, or what stock clients of model interfaces send.
@@ -114,7 +114,7 @@
 }
 
 /// The idempotency key, joined with its organisation and service.
-pub(super) fn key(request: &Request, ask: &Ask) -> Result<Option<Key>, Refusal> {
+pub(super) fn key(request: &Request, ask: &RequestInfo) -> Result<Option<Key>, Refusal> {
     let Some(key) = request.header("idempotency-key") else { return Ok(None) };
     let plain = key.bytes().all(|it| it.is_ascii_graphic());
     if key.is_empty() || key.len() > MAX_KEY || !plain {
--- a/crates/roseshored/src/serve/models.rs
+++ b/crates/roseshored/src/serve/models.rs
@@ -14,7 +14,7 @@
 use form::Shape;
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Begin};
+use roseshore_ports::inside::{ClaimResult, RequestInfo};
 
 pub(super) use form::Form;
 
@@ -62,7 +62,7 @@
 /// Answers a question that may run once, from the record if it has run.
 fn once(
     exchange: &mut Exchange<'_>,
-    ask: &Ask,
+    ask: &RequestInfo,
     work: AnswerAsk,
     shape: &Shape,
     key: &Key,
@@ -74,11 +74,11 @@
     };
     exchange.consulted = true;
     match begin {
-        Begin::Won(claim) => {
+        ClaimResult::Won(claim) => {
             give(exchange, ask, work, shape, Some(Won::new(claims.as_ref(), claim)))
         }
-        Begin::Settled(outcome) => Ok(replay(exchange, shape, &Recorded::read(&outcome)?)),
-        Begin::Refused(refusal) => Err(refusal),
+        ClaimResult::Settled(outcome) => Ok(replay(exchange, shape, &Recorded::read(&outcome)?)),
+        ClaimResult::Refused(refusal) => Err(refusal),
     }
 }
 
@@ -92,7 +92,7 @@
 
 fn give(
     exchange: &mut Exchange<'_>,
-    ask: &Ask,
+    ask: &RequestInfo,
     work: AnswerAsk,
     shape: &Shape,
     won: Option<Won<'_>>,
--- a/crates/roseshored/src/stream.rs
+++ b/crates/roseshored/src/stream.rs
@@ -1,7 +1,7 @@
 //! Reads a stream of the log on to its end.
 
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{CallError, Called, Log};
+use roseshore_ports::outside::{CallError, CallResult, Log};
 use roseshore_wire::platform::Record;
 
 /// The most records read at once.
@@ -23,8 +23,8 @@
     log: &dyn Log,
     stream: &str,
     mut from: Offset,
-    mut take: impl FnMut(Met<'_>) -> Called<Offset>,
-) -> Called<()> {
+    mut take: impl FnMut(Met<'_>) -> CallResult<Offset>,
+) -> CallResult<()> {
     loop {
         match log.read(stream, from, RECORDS, Duration::ZERO) {
             Ok(read) => {
--- a/crates/roseshored/tests/advisory.rs
+++ b/crates/roseshored/tests/advisory.rs
@@ -6,7 +6,7 @@
 use fakes::*;
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::End;
+use roseshore_ports::inside::RequestEnd;
 use roseshore_ports::outside::CallError;
 use std::thread;
 
@@ -36,7 +36,7 @@
 }
 
 /// The end of the request that the case is about; it comes after the caller has its answer.
-fn ended(daemon: &Daemon) -> End {
+fn ended(daemon: &Daemon) -> RequestEnd {
     let limit = Instant::now() + PATIENCE;
     loop {
         let ends = daemon.ledger.wait(1);
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -6,7 +6,7 @@
 use roseshore_core::answer::timeout::TimeoutSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
-use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
+use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
 use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, Whole, run_over};
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
 }
 
 impl Router for FirstFree {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let seen = self.seen.lock();
         let free = |s: &&Stage| {
             let lists = [&seen.failed, &seen.leaving];
@@ -57,12 +57,12 @@
         self.seen.lock().failed.insert(target.clone());
     }
 
-    fn paced(&self, stages: &[Stage], _: Duration) {
+    fn record_step_time(&self, stages: &[Stage], _: Duration) {
         let chain = stages.iter().map(|s| s.target.clone()).collect();
         self.seen.lock().paced.push(chain);
     }
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 
     fn leaving(&self, target: &TargetId) -> bool {
         self.seen.lock().leaving.contains(target)
@@ -106,7 +106,7 @@
 
     pub(crate) fn run(&self, caller: &mut Caller) -> Result<Whole, Refusal> {
         let now = Instant::now();
-        let ask = Ask {
+        let ask = RequestInfo {
             request: format!("r{}", self.asked.fetch_add(1, Ordering::Relaxed)),
             organisation: "o".to_owned(),
             service: self.service.clone(),
--- a/crates/roseshored/tests/calls.rs
+++ b/crates/roseshored/tests/calls.rs
@@ -8,8 +8,8 @@
 };
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Outcome};
-use roseshore_ports::outside::{CallError, Called, Hop, ServiceReply, Services};
+use roseshore_ports::inside::{Outcome, RequestInfo};
+use roseshore_ports::outside::{CallContext, CallError, CallResult, ServiceReply, Services};
 use roseshore_wire::service::ServiceLoad;
 use roseshored::app::{App, Drain};
 use roseshored::calls;
@@ -37,7 +37,7 @@
 }
 
 impl Services for Replicas {
-    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &Hop) -> Called<ServiceReply> {
+    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &CallContext) -> CallResult<ServiceReply> {
         Err(CallError::Unreached("no lookups here".into()))
     }
 
@@ -47,8 +47,8 @@
         _: &str,
         body: &[u8],
         key: Option<&str>,
-        _: &Hop,
-    ) -> Called<ServiceReply> {
+        _: &CallContext,
+    ) -> CallResult<ServiceReply> {
         self.keys.lock().push(key.map(str::to_owned));
         let does = self.script.lock().pop_front().expect("no more calls than the script says");
         let reply = |status| {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn load(&self, _: SocketAddr, _: Duration) -> Called<ServiceLoad> {
+    fn load(&self, _: SocketAddr, _: Duration) -> CallResult<ServiceLoad> {
         Err(CallError::Unreached("no load here".into()))
     }
 }
@@ -233,15 +233,15 @@
     let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
     let replicas = Arc::new(Replicas { script: Mutex::default(), keys: Mutex::default() });
     let app = app("late", false, claims.clone(), replicas);
-    let late = Ask { deadline: Instant::now(), ..ask("late") };
+    let late = RequestInfo { deadline: Instant::now(), ..ask("late") };
     let refusal = calls::run(&app, &late, b"", Some(&"k".into()), 7, None).expect_err("too late");
     assert_eq!((refusal.code, refusal.verdict), (Code::DeadlinePassed, Verdict::NotRun));
     assert_eq!(*claims.calls.lock(), ["begin k", "abandon"]);
 }
 
-fn ask(service: &str) -> Ask {
+fn ask(service: &str) -> RequestInfo {
     let now = Instant::now();
-    Ask {
+    RequestInfo {
         request: "r1".into(),
         organisation: "o".into(),
         service: service.into(),
--- a/crates/roseshored/tests/claims.rs
+++ b/crates/roseshored/tests/claims.rs
@@ -6,11 +6,11 @@
 use roseshore_core::prelude::*;
 use roseshore_fakes::platform::{PlatformFake, PlatformFaults, PlatformSettings};
 use roseshore_ports::inside::{
-    Answers, Begin, Claim, Claims, KeyWord, Keys, Member, MemberState, Members, Outcome,
-    SettleResult,
+    Claim, ClaimResult, Claims, Keys, Member, MemberState, Members, OperatorDecision, Outcome,
+    PeerHandler, SettleResult,
 };
-use roseshore_ports::outside::{CallError, Called, Log, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::outside::{CallError, CallResult, Log, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshored::claims::{ClaimsConfig, ClaimsDriver, Won};
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -53,7 +53,7 @@
 struct Link(Arc<Site>);
 
 impl Peers for Link {
-    fn ask(&self, addr: SocketAddr, ask: &Ask, _limit: Duration) -> Called<Reply> {
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _limit: Duration) -> CallResult<PeerReply> {
         let drivers = self.0.drivers.lock().clone();
         let peer = drivers.into_iter().find(|(at, _)| *at == addr);
         let reply = peer.and_then(|(_, driver)| driver.answer(ask));
@@ -99,7 +99,7 @@
         self.platform.faults.set(faults);
     }
 
-    fn begin(&self, daemon: usize) -> Begin {
+    fn begin(&self, daemon: usize) -> ClaimResult {
         begin(&*self.daemons[daemon])
     }
 
@@ -109,9 +109,9 @@
 
     /// Has an operator settle the key through daemon 1.
     fn settle(&self, ran: bool) -> String {
-        let word = KeyWord { operator: "op".into(), note: "looked".into(), ran };
+        let word = OperatorDecision { operator: "op".into(), note: "looked".into(), ran };
         let deadline = Instant::now() + Duration::from_secs(20);
-        match self.daemons[1].settle_by(&KEY.into(), word, deadline) {
+        match self.daemons[1].settle_by_operator(&KEY.into(), word, deadline) {
             SettleResult::Applied(offset) => format!("taken {offset}"),
             SettleResult::Rejected(refusal) if refusal.message.contains("among the daemons") => {
                 "at work".into()
@@ -140,22 +140,22 @@
     world.records(2);
 }
 
-fn begin(claims: &dyn Claims) -> Begin {
+fn begin(claims: &dyn Claims) -> ClaimResult {
     claims.begin(&KEY.into(), 7, Instant::now() + Duration::from_secs(20))
 }
 
-fn won(begin: Begin) -> Claim {
+fn won(begin: ClaimResult) -> Claim {
     match begin {
-        Begin::Won(claim) => claim,
+        ClaimResult::Won(claim) => claim,
         other => panic!("not won but {}", told(&other)),
     }
 }
 
-fn told(begin: &Begin) -> String {
+fn told(begin: &ClaimResult) -> String {
     match begin {
-        Begin::Won(_) => "won".into(),
-        Begin::Settled(outcome) => format!("settled {}", outcome.body.len()),
-        Begin::Refused(refusal) => format!("{} {}", refusal.code, refusal.verdict.name()),
+        ClaimResult::Won(_) => "won".into(),
+        ClaimResult::Settled(outcome) => format!("settled {}", outcome.body.len()),
+        ClaimResult::Refused(refusal) => format!("{} {}", refusal.code, refusal.verdict.name()),
     }
 }
 
@@ -187,7 +187,7 @@
         let world = World::new(8);
         world.faults(case.faults);
         let work = |driver: &Arc<ClaimsDriver>| match begin(&**driver) {
-            Begin::Won(claim) => {
+            ClaimResult::Won(claim) => {
                 run(&**driver, &claim, answer(3));
                 "won".to_owned()
             }
@@ -227,7 +227,7 @@
             world.faults(PlatformFaults::default());
             // Daemon 1 believes in the outage until its own reads tell it otherwise.
             let claim = loop {
-                if let Begin::Won(claim) = world.begin(1) {
+                if let ClaimResult::Won(claim) = world.begin(1) {
                     break claim;
                 }
             };
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -5,8 +5,10 @@
 use roseshore_core::membership::{Heartbeat, Settings};
 use roseshore_core::prelude::*;
 pub(crate) use roseshore_fakes::wait::wait_until as wait;
-use roseshore_ports::inside::{Fleets, InForce, MemberState, Members, Report, Reports};
-use roseshore_ports::outside::{CallError, Called, Datagrams, HostList, Received};
+use roseshore_ports::inside::{
+    ActiveConfig, ConfigSource, MemberState, Members, Report, ReportStore,
+};
+use roseshore_ports::outside::{CallError, CallResult, Datagrams, HostList, ReceivedDatagram};
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::peer::Datagram;
 use roseshore_wire::platform::{Host, HostState, Hosts};
@@ -36,7 +38,7 @@
 }
 
 impl HostList for List {
-    fn hosts(&self) -> Called<Hosts> {
+    fn hosts(&self) -> CallResult<Hosts> {
         if self.down.load(Ordering::SeqCst) {
             return Err(CallError::Unreached("the platform is out".into()));
         }
@@ -46,9 +48,9 @@
 
 pub(crate) struct Folded;
 
-impl Fleets for Folded {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: Arc::default(), offset: 42, digest: 7 })
+impl ConfigSource for Folded {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: Arc::default(), offset: 42, digest: 7 })
     }
 }
 
@@ -60,14 +62,14 @@
 }
 
 impl Datagrams for Cable {
-    fn send(&self, to: SocketAddr, datagram: &Datagram) -> Called<()> {
+    fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()> {
         if self.mute.load(Ordering::SeqCst) {
             return Ok(());
         }
         self.socket.send(to, datagram)
     }
 
-    fn receive(&self, limit: Duration) -> Option<Received> {
+    fn receive(&self, limit: Duration) -> Option<ReceivedDatagram> {
         self.socket.receive(limit).filter(|_| !self.deaf.load(Ordering::SeqCst))
     }
 }
@@ -200,7 +202,7 @@
 #[derive(Default)]
 pub(crate) struct Taken(pub(crate) Mutex<BTreeMap<TargetId, Report>>);
 
-impl Reports for Taken {
+impl ReportStore for Taken {
     fn take(&self, report: Report) {
         let mut all = self.0.lock();
         if all.get(&report.target).is_none_or(|known| known.seen < report.seen) {
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -6,9 +6,9 @@
 };
 use roseshore_core::prelude::*;
 use roseshore_fakes::wait::wait_until as eventually;
-use roseshore_ports::inside::{Answers, Fleets, Member, MemberState, Members};
-use roseshore_ports::outside::{CallError, Called, Log, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{ConfigSource, Member, MemberState, Members, PeerHandler};
+use roseshore_ports::outside::{CallError, CallResult, Log, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshore_wire::platform::{Record, Records};
 use roseshored::fleets::{FleetDriver, FleetSettings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,14 +69,14 @@
 struct Reach(Arc<World>, String);
 
 impl Reach {
-    fn open(&self) -> Called<()> {
+    fn open(&self) -> CallResult<()> {
         let cut = self.0.faults.lock().platform.contains(&self.1);
         if cut { Err(CallError::Unreached("cut off".into())) } else { Ok(()) }
     }
 }
 
 impl Log for Reach {
-    fn append(&self, stream: &str, records: &[String]) -> Called<Offset> {
+    fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset> {
         self.open()?;
         let first = self.0.add(stream, records);
         let mut faults = self.0.faults.lock();
@@ -87,7 +87,7 @@
         Ok(first)
     }
 
-    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> Called<Records> {
+    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> CallResult<Records> {
         self.open()?;
         if let Some(left) = &mut self.0.faults.lock().reads {
             *left = left.checked_sub(1).ok_or_else(|| CallError::Unreached("out".into()))?;
@@ -181,7 +181,7 @@
 }
 
 impl Peers for View {
-    fn ask(&self, addr: SocketAddr, ask: &Ask, _: Duration) -> Called<Reply> {
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
         let own = self.net.node(&self.own);
         let nodes = self.net.nodes.lock().clone();
         let asked = nodes.iter().find(|it| it.addr == addr);
--- a/crates/roseshored/tests/gate.rs
+++ b/crates/roseshored/tests/gate.rs
@@ -7,7 +7,7 @@
 use roseshore_core::admit::Capacity;
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Fleets, Gate, InForce, Permit};
+use roseshore_ports::inside::{ActiveConfig, AdmissionControl, ConfigSource, Permit, RequestInfo};
 use roseshored::gate::{AdmissionDriver, CapacitySource};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,9 +16,9 @@
 
 struct Fixed(Option<Arc<Fleet>>);
 
-impl Fleets for Fixed {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: self.0.clone()?, offset: 1, digest: 0 })
+impl ConfigSource for Fixed {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: self.0.clone()?, offset: 1, digest: 0 })
     }
 }
 
@@ -47,9 +47,9 @@
     Arc::new(fleet)
 }
 
-fn ask(left: Duration) -> Ask {
+fn ask(left: Duration) -> RequestInfo {
     let now = Instant::now();
-    Ask {
+    RequestInfo {
         request: "r".into(),
         organisation: "o".into(),
         service: "s".into(),
@@ -71,9 +71,9 @@
 /// Fills the service, so that the next one has to wait.
 fn fill(door: &AdmissionDriver) -> Vec<Permit> {
     // The first renewal after a line exists fits its limit to the room.
-    let mut permits = vec![door.enter(&ask(LONG)).unwrap()];
+    let mut permits = vec![door.admit(&ask(LONG)).unwrap()];
     door.renew(Instant::now());
-    permits.extend((1..5).map(|_| door.enter(&ask(LONG)).unwrap()));
+    permits.extend((1..5).map(|_| door.admit(&ask(LONG)).unwrap()));
     permits
 }
 
@@ -86,7 +86,7 @@
         for _ in 0..40 {
             let (door, done) = (Arc::clone(&door), Arc::clone(&done));
             scope.spawn(move || {
-                drop(door.enter(&ask(LONG)).unwrap());
+                drop(door.admit(&ask(LONG)).unwrap());
                 done.fetch_add(1, Ordering::SeqCst);
             });
         }
@@ -104,7 +104,7 @@
 fn a_waiting_thread_gives_up_in_time() {
     let door = door(Some(fleet()));
     let permits = fill(&door);
-    let refusal = door.enter(&ask(Duration::from_millis(50))).err().unwrap();
+    let refusal = door.admit(&ask(Duration::from_millis(50))).err().unwrap();
     assert_eq!((refusal.code, refusal.verdict), (Code::TooLate, Verdict::NotRun));
     assert!(refusal.retry_after.is_some());
     assert_eq!(door.counts("s"), (5, 0));
@@ -114,6 +114,6 @@
 
 #[test]
 fn without_a_configuration_nothing_is_let_in() {
-    let refusal = door(None).enter(&ask(Duration::from_secs(1))).err().unwrap();
+    let refusal = door(None).admit(&ask(Duration::from_secs(1))).err().unwrap();
     assert_eq!((refusal.code, refusal.verdict), (Code::NoConfiguration, Verdict::NotRun));
 }
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -10,12 +10,12 @@
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::polling::Settings;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, InForce, Report, ReportContent};
+use roseshore_ports::inside::{ActiveConfig, ConfigSource, Report, ReportContent};
 use roseshore_ports::outside::{
-    CallError, Called, Engine, Hop, ServiceReply, Services, StreamItem,
+    CallContext, CallError, CallResult, Engine, ServiceReply, Services, StreamItem,
 };
 use roseshore_wire::engine::{CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order};
-use roseshore_wire::peer::{NoteContent, Summary};
+use roseshore_wire::peer::{LoadReport, Summary};
 use roseshore_wire::service::ServiceLoad;
 use roseshored::loads::notes::{Packer, Unpacker};
 use roseshored::loads::{self, LoadDriver};
@@ -34,7 +34,7 @@
 struct Targets(Arc<Site>);
 
 impl Targets {
-    fn ask(&self, addr: SocketAddr) -> Called<u32> {
+    fn ask(&self, addr: SocketAddr) -> CallResult<u32> {
         if *self.0.silent.lock() == Some(addr) {
             return Err(CallError::Lost("no reply in time".into()));
         }
@@ -42,12 +42,12 @@
     }
 }
 
-fn unused<T>() -> Called<T> {
+fn unused<T>() -> CallResult<T> {
     Err(CallError::Unreached("not part of this test".into()))
 }
 
 impl Engine for Targets {
-    fn load(&self, addr: SocketAddr, _limit: Duration) -> Called<Load> {
+    fn load(&self, addr: SocketAddr, _limit: Duration) -> CallResult<Load> {
         let queue = self.ask(addr)?;
         Ok(Load { queue, ..load() })
     }
@@ -56,28 +56,28 @@
         _: SocketAddr,
         _: &Generate,
         _: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         unused()
     }
-    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> Called<()> {
+    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
         unused()
     }
-    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> Called<Kv> {
+    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
         unused()
     }
-    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> Called<()> {
+    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
         unused()
     }
-    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> Called<CacheEvents> {
+    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
         unused()
     }
-    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> Called<Holding> {
+    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
         unused()
     }
 }
 
 impl Services for Targets {
-    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &Hop) -> Called<ServiceReply> {
+    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &CallContext) -> CallResult<ServiceReply> {
         unused()
     }
     fn call(
@@ -86,11 +86,11 @@
         _: &str,
         _: &[u8],
         _: Option<&str>,
-        _: &Hop,
-    ) -> Called<ServiceReply> {
+        _: &CallContext,
+    ) -> CallResult<ServiceReply> {
         unused()
     }
-    fn load(&self, addr: SocketAddr, _: Duration) -> Called<ServiceLoad> {
+    fn load(&self, addr: SocketAddr, _: Duration) -> CallResult<ServiceLoad> {
         Ok(ServiceLoad { queue: self.ask(addr)?, ..service_load() })
     }
 }
@@ -100,8 +100,8 @@
 /// Six targets in the data centre of the daemons, half of them engines, and one elsewhere.
 struct Declared;
 
-impl Fleets for Declared {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for Declared {
+    fn current(&self) -> Option<ActiveConfig> {
         let mut fleet = Fleet::default();
         for n in 0..=TARGETS {
             let kind = if n % 2 == 0 { TargetKind::Engine } else { TargetKind::Service };
@@ -119,7 +119,7 @@
             };
             fleet.targets.insert(format!("t{n}"), target);
         }
-        Some(InForce { fleet: Arc::new(fleet), offset: 1, digest: 1 })
+        Some(ActiveConfig { fleet: Arc::new(fleet), offset: 1, digest: 1 })
     }
 }
 
@@ -273,7 +273,7 @@
             };
             now += Duration::from_millis(after);
             let note = packer.pack(&"t".to_owned(), &content, now);
-            let short = matches!(note, NoteContent::Brief { .. });
+            let short = matches!(note, LoadReport::Brief { .. });
             assert_eq!(short, !whole, "{}, step {i}", case.name);
             if arrives || short {
                 let got = unpacker.unpack(note).map(|u| u.content);
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -10,8 +10,10 @@
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
 use roseshore_fakes::wait::wait_until;
-use roseshore_ports::inside::{Ask, Chain, Fleets, InForce, Need, Permit, Replica, Router};
-use roseshore_ports::outside::{CallError, Called, ServiceReply};
+use roseshore_ports::inside::{
+    ActiveConfig, Chain, ChainNeeds, ConfigSource, Permit, Replica, RequestInfo, Router,
+};
+use roseshore_ports::outside::{CallError, CallResult, ServiceReply};
 use roseshored::lookups::{Lookups, Parts, said};
 use std::sync::Arc;
 use std::thread;
@@ -21,10 +23,10 @@
 const DEADLINE: Duration = Duration::from_mins(10);
 const SOURCES: [&str; 3] = ["first", "second", "third"];
 
-struct FixedFleet(Option<InForce>);
+struct FixedFleet(Option<ActiveConfig>);
 
-impl Fleets for FixedFleet {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for FixedFleet {
+    fn current(&self) -> Option<ActiveConfig> {
         self.0.clone()
     }
 }
@@ -40,7 +42,7 @@
     };
     let services = [("packages".to_owned(), service)].into();
     let fleet = Arc::new(Fleet { services, ..Fleet::default() });
-    Arc::new(FixedFleet(Some(InForce { fleet, offset: 1, digest: 1 })))
+    Arc::new(FixedFleet(Some(ActiveConfig { fleet, offset: 1, digest: 1 })))
 }
 
 /// Gives the first replica that is not to be avoided.
@@ -61,7 +63,7 @@
 }
 
 impl Router for FixedRouter {
-    fn chain(&self, _: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, _: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         Err(Refusal::not_run(Code::NoRoute, "no chains here"))
     }
 
@@ -76,7 +78,7 @@
         self.failed.lock().push(target.clone());
     }
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
 /// Replicas in the order of their sources, and the lookups over them.
@@ -124,9 +126,9 @@
     Site { fakes, router, parts }
 }
 
-fn ask(limit: Duration) -> Ask {
+fn ask(limit: Duration) -> RequestInfo {
     let arrived = Instant::now();
-    Ask {
+    RequestInfo {
         request: "r1".to_owned(),
         organisation: "mirrors".to_owned(),
         service: "packages".to_owned(),
@@ -390,7 +392,7 @@
 fn only_a_source_s_own_word_means_missing() {
     struct Case {
         name: &'static str,
-        called: Called<ServiceReply>,
+        called: CallResult<ServiceReply>,
         said: SourceReply<()>,
     }
     let reply = |status, body: &str| {
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -8,10 +8,10 @@
 use cluster::*;
 use roseshore_adapters::peer::{Limits, Server, TcpPeers, serve};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{MemberState, Members, Report, ReportContent, Reports};
-use roseshore_ports::outside::{CallError, Called, Peers};
+use roseshore_ports::inside::{MemberState, Members, Report, ReportContent, ReportStore};
+use roseshore_ports::outside::{CallError, CallResult, Peers};
 use roseshore_wire::engine::Load;
-use roseshore_wire::peer::{Ask, NoteContent, Reply};
+use roseshore_wire::peer::{LoadReport, PeerReply, PeerRequest};
 use roseshore_wire::platform::HostState;
 use roseshored::members::Fresh;
 use roseshored::peers::{self, PeerDriver};
@@ -111,7 +111,7 @@
     let (_list, daemons) = cluster();
     let name = |n| format!("a target with quite a long name {n}");
     for n in 0..100 {
-        let content = NoteContent::Silent { target: name(n) };
+        let content = LoadReport::Silent { target: name(n) };
         daemons[0].driver.share(Fresh { seen: Instant::now(), content, urgent: n == 99 });
     }
     for other in &daemons[1..] {
@@ -121,7 +121,7 @@
             let told = inbox.recv_timeout(BOUND).expect("notes");
             got.extend(told.notes.into_iter().map(|n| n.content));
         }
-        let want = (0..100).map(|n| NoteContent::Silent { target: name(n) });
+        let want = (0..100).map(|n| LoadReport::Silent { target: name(n) });
         assert_eq!(got, want.collect::<Vec<_>>(), "over several datagrams");
         assert!(inbox.is_empty());
     }
@@ -134,7 +134,7 @@
 }
 
 impl Peers for Wire {
-    fn ask(&self, addr: SocketAddr, ask: &Ask, limit: Duration) -> Called<Reply> {
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply> {
         if self.cut.load(Ordering::SeqCst) {
             return Err(CallError::Unreached("cut".into()));
         }
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -12,9 +12,9 @@
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
 pub(crate) use roseshore_fakes::wait::wait_until as wait;
 use roseshore_ports::inside::{
-    Fleets, InForce, Member, MemberState, Members, Report, ReportContent, Reports,
+    ActiveConfig, ConfigSource, Member, MemberState, Members, Report, ReportContent, ReportStore,
 };
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Role, Stage,
 };
@@ -41,9 +41,9 @@
 /// One daemon's view of the configuration.
 struct View(Mutex<Arc<Fleet>>);
 
-impl Fleets for View {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: self.0.lock().clone(), offset: 1, digest: 0 })
+impl ConfigSource for View {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: self.0.lock().clone(), offset: 1, digest: 0 })
     }
 }
 
@@ -86,7 +86,7 @@
 /// Asks the engines whenever reports are wanted, so that none is late.
 struct Polls(Vec<(TargetId, SocketAddr)>);
 
-impl Reports for Polls {
+impl ReportStore for Polls {
     fn take(&self, _: Report) {}
 
     fn newest(&self) -> Vec<Report> {
@@ -117,7 +117,7 @@
 }
 
 impl Engine for Gate {
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<Load> {
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load> {
         self.client.load(addr, limit)
     }
 
@@ -126,27 +126,27 @@
         addr: SocketAddr,
         ask: &Generate,
         deadline: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         self.client.generate(addr, ask, deadline)
     }
 
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> Called<()> {
+    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()> {
         self.client.cancel(addr, ask, limit)
     }
 
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> Called<Kv> {
+    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv> {
         self.client.export(addr, ask, limit)
     }
 
-    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> Called<()> {
+    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()> {
         self.client.import(addr, kv, limit)
     }
 
-    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> Called<CacheEvents> {
+    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents> {
         self.client.cache(addr, from, limit)
     }
 
-    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> Called<Holding> {
+    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding> {
         if order.role == Role::Both {
             *self.waiting.lock() += 1;
             while *self.shut.lock() {
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -5,7 +5,7 @@
 use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
-use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
+use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
 use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, run_over};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 }
 
 impl Router for Changing {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let new = (need.version == "v2").then(|| self.new.clone());
         let stage = new.or_else(|| self.old.lock().take());
         let stage = stage.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
@@ -37,7 +37,7 @@
 
     fn failed(&self, _: &TargetId) {}
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
 #[derive(Default)]
@@ -118,7 +118,7 @@
             trace: None,
         };
         let now = Instant::now();
-        let ask = Ask {
+        let ask = RequestInfo {
             request: case.name.replace(' ', "-"),
             organisation: "o".into(),
             service: "s".into(),
--- a/crates/roseshored/tests/routing.rs
+++ b/crates/roseshored/tests/routing.rs
@@ -6,7 +6,9 @@
 use hosts::Hosts;
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, InForce, Need, Report, ReportContent, Reports, Router};
+use roseshore_ports::inside::{
+    ActiveConfig, ChainNeeds, ConfigSource, Report, ReportContent, ReportStore, Router,
+};
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshored::routing::Routing;
 use std::collections::BTreeSet;
@@ -14,9 +16,9 @@
 
 struct Fixed(Arc<Fleet>);
 
-impl Fleets for Fixed {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: Arc::clone(&self.0), offset: 1, digest: 0 })
+impl ConfigSource for Fixed {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: Arc::clone(&self.0), offset: 1, digest: 0 })
     }
 }
 
@@ -65,8 +67,8 @@
     Report { target: id.into(), seen: Instant::now(), content: ReportContent::Engine(load) }
 }
 
-fn need() -> Need {
-    Need {
+fn need() -> ChainNeeds {
+    ChainNeeds {
         model: "m".into(),
         version: "v".into(),
         layers: 4,
--- a/crates/roseshored/tests/support/fakes.rs
+++ b/crates/roseshored/tests/support/fakes.rs
@@ -107,11 +107,16 @@
 }
 
 impl Engine for FakeEngine {
-    fn load(&self, _: SocketAddr, _: Duration) -> Called<Load> {
+    fn load(&self, _: SocketAddr, _: Duration) -> CallResult<Load> {
         Err(CallError::Unreached("fake".to_owned()))
     }
 
-    fn generate(&self, _: SocketAddr, ask: &Generate, _: Instant) -> Called<Receiver<StreamItem>> {
+    fn generate(
+        &self,
+        _: SocketAddr,
+        ask: &Generate,
+        _: Instant,
+    ) -> CallResult<Receiver<StreamItem>> {
         self.opened.lock().push(ask.clone());
         let (give, take) = flume::unbounded();
         let tokens = |count| {
@@ -136,23 +141,23 @@
         Ok(take)
     }
 
-    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> Called<()> {
+    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
         Ok(())
     }
 
-    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> Called<Kv> {
+    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
         Err(CallError::Refused(404, None, String::new()))
     }
 
-    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> Called<()> {
+    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
         Err(CallError::Refused(409, None, String::new()))
     }
 
-    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> Called<CacheEvents> {
+    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
         Err(CallError::Unreached("fake".to_owned()))
     }
 
-    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> Called<Holding> {
+    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
         Err(CallError::Unreached("fake".to_owned()))
     }
 }
@@ -176,18 +181,18 @@
 }
 
 impl Claims for FakeClaims {
-    fn begin(&self, key: &Key, _digest: u64, deadline: Instant) -> Begin {
+    fn begin(&self, key: &Key, _digest: u64, deadline: Instant) -> ClaimResult {
         self.calls.lock().push(format!("begin {key}"));
         match self.key.lock().clone() {
-            Key1::Win | Key1::Lapse => Begin::Won(Claim { key: key.clone(), offset: 7 }),
-            Key1::Settled(outcome) => Begin::Settled(outcome),
+            Key1::Win | Key1::Lapse => ClaimResult::Won(Claim { key: key.clone(), offset: 7 }),
+            Key1::Settled(outcome) => ClaimResult::Settled(outcome),
             Key1::Late(outcome) => {
                 while Instant::now() <= deadline {
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                Begin::Settled(outcome)
+                ClaimResult::Settled(outcome)
             }
-            Key1::Refuse(refusal) => Begin::Refused(refusal),
+            Key1::Refuse(refusal) => ClaimResult::Refused(refusal),
         }
     }
 
@@ -214,8 +219,8 @@
     pub panics: Mutex<bool>,
 }
 
-impl Gate for FakeGate {
-    fn enter(&self, _: &Ask) -> Result<Permit, Refusal> {
+impl AdmissionControl for FakeGate {
+    fn admit(&self, _: &RequestInfo) -> Result<Permit, Refusal> {
         assert!(!*self.panics.lock(), "asked for by the test");
         Ok(Permit::new(|| {}))
     }
@@ -224,12 +229,12 @@
 /// Keeps every end, and lets tests wait for one.
 #[derive(Default)]
 pub struct FakeLedger {
-    ends: Mutex<Vec<End>>,
+    ends: Mutex<Vec<RequestEnd>>,
     more: Condvar,
 }
 
 impl FakeLedger {
-    pub fn wait(&self, count: usize) -> Vec<End> {
+    pub fn wait(&self, count: usize) -> Vec<RequestEnd> {
         let mut ends = self.ends.lock();
         self.more.wait_while_for(&mut ends, |it| it.len() < count, PATIENCE);
         assert!(ends.len() >= count, "only {} requests ended", ends.len());
@@ -238,26 +243,26 @@
 }
 
 impl Ledger for FakeLedger {
-    fn begun(&self, _: &Ask) {}
+    fn begun(&self, _: &RequestInfo) {}
 
-    fn ended(&self, end: &End) {
+    fn ended(&self, end: &RequestEnd) {
         self.ends.lock().push(end.clone());
         self.more.notify_all();
     }
 }
 
 /// A fleet that never changes.
-pub struct StaticFleets(Option<InForce>);
+pub struct StaticFleets(Option<ActiveConfig>);
 
 impl StaticFleets {
     pub fn new(fleet: Option<Fleet>) -> StaticFleets {
         let fleet = fleet.map(Arc::new);
-        StaticFleets(fleet.map(|fleet| InForce { fleet, offset: 0, digest: 0 }))
+        StaticFleets(fleet.map(|fleet| ActiveConfig { fleet, offset: 0, digest: 0 }))
     }
 }
 
-impl Fleets for StaticFleets {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for StaticFleets {
+    fn current(&self) -> Option<ActiveConfig> {
         self.0.clone()
     }
 }
@@ -267,12 +272,12 @@
     /// Panics in this and every later choice of a chain, counted from 0.
     pub panics_from: AtomicUsize,
     chosen: AtomicUsize,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
 }
 
 impl FirstFit {
     /// Chooses among the targets of a fleet.
-    pub fn new(fleets: Arc<dyn Fleets>) -> FirstFit {
+    pub fn new(fleets: Arc<dyn ConfigSource>) -> FirstFit {
         FirstFit { panics_from: AtomicUsize::new(usize::MAX), chosen: AtomicUsize::new(0), fleets }
     }
 }
@@ -282,7 +287,7 @@
 }
 
 impl Router for FirstFit {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let chosen = self.chosen.fetch_add(1, Ordering::SeqCst);
         assert!(chosen < self.panics_from.load(Ordering::SeqCst), "asked for by the test");
         let fleet = self.fleets.current().map(|it| it.fleet).unwrap_or_default();
@@ -318,13 +323,13 @@
 
     fn failed(&self, _target: &TargetId) {}
 
-    fn observed(&self, _target: &TargetId, _took: Duration) {}
+    fn record_latency(&self, _target: &TargetId, _took: Duration) {}
 }
 
 /// Targets that cannot be reached, except for one that holds nothing of the name `missing`.
 pub struct Absent;
 
-fn absent<T>() -> Called<T> {
+fn absent<T>() -> CallResult<T> {
     Err(CallError::Unreached("no adapter".to_owned()))
 }
 
@@ -334,8 +339,8 @@
         _addr: SocketAddr,
         source: &str,
         name: &str,
-        _hop: &Hop,
-    ) -> Called<ServiceReply> {
+        _hop: &CallContext,
+    ) -> CallResult<ServiceReply> {
         if name == "missing" {
             let (source, missing) = (source.to_owned(), name.to_owned());
             let body = serde_json::to_vec(&Missing { missing, source }).expect("plain data");
@@ -351,12 +356,12 @@
         _service: &str,
         _body: &[u8],
         _key: Option<&str>,
-        _hop: &Hop,
-    ) -> Called<ServiceReply> {
+        _hop: &CallContext,
+    ) -> CallResult<ServiceReply> {
         absent()
     }
 
-    fn load(&self, _addr: SocketAddr, _limit: Duration) -> Called<ServiceLoad> {
+    fn load(&self, _addr: SocketAddr, _limit: Duration) -> CallResult<ServiceLoad> {
         absent()
     }
 }
