--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -50,7 +50,8 @@
 }
 
 impl EntryHost {
-    /// Starts a check of a target, unless one is in progress or was made within [`CHECK_INTERVAL`].
+    /// Starts a check of a target, unless one is in progress or the last one was answered less than
+    /// [`CHECK_INTERVAL`] ago.
     pub(super) fn check_alive(&mut self, id: &str) {
         let now = self.now;
         let Some(target) = self.targets.get(id) else { return };
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -370,9 +370,9 @@
                 let records: Vec<TargetRecord> = records.collect();
                 let now = self.now;
                 let next = Position { era: self.store_sync.era, next: pages.end };
-                let back = self.store_sync.list.is_some_and(|known| known.era < next.era);
+                let restored = self.store_sync.list.is_some_and(|known| known.era < next.era);
                 let absence = self.store_sync.outage.absence(now);
-                self.replace_list(next, records, absence, back);
+                self.replace_list(next, records, absence, restored);
                 self.store_sync.list = Some(next);
                 self.store_sync.targets.due = Some(now + TARGETS_INTERVAL);
                 self.store_sync.outage.record_confirmation(Some(sent));
--- a/crates/roseshore_relay/src/entry/store_sync/replies.rs
+++ b/crates/roseshore_relay/src/entry/store_sync/replies.rs
@@ -32,8 +32,8 @@
     }
 
     /// Whether a reply belongs to the store's current era, and so does its request if that names an
-    /// offset or continues after a page. Any other reply, whatever its status, is no reply to what
-    /// was asked; the stream is read from the start.
+    /// offset or continues after a page. Any other reply, whatever its status, is not
+    /// used, and the stream is read again.
     fn is_current_era(&mut self, stream: Stream, asked: Option<Era>, reply: &CallReply) -> bool {
         let known = self.store_sync.era;
         let reported = self.platform.era(reply);
