--- a/crates/roseshore_relay/src/entry/callers.rs
+++ b/crates/roseshore_relay/src/entry/callers.rs
@@ -17,6 +17,7 @@
     first_byte: Option<Instant>,
 }
 
+/// What a caller's connection is doing.
 enum Phase {
     /// Waiting for a request, or reading its head.
     Head,
@@ -28,6 +29,7 @@
     Closing,
 }
 
+/// A request whose body is being read.
 struct PartialRequest {
     head: RequestHead,
     decoder: BodyDecoder,
@@ -41,13 +43,14 @@
 }
 
 impl EntryHost {
-    fn limits(&self) -> RequestLimits {
+    /// Limits on requests in the configuration, or defaults while there is none.
+    fn request_limits(&self) -> RequestLimits {
         self.snapshot.as_ref().map_or_else(RequestLimits::default, |s| s.limits().clone())
     }
 
     /// Sets the timer for reading a request, or for an idle connection.
     pub(super) fn watch_caller(&mut self, key: Key) {
-        let limits = self.limits();
+        let limits = self.request_limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         let at = caller.first_byte.map_or(caller.idle_since + limits.idle_timeout, |first_byte| {
             first_byte + limits.receive_timeout
@@ -55,9 +58,10 @@
         self.set_timer(at, Timer::Caller(key));
     }
 
-    /// Refuses a request that arrives too slowly, or closes a connection that was idle for too long.
+    /// Refuses a request that arrives too slowly, or closes a connection that was idle for too
+    /// long.
     pub(super) fn check_caller(&mut self, key: Key) {
-        let limits = self.limits();
+        let limits = self.request_limits();
         let Some(Role::Caller(caller)) = self.roles.get(&key) else { return };
         if matches!(caller.phase, Phase::Busy(_) | Phase::Closing) {
             return;
@@ -74,7 +78,7 @@
     /// Handles input of a caller's connection, or its end.
     pub(super) fn handle_caller(&mut self, key: Key) {
         loop {
-            let limits = self.limits();
+            let limits = self.request_limits();
             let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
             let Some(socket) = self.net.get(key) else {
                 self.roles.remove(&key);
@@ -131,7 +135,8 @@
                         return;
                     }
                     if ended {
-                        // The caller left before this host read the request: it is not sent to a target.
+                        // The caller left before this host read the request: it is not sent to a
+                        // target.
                         log_event!(self, CallerLeft, "request=- events=0 held_ms=0");
                         return self.close(key);
                     }
@@ -141,6 +146,7 @@
         }
     }
 
+    /// Starts to read the body of a request, unless its announced length is too large.
     fn start_body(&mut self, key: Key, head: RequestHead, limits: &RequestLimits) {
         if let Framing::Length(length) = head.framing
             && length > limits.body_bytes as u64
@@ -158,6 +164,7 @@
         }
     }
 
+    /// Creates and dispatches the exchange of a complete request, or refuses the request.
     fn request_complete(&mut self, key: Key) {
         let Some(Role::Caller(caller)) = self.roles.get_mut(&key) else { return };
         caller.first_byte = None;
--- a/crates/roseshore_relay/src/entry/copies.rs
+++ b/crates/roseshore_relay/src/entry/copies.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 
 impl EntryHost {
-    /// Requests the store data that another host has and this one lacks. Returns whether the request was sent.
+    /// Requests the store data that another host has and this one lacks. Returns whether the
+    /// request was sent.
     pub(super) fn request_copy(&mut self, from: SocketAddr) -> bool {
         let Some(own) = self.settings.peer_addr else { return false };
         let Some(until) = self.copies.start(self.now) else { return false };
@@ -41,22 +42,24 @@
                 self.copy_received(copy);
             }
             Ok(None) if !ended => {}
-            Ok(None) => self.copy_failed(key, "the connection ended"),
+            Ok(None) => self.copy_failed(key, "the connection ended before the copy was complete"),
             Err(err) => self.copy_failed(key, &err.to_string()),
         }
     }
 
-    /// Handles a time-out while waiting for the next bytes of a copy, or for a host's request for one.
+    /// Handles a time-out while waiting for the next bytes of a copy, or for a host's request for
+    /// one.
     pub(super) fn copy_timed_out(&mut self, key: Key) {
         let received = self.net.get(key).map_or(0, |socket| socket.input.len());
         match self.roles.get_mut(&key) {
             Some(Role::CopyRequester) => self.close(key),
             Some(Role::CopySource(_, known)) if received > *known => {
-                // The copy is still arriving: 600 kB take 0.25 s on a narrow link without other traffic.
+                // The copy is still arriving: 600 kB take 0.25 s on a narrow link without other
+                // traffic.
                 *known = received;
                 self.set_timer(self.now + COPY_TIMEOUT, Timer::Copy(key));
             }
-            _ => self.copy_failed(key, "no answer in time"),
+            _ => self.copy_failed(key, "no further data before the time-out"),
         }
     }
 
@@ -70,6 +73,7 @@
         self.read_streams_now();
     }
 
+    /// Applies a copy, or asks the host that was named instead.
     fn copy_received(&mut self, copy: StoreCopy) {
         if !copy.is_empty() {
             self.copies.finish(CopyOutcome::Received, self.now);
@@ -87,6 +91,7 @@
         Extent { config: self.config_version(), list: self.store_sync.list_base() }
     }
 
+    /// Applies the configuration and the list of targets of a copy.
     fn apply_copy(&mut self, copy: StoreCopy) {
         if let Some(config) = copy.config {
             self.apply_config(config);
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -8,7 +8,7 @@
 use roseshore_core::gateway::routes::Denied;
 use roseshore_core::gateway::{AvoidedTargets, Fingerprint, RetryState, Route, ServiceSpec};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Asked;
+use roseshore_ports::entry::RequestFields;
 use std::sync::Arc;
 
 use super::callers::refusal_fields;
@@ -16,12 +16,13 @@
 use super::probes::millis;
 use super::rate_limits::PermitWait;
 
-/// Retry delay, before jitter, for a refusal that another host may not give: a caller retries on a new connection, which
-/// reaches another host.
+/// Retry delay, before jitter, for a refusal that another host may not give: a caller retries on a
+/// new connection, which reaches another host.
 pub(super) const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Longest retry delay when the delay follows from the rate limits of targets.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(9);
-/// Retry delay, before jitter, when this host is shutting down: just long enough that callers do not retry all at once.
+/// Retry delay, before jitter, when this host is shutting down: just long enough that callers do
+/// not retry all at once.
 const RETRY_ELSEWHERE: Duration = Duration::from_millis(60);
 /// Shortest remaining time in which another send can succeed.
 const MIN_SEND_TIME: Duration = Duration::from_millis(60);
@@ -33,7 +34,7 @@
     pub(super) caller: Key,
     pub(super) head: RequestHead,
     pub(super) body: Vec<u8>,
-    pub(super) asked: Asked,
+    pub(super) asked: RequestFields,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<ServiceSpec>,
     pub(super) organisation: Option<OrganisationId>,
@@ -81,6 +82,7 @@
 }
 
 impl Exchange {
+    /// The input of the retry decisions in [`failure`].
     pub(super) fn retry_state(&self, now: Instant) -> RetryState {
         RetryState {
             idempotent: self.route.kind.is_idempotent(),
@@ -114,7 +116,7 @@
         head: RequestHead,
         body: Vec<u8>,
     ) -> Result<Key, Refused> {
-        let asked = match self.platform.asked(&head.fields) {
+        let asked = match self.platform.read_request(&head.fields) {
             Ok(asked) => asked,
             Err(err) => {
                 let refusal = Refusal::not_run(Code::BadRequest, err.to_string());
@@ -135,6 +137,7 @@
         }
     }
 
+    /// Logs a request that is refused before an exchange exists for it.
     fn log_refusal(&mut self, refusal: Refusal, attempt: Option<String>) -> Refused {
         let version = self.config_version();
         let age = millis(self.config_lease.age(self.now));
@@ -152,12 +155,13 @@
         Refused { refusal, attempt }
     }
 
+    /// Checks the route, the API key and the deadline, and whether the request is blocked.
     fn admit(
         &mut self,
         caller: Key,
         head: RequestHead,
         body: Vec<u8>,
-        asked: Asked,
+        asked: RequestFields,
     ) -> Result<Exchange, Refusal> {
         let Some(snapshot) = self.snapshot.clone() else {
             let refusal = Refusal::not_run(Code::NoConfiguration, "no configuration yet");
@@ -166,7 +170,7 @@
         let host = http::field(&head.fields, "host").unwrap_or("");
         let route = snapshot.route(host, &head.path).cloned();
         let route = route.map_err(|denied| self.denial_refusal(denied))?;
-        let organisation = snapshot.authorise(&route, asked.key.as_deref());
+        let organisation = snapshot.authorise(&route, asked.api_key.as_deref());
         let organisation = organisation.map_err(|denied| self.denial_refusal(denied))?;
         let organisation = organisation.map(|o| o.name.clone());
         if self.config_outdated() || (organisation.is_some() && !self.config_current()) {
@@ -217,15 +221,15 @@
     }
 
     /// Whether a stream is expected to end before this host has to exit.
-    fn ends_before_exit(&self, asked: &Asked, service: &ServiceSpec) -> bool {
+    fn ends_before_exit(&self, asked: &RequestFields, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
-        let usual = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
-        let guess = asked.hint.map_or(usual, f64::from);
-        self.pace.ends_within(guess, f64::from(asked.longest), left)
+        let mean_answer = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
+        let guess = asked.length_hint.map_or(mean_answer, f64::from);
+        self.pace.ends_within(guess, f64::from(asked.max_tokens), left)
     }
 
-    /// The refusal of a request that the configuration denies. While the configuration is not known to be the newest, the
-    /// caller is asked to retry instead.
+    /// The refusal of a request that the configuration denies. While the configuration is not known
+    /// to be the newest, the caller is asked to retry instead.
     fn denial_refusal(&mut self, denied: Denied) -> Refusal {
         if !self.config_current() {
             return self.unconfirmed_refusal();
@@ -236,6 +240,7 @@
         }
     }
 
+    /// The refusal while the configuration is not confirmed to be the newest.
     fn unconfirmed_refusal(&mut self) -> Refusal {
         let text = "the configuration cannot be confirmed";
         Refusal::not_run(Code::ConfigUnconfirmed, text).after(self.with_jitter(RETRY_AFTER))
@@ -246,10 +251,11 @@
         base.mul_f64(0.75 + 0.5 * self.rng.random::<f64>())
     }
 
-    /// Refuses a request because all its targets asked for a pause; the first pause ends after `pause`.
+    /// Refuses a request because all its targets asked for a pause; the first pause ends after
+    /// `pause`.
     pub(super) fn end_paused(&mut self, key: Key, pause: Duration) {
         // Targets may not have asked other hosts for a pause, so a retry may succeed sooner.
-        let delay = |usual: Duration| usual.min(pause);
+        let delay = |default_delay: Duration| default_delay.min(pause);
         self.end_with_delay(key, Code::TargetsRest, "the targets want a rest", delay);
     }
 
@@ -258,13 +264,13 @@
         let Some(exchange) = self.exchanges.get(key) else { return };
         let next_slot = self.next_slot(&exchange.service.name).unwrap_or_default();
         // If callers retried sooner, one of two would be refused again.
-        let delay = |usual: Duration| usual.max(next_slot).min(MAX_RETRY_AFTER);
+        let delay = |default_delay: Duration| default_delay.max(next_slot).min(MAX_RETRY_AFTER);
         self.end_with_delay(key, Code::TargetsLimited, "the targets take no more a second", delay);
     }
 
     /// Ends a request with a refusal or an error.
     pub(super) fn end_without(&mut self, key: Key, code: Code, why: &str) {
-        self.end_with_delay(key, code, why, |usual| usual);
+        self.end_with_delay(key, code, why, |default_delay| default_delay);
     }
 
     /// Like [`EntryHost::end_without`]; `delay` maps the default retry delay to the one to use.
@@ -296,12 +302,12 @@
             }
             FailureReply::NotRun => {
                 // A plain service that is full has capacity again within milliseconds.
-                let usual = match self.fatal.blocked(fingerprint, now) {
+                let default_delay = match self.fatal.blocked(fingerprint, now) {
                     Some(left) => left,
                     None if engine => self.shortage.record_refusal(now),
                     None => RETRY_AFTER,
                 };
-                Refusal::not_run(code, why).after(self.with_jitter(delay(usual)))
+                Refusal::not_run(code, why).after(self.with_jitter(delay(default_delay)))
             }
             FailureReply::Unknown => Refusal::may_have_run(code, why),
         };
--- a/crates/roseshore_relay/src/entry/liveness.rs
+++ b/crates/roseshore_relay/src/entry/liveness.rs
@@ -1,8 +1,8 @@
 //! Liveness checks of targets, to find out which target of a path without progress is dead.
 //!
-//! A check opens a connection and closes it again: the machine of a live target accepts it at once, a closed port resets
-//! it, and an unreachable machine does not answer. A check occupies no slot of the target and costs almost nothing, so it is
-//! done well before a stream is given up.
+//! A check opens a connection and closes it again: the machine of a live target accepts it at once,
+//! a closed port resets it, and an unreachable machine does not answer. A check occupies no slot of
+//! the target and costs almost nothing, so it is done well before a stream is given up.
 
 use super::in_flight::InFlightSend;
 use super::{EntryHost, Role, Timer, log_event};
@@ -13,14 +13,15 @@
 use std::collections::HashMap;
 use std::io::ErrorKind;
 
-/// Time-out of a check. Answers take two milliseconds between data centres, and 12 ms from a target that is twelve times
-/// slower than usual.
+/// Time-out of a check. Answers take two milliseconds between data centres, and 12 ms from a target
+/// that is twelve times slower than usual.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(45);
 /// Shortest interval between checks of a target.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between checks of a dead target.
 const DEAD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Unanswered checks in a row after which a target is considered dead. A single one may be a lost packet.
+/// Unanswered checks in a row after which a target is considered dead. A single one may be a lost
+/// packet.
 const MAX_UNANSWERED: u32 = 2;
 
 /// The checks of one target.
@@ -49,7 +50,8 @@
 }
 
 impl EntryHost {
-    /// Starts a check of a target, unless one is in progress or was made within [`CHECK_INTERVAL`].
+    /// Starts a check of a target, unless one is in progress or the last one was answered less than
+    /// [`CHECK_INTERVAL`] ago.
     pub(super) fn check_alive(&mut self, id: &str) {
         let now = self.now;
         let Some(target) = self.targets.get(id) else { return };
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Closes the connection of a check and returns its target.
     fn end_check(&mut self, key: Key) -> Option<TargetId> {
         let Some(Role::Liveness(id)) = self.roles.get(&key) else { return None };
         let id = id.clone();
@@ -115,6 +118,7 @@
         Some(id)
     }
 
+    /// Records a failed check, and tells the data centre if the target was not known to be dead.
     fn mark_dead(&mut self, id: &str, failure: LivenessFailure) {
         if self.targets.liveness_failed(id, failure) {
             log_event!(self, TargetLost, "target={id} liveness={}", failure.name());
@@ -123,9 +127,10 @@
         self.liveness.mark_lost(id);
     }
 
-    /// Sends requests that run on targets found dead to other targets. This is done once per iteration of the event loop,
-    /// when all dead targets are known: targets of a data centre that is cut off die together, and a request that was
-    /// sent to each of them in turn would use up the retry budget.
+    /// Sends requests that run on targets found dead to other targets. This is done once per
+    /// iteration of the event loop, when all dead targets are known: targets of a data centre that
+    /// is cut off die together, and a request that was sent to each of them in turn would use up
+    /// the retry budget.
     pub(super) fn reroute_from_dead(&mut self) {
         let dead = std::mem::take(&mut self.liveness.dead);
         if dead.is_empty() {
--- a/crates/roseshore_relay/src/entry/records.rs
+++ b/crates/roseshore_relay/src/entry/records.rs
@@ -1,12 +1,12 @@
-//! Applies records of the store to the state of this host, the configuration in force and the list of targets, whether
-//! they were read from the store or copied from another host.
+//! Applies records of the store to the state of this host, the configuration in force and the list
+//! of targets, whether they were read from the store or copied from another host.
 
 use super::{EntryHost, log_event};
 use roseshore_core::gateway::copies::ListCopy;
 use roseshore_core::gateway::targets::{Absence, ListDelta, ListUpdate, RecordChange};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Entry as Record;
+use roseshore_ports::entry::KeyedRecord as Record;
 use std::sync::Arc;
 
 impl EntryHost {
@@ -15,13 +15,15 @@
         self.snapshot.as_ref().map_or(0, |s| s.version())
     }
 
-    /// Applies another host's list of targets, and how much longer that host considers targets that drop out as lapsed.
+    /// Applies another host's list of targets, and how much longer that host considers targets that
+    /// drop out as lapsed.
     pub(super) fn apply_list_copy(&mut self, copy: ListCopy) {
         let known = self.store_sync.list_position();
         if copy.next <= known.unwrap_or_default() {
             return;
         }
-        // The host that gave the copy may know only the records of a store that was restored from an older copy.
+        // The host that gave the copy may know only the records of a store that was restored from
+        // an older copy.
         let older = known.is_some_and(|known| known.era < copy.next.era);
         self.store_sync.outage.receive_grace(Duration::from_millis(copy.lapse), self.now);
         self.store_sync.outage.receive_copy(self.now);
@@ -40,13 +42,18 @@
             self.store_sync.record_list_copy(copy.next);
         } else {
             // A change was missed, so the next copy has to be a whole list.
-            log_event!(self, CopyFailed, "list_next={} why=\"the digests differ\"", copy.next);
+            log_event!(
+                self,
+                CopyFailed,
+                "list_next={} why=\"the digest of the list differs after the copy\"",
+                copy.next
+            );
             self.store_sync.require_whole_list();
         }
     }
 
-    /// Replaces the list of targets by the records of the store. `restored` tells that the store was restored from a copy that
-    /// is older than the current list.
+    /// Replaces the list of targets by the records of the store. `restored` tells that the store
+    /// was restored from a copy that is older than the current list.
     pub(super) fn replace_list(
         &mut self,
         next: Position,
@@ -64,6 +71,7 @@
         self.log_list(count, replaced, absence, "store");
     }
 
+    /// Logs an update of the whole list, and handles targets that dropped out or restarted.
     fn log_list(&mut self, count: usize, replaced: ListUpdate, absence: Absence, by: &str) {
         let ListUpdate { lost, restarted } = replaced;
         log_event!(
@@ -140,6 +148,7 @@
         log_event!(self, TargetListed, "{text}");
     }
 
+    /// Applies the deletion of a record of the list.
     pub(super) fn remove_record(&mut self, id: &str) {
         let absence = self.store_sync.outage.absence(self.now);
         if self.targets.remove(id, absence) {
@@ -156,8 +165,8 @@
         }
     }
 
-    /// Applies the newest configuration among some records. Returns its version, or the version in force if it cannot be
-    /// parsed; `None` if there is no configuration.
+    /// Applies the newest configuration among some records. Returns its version, or the version in
+    /// force if it cannot be parsed; `None` if there is no configuration.
     pub(super) fn apply_configs(
         &mut self,
         entries: impl DoubleEndedIterator<Item = Record>,
@@ -167,8 +176,8 @@
         newest?.value.map(|value| self.apply_config(value))
     }
 
-    /// Applies a configuration if it is newer than the one in force. Returns its version, or the version in force if it
-    /// cannot be parsed.
+    /// Applies a configuration if it is newer than the one in force. Returns its version, or the
+    /// version in force if it cannot be parsed.
     pub(super) fn apply_config(&mut self, value: Vec<u8>) -> u64 {
         let known = self.config_version();
         match self.platform.config(&value) {
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -1,8 +1,8 @@
 //! Reads responses of targets and forwards them to callers.
 //!
-//! A response that is not a stream is forwarded once it is complete, so that a caller never gets a part of one. A
-//! stream is forwarded by complete events as they arrive; if its target dies, another target resumes it after the last
-//! event.
+//! A response that is not a stream is forwarded once it is complete, so that a caller never gets a
+//! part of one. A stream is forwarded by complete events as they arrive; if its target dies,
+//! another target resumes it after the last event.
 
 use super::in_flight::Phase;
 use super::probes::millis;
@@ -13,7 +13,7 @@
 use crate::sse;
 use roseshore_core::gateway::Fault;
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::Answered;
+use roseshore_ports::entry::ResponseFields;
 
 /// Maximum bytes of a response head.
 const MAX_HEAD: usize = 32 << 10;
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Reads the response head and decides whether the response is used.
     fn read_head(&mut self, key: Key) -> Step {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
@@ -69,9 +70,9 @@
                 return Step::Finished;
             }
         };
-        let feedback = self.platform.answered(&head.fields);
+        let feedback = self.platform.read_response(&head.fields);
         send.status = head.status;
-        (send.pause, send.leaving) = (feedback.rest, feedback.leaving);
+        (send.pause, send.leaving) = (feedback.retry_after, feedback.leaving);
         if let Some((running, waiting, _)) = feedback.load {
             self.targets.record_load(&send.target, running, waiting, now);
         }
@@ -109,21 +110,22 @@
     }
 
     /// Handles a response by which a target states that it did not run the request.
-    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, feedback: &Answered) {
+    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, feedback: &ResponseFields) {
         let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
         if head.status == MISDIRECTED {
-            let named = feedback.faulty.and_then(|addr| send.at(addr));
+            let named = feedback.faulty_target.and_then(|addr| send.at(addr));
             if let Some((id, layers)) = named.map(|(id, layers)| (id.clone(), layers)) {
                 self.record_not_held(&id, layers);
-            } else if feedback.faulty.is_none() {
+            } else if feedback.faulty_target.is_none() {
                 let target = send.target.clone();
                 self.targets.mark_replaced(&target);
                 log_event!(self, TargetLeft, "target={target} state=replaced");
             }
         }
-        self.send_failed(key, Fault::Refused, feedback.faulty);
+        self.send_failed(key, Fault::Refused, feedback.faulty_target);
     }
 
+    /// Discards the response to another request, which precedes the expected one.
     fn skip_stale(&mut self, key: Key) -> Step {
         let Some(send) = self.exchanges.get_mut(key).and_then(|e| e.send.as_mut()) else {
             return Step::Finished;
@@ -143,7 +145,8 @@
         Step::NeedMore
     }
 
-    /// Decodes received bytes into the body. Returns whether the body is complete, or the fault if it is broken.
+    /// Decodes received bytes into the body. Returns whether the body is complete, or the fault if
+    /// it is broken.
     fn read_bytes(&mut self, key: Key) -> Option<Result<bool, Fault>> {
         let send = self.exchanges.get_mut(key)?.send.as_mut()?;
         let socket = self.net.get(send.socket)?;
@@ -160,6 +163,7 @@
         Some(Ok(whole))
     }
 
+    /// Reads a response that is forwarded once it is complete.
     fn read_body(&mut self, key: Key) -> Step {
         match self.read_bytes(key) {
             None => return Step::Finished,
@@ -192,10 +196,10 @@
         }
         let mut avoid = exchange.avoided.list(self.now);
         avoid.push(send.target.clone());
-        let near = &self.settings.data_centre;
+        let local = &self.settings.data_centre;
         let service = &exchange.service;
         service.engine.is_some()
-            || self.targets.choose_plain(&service.name, near, &avoid, self.now).is_some()
+            || self.targets.choose_plain(&service.name, local, &avoid, self.now).is_some()
     }
 
     /// Forwards a complete response to the caller.
@@ -207,7 +211,7 @@
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
         exchange.verdict = Verdict::Answered;
         exchange.delivery.first_at.get_or_insert(self.now);
-        let fields = self.platform.returned(&head.fields);
+        let fields = self.platform.caller_headers(&head.fields);
         let mut out = Vec::with_capacity(512 + body.len());
         let close = !keep || self.stopping_since.is_some();
         http::write_response(
@@ -262,7 +266,7 @@
         }
         exchange.delivery.started = true;
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
-        let fields = self.platform.returned(&head.fields);
+        let fields = self.platform.caller_headers(&head.fields);
         let mut out = Vec::with_capacity(512);
         let close = !keep || self.stopping_since.is_some();
         http::write_response(
@@ -276,6 +280,7 @@
         self.net.send(caller, &out);
     }
 
+    /// Reads a stream and forwards its complete events.
     fn read_events(&mut self, key: Key) -> Step {
         let Some(received) = self.read_bytes(key) else { return Step::Finished };
         let now = self.now;
@@ -325,6 +330,7 @@
         }
     }
 
+    /// Reads an error response on a stream route.
     fn read_error(&mut self, key: Key, received: Result<bool, Fault>) -> Step {
         match received {
             Ok(false) => Step::NeedMore,
@@ -336,6 +342,7 @@
         }
     }
 
+    /// Ends a complete stream; a stream that ends within an event is a fault.
     fn end_stream(&mut self, key: Key, keep: bool) -> Step {
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
         let Some(send) = exchange.send.as_mut() else { return Step::Finished };
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -1,9 +1,10 @@
 //! Keeps the operator's configuration and the list of targets in step with the store.
 //!
-//! Each stream is first read as a whole (the newest record of each key) and then followed by offset. Reads of the
-//! configuration are long polls, so that a change takes effect within a round trip. The list of targets changes all the
-//! time with the targets' heartbeats and is read at intervals. One host reads the store for all; the others learn from its
-//! heartbeats how far it has read, and request copies of what they lack (module `copies`).
+//! Each stream is first read as a whole (the newest record of each key) and then followed by
+//! offset. Reads of the configuration are long polls, so that a change takes effect within a round
+//! trip. The list of targets changes all the time with the targets' heartbeats and is read at
+//! intervals. One host reads the store for all; the others learn from its heartbeats how far it has
+//! read, and request copies of what they lack (module `copies`).
 
 mod replies;
 
@@ -15,7 +16,9 @@
 use roseshore_core::gateway::store_reads::{self, CONFIG_LONG_POLL, TARGETS_INTERVAL};
 use roseshore_core::gateway::{Position, TargetRecord};
 use roseshore_core::prelude::*;
-use roseshore_ports::entry::{CallReply, Entry as Record, Page, Reading, StoreFault, Stream};
+use roseshore_ports::entry::{
+    CallReply, KeyedRecord as Record, Page, ReadBatch, StoreFault, Stream,
+};
 use std::net::SocketAddr;
 
 /// Shortest interval between reads because of another host's newer configuration.
@@ -38,6 +41,7 @@
     failures: u32,
 }
 
+/// Pages of newest records, which are read one after the other.
 #[derive(Debug)]
 struct Pages {
     /// The end offset of the stream when the first page was read.
@@ -56,13 +60,14 @@
     era: Era,
     /// The position up to which this host knows the list; `None` before it has one.
     list: Option<Position>,
-    /// Whether the store holds an older configuration than the one in force, so that a read does not prove that one
-    /// to be the newest.
+    /// Whether the store holds an older configuration than the one in force, so that a read does
+    /// not prove that one to be the newest.
     store_behind: bool,
     pub(super) outage: StoreOutage,
     /// Whether the list differs from another host's of which no copy could be had.
     list_differs: bool,
-    /// Whether applying the last copy of changes did not result in the list of the host that gave it.
+    /// Whether applying the last copy of changes did not result in the list of the host that gave
+    /// it.
     needs_whole_list: bool,
     /// When the store was last read because of another host's newer configuration.
     last_urgent: Option<Instant>,
@@ -73,8 +78,8 @@
 }
 
 impl StoreSync {
-    /// How long the store should wait for new records before it replies. Zero while the store is unreachable, since a
-    /// hanging read would outlast the outage.
+    /// How long the store should wait for new records before it replies. Zero while the store is
+    /// unreachable, since a hanging read would outlast the outage.
     fn long_poll_time(&self, stream: Stream) -> Duration {
         match stream {
             Stream::Config if !self.outage.is_down() => CONFIG_LONG_POLL,
@@ -87,7 +92,8 @@
         self.list
     }
 
-    /// The position after which changes of the list are needed; the default if the whole list is needed.
+    /// The position after which changes of the list are needed; the default if the whole list is
+    /// needed.
     pub(super) fn list_base(&self) -> Position {
         if self.needs_whole_list { Position::default() } else { self.list.unwrap_or_default() }
     }
@@ -146,10 +152,12 @@
         }
     }
 
+    /// Calls the store for a stream, unless a call is in flight or not due, or other hosts have
+    /// confirmed the stream recently.
     fn sync_stream(&mut self, stream: Stream) {
         let now = self.now;
-        // A long poll proves nothing until its reply arrives. A configuration that has not been confirmed for long is
-        // therefore read without waiting.
+        // A long poll proves nothing until its reply arrives. A configuration that has not been
+        // confirmed for long is therefore read without waiting.
         let old = self.config_lease.age(now).is_none_or(|age| age > store_reads::LONG_POLL_MAX_AGE);
         let wait = if old { Duration::ZERO } else { self.store_sync.long_poll_time(stream) };
         let known = match stream {
@@ -170,7 +178,8 @@
         self.read_store(stream, wait);
     }
 
-    /// Whether this host has just started and may soon learn of another host that has read the store.
+    /// Whether this host has just started and may soon learn of another host that has read the
+    /// store.
     fn waits_for_peers(&self) -> bool {
         let since = self.now.saturating_duration_since(self.started);
         let rank = self.peers.startup_read_rank(self.now);
@@ -178,6 +187,8 @@
             && since < store_reads::startup_delay(self.settings.first_start, rank)
     }
 
+    /// Calls the store for the records from the next offset on, or for the next page of newest
+    /// records.
     fn read_store(&mut self, stream: Stream, wait: Duration) {
         self.log_read(stream);
         let (store, era) = (self.settings.store_addr, self.store_sync.era);
@@ -189,14 +200,14 @@
             self.call(purpose, store, &request, wait + STORE_TIMEOUT);
         } else {
             let since = progress.pages.as_ref().and_then(|p| p.last_key.clone());
-            let request = self.platform.newest(stream, since.as_deref());
+            let request = self.platform.read_latest(stream, since.as_deref());
             let era = since.map(|_| era);
             self.call(Purpose::Newest(stream, era), store, &request, STORE_TIMEOUT);
         }
     }
 
-    /// Logs why the store is read: for the first time, as the first in the order of hosts, or because other hosts have
-    /// not confirmed the stream recently enough.
+    /// Logs why the store is read: for the first time, as the first in the order of hosts, or
+    /// because other hosts have not confirmed the stream recently enough.
     fn log_read(&mut self, stream: Stream) {
         let now = self.now;
         let rank = self.peers.read_rank(now);
@@ -211,7 +222,8 @@
         );
     }
 
-    /// Whether other hosts have confirmed a stream recently enough for this host's place in the order of readers.
+    /// Whether other hosts have confirmed a stream recently enough for this host's place in the
+    /// order of readers.
     fn recently_confirmed(&self, stream: Stream) -> bool {
         let rank = self.peers.read_rank(self.now);
         let (age, max_age) = match stream {
@@ -222,8 +234,8 @@
         age.zip(max_age).is_some_and(|(age, most)| age < most)
     }
 
-    /// Time since the configuration was last confirmed to be the newest, or since it came as a copy, which the next
-    /// heartbeats confirm.
+    /// Time since the configuration was last confirmed to be the newest, or since it came as a
+    /// copy, which the next heartbeats confirm.
     fn config_age(&self) -> Option<Duration> {
         let applied = self.store_sync.applied;
         let since = |at| self.now.saturating_duration_since(at);
@@ -236,7 +248,8 @@
         confirmed.map(|at| self.now.saturating_duration_since(at))
     }
 
-    /// Reads the configuration now, because another host has a newer one. Cancels a read in flight, which may hang.
+    /// Reads the configuration now, because another host has a newer one. Cancels a read in flight,
+    /// which may hang.
     pub(super) fn read_config_now(&mut self) {
         let now = self.now;
         let last_urgent = self.store_sync.last_urgent;
@@ -269,7 +282,8 @@
         self.targets.list_version(self.store_sync.list.unwrap_or_default())
     }
 
-    /// Compares the own list with that of a host that has read as far or further, and requests a copy if it differs.
+    /// Compares the own list with that of a host that has read as far or further, and requests a
+    /// copy if it differs.
     pub(super) fn compare_list(
         &mut self,
         from: SocketAddr,
@@ -279,7 +293,8 @@
         let now = self.now;
         let own = self.list_version();
         if self.store_sync.list.is_none() {
-            // If the other host gives none, the store is read when the initial wait for other hosts is over.
+            // If the other host gives none, the store is read when the initial wait for other hosts
+            // is over.
             if theirs.next > Position::default() {
                 self.request_copy(from);
             }
@@ -308,6 +323,7 @@
         }
     }
 
+    /// Handles the reply to a read of newest records.
     pub(super) fn newest_received(
         &mut self,
         stream: Stream,
@@ -316,12 +332,13 @@
         reply: Result<CallReply, CallFault>,
     ) {
         let Some(reply) = self.store_replied(stream, era, reply) else { return };
-        match self.platform.newest_reply(&reply) {
+        match self.platform.latest_reply(&reply) {
             Ok(page) => self.page_received(stream, sent, page),
             Err(fault) => self.store_refused(stream, &fault),
         }
     }
 
+    /// Adds a page of newest records, and applies all of them after the last page.
     fn page_received(&mut self, stream: Stream, sent: Instant, page: Page) {
         self.store_available(stream);
         let progress = self.store_sync.stream(stream);
@@ -333,7 +350,7 @@
         let empty = Pages { end: page.end, last_key: None, entries: Vec::new() };
         let pages = progress.pages.get_or_insert(empty);
         pages.entries.extend(page.entries);
-        pages.last_key = page.more;
+        pages.last_key = page.next_key;
         if pages.last_key.is_some() {
             // The next page is read without a pause: a list of 3,000 targets has sixty pages.
             return self.read_store(stream, Duration::ZERO);
@@ -355,9 +372,9 @@
                 let records: Vec<TargetRecord> = records.collect();
                 let now = self.now;
                 let next = Position { era: self.store_sync.era, next: pages.end };
-                let back = self.store_sync.list.is_some_and(|known| known.era < next.era);
+                let restored = self.store_sync.list.is_some_and(|known| known.era < next.era);
                 let absence = self.store_sync.outage.absence(now);
-                self.replace_list(next, records, absence, back);
+                self.replace_list(next, records, absence, restored);
                 self.store_sync.list = Some(next);
                 self.store_sync.targets.due = Some(now + TARGETS_INTERVAL);
                 self.store_sync.outage.record_confirmation(Some(sent));
@@ -367,6 +384,7 @@
         }
     }
 
+    /// Handles the reply to a read from an offset.
     pub(super) fn records_received(
         &mut self,
         stream: Stream,
@@ -387,13 +405,14 @@
         }
     }
 
+    /// Applies the records from an offset on.
     fn reading_received(
         &mut self,
         stream: Stream,
         sent: Instant,
         from: Offset,
         wait: Duration,
-        mut reading: Reading,
+        mut reading: ReadBatch,
     ) {
         self.store_available(stream);
         let now = self.now;
@@ -401,8 +420,8 @@
         let empty = reading.entries.is_empty();
         let known = progress.next.unwrap_or(0);
         let next = known.max(from + reading.entries.len() as u64);
-        // A copy that reaches further may have been received during the read. Records that it covers are skipped, so that
-        // older ones do not replace newer ones.
+        // A copy that reaches further may have been received during the read. Records that it
+        // covers are skipped, so that older ones do not replace newer ones.
         let covered = known.saturating_sub(from) as usize;
         reading.entries.drain(..covered.min(reading.entries.len()));
         let caught_up = next >= reading.end;
@@ -419,7 +438,8 @@
                     self.update_store_behind(newest);
                 }
                 if caught_up {
-                    // An empty reply after the whole wait proves that there was no change until its end.
+                    // An empty reply after the whole wait proves that there was no change until its
+                    // end.
                     let waited = empty && now.saturating_duration_since(sent) >= wait;
                     self.confirm_config(if waited { sent + wait } else { sent });
                     self.update_readiness();
@@ -435,7 +455,11 @@
                     match entry {
                         Some(Record { key, value: Some(value) }) => self.apply_record(&key, &value),
                         Some(Record { key, value: None }) => self.remove_record(&key),
-                        None => log_event!(self, RecordSkipped, "target=- why=\"no key\""),
+                        None => log_event!(
+                            self,
+                            RecordSkipped,
+                            "target=- why=\"the record has no readable key\""
+                        ),
                     }
                 }
                 self.heartbeat_now(true);
--- a/crates/roseshore_relay/src/entry/store_sync/replies.rs
+++ b/crates/roseshore_relay/src/entry/store_sync/replies.rs
@@ -1,5 +1,6 @@
-//! Evaluates replies of the store, and failed calls, before the records are read: whether the store is available, whether
-//! it was restored from an older copy, and whether its configuration can be the newest.
+//! Evaluates replies of the store, and failed calls, before the records are read: whether the store
+//! is available, whether it was restored from an older copy, and whether its configuration can be
+//! the newest.
 
 use super::super::calls::CallFault;
 use super::super::probes::millis;
@@ -30,9 +31,9 @@
         }
     }
 
-    /// Whether a reply belongs to the store's current era, and so does its request if that names an offset or continues
-    /// after a page. Any other reply, whatever its status, is no reply to what was asked; the stream is read from the
-    /// start.
+    /// Whether a reply belongs to the store's current era, and so does its request if that names an
+    /// offset or continues after a page. Any other reply, whatever its status, is not
+    /// used, and the stream is read again.
     fn is_current_era(&mut self, stream: Stream, asked: Option<Era>, reply: &CallReply) -> bool {
         let known = self.store_sync.era;
         let reported = self.platform.era(reply);
@@ -58,6 +59,8 @@
         }
     }
 
+    /// Handles a new era of the store: it was restored from an older copy, and is read from the
+    /// start.
     fn store_restored(&mut self, stream: Stream, era: Era) {
         let (before, version) = (self.store_sync.era, self.config_version());
         let list = self.store_sync.list.unwrap_or_default();
@@ -70,8 +73,9 @@
         self.blocked_changed();
     }
 
-    /// Records whether the store, whose newest configuration has this version, holds an older one than is in force. The
-    /// store has then lost the operator's last change, and a read proves nothing until the change is written again.
+    /// Records whether the store, whose newest configuration has this version, holds an older one
+    /// than is in force. The store has then lost the operator's last change, and a read proves
+    /// nothing until the change is written again.
     pub(super) fn update_store_behind(&mut self, newest: Option<u64>) {
         let version = self.config_version();
         let behind = newest.unwrap_or(0) < version;
@@ -86,17 +90,21 @@
         self.store_sync.store_behind = behind;
     }
 
-    /// Records that the configuration in force was the newest at this time, unless the store holds an older one.
+    /// Records that the configuration in force was the newest at this time, unless the store holds
+    /// an older one.
     pub(super) fn confirm_config(&mut self, at: Instant) {
         if !self.store_sync.store_behind {
             self.config_lease.renew(at);
         }
     }
 
+    /// Handles a reply that reports or shows a failure.
     pub(super) fn store_refused(&mut self, stream: Stream, fault: &StoreFault) {
         self.store_failed(stream, &fault.to_string());
     }
 
+    /// Schedules the next call after a failed one, with a delay that grows with the failures in a
+    /// row.
     fn store_failed(&mut self, stream: Stream, why: &str) {
         let now = self.now;
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
@@ -111,6 +119,7 @@
         }
     }
 
+    /// Records that the store answered a call, which ends an outage.
     pub(super) fn store_available(&mut self, stream: Stream) {
         let now = self.now;
         for progress in [&mut self.store_sync.config, &mut self.store_sync.targets] {
--- a/crates/roseshore_relay/tests/heartbeats.rs
+++ b/crates/roseshore_relay/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Simulations of heartbeats among many hosts in virtual time: their cost, and how soon news reaches all hosts.
+//! Simulations of heartbeats among many hosts in virtual time: their cost, and how soon news
+//! reaches all hosts.
 
 use roseshore_core::gateway::fatal::{FatalChange, MIN_URGENT_GAP};
 use roseshore_core::gateway::peers::{Datagram, LocalState, TargetLoad, name_hash};
@@ -35,12 +36,13 @@
     alive: bool,
     /// Datagrams and bytes sent, and those received, since the last count.
     sent: (usize, usize),
-    heard: (usize, usize),
+    received: (usize, usize),
 }
 
-/// Hosts that send each other heartbeats. The first three hosts of each data centre have a larger capacity.
+/// Hosts that send each other heartbeats. The first three hosts of each data centre have a larger
+/// capacity.
 struct Cluster {
-    begun: Instant,
+    started: Instant,
     now: Instant,
     data_centres: usize,
     hosts: Vec<Host>,
@@ -57,10 +59,10 @@
 
 impl Cluster {
     fn new(count: usize, data_centres: usize) -> Cluster {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut cluster = Cluster {
-            begun,
-            now: begun,
+            started,
+            now: started,
             data_centres,
             hosts: Vec::new(),
             indices: (0..count).map(|n| (addr(n), n)).collect(),
@@ -104,7 +106,7 @@
             data_centre,
             alive: true,
             sent: (0, 0),
-            heard: (0, 0),
+            received: (0, 0),
         }
     }
 
@@ -166,8 +168,8 @@
                 continue;
             }
             self.cross_centre += usize::from(a != b);
-            host.heard.0 += 1;
-            host.heard.1 += bytes.len();
+            host.received.0 += 1;
+            host.received.1 += bytes.len();
             let Ok(Datagram::Beat(beat)) = frame::decode(&bytes) else {
                 panic!("the datagram is not a heartbeat")
             };
@@ -179,11 +181,11 @@
                     FatalChange::None | FatalChange::Crashed | FatalChange::Cleared => {}
                 }
             }
-            let heard = host.peers.receive(addr(from), *beat, at);
-            if heard.as_ref().is_some_and(|heard| heard.joined) {
+            let received = host.peers.receive(addr(from), *beat, at);
+            if received.as_ref().is_some_and(|received| received.joined) {
                 host.fatal.repeat_blocked(at);
             }
-            if heard.is_some() {
+            if received.is_some() {
                 host.own.config = host.own.config.max(config);
             }
             let due = |last_sent: Instant| at - last_sent >= MIN_URGENT_GAP;
@@ -200,15 +202,16 @@
 
     /// Runs until a condition holds; returns the time that this took.
     fn until(&mut self, what: &str, most: Duration, holds: impl Fn(&Cluster) -> bool) -> Duration {
-        let begun = self.now;
+        let started = self.now;
         while !holds(self) {
-            assert!(self.now - begun < most, "{what}: not within {most:?}");
+            assert!(self.now - started < most, "{what}: not within {most:?}");
             self.run(TICK);
         }
-        self.now - begun
+        self.now - started
     }
 
-    /// Whether every host knows the load of all others, there are few speakers, and exactly one host reads the store.
+    /// Whether every host knows the load of all others, there are few speakers, and exactly one
+    /// host reads the store.
     fn settled(&self) -> bool {
         let living = self.living().count();
         let all = self.living().all(|h| h.peers.view(self.now).hosts >= living);
@@ -225,15 +228,16 @@
         all && few && readers == 1
     }
 
-    /// Datagrams and bytes per second, sent and received: those of the busiest host, and the mean of all hosts.
+    /// Datagrams and bytes per second, sent and received: those of the busiest host, and the mean
+    /// of all hosts.
     fn cost(&mut self, time: Duration) -> ((f64, f64), (f64, f64)) {
         for host in &mut self.hosts {
-            (host.sent, host.heard) = ((0, 0), (0, 0));
+            (host.sent, host.received) = ((0, 0), (0, 0));
         }
         self.cross_centre = 0;
         self.run(time);
         let seconds = time.as_secs_f64();
-        let counts = self.living().map(|h| (h.sent.0 + h.heard.0, h.sent.1 + h.heard.1));
+        let counts = self.living().map(|h| (h.sent.0 + h.received.0, h.sent.1 + h.received.1));
         let all: Vec<(usize, usize)> = counts.collect();
         let most = |pick: fn(&(usize, usize)) -> usize| {
             all.iter().map(pick).max().unwrap_or(0) as f64 / seconds
@@ -273,8 +277,8 @@
 
 #[test]
 fn heartbeats_cost_a_host_the_same_in_a_large_system() {
-    // When each host sent heartbeats to every other, 295 hosts in 5 data centres exchanged 1,380 datagrams per second and
-    // host, and 173,000 per second between data centres.
+    // When each host sent heartbeats to every other, 295 hosts in 5 data centres exchanged 1,380
+    // datagrams per second and host, and 173,000 per second between data centres.
     let sizes = [
         Size {
             hosts: 9,
@@ -354,7 +358,8 @@
     }
 }
 
-/// A failure in a system of 120 hosts in four data centres, and the time within which the remaining hosts settle.
+/// A failure in a system of 120 hosts in four data centres, and the time within which the remaining
+/// hosts settle.
 struct Failure {
     name: &'static str,
     lost: fn(usize) -> bool,
@@ -422,7 +427,7 @@
     cluster.run(ms(4000));
     cluster.partitioned = None;
     cluster.until("joined again", ms(7000), Cluster::settled);
-    assert!(cluster.now - cluster.begun < ms(30_000));
+    assert!(cluster.now - cluster.started < ms(30_000));
 }
 
 /// The request under which targets crash.
@@ -431,7 +436,8 @@
 }
 
 impl Cluster {
-    /// Three hosts, in different data centres if there are several, each see one target crash under the fatal request.
+    /// Three hosts, in different data centres if there are several, each see one target crash under
+    /// the fatal request.
     fn crash_at_three_hosts(&mut self) {
         for n in 0..3 {
             self.hosts[n].fatal.record_crash(fatal_request(), n as u32, true, self.now);
@@ -448,7 +454,8 @@
         }
     }
 
-    /// A target crashes while it runs this many requests of hosts of one data centre. A quarter of them had hardly begun.
+    /// A target crashes while it runs this many requests of hosts of one data centre. A quarter of
+    /// them had hardly begun.
     fn crash_target(&mut self, target: u32, requests: usize) {
         let data_centre = target as usize % self.data_centres;
         let hosts: Vec<usize> =
@@ -520,13 +527,15 @@
     println!("joined: {took:?}");
 }
 
-/// Guards against late reports of a fatal request. A request under which three targets had crashed was sent nine more times:
-/// each crash also interrupted some seventy other requests, which hosts reported to each other four to a heartbeat. Reports
-/// of requests that had hardly begun, such as the fatal one, were queued behind the others, so that the first other host
-/// learned of the third crash after 0.7 s.
+/// Guards against late reports of a fatal request. A request under which three targets had crashed
+/// was sent nine more times: each crash also interrupted some seventy other requests, which hosts
+/// reported to each other four to a heartbeat. Reports of requests that had hardly begun, such as
+/// the fatal one, were queued behind the others, so that the first other host learned of the third
+/// crash after 0.7 s.
 #[test]
 fn three_crashes_reach_all_hosts_at_once_despite_many_other_reports() {
-    // Callers retry after about 0.2 s, and each request that is sent after the third crash may crash another target.
+    // Callers retry after about 0.2 s, and each request that is sent after the third crash may
+    // crash another target.
     let most = ms(200);
     for (hosts, data_centres) in [(9, 3), (64, 3), (295, 5)] {
         let mut cluster = Cluster::new(hosts, data_centres);
--- a/crates/roseshore_relay/tests/limits.rs
+++ b/crates/roseshore_relay/tests/limits.rs
@@ -1,9 +1,10 @@
 //! Simulations of rate limits of targets that many hosts enforce together, in virtual time.
 //!
-//! Hosts of several data centres exchange heartbeats. Requests for a rate-limited target arrive at random hosts; some of these
-//! know the limit from a response of the target, the others from heartbeats. The tests check, from three seconds after the
-//! target first stated its limit, the number of requests that it gets in the busiest four seconds, and the fraction of the
-//! limit that is used.
+//! Hosts of several data centres exchange heartbeats. Requests for a rate-limited target arrive at
+//! random hosts; some of these know the limit from a response of the target, the others from
+//! heartbeats. The tests check, from three seconds after the target first stated its limit, the
+//! number of requests that it gets in the busiest four seconds, and the fraction of the limit that
+//! is used.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -46,7 +47,8 @@
 /// What arrives at a host.
 enum Arrival {
     Message(usize, Box<Datagram>),
-    /// A target's response to a request that was sent at this time, and whether it states the limit.
+    /// A target's response to a request that was sent at this time, and whether it states the
+    /// limit.
     Response(u32, Instant, bool),
 }
 
@@ -255,7 +257,7 @@
     world.simulate(DISCOVERY_TIME, &discovery, &mut random);
     world.received.iter_mut().for_each(Vec::clear);
     world.stated_until = world.now + Duration::from_hours(1);
-    let begun = world.now;
+    let started = world.now;
     if let Some(killed) = case.killed {
         world.simulate(killed, case, &mut random);
         let first = (0..case.hosts)
@@ -267,10 +269,10 @@
         world.simulate(Duration::from_secs(5), case, &mut random);
         world.hosts[first] = world.fresh(first, case.data_centres, 2);
     }
-    world.simulate((begun + LOAD_TIME).saturating_duration_since(world.now), case, &mut random);
+    world.simulate((started + LOAD_TIME).saturating_duration_since(world.now), case, &mut random);
     let enforced_for = LOAD_TIME.saturating_sub(ENFORCED_AFTER).as_secs_f64();
     for (n, limit) in LIMITS.iter().enumerate() {
-        let (busiest, all) = world.counted(n, begun + ENFORCED_AFTER);
+        let (busiest, all) = world.counted(n, started + ENFORCED_AFTER);
         let bound = 1.5 * limit * WINDOW.as_secs_f64() + 5.0;
         let used = all as f64 / (limit * enforced_for);
         println!("{}: limit {limit}: {busiest} of {bound} in a span, {used:.2} used", case.name);
@@ -285,8 +287,8 @@
 const CALM: Case =
     Case { name: "calm", hosts: 8, data_centres: 3, loaded_centres: 1, killed: None, loss: 0 };
 
-/// Requests arrive at three times the limits. Before hosts enforced limits, the targets got all of them: more than twice the
-/// bound of this test.
+/// Requests arrive at three times the limits. Before hosts enforced limits, the targets got all of
+/// them: more than twice the bound of this test.
 #[test]
 fn hosts_enforce_limits_together_and_use_them_up() {
     let cases = [
