--- a/crates/roseshore_core/src/gateway/peers/relation.rs
+++ b/crates/roseshore_core/src/gateway/peers/relation.rs
@@ -2,11 +2,11 @@
 //!
 //! In a small data centre every host sends heartbeats to every other. In a larger one the first few
 //! by rank are speakers for the data centre: the other hosts exchange heartbeats only with these,
-//! and receive the combined state of all hosts from them. DigestSchedule of different data centres
+//! and receive the combined state of all hosts from them. Speakers of different data centres
 //! exchange the sums of their own. So the traffic of a host does not grow with the number of hosts,
 //! except for speakers, whose traffic grows with their own data centre.
 //!
-//! DigestSchedule are not elected: each host derives them from the hosts that it hears, and a host that
+//! Speakers are not elected: each host derives them from the hosts that it hears, and a host that
 //! finds itself among them acts as one. If for a while there are two sets of speakers, or none,
 //! state is less fresh.
 
--- a/crates/roseshore_core/src/order/reconciler.rs
+++ b/crates/roseshore_core/src/order/reconciler.rs
@@ -4,7 +4,7 @@
 //! reports that. So a lost reply needs no memory, and an order of a former holder that lands late
 //! is put right by the next round. Four bounds hold: a target whose going would break the last
 //! whole chain of what it serves now waits for another, answers in flight get time to end before
-//! weights go, the weight store's backlog stays within a max_backlog, and a target is not ordered again
+//! weights go, the weight store's backlog stays within a limit, and a target is not ordered again
 //! before its last order can have taken effect.
 
 mod serving;
--- a/crates/roseshore_core/src/route.rs
+++ b/crates/roseshore_core/src/route.rs
@@ -248,13 +248,13 @@
             if row.kind != TargetKind::Engine {
                 continue;
             }
-            let near = row.data_centre == self.local;
-            loaded.complete &= !near || row.reported() || !row.usable(now);
+            let local = row.data_centre == self.local;
+            loaded.complete &= !local || row.reported() || !row.usable(now);
             let Some(engine) = row.engine.as_ref().filter(|_| row.usable(now)) else { continue };
             let serves = engine.both_phases && !engine.loading && !engine.draining;
             let Some(version) = engine.version.clone().filter(|_| serves) else { continue };
             if engine.model.as_deref() == Some(model) {
-                loaded.ranges.push(LoadedRange { version, layers: engine.layers, local: near });
+                loaded.ranges.push(LoadedRange { version, layers: engine.layers, local });
             }
         }
         loaded
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -16,7 +16,7 @@
     Action, DueOrder, Observed, Reconciler, ReconcilerLimits, Store,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, Members, Report, ReportContent, Reports};
+use roseshore_ports::inside::{ConfigSource, Members, Report, ReportContent, ReportStore};
 use roseshore_ports::outside::{CallError, Engine, Log, WeightStore};
 use roseshore_wire::engine::{Order, Role};
 use std::collections::BTreeMap;
@@ -67,9 +67,9 @@
     /// Gives the weights.
     pub weights: Arc<dyn WeightStore>,
     /// What should be held.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// What is held.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// Who else could order.
     pub members: Arc<dyn Members>,
     /// Whether this daemon is leaving.
