--- a/crates/roseshore_core/src/order.rs
+++ b/crates/roseshore_core/src/order.rs
@@ -1,10 +1,11 @@
-//! Orders to targets: who may give them, and which ones to give.
+//! Orders to targets: which daemon may send them, and which ones are due.
 //!
-//! One daemon of a data centre gives orders at a time. Its right is a lease in the log
-//! ([`lease`]); the lease record's offset is the fencing number that every order carries. What a
-//! target should hold comes from the declared fleet ([`desired`]), and [`reconciler`] decides which
-//! orders go out now, so that a change keeps a whole chain in service and stays within the
-//! weight store's rate. [`rollout`] says which version new answers use meanwhile, and [`placement`] what spare engines should hold.
+//! One daemon of a data centre sends orders at a time. It holds a lease in the log ([`lease`]); the
+//! offset of the lease record is the fencing token that every order carries. [`desired`] derives the
+//! desired state of targets from the declared fleet, and [`placement`] that of spare engines.
+//! [`reconciler`] decides which orders are due, so that a change keeps a complete chain in service
+//! and stays within the rate of the weight store. [`rollout`] chooses the version for new answers
+//! during a change.
 
 pub mod desired;
 pub mod lease;
--- a/crates/roseshore_core/src/order/desired.rs
+++ b/crates/roseshore_core/src/order/desired.rs
@@ -1,38 +1,39 @@
-//! What targets should hold, by the declared fleet.
+//! Derives the desired state of targets from the declared fleet.
 
 use crate::fleet::TargetKind;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one target should hold.
+/// State that a target should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Desired {
-    /// The model.
+    /// Model to load.
     pub model: ModelId,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: VersionId,
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
-    /// The adapters.
+    /// Adapters to load.
     pub adapters: BTreeSet<AdapterId>,
-    /// What loading it costs the weight store, bytes.
+    /// Size of the weights of these layers, in bytes, to be read from the weight store.
     pub bytes: u64,
-    /// The number of layers of the whole model.
+    /// Number of layers of the whole model.
     pub depth: Layer,
-    /// Whether the target refuses old fencing numbers.
+    /// Whether the target rejects stale fencing tokens.
     pub checks_fence: bool,
 }
 
-/// What every engine of a data centre should hold.
+/// Returns the desired state of every engine of a data centre that is declared with a model and
+/// layers.
 ///
-/// A target without a model or layers is left as it is, or to [`crate::order::placement`].
+/// Spare engines are left to [`crate::order::placement`], other targets stay as they are.
 pub fn desired(fleet: &Fleet, data_centre: &DataCentreId) -> BTreeMap<TargetId, Desired> {
     let own = fleet.targets.iter().filter(|(_, t)| t.data_centre == *data_centre);
-    own.filter_map(|(id, target)| Some((id.clone(), of_target(fleet, target)?))).collect()
+    own.filter_map(|(id, target)| Some((id.clone(), desired_state(fleet, target)?))).collect()
 }
 
-/// The spare engines of a data centre, those declared with neither a model nor layers, and whether
-/// each refuses old fencing numbers.
+/// Returns the spare engines of a data centre, which are declared with neither a model nor layers,
+/// and whether each rejects stale fencing tokens.
 pub fn spares(fleet: &Fleet, data_centre: &DataCentreId) -> BTreeMap<TargetId, bool> {
     let own = fleet.targets.iter().filter(|(_, t)| t.data_centre == *data_centre);
     own.filter(|(_, t)| t.kind == TargetKind::Engine && t.model.is_none() && t.layers.is_none())
@@ -40,7 +41,7 @@
         .collect()
 }
 
-fn of_target(fleet: &Fleet, target: &Target) -> Option<Desired> {
+fn desired_state(fleet: &Fleet, target: &Target) -> Option<Desired> {
     let id = target.model.as_ref()?;
     let layers = target.layers?;
     let model = fleet.models.get(id)?;
--- a/crates/roseshore_core/src/order/lease.rs
+++ b/crates/roseshore_core/src/order/lease.rs
@@ -1,88 +1,88 @@
-//! The lease by which one daemon of a data centre gives orders.
+//! The lease that entitles one daemon of a data centre to send orders.
 //!
-//! [`LeaseState`] judges the records by their place and by the log's own times alone, so that every
-//! reader reaches the same verdict. [`LeaseClient`] is one daemon's view: it counts its own lease from
-//! the instant *before* the record was sent, which is never later than the log's time of the
-//! record, so its lease ends for itself before it ends for anybody else.
+//! [`LeaseState`] applies records by their offsets and by the timestamps of the log alone, so that
+//! every reader gets the same result. [`LeaseClient`] is the view of one daemon. It counts its own
+//! lease from the instant *before* the record was sent, which is never later than the timestamp of
+//! the record in the log, so the holder considers its lease expired before any other daemon does.
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A record of the stream of leases.
+/// Record of the lease stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum LeaseRecord {
-    /// Asks for the lease; void while another's runs.
+    /// Acquires the lease; void while another lease is valid.
     Take {
-        /// Who asks.
+        /// Host that acquires the lease.
         holder: HostId,
-        /// The asking process's life.
+        /// Incarnation of the process on that host.
         incarnation: Incarnation,
-        /// Tells this record from every other.
+        /// Random number that identifies this record.
         nonce: u64,
-        /// How long it is to run, milliseconds.
+        /// Validity from the record's timestamp on, in milliseconds.
         ttl: u64,
     },
-    /// Makes the running lease run on; void once it has ended.
+    /// Extends a valid lease; void once it has expired.
     Renew {
-        /// The lease.
+        /// Fencing token of the lease.
         fence: Fence,
-        /// Tells this record from every other.
+        /// Random number that identifies this record.
         nonce: u64,
-        /// How long it is to run from here, milliseconds.
+        /// Validity from the record's timestamp on, in milliseconds.
         ttl: u64,
     },
-    /// Ends the lease early; written when no order is under way.
+    /// Ends the lease early; written only while no order is in flight.
     Release {
-        /// The lease.
+        /// Fencing token of the lease.
         fence: Fence,
     },
 }
 
-/// The lease that runs, by the log's times.
+/// Lease by the timestamps of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Who has it.
+    /// Host that holds the lease.
     pub holder: HostId,
-    /// The holder's life.
+    /// Incarnation of the holder's process.
     pub incarnation: Incarnation,
-    /// Its fencing number.
+    /// Fencing token: the offset of the record that acquired the lease.
     pub fence: Fence,
-    /// When it ends, milliseconds of the log's clock.
+    /// Expiry, in milliseconds of the log's clock.
     pub until: u64,
 }
 
-/// What became of a record.
+/// Effect of applying a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseOutcome {
-    /// It counts.
+    /// The record changed the lease.
     Accepted,
-    /// It came too late, too early, or from somebody else.
+    /// No effect: the lease had expired, was still valid or belonged to another daemon.
     Void,
-    /// It lies before the fold's place and was seen already.
+    /// No effect: a record at this offset or a later one was applied before.
     Repeat,
 }
 
-/// The state of the lease stream.
+/// State of the lease after the records applied so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseState {
-    held: Option<Lease>,
+    lease: Option<Lease>,
     next: Offset,
 }
 
 impl LeaseState {
-    /// The lease taken last and not released; it may have ended by the log's clock.
+    /// The lease acquired last, unless it was released; it may have expired by the log's clock.
     pub fn lease(&self) -> Option<&Lease> {
-        self.held.as_ref()
+        self.lease.as_ref()
     }
 
-    /// The offset to read next.
+    /// Offset of the next record to apply.
     pub fn next_offset(&self) -> Offset {
         self.next
     }
 
-    /// Takes the next record, with its place and the log's time of it in milliseconds.
+    /// Applies the record at `offset`, whose timestamp is `time` in milliseconds of the log's clock.
     pub fn apply(&mut self, offset: Offset, time: u64, record: &LeaseRecord) -> LeaseOutcome {
         if offset < self.next {
             return LeaseOutcome::Repeat;
@@ -90,51 +90,52 @@
         self.next = offset + 1;
         match record {
             LeaseRecord::Take { holder, incarnation, ttl, .. } => {
-                if self.held.as_ref().is_some_and(|h| time < h.until) {
+                if self.lease.as_ref().is_some_and(|h| time < h.until) {
                     return LeaseOutcome::Void;
                 }
-                self.held = Some(Lease {
+                self.lease = Some(Lease {
                     holder: holder.clone(),
                     incarnation: *incarnation,
                     fence: offset,
                     until: time + ttl,
                 });
             }
-            LeaseRecord::Renew { fence, ttl, .. } => match &mut self.held {
-                Some(held) if held.fence == *fence && time < held.until => {
-                    // A short renewal never shortens what was promised to run longer.
-                    held.until = held.until.max(time + ttl);
+            LeaseRecord::Renew { fence, ttl, .. } => match &mut self.lease {
+                Some(lease) if lease.fence == *fence && time < lease.until => {
+                    // A renewal never shortens the lease.
+                    lease.until = lease.until.max(time + ttl);
                 }
                 _ => return LeaseOutcome::Void,
             },
-            LeaseRecord::Release { fence } => match &self.held {
-                Some(held) if held.fence == *fence => self.held = None,
+            LeaseRecord::Release { fence } => match &self.lease {
+                Some(lease) if lease.fence == *fence => self.lease = None,
                 _ => return LeaseOutcome::Void,
             },
         }
         LeaseOutcome::Accepted
     }
 
-    /// Skips records that cannot be read or are no longer kept.
+    /// Skips records before `next` that are unreadable or trimmed.
     ///
-    /// A lease record that was trimmed away is older than the log's retention, which is far longer
-    /// than any lease.
+    /// Skipping trimmed records is safe: they are older than the retention of the log, which is far
+    /// longer than any lease.
     pub fn skip_to(&mut self, next: Offset) {
         self.next = self.next.max(next);
     }
 }
 
-/// The times of a lease.
+/// Durations that govern a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTimes {
-    /// How long a lease runs.
+    /// Validity of a lease.
     pub ttl: Duration,
-    /// How long before its end a holder renews it.
-    pub renew: Duration,
-    /// How long before its end a holder stops giving orders: the longest flight of an order and the
-    /// drift of two clocks over one lease.
+    /// How long before expiry the holder renews the lease.
+    pub renew_before: Duration,
+    /// How long before expiry the holder stops sending orders; covers the longest flight of an
+    /// order and the drift between two clocks during one lease.
     pub margin: Duration,
-    /// How long a new holder waits before it orders targets that do not check fencing numbers.
+    /// How long a new holder waits before it sends orders to targets that do not check fencing
+    /// tokens.
     pub settle: Duration,
 }
 
@@ -142,57 +143,58 @@
     fn default() -> LeaseTimes {
         LeaseTimes {
             ttl: Duration::from_secs(6),
-            renew: Duration::from_secs(4),
+            renew_before: Duration::from_secs(4),
             margin: Duration::from_millis(1500),
             settle: Duration::from_millis(1500),
         }
     }
 }
 
+/// Lease of this daemon, by its own clock.
 #[derive(Clone, Debug)]
-struct Own {
+struct OwnLease {
     fence: Fence,
     until: Instant,
-    settled: Instant,
+    settled_at: Instant,
 }
 
-/// One daemon's view of the lease and its wish to have it.
+/// View of the lease by one daemon, which acquires and renews it.
 #[derive(Clone, Debug)]
 pub struct LeaseClient {
     host: HostId,
     incarnation: Incarnation,
     times: LeaseTimes,
     state: LeaseState,
-    /// When each of the own records that may still turn up was sent.
-    sent: BTreeMap<u64, Instant>,
-    own: Option<Own>,
-    /// When the record that the fold's lease rests on was read here.
-    read: Option<Instant>,
-    /// No record is sent before this.
-    quiet: Option<Instant>,
+    /// Send times of this daemon's records that may still appear in the log, by nonce.
+    sent_at: BTreeMap<u64, Instant>,
+    own: Option<OwnLease>,
+    /// When this daemon read the last accepted record.
+    read_at: Option<Instant>,
+    /// Earliest time to send the next record.
+    next_send: Option<Instant>,
 }
 
 impl LeaseClient {
-    /// A daemon that has read nothing yet.
+    /// Creates the client of a daemon that has read no records.
     pub fn new(host: HostId, incarnation: Incarnation, times: LeaseTimes) -> LeaseClient {
         LeaseClient {
             host,
             incarnation,
             times,
             state: LeaseState::default(),
-            sent: BTreeMap::new(),
+            sent_at: BTreeMap::new(),
             own: None,
-            read: None,
-            quiet: None,
+            read_at: None,
+            next_send: None,
         }
     }
 
-    /// The stream's state as read here.
+    /// State after the records read so far.
     pub fn state(&self) -> &LeaseState {
         &self.state
     }
 
-    /// Takes a record that was read at `now`.
+    /// Applies a record that was read at `now`.
     pub fn record(
         &mut self,
         offset: Offset,
@@ -200,23 +202,23 @@
         record: &LeaseRecord,
         now: Instant,
     ) -> LeaseOutcome {
-        let folded = self.state.apply(offset, time, record);
-        if folded != LeaseOutcome::Accepted {
-            return folded;
+        let outcome = self.state.apply(offset, time, record);
+        if outcome != LeaseOutcome::Accepted {
+            return outcome;
         }
-        self.read = Some(now);
+        self.read_at = Some(now);
         match record {
             LeaseRecord::Take { holder, incarnation, nonce, ttl } => {
-                let mine = *holder == self.host && *incarnation == self.incarnation;
-                let sent = self.sent.remove(nonce);
-                self.own = sent.filter(|_| mine).map(|sent| Own {
+                let own_record = *holder == self.host && *incarnation == self.incarnation;
+                let sent = self.sent_at.remove(nonce);
+                self.own = sent.filter(|_| own_record).map(|sent| OwnLease {
                     fence: offset,
                     until: sent + Duration::from_millis(*ttl),
-                    settled: now + self.times.settle,
+                    settled_at: now + self.times.settle,
                 });
             }
             LeaseRecord::Renew { fence, nonce, ttl } => {
-                if let (Some(own), Some(sent)) = (&mut self.own, self.sent.remove(nonce))
+                if let (Some(own), Some(sent)) = (&mut self.own, self.sent_at.remove(nonce))
                     && own.fence == *fence
                 {
                     own.until = own.until.max(sent + Duration::from_millis(*ttl));
@@ -224,65 +226,66 @@
             }
             LeaseRecord::Release { .. } => self.own = None,
         }
-        folded
+        outcome
     }
 
-    /// Skips to an offset; see [`LeaseState::skip_to`].
+    /// Skips records before `next`; see [`LeaseState::skip_to`].
     pub fn skip_to(&mut self, next: Offset) {
         self.state.skip_to(next);
     }
 
-    /// The record to append now, if any.
+    /// Returns the record to append now, if any.
     ///
-    /// `wants` says whether this daemon is the one that should hold the lease; a holder that is no
-    /// longer wanted lets it run out. `nonce` is a fresh random number.
+    /// `wants` tells whether this daemon should hold the lease; otherwise a holder lets it expire.
+    /// `nonce` is a new random number.
     pub fn due(&mut self, now: Instant, wants: bool, nonce: u64) -> Option<LeaseRecord> {
         let ttl = self.times.ttl;
-        self.sent.retain(|_, sent| now.saturating_duration_since(*sent) < ttl);
-        if !wants || self.quiet.is_some_and(|quiet| now < quiet) {
+        self.sent_at.retain(|_, sent| now.saturating_duration_since(*sent) < ttl);
+        if !wants || self.next_send.is_some_and(|next_send| now < next_send) {
             return None;
         }
         let ttl = ttl.as_millis() as u64;
         let record = match &self.own {
             Some(own) if now < own.until => {
-                if own.until - now > self.times.renew {
+                if own.until - now > self.times.renew_before {
                     return None;
                 }
                 LeaseRecord::Renew { fence: own.fence, nonce, ttl }
             }
             _ => {
-                if !self.free(now) {
+                if !self.may_be_free(now) {
                     return None;
                 }
                 let (holder, incarnation) = (self.host.clone(), self.incarnation);
                 LeaseRecord::Take { holder, incarnation, nonce, ttl }
             }
         };
-        self.sent.insert(nonce, now);
-        self.quiet = Some(now + self.times.ttl / 6);
+        self.sent_at.insert(nonce, now);
+        self.next_send = Some(now + self.times.ttl / 6);
         Some(record)
     }
 
-    /// Whether the lease can have ended by the log's clock: a `ttl` after its record was read
-    /// here, it has ended wherever the clocks stand.
-    fn free(&self, now: Instant) -> bool {
-        match (self.state.lease(), self.read) {
-            (Some(_), Some(read)) => now.saturating_duration_since(read) >= self.times.ttl,
+    /// Whether the lease may have expired by the log's clock: it certainly has once `ttl` has passed
+    /// since its record was read, independent of clock offsets.
+    fn may_be_free(&self, now: Instant) -> bool {
+        match (self.state.lease(), self.read_at) {
+            (Some(_), Some(read_at)) => now.saturating_duration_since(read_at) >= self.times.ttl,
             _ => true,
         }
     }
 
-    /// The fencing number to order with at this very instant, if orders may be given.
+    /// Returns the fencing token for an order sent at `now`, if this daemon may send one.
     ///
-    /// Asked right before an order is sent. `checks` says whether the target refuses old fencing
-    /// numbers; one that does not is left alone until the last holder's orders have landed.
-    pub fn may_order(&self, now: Instant, checks: bool) -> Option<Fence> {
+    /// Call it immediately before sending. `checks_fence` tells whether the target rejects stale
+    /// fencing tokens; other targets get no orders until those of the previous holder have arrived.
+    pub fn may_order(&self, now: Instant, checks_fence: bool) -> Option<Fence> {
         let own = self.own.as_ref()?;
         let running = now + self.times.margin < own.until;
-        (running && (checks || now >= own.settled)).then_some(own.fence)
+        (running && (checks_fence || now >= own.settled_at)).then_some(own.fence)
     }
 
-    /// The record that ends the own lease early; asked when no order is under way.
+    /// Gives up the own lease and returns the record that ends it; call it only while no order is in
+    /// flight.
     pub fn release(&mut self) -> Option<LeaseRecord> {
         let own = self.own.take()?;
         Some(LeaseRecord::Release { fence: own.fence })
--- a/crates/roseshore_core/src/order/placement.rs
+++ b/crates/roseshore_core/src/order/placement.rs
@@ -1,20 +1,24 @@
-//! What spare engines should hold, by demand.
+//! Assigns shards to spare engines, by loss and by load.
 //!
-//! An engine that is declared with neither a model nor layers is spare. A spare engine takes the
-//! layers that the declared ones of its data centre are short of: first those of which every
-//! declared engine is lost, then those in most demand. A spare that has layers keeps them until
-//! others need it more. What keeps it from going to and fro: a need has to last, moves by demand
-//! have a pace, and a spare leaves only layers that stay far below the bound that calls for help.
+//! An engine declared with neither a model nor layers is a spare. Spares of a data centre take over
+//! shards that its declared engines cannot serve alone: first shards that no reporting engine is
+//! assigned to, then the most loaded ones. A spare keeps its shard until another shard needs it
+//! more.
+//!
+//! Three rules prevent oscillation: a need has to last for
+//! [`PlacementBounds::min_duration`], moves because of load are at least
+//! [`PlacementBounds::move_interval`] apart, and a spare leaves a shard only if the load there stays
+//! below [`PlacementBounds::cold_ratio`], far below the ratio at which a shard needs a spare.
 
 use crate::order::desired::Desired;
 use crate::order::reconciler::Observed;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Layers of a model that engines hold together.
+/// Range of layers of a model, served by one or more engines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Shard {
-    /// The model.
+    /// Model that the layers belong to.
     pub model: ModelId,
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
@@ -26,16 +30,16 @@
     }
 }
 
-/// The bounds of [`Placement`].
+/// Limits of a [`Placement`].
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementBounds {
-    /// Answers for each slot from which on a shard needs help.
+    /// Answers per slot from which on a shard needs a spare.
     pub hot_ratio: f64,
-    /// Answers for each slot that a shard may have once a spare has left it.
+    /// Most answers per slot that a shard may have after a spare has left it.
     pub cold_ratio: f64,
-    /// How long a need has to last.
+    /// How long a need has to last before a spare is assigned.
     pub min_duration: Duration,
-    /// Time between two moves by demand.
+    /// Shortest time between two moves because of load.
     pub move_interval: Duration,
 }
 
@@ -50,37 +54,40 @@
     }
 }
 
-/// The load of a shard, over the engines that serve it.
+/// Load of a shard, summed over the engines that serve it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
-    /// Engines that serve it.
-    live: u32,
-    /// Engines that are to serve it and report.
-    coming: u32,
-    work: f64,
+    /// Engines that serve the shard.
+    serving: u32,
+    /// Engines that should serve the shard and send reports.
+    assigned: u32,
+    /// Running and queued answers.
+    answers: f64,
     slots: f64,
 }
 
 impl Load {
     fn ratio(&self) -> f64 {
-        if self.slots > 0.0 { self.work / self.slots } else { 0.0 }
+        if self.slots > 0.0 { self.answers / self.slots } else { 0.0 }
     }
 
-    /// The ratio once an engine has left; infinite if it is the last.
-    fn without(&self, seen: &Observed) -> f64 {
-        let slots = self.slots - f64::from(seen.slots);
-        if slots > 0.0 { self.work / slots } else { f64::INFINITY }
+    /// Returns the ratio without the given engine; infinite if it is the last one.
+    fn ratio_without(&self, observed: &Observed) -> f64 {
+        let slots = self.slots - f64::from(observed.slots);
+        if slots > 0.0 { self.answers / slots } else { f64::INFINITY }
     }
 }
 
-/// Why a shard needs a spare.
+/// Why a shard needs a spare; the first variant is the most urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Need {
+    /// No reporting engine is assigned to the shard.
     Lost,
-    Hot,
+    /// Its ratio has reached [`PlacementBounds::hot_ratio`].
+    Overloaded,
 }
 
-/// Chooses what spare engines should hold.
+/// Assignment of shards to spare engines.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     bounds: PlacementBounds,
@@ -90,30 +97,31 @@
 }
 
 impl Placement {
-    /// A placement that starts from what spares hold.
+    /// Creates a placement that adopts the shards that spares hold already.
     pub fn new(bounds: PlacementBounds) -> Placement {
         Placement { bounds, ..Placement::default() }
     }
 
-    /// What each spare should hold now; one that is not named is left as it is.
+    /// Returns the desired state of spares; one that is not in the result stays as it is.
     ///
-    /// `fixed` is what the other engines of the data centre should hold, `spares` says of each
-    /// spare whether it refuses old fencing numbers, and `seen` has fresh reports only.
+    /// `declared` is the desired state of the other engines of the data centre. `spares` tells for
+    /// each spare whether it rejects stale fencing tokens. `observed` contains only recent reports.
     pub fn place(
         &mut self,
         now: Instant,
-        fixed: &BTreeMap<TargetId, Desired>,
+        declared: &BTreeMap<TargetId, Desired>,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Observed>,
+        observed: &BTreeMap<TargetId, Observed>,
     ) -> BTreeMap<TargetId, Desired> {
-        let shards: BTreeMap<Shard, &Desired> = fixed.values().map(|w| (Shard::of(w), w)).collect();
-        self.adopt(&shards, spares, seen);
-        let loads = self.loads(fixed, seen);
-        self.note_needs(now, &loads);
-        if let Some((shard, need)) = self.pressing(now, &loads)
-            && let Some(spare) = self.donor(need, &shard, spares, seen, &loads)
+        let shards: BTreeMap<Shard, &Desired> =
+            declared.values().map(|w| (Shard::of(w), w)).collect();
+        self.adopt(&shards, spares, observed);
+        let loads = self.loads(declared, observed);
+        self.update_needs(now, &loads);
+        if let Some((shard, need)) = self.most_urgent(now, &loads)
+            && let Some(spare) = self.choose_spare(need, &shard, spares, observed, &loads)
         {
-            if need == Need::Hot {
+            if need == Need::Overloaded {
                 self.moved = Some(now);
             }
             self.needs.remove(&shard);
@@ -127,16 +135,16 @@
         self.placed.iter().filter_map(want).collect()
     }
 
-    /// Takes over what spares hold, so that a new holder of the lease moves nothing.
+    /// Adopts the shards that spares hold, so that a new lease holder does not move them.
     fn adopt(
         &mut self,
         shards: &BTreeMap<Shard, &Desired>,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Observed>,
+        observed: &BTreeMap<TargetId, Observed>,
     ) {
         self.placed.retain(|id, shard| spares.contains_key(id) && shards.contains_key(shard));
         for id in spares.keys() {
-            let Some(shard) = seen.get(id).and_then(Observed::shard) else { continue };
+            let Some(shard) = observed.get(id).and_then(Observed::shard) else { continue };
             if shards.contains_key(&shard) {
                 self.placed.entry(id.clone()).or_insert(shard);
             }
@@ -145,29 +153,29 @@
 
     fn loads(
         &self,
-        fixed: &BTreeMap<TargetId, Desired>,
-        seen: &BTreeMap<TargetId, Observed>,
+        declared: &BTreeMap<TargetId, Desired>,
+        observed: &BTreeMap<TargetId, Observed>,
     ) -> BTreeMap<Shard, Load> {
         let mut loads: BTreeMap<Shard, Load> = BTreeMap::new();
-        let declared = fixed.iter().map(|(id, want)| (id, Shard::of(want)));
+        let declared = declared.iter().map(|(id, want)| (id, Shard::of(want)));
         let placed = self.placed.iter().map(|(id, shard)| (id, shard.clone()));
         for (id, shard) in declared.chain(placed) {
             let load = loads.entry(shard.clone()).or_default();
-            let Some(holds) = seen.get(id) else { continue };
-            load.coming += 1;
-            if holds.serves && holds.shard() == Some(shard) {
-                load.live += 1;
-                load.work += f64::from(holds.running) + f64::from(holds.queue);
-                load.slots += f64::from(holds.slots);
+            let Some(observed) = observed.get(id) else { continue };
+            load.assigned += 1;
+            if observed.serves && observed.shard() == Some(shard) {
+                load.serving += 1;
+                load.answers += f64::from(observed.running) + f64::from(observed.queue);
+                load.slots += f64::from(observed.slots);
             }
         }
         loads
     }
 
-    fn note_needs(&mut self, now: Instant, loads: &BTreeMap<Shard, Load>) {
+    fn update_needs(&mut self, now: Instant, loads: &BTreeMap<Shard, Load>) {
         let need = |load: &Load| {
-            let hot = load.live > 0 && load.ratio() >= self.bounds.hot_ratio;
-            if load.coming == 0 { Some(Need::Lost) } else { hot.then_some(Need::Hot) }
+            let hot = load.serving > 0 && load.ratio() >= self.bounds.hot_ratio;
+            if load.assigned == 0 { Some(Need::Lost) } else { hot.then_some(Need::Overloaded) }
         };
         let needs = loads.iter().filter_map(|(shard, load)| Some((shard.clone(), need(load)?)));
         let needs: Vec<(Shard, Need)> = needs.collect();
@@ -178,14 +186,14 @@
         }
     }
 
-    /// The shard that needs a spare most, if one has needed it for long enough.
-    fn pressing(&self, now: Instant, loads: &BTreeMap<Shard, Load>) -> Option<(Shard, Need)> {
+    /// Returns the shard that needs a spare most, among those whose need has lasted.
+    fn most_urgent(&self, now: Instant, loads: &BTreeMap<Shard, Load>) -> Option<(Shard, Need)> {
         let paced = |need| {
             let moved = self.moved.map(|at| now.saturating_duration_since(at));
             need == Need::Lost || moved.is_none_or(|past| past >= self.bounds.move_interval)
         };
-        // Help that is on its way counts before more is sent.
-        let settled = |shard: &Shard| loads.get(shard).is_some_and(|l| l.coming == l.live);
+        // A shard gets no further spare while an engine assigned to it is still loading.
+        let settled = |shard: &Shard| loads.get(shard).is_some_and(|l| l.assigned == l.serving);
         let lasting = self.needs.iter().filter(|(shard, (need, since))| {
             let lasts = now.saturating_duration_since(*since) >= self.bounds.min_duration;
             lasts && paced(*need) && settled(shard)
@@ -197,25 +205,25 @@
         most.map(|(shard, (need, _))| (shard.clone(), *need))
     }
 
-    /// A spare without a shard, or else the one whose shard misses it least.
-    fn donor(
+    /// Returns a spare without a shard, or else the one that leaves its shard the least loaded.
+    fn choose_spare(
         &self,
         need: Need,
         shard: &Shard,
         spares: &BTreeMap<TargetId, bool>,
-        seen: &BTreeMap<TargetId, Observed>,
+        observed: &BTreeMap<TargetId, Observed>,
         loads: &BTreeMap<Shard, Load>,
     ) -> Option<TargetId> {
-        let ready = |id: &&TargetId| seen.get(*id).is_some_and(|s| !s.loading);
+        let ready = |id: &&TargetId| observed.get(*id).is_some_and(|s| !s.loading);
         if let Some(free) = spares.keys().filter(ready).find(|id| !self.placed.contains_key(*id)) {
             return Some(free.clone());
         }
         let bound = if need == Need::Lost { self.bounds.hot_ratio } else { self.bounds.cold_ratio };
         let rest = |(id, from): (&TargetId, &Shard)| {
-            let holds = seen.get(id)?;
+            let observed = observed.get(id)?;
             let load = loads.get(from)?;
-            let serves = holds.serves && holds.shard().as_ref() == Some(from);
-            (serves && from != shard).then(|| (load.without(holds), id.clone()))
+            let serves = observed.serves && observed.shard().as_ref() == Some(from);
+            (serves && from != shard).then(|| (load.ratio_without(observed), id.clone()))
         };
         let rests = self.placed.iter().filter_map(rest).filter(|(ratio, _)| *ratio <= bound);
         rests.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, id)| id)
@@ -223,7 +231,7 @@
 }
 
 impl Observed {
-    /// The shard that it holds, if it is not loading.
+    /// Returns the shard that the target holds; `None` while it is loading.
     fn shard(&self) -> Option<Shard> {
         let model = self.model.clone().filter(|_| !self.loading)?;
         Some(Shard { model, layers: self.layers })
--- a/crates/roseshore_core/src/order/reconciler.rs
+++ b/crates/roseshore_core/src/order/reconciler.rs
@@ -1,11 +1,16 @@
-//! Which orders to give now.
+//! Reconciles targets with their desired state: decides which orders are due.
 //!
-//! Orders are level-triggered: an order says what to hold, and is given again until the target
-//! reports that. So a lost reply needs no memory, and an order of a former holder that lands late
-//! is put right by the next round. Four bounds hold: a target whose going would break the last
-//! whole chain of what it serves now waits for another, answers in flight get time to end before
-//! weights go, the weight store's backlog stays within a limit, and a target is not ordered again
-//! before its last order can have taken effect.
+//! Orders are level-triggered: an order states what a target should hold and is repeated until the
+//! target reports that state. A lost reply therefore needs no tracking, and a late order of a
+//! former lease holder is corrected in the next round.
+//!
+//! Four limits apply:
+//!
+//! - A target is not taken out of service while that would break the last complete chain of the
+//!   version it serves.
+//! - Answers in flight get time to finish before weights are replaced.
+//! - The backlog of the weight store stays within [`ReconcilerLimits::max_backlog`].
+//! - An order is not repeated before the previous one can have taken effect.
 
 mod serving;
 
@@ -13,34 +18,34 @@
 
 use crate::order::desired::Desired;
 use crate::prelude::*;
-use serving::{Going, Serving};
+use serving::{RemovalImpact, Serving};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a target reports that it holds.
+/// State that a target reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observed {
-    /// The model, if any.
+    /// Loaded model; `None` if the target holds none.
     pub model: Option<ModelId>,
-    /// The version.
+    /// Version of the loaded weights; `None` if the target holds none.
     pub version: Option<VersionId>,
-    /// First layer and one past the last.
+    /// Loaded layers: the first and one past the last.
     pub layers: (Layer, Layer),
-    /// The adapters.
+    /// Loaded adapters.
     pub adapters: BTreeSet<AdapterId>,
-    /// Whether a load is under way.
+    /// Whether weights are being loaded.
     pub loading: bool,
-    /// Whether it takes new answers, by its role.
+    /// Whether the target's role lets it take new answers.
     pub serves: bool,
-    /// Answers that it works on.
+    /// Number of answers that the target is computing.
     pub running: u32,
-    /// Answers that wait there.
+    /// Number of answers queued at the target.
     pub queue: u32,
-    /// Steps that run at once.
+    /// Number of steps that the target runs concurrently.
     pub slots: u32,
 }
 
 impl Observed {
-    fn fits(&self, want: &Desired) -> bool {
+    fn matches(&self, want: &Desired) -> bool {
         !self.loading
             && self.serves
             && self.model.as_ref() == Some(&want.model)
@@ -50,28 +55,28 @@
     }
 }
 
-/// The weight store's state.
+/// Load of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Store {
-    /// Bytes a second.
+pub struct WeightStoreState {
+    /// Throughput in bytes per second.
     pub rate: u64,
-    /// Bytes asked for and not yet given.
+    /// Bytes requested and not yet delivered.
     pub backlog: u64,
 }
 
-/// The bounds of [`Reconciler`].
+/// Limits of a [`Reconciler`].
 #[derive(Clone, Copy, Debug)]
 pub struct ReconcilerLimits {
-    /// The longest backlog that a new load may find at the weight store.
+    /// Longest backlog at the weight store, as time at its current rate, with new loads.
     pub max_backlog: Duration,
-    /// How long an order has before it is given again.
+    /// Delay before the first repeat of an order; doubles with each further repeat.
     pub retry_after: Duration,
-    /// The longest wait between repeats of an order that has no effect.
+    /// Longest delay between repeats of an order that has no effect.
     pub max_backoff: Duration,
-    /// How long daemons may take to hear that a target takes no new answers, or that a new version
+    /// Time until every daemon knows that a target takes no new answers or that a new version
     /// serves.
     pub propagation: Duration,
-    /// How long answers in flight may hold up a change.
+    /// Longest time that a change waits for answers in flight.
     pub drain_timeout: Duration,
 }
 
@@ -87,202 +92,218 @@
     }
 }
 
-/// What a target is ordered to do.
+/// Action that an order asks of its target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// To take no new answers, and to keep what it holds.
+    /// Stop taking new answers and keep the loaded state.
     Drain(Observed),
-    /// To hold what it should.
+    /// Load the desired state and take new answers.
     Hold(Desired),
 }
 
-/// An order that is due.
+/// Order to send now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DueOrder {
-    /// The target.
+    /// Target that receives the order.
     pub target: TargetId,
-    /// Whether it refuses old fencing numbers.
+    /// Whether the target rejects stale fencing tokens.
     pub checks_fence: bool,
-    /// What it is to do.
-    pub step: Action,
+    /// Requested action.
+    pub action: Action,
 }
 
-/// Since when a target waits for its answers in flight.
+/// Wait of a target for its answers in flight; restarts when `serves` changes.
 #[derive(Clone, Copy, Debug)]
-struct Wait {
+struct DrainWait {
     since: Instant,
     serves: bool,
 }
 
-/// A target that does not hold what it should.
-struct Open<'a> {
+/// Target whose observed state differs from the desired one.
+struct Pending<'a> {
     id: &'a TargetId,
     want: &'a Desired,
-    holds: &'a Observed,
-    going: Going,
+    observed: &'a Observed,
+    impact: RemovalImpact,
 }
 
+/// Last order issued to a target.
 #[derive(Clone, Debug)]
-struct Given {
+struct IssuedOrder {
     want: Desired,
     drain: bool,
+    /// Earliest time of the next repeat.
     next: Instant,
+    /// Number of repeats so far.
     tries: u32,
 }
 
-impl Given {
+impl IssuedOrder {
     fn same(&self, want: &Desired, drain: bool) -> bool {
         self.want == *want && self.drain == drain
     }
 }
 
-/// Decides which orders to give.
+/// Decides which orders are due, from the desired and observed state of targets.
 #[derive(Clone, Debug, Default)]
 pub struct Reconciler {
     bounds: ReconcilerLimits,
-    given: BTreeMap<TargetId, Given>,
-    waits: BTreeMap<TargetId, Wait>,
+    issued: BTreeMap<TargetId, IssuedOrder>,
+    waits: BTreeMap<TargetId, DrainWait>,
 }
 
 impl Reconciler {
-    /// A reconciler that has given nothing yet.
+    /// Creates a reconciler that has issued no orders.
     pub fn new(bounds: ReconcilerLimits) -> Reconciler {
         Reconciler { bounds, ..Reconciler::default() }
     }
 
-    /// The orders to give now.
+    /// Returns the orders to send now, and records them as issued.
     ///
-    /// `seen` has only targets whose report is fresh; a silent target is not ordered. `allowed`
-    /// says whether orders may be given to a target with this `checks_fence` mark. `store` is `None`
-    /// while the weight store does not answer; loads wait for it then.
+    /// `observed` contains only targets with a recent report; other targets get no orders.
+    /// `allowed` returns whether orders may be sent to targets with this value of `checks_fence`.
+    /// `store` is `None` while the weight store does not answer, which postpones loads.
     pub fn due(
         &mut self,
         now: Instant,
         wants: &BTreeMap<TargetId, Desired>,
-        seen: &BTreeMap<TargetId, Observed>,
-        store: Option<Store>,
+        observed: &BTreeMap<TargetId, Observed>,
+        store: Option<WeightStoreState>,
         allowed: impl Fn(bool) -> bool,
     ) -> Vec<DueOrder> {
-        self.forget(wants, seen);
-        let open = self.open(wants, seen);
-        self.waits.retain(|id, _| open.iter().any(|o| o.id == id));
+        self.prune_issued(wants, observed);
+        let pending = self.pending(wants, observed);
+        self.waits.retain(|id, _| pending.iter().any(|o| o.id == id));
         let mut budget = Budget::new(store, self.bounds.max_backlog);
         let mut orders = Vec::new();
-        for open in open {
-            let bytes = if same_weights(open.holds, open.want) { 0 } else { open.want.bytes };
-            let step = self.step(now, &open);
-            let Some(step) = step.filter(|_| allowed(open.want.checks_fence)) else { continue };
-            let drain = matches!(step, Action::Drain(_));
-            // A drained target needs the store next, so draining takes its place there as well.
-            if self.waited(open.id, open.want, drain, now) && budget.take(bytes) {
-                self.note(open.id, open.want, drain, now);
-                let checks_fence = open.want.checks_fence;
-                orders.push(DueOrder { target: open.id.clone(), checks_fence, step });
+        for pending in pending {
+            let bytes =
+                if weights_match(pending.observed, pending.want) { 0 } else { pending.want.bytes };
+            let action = self.next_action(now, &pending);
+            let Some(action) = action.filter(|_| allowed(pending.want.checks_fence)) else {
+                continue;
+            };
+            let drain = matches!(action, Action::Drain(_));
+            // A drained target loads its weights next, so a drain reserves the bytes as well.
+            if self.retry_due(pending.id, pending.want, drain, now) && budget.reserve(bytes) {
+                self.record_issued(pending.id, pending.want, drain, now);
+                let checks_fence = pending.want.checks_fence;
+                orders.push(DueOrder { target: pending.id.clone(), checks_fence, action });
             }
         }
         orders
     }
 
-    /// The targets that may change now, those first that cost their model nothing.
-    fn open<'a>(
+    /// Returns the targets that may change now, first those that break no chain of their model.
+    fn pending<'a>(
         &self,
         wants: &'a BTreeMap<TargetId, Desired>,
-        seen: &'a BTreeMap<TargetId, Observed>,
-    ) -> Vec<Open<'a>> {
-        let mut serving = Serving::new(seen, wants);
-        let (mut open, blocked): (Vec<_>, Vec<_>) = wants
+        observed: &'a BTreeMap<TargetId, Observed>,
+    ) -> Vec<Pending<'a>> {
+        let mut serving = Serving::new(observed, wants);
+        let (mut pending, blocked): (Vec<_>, Vec<_>) = wants
             .iter()
-            .filter_map(|(id, want)| Some((id, want, seen.get(id)?)))
-            .filter(|(_, want, holds)| !holds.loading && !holds.fits(want))
-            .map(|(id, want, holds)| {
-                let going = serving.leave(id, holds, want);
-                Open { id, want, holds, going }
+            .filter_map(|(id, want)| Some((id, want, observed.get(id)?)))
+            .filter(|(_, want, observed)| !observed.loading && !observed.matches(want))
+            .map(|(id, want, observed)| {
+                let impact = serving.remove(id, observed, want);
+                Pending { id, want, observed, impact }
             })
-            .partition(|open| open.going != Going::Last);
-        let mut changing = self.changing(seen);
-        changing.extend(open.iter().map(|open| &open.want.model));
-        // Nothing else of the model is on the move, so waiting would last for ever: a model with a
+            .partition(|pending| pending.impact != RemovalImpact::BreaksLastChain);
+        let mut changing = self.changing_models(observed);
+        changing.extend(pending.iter().map(|pending| &pending.want.model));
+        // If no other target of the model is changing, waiting would never end: a model with a
         // single chain has to go out of service for its change.
-        open.extend(blocked.into_iter().filter(|open| !changing.contains(&open.want.model)));
-        open
+        pending
+            .extend(blocked.into_iter().filter(|pending| !changing.contains(&pending.want.model)));
+        pending
     }
 
-    /// What a target is to do now, if its answers in flight leave it anything to do.
-    fn step(&mut self, now: Instant, open: &Open<'_>) -> Option<Action> {
-        let hold = || Some(Action::Hold(open.want.clone()));
-        let holds = open.holds;
-        if same_weights(holds, open.want) {
+    /// Returns the action for a target, or `None` while it waits for its answers in flight.
+    fn next_action(&mut self, now: Instant, pending: &Pending<'_>) -> Option<Action> {
+        let hold = || Some(Action::Hold(pending.want.clone()));
+        let observed = pending.observed;
+        if weights_match(observed, pending.want) {
             return hold();
         }
-        if open.going == Going::Spare {
-            return Some(Action::Drain(holds.clone()));
+        if pending.impact == RemovalImpact::Redundant {
+            return Some(Action::Drain(observed.clone()));
         }
-        let wait = Wait { since: now, serves: holds.serves };
-        let known = self.waits.entry(open.id.clone()).or_insert(wait);
+        let wait = DrainWait { since: now, serves: observed.serves };
+        let known = self.waits.entry(pending.id.clone()).or_insert(wait);
         if known.serves != wait.serves {
             *known = wait;
         }
         let waited = now.saturating_duration_since(known.since);
-        // Daemons that have not heard of it yet may still send new answers.
-        let trailing = !holds.serves || open.going == Going::Replaced;
+        // Daemons that do not know of the drain or of the new version yet may still send answers.
+        let trailing = !observed.serves || pending.impact == RemovalImpact::Replaced;
         let quiet = if trailing { self.bounds.propagation } else { Duration::ZERO };
-        let idle = holds.running == 0 && waited >= quiet;
+        let idle = observed.running == 0 && waited >= quiet;
         if idle || waited >= self.bounds.drain_timeout { hold() } else { None }
     }
 
-    /// The models of which a load is under way or ordered.
-    fn changing<'a>(&'a self, seen: &'a BTreeMap<TargetId, Observed>) -> BTreeSet<&'a ModelId> {
-        let loading = seen.values().filter(|holds| holds.loading);
-        let ordered = self.given.values().map(|given| &given.want.model);
-        loading.filter_map(|holds| holds.model.as_ref()).chain(ordered).collect()
+    /// Returns the models with a load in progress or ordered.
+    fn changing_models<'a>(
+        &'a self,
+        observed: &'a BTreeMap<TargetId, Observed>,
+    ) -> BTreeSet<&'a ModelId> {
+        let loading = observed.values().filter(|observed| observed.loading);
+        let ordered = self.issued.values().map(|issued| &issued.want.model);
+        loading.filter_map(|observed| observed.model.as_ref()).chain(ordered).collect()
     }
 
-    fn waited(&self, id: &TargetId, want: &Desired, drain: bool, now: Instant) -> bool {
-        self.given.get(id).is_none_or(|given| !given.same(want, drain) || now >= given.next)
+    fn retry_due(&self, id: &TargetId, want: &Desired, drain: bool, now: Instant) -> bool {
+        self.issued.get(id).is_none_or(|issued| !issued.same(want, drain) || now >= issued.next)
     }
 
-    fn note(&mut self, id: &TargetId, want: &Desired, drain: bool, now: Instant) {
-        let tries = match self.given.get(id) {
-            Some(given) if given.same(want, drain) => given.tries + 1,
+    fn record_issued(&mut self, id: &TargetId, want: &Desired, drain: bool, now: Instant) {
+        let tries = match self.issued.get(id) {
+            Some(issued) if issued.same(want, drain) => issued.tries + 1,
             _ => 0,
         };
         let backoff = self.bounds.retry_after * 2_u32.saturating_pow(tries.min(10));
         let next = now + backoff.min(self.bounds.max_backoff);
-        self.given.insert(id.clone(), Given { want: want.clone(), drain, next, tries });
+        self.issued.insert(id.clone(), IssuedOrder { want: want.clone(), drain, next, tries });
     }
 
-    /// Drops what was given to targets that hold it by now or are no longer declared.
-    fn forget(&mut self, wants: &BTreeMap<TargetId, Desired>, seen: &BTreeMap<TargetId, Observed>) {
-        self.given.retain(|id, given| {
-            // A silent target does not hold up the change of the others.
-            let open = seen.get(id).is_some_and(|holds| !holds.fits(&given.want));
-            open && wants.contains_key(id)
+    /// Drops orders whose target reached the ordered state, sends no reports or is not declared.
+    fn prune_issued(
+        &mut self,
+        wants: &BTreeMap<TargetId, Desired>,
+        observed: &BTreeMap<TargetId, Observed>,
+    ) {
+        self.issued.retain(|id, issued| {
+            // A target without reports must not delay the change of the others.
+            let pending = observed.get(id).is_some_and(|observed| !observed.matches(&issued.want));
+            pending && wants.contains_key(id)
         });
     }
 }
 
-/// An order that changes adapters only costs the weight store nothing worth counting.
-fn same_weights(holds: &Observed, want: &Desired) -> bool {
-    holds.model.as_ref() == Some(&want.model)
-        && holds.version.as_ref() == Some(&want.version)
-        && holds.layers == want.layers
+/// Whether the target holds the desired weights, adapters aside.
+///
+/// A change of adapters alone puts a negligible load on the weight store.
+fn weights_match(observed: &Observed, want: &Desired) -> bool {
+    observed.model.as_ref() == Some(&want.model)
+        && observed.version.as_ref() == Some(&want.version)
+        && observed.layers == want.layers
 }
 
-/// Bytes that may be asked of the weight store in one round.
+/// Bytes that may be requested from the weight store in one round.
 struct Budget {
     left: u64,
     idle: bool,
 }
 
 impl Budget {
-    fn new(store: Option<Store>, max_backlog: Duration) -> Budget {
+    fn new(store: Option<WeightStoreState>, max_backlog: Duration) -> Budget {
         let most = store.map_or(0, |s| (s.rate as f64 * max_backlog.as_secs_f64()) as u64);
         let backlog = store.map_or(0, |s| s.backlog);
         Budget { left: most.saturating_sub(backlog), idle: store.is_some() && backlog == 0 }
     }
 
-    /// Takes bytes if there is room; an idle store takes any one load, however large.
-    fn take(&mut self, bytes: u64) -> bool {
+    /// Reserves `bytes` if they fit; an idle store accepts one load of any size.
+    fn reserve(&mut self, bytes: u64) -> bool {
         if bytes > self.left && !(self.idle && bytes > 0) {
             return false;
         }
--- a/crates/roseshore_core/src/order/reconciler/serving.rs
+++ b/crates/roseshore_core/src/order/reconciler/serving.rs
@@ -1,123 +1,128 @@
-//! Which targets of a model serve now, and what is lost when one of them goes.
+//! Tracks which targets of a model serve and what taking one of them out of service would break.
 
 use super::Observed;
 use crate::order::desired::Desired;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At most one part in so many of the targets with the same layers changes at a time, until the
-/// version that they change to serves.
-const SHARE: usize = 2;
+/// Of the targets that should hold the same layers, at most one in this many changes at a time
+/// until the new version serves.
+const PEERS_PER_CHANGE: usize = 2;
 
-/// What the going of a target means for its model.
+/// Effect on a model of taking one of its targets out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Going {
-    /// Nothing: it serves nothing whole.
-    Free,
-    /// Another chain of what it serves stays whole.
-    Spare,
-    /// What it serves is replaced by a whole chain that holds what it should.
+pub(super) enum RemovalImpact {
+    /// None: the target is not part of a complete chain that is needed.
+    None,
+    /// Another complete chain of the same version remains.
+    Redundant,
+    /// A complete chain of the desired version already serves.
     Replaced,
-    /// The last whole chain of the model would go, or too many would go at once.
-    Last,
+    /// The last complete chain of the version would break, or too many targets would change at once.
+    BreaksLastChain,
 }
 
-/// The layer ranges that serve one version of one model.
+/// Layer ranges that serve one version of a model, by target.
 type Ranges<'a> = BTreeMap<&'a TargetId, (Layer, Layer)>;
 
-/// The targets that are to hold the same layers.
+/// Number of targets that should hold the same layers of a model.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peers {
-    all: usize,
-    moving: usize,
+    total: usize,
+    changing: usize,
 }
 
-/// The targets that serve now, by model and version.
+/// Targets that serve, by model and version.
 pub(super) struct Serving<'a> {
-    now: BTreeMap<(&'a ModelId, &'a VersionId), Ranges<'a>>,
-    /// Those among them that hold what they should.
-    done: BTreeMap<(&'a ModelId, &'a VersionId), Ranges<'a>>,
-    /// The number of layers of each model that is wanted.
+    current: BTreeMap<(&'a ModelId, &'a VersionId), Ranges<'a>>,
+    /// Those of `current` whose state matches the desired one.
+    matching: BTreeMap<(&'a ModelId, &'a VersionId), Ranges<'a>>,
+    /// Number of layers of each desired model.
     depths: BTreeMap<&'a ModelId, Layer>,
     peers: BTreeMap<(&'a ModelId, (Layer, Layer)), Peers>,
 }
 
 impl<'a> Serving<'a> {
     pub(super) fn new(
-        seen: &'a BTreeMap<TargetId, Observed>,
+        observed: &'a BTreeMap<TargetId, Observed>,
         wants: &'a BTreeMap<TargetId, Desired>,
     ) -> Serving<'a> {
         let depths = wants.values().map(|want| (&want.model, want.depth)).collect();
         let mut serving = Serving {
-            now: BTreeMap::new(),
-            done: BTreeMap::new(),
+            current: BTreeMap::new(),
+            matching: BTreeMap::new(),
             depths,
-            peers: peers(wants, seen),
+            peers: peers(wants, observed),
         };
-        for (id, holds) in seen {
+        for (id, observed) in observed {
             let (Some(model), Some(version), false) =
-                (&holds.model, &holds.version, holds.loading || !holds.serves)
+                (&observed.model, &observed.version, observed.loading || !observed.serves)
             else {
                 continue;
             };
-            serving.now.entry((model, version)).or_default().insert(id, holds.layers);
-            if wants.get(id).is_some_and(|want| holds.fits(want)) {
-                serving.done.entry((model, version)).or_default().insert(id, holds.layers);
+            serving.current.entry((model, version)).or_default().insert(id, observed.layers);
+            if wants.get(id).is_some_and(|want| observed.matches(want)) {
+                serving.matching.entry((model, version)).or_default().insert(id, observed.layers);
             }
         }
         serving
     }
 
-    /// Takes a target out of service if nothing is lost by it.
-    pub(super) fn leave(&mut self, id: &TargetId, holds: &Observed, want: &'a Desired) -> Going {
-        let (Some(model), Some(version)) = (&holds.model, &holds.version) else {
-            return Going::Free;
+    /// Takes a target out of service unless that breaks the last chain, and returns the effect.
+    pub(super) fn remove(
+        &mut self,
+        id: &TargetId,
+        observed: &Observed,
+        want: &'a Desired,
+    ) -> RemovalImpact {
+        let (Some(model), Some(version)) = (&observed.model, &observed.version) else {
+            return RemovalImpact::None;
         };
-        // A model that no target is wanted for may go.
+        // A model that no target should hold needs no chain.
         let Some(&depth) = self.depths.get(model) else {
-            return Going::Free;
+            return RemovalImpact::None;
         };
         let replaced = *model == want.model
-            && find(&mut self.done, model, &want.version)
+            && find(&mut self.matching, model, &want.version)
                 .is_some_and(|ranges| tiles(ranges.values().copied(), depth));
-        let Some(group) = find(&mut self.now, model, version) else {
-            return Going::Free;
+        let Some(group) = find(&mut self.current, model, version) else {
+            return RemovalImpact::None;
         };
         let whole = tiles(group.values().copied(), depth);
         let Some((key, range)) = group.remove_entry(id) else {
-            return Going::Free;
+            return RemovalImpact::None;
         };
         if replaced {
-            return Going::Replaced;
+            return RemovalImpact::Replaced;
         }
         if !whole {
-            return Going::Free;
+            return RemovalImpact::None;
         }
         let rest = tiles(group.values().copied(), depth);
         let peers = self.peers.entry((&want.model, want.layers)).or_default();
-        if !rest || peers.moving >= (peers.all / SHARE).max(1) {
+        if !rest || peers.changing >= (peers.total / PEERS_PER_CHANGE).max(1) {
             group.insert(key, range);
-            return Going::Last;
+            return RemovalImpact::BreaksLastChain;
         }
-        peers.moving += 1;
-        Going::Spare
+        peers.changing += 1;
+        RemovalImpact::Redundant
     }
 }
 
 fn peers<'a>(
     wants: &'a BTreeMap<TargetId, Desired>,
-    seen: &BTreeMap<TargetId, Observed>,
+    observed: &BTreeMap<TargetId, Observed>,
 ) -> BTreeMap<(&'a ModelId, (Layer, Layer)), Peers> {
     let mut peers: BTreeMap<_, Peers> = BTreeMap::new();
     for (id, want) in wants {
         let row = peers.entry((&want.model, want.layers)).or_default();
-        row.all += 1;
-        row.moving += usize::from(seen.get(id).is_some_and(|s| s.loading || !s.serves));
+        row.total += 1;
+        row.changing += usize::from(observed.get(id).is_some_and(|s| s.loading || !s.serves));
     }
     peers
 }
 
-/// Looks up a group by borrowed ids of any lifetime.
+/// Looks up the ranges of a version; borrowed ids may have any lifetime.
 fn find<'a, 'b>(
     groups: &'b mut BTreeMap<(&'a ModelId, &'a VersionId), Ranges<'a>>,
     model: &ModelId,
@@ -126,7 +131,7 @@
     groups.iter_mut().find(|((m, v), _)| *m == model && *v == version).map(|(_, ranges)| ranges)
 }
 
-/// Whether some of the ranges follow each other from 0 to `depth` without hole or overlap.
+/// Whether a subset of `ranges` covers the layers from 0 to `depth` without gap or overlap.
 pub fn tiles(ranges: impl Iterator<Item = (Layer, Layer)>, depth: Layer) -> bool {
     let mut sorted: Vec<(Layer, Layer)> = ranges.filter(|(from, to)| from < to).collect();
     sorted.sort_unstable();
--- a/crates/roseshore_core/src/order/rollout.rs
+++ b/crates/roseshore_core/src/order/rollout.rs
@@ -1,109 +1,111 @@
-//! Which version of a model new answers use while targets change from one to the next.
+//! Chooses the version of a model for new answers while targets change from one version to another.
 //!
-//! The declared version is in force in a data centre as soon as a whole chain of it serves there;
-//! until then new answers use the version that served before, as long as a chain of that is whole.
-//! The step is taken once: an older version is not used again unless it is declared again. An
-//! answer keeps the version that it began with, so texts of two versions are never mixed.
+//! The declared version is used in a data centre as soon as a complete chain of it serves there.
+//! Until then new answers use the previous version, as long as a chain of that is complete. The
+//! switch happens once: an older version is not used again unless it is declared again. An answer
+//! keeps the version that it started with, so texts of two versions are never mixed.
 
 use crate::order::reconciler::tiles;
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Layers of one version of a model that an engine can run now.
+/// Layers of one version of a model that an engine serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedRange {
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: VersionId,
     /// First layer and one past the last.
     pub layers: (Layer, Layer),
-    /// Whether the engine stands in the own data centre.
+    /// Whether the engine is in this daemon's data centre.
     pub local: bool,
 }
 
-/// What the engines of a model hold.
+/// Layer ranges of a model that engines have loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedRanges {
-    /// Of usable engines.
+    /// Ranges of usable engines.
     pub ranges: Vec<LoadedRange>,
-    /// Whether every engine of the own data centre has been heard of, or is out of use.
+    /// Whether every engine of this daemon's data centre has sent a report or is unusable.
     pub complete: bool,
 }
 
-/// The versions of which a whole chain serves.
-struct Whole {
-    near: BTreeSet<VersionId>,
+/// Versions with a complete chain, in this daemon's data centre or in all together.
+struct CompleteVersions {
+    local: BTreeSet<VersionId>,
     anywhere: BTreeSet<VersionId>,
 }
 
-impl Whole {
-    fn new(loaded: &LoadedRanges, depth: Layer) -> Whole {
+impl CompleteVersions {
+    fn new(loaded: &LoadedRanges, depth: Layer) -> CompleteVersions {
         let of = |version: &VersionId, far: bool| {
-            let held = loaded.ranges.iter().filter(|p| p.version == *version && (far || p.local));
-            tiles(held.map(|p| p.layers), depth)
+            let ranges = loaded.ranges.iter().filter(|r| r.version == *version && (far || r.local));
+            tiles(ranges.map(|r| r.layers), depth)
         };
-        let versions: BTreeSet<&VersionId> = loaded.ranges.iter().map(|p| &p.version).collect();
-        let whole = |far| versions.iter().filter(|v| of(v, far)).map(|v| (*v).clone()).collect();
-        Whole { near: whole(false), anywhere: whole(true) }
+        let versions: BTreeSet<&VersionId> = loaded.ranges.iter().map(|r| &r.version).collect();
+        let complete = |far| versions.iter().filter(|v| of(v, far)).map(|v| (*v).clone()).collect();
+        CompleteVersions { local: complete(false), anywhere: complete(true) }
     }
 
-    fn newest_but(&self, declared: &VersionId) -> Option<VersionId> {
+    fn newest_except(&self, declared: &VersionId) -> Option<VersionId> {
         let old = |set: &BTreeSet<VersionId>| set.iter().rfind(|v| *v != declared).cloned();
-        old(&self.near).or_else(|| old(&self.anywhere))
+        old(&self.local).or_else(|| old(&self.anywhere))
     }
 }
 
-/// The version for a new answer.
+/// Version chosen for a new answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The version.
+    /// Version of the weights.
     pub version: VersionId,
-    /// Whether answers used another one until now.
+    /// Whether previous answers used another version.
     pub switched: bool,
 }
 
-/// The versions in use, by model.
+/// Versions that new answers use, by model.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     serving: BTreeMap<ModelId, VersionId>,
 }
 
 impl Rollout {
-    /// Forgets models that are not declared any more.
+    /// Drops models that are no longer declared.
     pub fn declare(&mut self, fleet: &Fleet) {
         self.serving.retain(|model, _| fleet.models.contains_key(model));
     }
 
     /// Chooses the version for a new answer of a model with `depth` layers.
     ///
-    /// `look` is called only while the declared version is not yet in use here.
+    /// `loaded_ranges` is called only while the declared version is not in use yet.
     pub fn choose(
         &mut self,
         model: &ModelId,
         declared: &VersionId,
         depth: Layer,
-        look: impl FnOnce() -> LoadedRanges,
+        loaded_ranges: impl FnOnce() -> LoadedRanges,
     ) -> Choice {
         let serving = self.serving.get(model).cloned();
-        let stay = |version: &VersionId| Choice { version: version.clone(), switched: false };
+        let keep = |version: &VersionId| Choice { version: version.clone(), switched: false };
         if serving.as_ref() == Some(declared) {
-            return stay(declared);
+            return keep(declared);
         }
-        let loaded = look();
-        let whole = Whole::new(&loaded, depth);
-        // A daemon that has just started knows no former version. It takes what it finds, but
-        // only once a chain of the declared one cannot merely be unheard of.
-        let old =
-            serving.clone().or_else(|| whole.newest_but(declared).filter(|_| loaded.complete));
+        let loaded = loaded_ranges();
+        let complete = CompleteVersions::new(&loaded, depth);
+        // A daemon that has just started knows no previous version. It adopts a version that
+        // serves, but only once all engines have reported: before that, a chain of the declared
+        // version may exist without being known.
+        let old = serving
+            .clone()
+            .or_else(|| complete.newest_except(declared).filter(|_| loaded.complete));
         let old = old.as_ref();
         let new = Some(declared);
-        let order = [(new, &whole.near), (old, &whole.near), (new, &whole.anywhere)];
-        let last = [(old, &whole.anywhere)];
-        let mut ways = order.into_iter().chain(last);
-        let Some(version) = ways.find_map(|(v, set)| v.filter(|v| set.contains(*v))) else {
-            return stay(declared);
+        let order = [(new, &complete.local), (old, &complete.local), (new, &complete.anywhere)];
+        let last = [(old, &complete.anywhere)];
+        let mut candidates = order.into_iter().chain(last);
+        let Some(version) = candidates.find_map(|(v, set)| v.filter(|v| set.contains(*v))) else {
+            return keep(declared);
         };
         if serving.as_ref() == Some(version) {
-            return stay(version);
+            return keep(version);
         }
         self.serving.insert(model.clone(), version.clone());
         Choice { version: version.clone(), switched: serving.is_some() }
--- a/crates/roseshore_core/tests/lease.rs
+++ b/crates/roseshore_core/tests/lease.rs
@@ -1,4 +1,5 @@
-//! The lease for orders: one holder at a time, whatever is lost, paused or repeated.
+//! Tests of the order lease: there is one holder at a time, whatever records are lost or repeated
+//! and whichever daemons pause.
 
 use proptest::prelude::*;
 use roseshore_core::order::lease::{
@@ -19,7 +20,7 @@
 struct Case {
     name: &'static str,
     records: Vec<(Offset, u64, LeaseRecord)>,
-    folded: Vec<LeaseOutcome>,
+    outcomes: Vec<LeaseOutcome>,
     holder: Option<(&'static str, Fence)>,
 }
 
@@ -27,33 +28,33 @@
     use LeaseOutcome::{Accepted, Repeat, Void};
     vec![
         Case {
-            name: "two writers at once, the first in the log wins",
+            name: "of two concurrent takers the first in the log wins",
             records: vec![(0, 0, take("a", 1)), (1, 0, take("b", 2))],
-            folded: vec![Accepted, Void],
+            outcomes: vec![Accepted, Void],
             holder: Some(("a", 0)),
         },
         Case {
-            name: "a lease that ran out by the log's clock is taken over",
+            name: "a lease that has expired by the log's clock is taken over",
             records: vec![(0, 0, take("a", 1)), (1, TTL, take("b", 2))],
-            folded: vec![Accepted, Accepted],
+            outcomes: vec![Accepted, Accepted],
             holder: Some(("b", 1)),
         },
         Case {
-            name: "a renewal keeps the fencing number",
+            name: "a renewal keeps the fencing token",
             records: vec![(0, 0, take("a", 1)), (1, TTL - 1, renew(0)), (2, TTL, take("b", 2))],
-            folded: vec![Accepted, Accepted, Void],
+            outcomes: vec![Accepted, Accepted, Void],
             holder: Some(("a", 0)),
         },
         Case {
-            name: "a renewal that comes after the end is void",
+            name: "a renewal after expiry is void",
             records: vec![(0, 0, take("a", 1)), (1, TTL, renew(0)), (2, TTL, take("b", 2))],
-            folded: vec![Accepted, Void, Accepted],
+            outcomes: vec![Accepted, Void, Accepted],
             holder: Some(("b", 2)),
         },
         Case {
             name: "a paused holder's renewal does not touch its successor",
             records: vec![(0, 0, take("a", 1)), (1, TTL, take("b", 2)), (2, TTL + 1, renew(0))],
-            folded: vec![Accepted, Accepted, Void],
+            outcomes: vec![Accepted, Accepted, Void],
             holder: Some(("b", 1)),
         },
         Case {
@@ -63,25 +64,25 @@
                 (1, 1, LeaseRecord::Release { fence: 0 }),
                 (2, 2, take("b", 2)),
             ],
-            folded: vec![Accepted, Accepted, Accepted],
+            outcomes: vec![Accepted, Accepted, Accepted],
             holder: Some(("b", 2)),
         },
         Case {
             name: "a record read twice counts once",
             records: vec![(0, 0, take("a", 1)), (0, 0, take("a", 1)), (1, 1, take("b", 2))],
-            folded: vec![Accepted, Repeat, Void],
+            outcomes: vec![Accepted, Repeat, Void],
             holder: Some(("a", 0)),
         },
     ]
 }
 
 #[test]
-fn folds() {
+fn records_apply_in_order() {
     for case in cases() {
         let mut state = LeaseState::default();
-        let folded: Vec<LeaseOutcome> =
+        let outcomes: Vec<LeaseOutcome> =
             case.records.iter().map(|(o, t, r)| state.apply(*o, *t, r)).collect();
-        assert_eq!(folded, case.folded, "{}", case.name);
+        assert_eq!(outcomes, case.outcomes, "{}", case.name);
         let held = state.lease().map(|h| (h.holder.as_str(), h.fence));
         assert_eq!(held, case.holder, "{}", case.name);
     }
@@ -91,55 +92,59 @@
 fn a_holder_paused_past_its_lease_gives_no_order() {
     let start = Instant::now();
     let mut client = LeaseClient::new("a".into(), 1, LeaseTimes::default());
-    let record = client.due(start, true, 1).expect("nobody holds it");
+    let record = client.due(start, true, 1).expect("the lease is free");
     client.record(0, 50, &record, start + Duration::from_millis(60));
-    let awake = start + Duration::from_secs(1);
-    assert_eq!(client.may_order(awake, true), Some(0));
-    assert_eq!(client.may_order(awake, false), None, "the last holder's orders may still land");
+    let later = start + Duration::from_secs(1);
+    assert_eq!(client.may_order(later, true), Some(0));
+    assert_eq!(
+        client.may_order(later, false),
+        None,
+        "orders of the previous holder may still arrive"
+    );
     assert_eq!(client.may_order(start + Duration::from_secs(2), false), Some(0));
-    let paused = start + Duration::from_hours(1);
-    assert_eq!(client.may_order(paused, true), None);
-    assert_eq!(client.may_order(paused, false), None);
+    let after_pause = start + Duration::from_hours(1);
+    assert_eq!(client.may_order(after_pause, true), None);
+    assert_eq!(client.may_order(after_pause, false), None);
 }
 
-/// One step of a run of three daemons on one log.
+/// Step of a simulation of three daemons with one log.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time goes on, milliseconds.
-    Pass(u64),
-    /// A daemon wakes, sends what is due, and the record takes this long to the log.
-    Wake { daemon: usize, delay: u64 },
-    /// A daemon's record is sent and never arrives.
-    Lost { daemon: usize },
-    /// A daemon reads some records.
+    /// Time advances, in milliseconds.
+    Advance(u64),
+    /// A daemon sends the record that is due; it arrives at the log after `delay` milliseconds.
+    Send { daemon: usize, delay: u64 },
+    /// A daemon sends the record that is due; it never arrives.
+    SendLost { daemon: usize },
+    /// A daemon reads up to `count` records.
     Read { daemon: usize, count: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (1..4_000_u64).prop_map(Step::Pass),
-        4 => (0..3_usize, 0..3_000_u64).prop_map(|(daemon, delay)| Step::Wake { daemon, delay }),
-        1 => (0..3_usize).prop_map(|daemon| Step::Lost { daemon }),
+        3 => (1..4_000_u64).prop_map(Step::Advance),
+        4 => (0..3_usize, 0..3_000_u64).prop_map(|(daemon, delay)| Step::Send { daemon, delay }),
+        1 => (0..3_usize).prop_map(|daemon| Step::SendLost { daemon }),
         5 => (0..3_usize, 1..5_usize).prop_map(|(daemon, count)| Step::Read { daemon, count }),
     ]
 }
 
-/// The log with records on their way to it.
-struct World {
+/// Daemons, the log and the records in flight to it.
+struct Simulation {
     start: Instant,
     now: u64,
-    flying: Vec<(u64, LeaseRecord)>,
+    in_flight: Vec<(u64, LeaseRecord)>,
     log: Vec<(u64, LeaseRecord)>,
     daemons: Vec<LeaseClient>,
     nonce: u64,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let client = |i: usize| LeaseClient::new(format!("host-{i}"), 1, LeaseTimes::default());
         let daemons = (0..3).map(client).collect();
         let start = Instant::now();
-        World { start, now: 0, flying: Vec::new(), log: Vec::new(), daemons, nonce: 0 }
+        Simulation { start, now: 0, in_flight: Vec::new(), log: Vec::new(), daemons, nonce: 0 }
     }
 
     fn at(&self, millis: u64) -> Instant {
@@ -148,16 +153,16 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Pass(millis) => self.now += millis,
-            Step::Wake { daemon, delay } => {
+            Step::Advance(millis) => self.now += millis,
+            Step::Send { daemon, delay } => {
                 if let Some(record) = self.due(*daemon) {
-                    self.flying.push((self.now + delay, record));
+                    self.in_flight.push((self.now + delay, record));
                 }
             }
-            Step::Lost { daemon } => drop(self.due(*daemon)),
+            Step::SendLost { daemon } => drop(self.due(*daemon)),
             Step::Read { daemon, count } => self.read(*daemon, *count),
         }
-        self.land();
+        self.deliver();
     }
 
     fn due(&mut self, daemon: usize) -> Option<LeaseRecord> {
@@ -166,10 +171,10 @@
         self.daemons[daemon].due(now, true, self.nonce)
     }
 
-    fn land(&mut self) {
-        self.flying.sort_by_key(|(time, _)| *time);
-        let landed = self.flying.iter().take_while(|(time, _)| *time <= self.now).count();
-        self.log.extend(self.flying.drain(..landed));
+    fn deliver(&mut self) {
+        self.in_flight.sort_by_key(|(time, _)| *time);
+        let delivered = self.in_flight.iter().take_while(|(time, _)| *time <= self.now).count();
+        self.log.extend(self.in_flight.drain(..delivered));
     }
 
     fn read(&mut self, daemon: usize, count: usize) {
@@ -180,8 +185,8 @@
         }
     }
 
-    /// The lease by a reader who has read everything.
-    fn truth(&self) -> LeaseState {
+    /// State after all records of the log.
+    fn log_state(&self) -> LeaseState {
         let mut state = LeaseState::default();
         for (offset, (time, record)) in self.log.iter().enumerate() {
             state.apply(offset as Offset, *time, record);
@@ -194,23 +199,23 @@
     #![proptest_config(ProptestConfig { cases: 512, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn only_the_true_holder_orders_and_fences_grow(steps in proptest::collection::vec(step(), 1..80)) {
-        let mut world = World::new();
+    fn only_the_holder_orders_and_fences_grow(steps in proptest::collection::vec(step(), 1..80)) {
+        let mut sim = Simulation::new();
         let mut highest = 0;
         for step in &steps {
-            world.apply(step);
-            let now = world.at(world.now);
-            let truth = world.truth();
-            let givers: Vec<(usize, Fence)> = (0..3)
-                .filter_map(|i| Some((i, world.daemons[i].may_order(now, true)?)))
+            sim.apply(step);
+            let now = sim.at(sim.now);
+            let actual = sim.log_state();
+            let senders: Vec<(usize, Fence)> = (0..3)
+                .filter_map(|i| Some((i, sim.daemons[i].may_order(now, true)?)))
                 .collect();
-            prop_assert!(givers.len() <= 1, "two holders: {givers:?}");
-            if let Some((daemon, fence)) = givers.first() {
-                let held = truth.lease().expect("somebody holds it");
+            prop_assert!(senders.len() <= 1, "two holders: {senders:?}");
+            if let Some((daemon, fence)) = senders.first() {
+                let held = actual.lease().expect("the lease is held");
                 prop_assert_eq!(&held.holder, &format!("host-{daemon}"));
                 prop_assert_eq!(held.fence, *fence);
-                prop_assert!(world.now < held.until, "ordered past the end");
-                prop_assert!(*fence >= highest, "a fencing number fell");
+                prop_assert!(sim.now < held.until, "order after expiry");
+                prop_assert!(*fence >= highest, "fencing token decreased");
                 highest = *fence;
             }
         }
--- a/crates/roseshore_core/tests/placement.rs
+++ b/crates/roseshore_core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! What spare engines should hold: by loss, by demand, and never to and fro.
+//! Tests of the placement of spare engines: they take over lost and loaded shards and do not
+//! oscillate.
 
 use proptest::prelude::*;
 use roseshore_core::order::desired::Desired;
@@ -9,7 +10,7 @@
 
 const SLOTS: u32 = 10;
 
-/// A model of one part, so that its name says the part.
+/// Desired state of a model with a single shard, so that the model's name identifies the shard.
 fn want(model: &str) -> Desired {
     Desired {
         model: model.into(),
@@ -22,7 +23,7 @@
     }
 }
 
-fn seen(model: Option<&str>, running: u32) -> Observed {
+fn observed(model: Option<&str>, running: u32) -> Observed {
     Observed {
         model: model.map(Into::into),
         version: model.map(|_| "1".into()),
@@ -36,59 +37,60 @@
     }
 }
 
-/// Engines with what they hold, and demand that they share; loads take no time.
-struct World {
+/// Engines with their loaded models, and demand that they share; loads take no time.
+struct Simulation {
     placement: Placement,
-    fixed: BTreeMap<TargetId, Desired>,
+    declared: BTreeMap<TargetId, Desired>,
     spares: BTreeMap<TargetId, bool>,
-    holds: BTreeMap<TargetId, Option<String>>,
+    loaded: BTreeMap<TargetId, Option<String>>,
     lost: BTreeSet<TargetId>,
     demand: BTreeMap<String, u32>,
     now: Instant,
 }
 
-impl World {
-    fn new(fixed: &[(&str, &str)], spares: &[(&str, &str)]) -> World {
-        let holds = |(id, model): &(&str, &str)| {
+impl Simulation {
+    fn new(declared: &[(&str, &str)], spares: &[(&str, &str)]) -> Simulation {
+        let loaded = |(id, model): &(&str, &str)| {
             ((*id).to_owned(), Some((*model).to_owned()).filter(|m| !m.is_empty()))
         };
-        World {
+        Simulation {
             placement: Placement::new(PlacementBounds::default()),
-            fixed: fixed.iter().map(|(id, model)| ((*id).to_owned(), want(model))).collect(),
+            declared: declared.iter().map(|(id, model)| ((*id).to_owned(), want(model))).collect(),
             spares: spares.iter().map(|(id, _)| ((*id).to_owned(), true)).collect(),
-            holds: fixed.iter().chain(spares).map(holds).collect(),
+            loaded: declared.iter().chain(spares).map(loaded).collect(),
             lost: BTreeSet::new(),
             demand: BTreeMap::new(),
             now: Instant::now(),
         }
     }
 
-    fn live(&self, model: &str) -> u32 {
-        let holders = self.holds.iter().filter(|(_, m)| m.as_deref() == Some(model));
+    fn live_holders(&self, model: &str) -> u32 {
+        let holders = self.loaded.iter().filter(|(_, m)| m.as_deref() == Some(model));
         holders.filter(|(id, _)| !self.lost.contains(*id)).count() as u32
     }
 
-    fn seen(&self) -> BTreeMap<TargetId, Observed> {
-        let live = self.holds.iter().filter(|(id, _)| !self.lost.contains(*id));
-        let share =
-            |model: &str| self.demand.get(model).map_or(0, |d| d.div_ceil(self.live(model)));
+    fn observed(&self) -> BTreeMap<TargetId, Observed> {
+        let live = self.loaded.iter().filter(|(id, _)| !self.lost.contains(*id));
+        let share = |model: &str| {
+            self.demand.get(model).map_or(0, |d| d.div_ceil(self.live_holders(model)))
+        };
         live.map(|(id, model)| {
             let running = model.as_deref().map_or(0, share);
-            (id.clone(), seen(model.as_deref(), running))
+            (id.clone(), observed(model.as_deref(), running))
         })
         .collect()
     }
 
-    /// One second later; the spares that change with what they hold then.
+    /// Advances by one second; returns the spares that change and their new models.
     fn round(&mut self) -> Vec<(TargetId, String)> {
         self.now += Duration::from_secs(1);
-        let seen = self.seen();
-        let wants = self.placement.place(self.now, &self.fixed, &self.spares, &seen);
+        let observed = self.observed();
+        let wants = self.placement.place(self.now, &self.declared, &self.spares, &observed);
         let mut moves = Vec::new();
         for (id, want) in wants {
-            let known = self.holds.get_mut(&id).unwrap();
-            if known.as_deref() != Some(want.model.as_str()) && !self.lost.contains(&id) {
-                *known = Some(want.model.clone());
+            let loaded = self.loaded.get_mut(&id).unwrap();
+            if loaded.as_deref() != Some(want.model.as_str()) && !self.lost.contains(&id) {
+                *loaded = Some(want.model.clone());
                 moves.push((id, want.model));
             }
         }
@@ -105,52 +107,52 @@
     spares: &'static [(&'static str, &'static str)],
     demand: &'static [(&'static str, u32)],
     lost: &'static [&'static str],
-    /// Moves within a minute.
+    /// Moves within one minute.
     moves: &'static [(&'static str, &'static str)],
 }
 
 /// Model `a` on two declared engines, `b` on one.
-const FIXED: &[(&str, &str)] = &[("f1", "a"), ("f2", "a"), ("f3", "b")];
+const DECLARED: &[(&str, &str)] = &[("f1", "a"), ("f2", "a"), ("f3", "b")];
 
 const CASES: &[Case] = &[
     Case { name: "no demand, no move", spares: &[("s1", "")], demand: &[], lost: &[], moves: &[] },
     Case {
-        name: "a part in demand gets a free spare",
+        name: "a loaded shard gets a free spare",
         spares: &[("s1", ""), ("s2", "")],
         demand: &[("a", 20), ("b", 2)],
         lost: &[],
         moves: &[("s1", "a")],
     },
     Case {
-        name: "more demand gets more, at its pace",
+        name: "higher load gets more spares, one per interval",
         spares: &[("s1", ""), ("s2", ""), ("s3", "")],
         demand: &[("b", 60)],
         lost: &[],
         moves: &[("s1", "b"), ("s2", "b")],
     },
     Case {
-        name: "the part in most demand goes first",
+        name: "the most loaded shard goes first",
         spares: &[("s1", "")],
         demand: &[("a", 20), ("b", 30)],
         lost: &[],
         moves: &[("s1", "b")],
     },
     Case {
-        name: "a lost part gets a spare before one in demand",
+        name: "a lost shard gets a spare before a loaded one",
         spares: &[("s1", "")],
         demand: &[("a", 40)],
         lost: &["f3"],
         moves: &[("s1", "b")],
     },
     Case {
-        name: "one of two lost is no lost part",
+        name: "a shard with one of two engines lost is not lost",
         spares: &[("s1", "")],
         demand: &[("a", 2)],
         lost: &["f1"],
         moves: &[],
     },
     Case {
-        name: "a spare leaves an idle part",
+        name: "a spare leaves an idle shard",
         spares: &[("s1", "a")],
         demand: &[("a", 4), ("b", 10)],
         lost: &[],
@@ -164,14 +166,14 @@
         moves: &[],
     },
     Case {
-        name: "the last engine of a part stays",
+        name: "the last engine of a shard stays",
         spares: &[("s1", "b")],
         demand: &[("a", 40)],
         lost: &["f3"],
         moves: &[],
     },
     Case {
-        name: "a lost spare is not counted on",
+        name: "a lost spare is not used",
         spares: &[("s1", ""), ("s2", "")],
         demand: &[("a", 20)],
         lost: &["s1"],
@@ -182,10 +184,10 @@
 #[test]
 fn placements() {
     for case in CASES {
-        let mut world = World::new(FIXED, case.spares);
-        world.demand = case.demand.iter().map(|(m, d)| ((*m).to_owned(), *d)).collect();
-        world.lost = case.lost.iter().map(|id| (*id).to_owned()).collect();
-        let moves = world.rounds(60);
+        let mut sim = Simulation::new(DECLARED, case.spares);
+        sim.demand = case.demand.iter().map(|(m, d)| ((*m).to_owned(), *d)).collect();
+        sim.lost = case.lost.iter().map(|id| (*id).to_owned()).collect();
+        let moves = sim.rounds(60);
         let moves: Vec<_> = moves.iter().map(|(id, m)| (id.as_str(), m.as_str())).collect();
         assert_eq!(moves, case.moves, "{}", case.name);
     }
@@ -193,71 +195,71 @@
 
 #[test]
 fn a_short_burst_moves_nothing() {
-    let mut world = World::new(FIXED, &[("s1", "")]);
+    let mut sim = Simulation::new(DECLARED, &[("s1", "")]);
     for _ in 0..20 {
-        world.demand.insert("a".into(), 40);
-        assert_eq!(world.rounds(8), []);
-        world.demand.insert("a".into(), 4);
-        assert_eq!(world.rounds(2), []);
+        sim.demand.insert("a".into(), 40);
+        assert_eq!(sim.rounds(8), []);
+        sim.demand.insert("a".into(), 4);
+        assert_eq!(sim.rounds(2), []);
     }
 }
 
 #[test]
-fn help_on_its_way_counts_before_more_is_sent() {
-    let mut world = World::new(FIXED, &[("s1", ""), ("s2", "")]);
-    world.demand.insert("b".into(), 60);
+fn no_second_spare_while_the_first_is_loading() {
+    let mut sim = Simulation::new(DECLARED, &[("s1", ""), ("s2", "")]);
+    sim.demand.insert("b".into(), 60);
     let mut placed = 0;
     for _ in 0..120 {
-        world.now += Duration::from_secs(1);
-        // The first spare is told, and its load does not come to an end.
-        let mut seen = world.seen();
-        seen.get_mut("s1").unwrap().loading = placed > 0;
-        placed = world.placement.place(world.now, &world.fixed, &world.spares, &seen).len();
+        sim.now += Duration::from_secs(1);
+        // The load of the first spare never finishes.
+        let mut observed = sim.observed();
+        observed.get_mut("s1").unwrap().loading = placed > 0;
+        placed = sim.placement.place(sim.now, &sim.declared, &sim.spares, &observed).len();
     }
     assert_eq!(placed, 1);
 }
 
 #[test]
-fn a_new_holder_of_the_lease_goes_on_from_what_spares_hold() {
-    let mut world = World::new(FIXED, &[("s1", ""), ("s2", "a")]);
-    world.demand.insert("a".into(), 30);
-    assert_eq!(world.rounds(60), [("s1".to_owned(), "a".to_owned())]);
-    world.placement = Placement::new(PlacementBounds::default());
-    assert_eq!(world.rounds(60), []);
+fn a_new_lease_holder_adopts_what_spares_hold() {
+    let mut sim = Simulation::new(DECLARED, &[("s1", ""), ("s2", "a")]);
+    sim.demand.insert("a".into(), 30);
+    assert_eq!(sim.rounds(60), [("s1".to_owned(), "a".to_owned())]);
+    sim.placement = Placement::new(PlacementBounds::default());
+    assert_eq!(sim.rounds(60), []);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// Any demand, any losses: no move takes the last engine of a part, moves by demand keep their
-    /// pace, and under constant demand they come to an end.
+    /// For any demand and losses: no move takes the last engine of a shard, moves because of load
+    /// keep their minimum interval, and under constant demand moves stop.
     #[test]
-    fn moves_are_few_and_break_nothing(
-        holds in prop::collection::vec(0_usize..4, 1..6),
+    fn moves_are_few_and_keep_every_shard_served(
+        loaded in prop::collection::vec(0_usize..4, 1..6),
         phases in prop::collection::vec((prop::array::uniform2(0_u32..60), 0_u8..8), 1..6),
     ) {
         let names = ["", "a", "b", "c"];
-        let ids: Vec<String> = (0..holds.len()).map(|n| format!("s{n}")).collect();
-        let spares: Vec<_> = ids.iter().zip(&holds).map(|(id, m)| (id.as_str(), names[*m])).collect();
-        let mut world = World::new(FIXED, &spares);
+        let ids: Vec<String> = (0..loaded.len()).map(|n| format!("s{n}")).collect();
+        let spares: Vec<_> = ids.iter().zip(&loaded).map(|(id, m)| (id.as_str(), names[*m])).collect();
+        let mut sim = Simulation::new(DECLARED, &spares);
         for ([a, b], lost) in phases {
-            world.demand = [("a".to_owned(), a), ("b".to_owned(), b)].into();
-            let struck = FIXED.iter().enumerate().filter(|(at, _)| lost & (1 << at) != 0);
-            world.lost = struck.map(|(_, (id, _))| (*id).to_owned()).collect();
+            sim.demand = [("a".to_owned(), a), ("b".to_owned(), b)].into();
+            let lost_engines = DECLARED.iter().enumerate().filter(|(at, _)| lost & (1 << at) != 0);
+            sim.lost = lost_engines.map(|(_, (id, _))| (*id).to_owned()).collect();
             let mut times: Vec<Instant> = Vec::new();
             for second in 0..250 {
-                let before = ["a", "b"].map(|m| world.live(m));
-                let moves = world.round();
-                prop_assert!(moves.len() <= 1, "one at a time: {moves:?}");
+                let before = ["a", "b"].map(|m| sim.live_holders(m));
+                let moves = sim.round();
+                prop_assert!(moves.len() <= 1, "more than one move at a time: {moves:?}");
                 for (at, model) in ["a", "b"].into_iter().enumerate() {
-                    prop_assert!(before[at] == 0 || world.live(model) > 0, "{model} broke");
+                    prop_assert!(before[at] == 0 || sim.live_holders(model) > 0, "{model} lost its last engine");
                 }
-                let settled = second > 20 + 30 * holds.len();
+                let settled = second > 20 + 30 * loaded.len();
                 prop_assert!(!settled || moves.is_empty(), "still moving: {moves:?}");
-                times.extend(moves.iter().filter(|(_, m)| before[usize::from(m == "b")] > 0).map(|_| world.now));
+                times.extend(moves.iter().filter(|(_, m)| before[usize::from(m == "b")] > 0).map(|_| sim.now));
             }
             for pair in times.windows(2) {
-                prop_assert!(pair[1] - pair[0] >= Duration::from_secs(30), "too soon");
+                prop_assert!(pair[1] - pair[0] >= Duration::from_secs(30), "moves too close together");
             }
         }
     }
--- a/crates/roseshore_core/tests/rollout.rs
+++ b/crates/roseshore_core/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! The version for new answers while targets change.
+//! Tests of the version chosen for new answers while targets change to another one.
 
 use proptest::prelude::*;
 use roseshore_core::order::rollout::{LoadedRange, LoadedRanges, Rollout};
@@ -6,8 +6,8 @@
 
 const DEPTH: Layer = 8;
 
-/// What is held: versions by name, `n` before it for the own data centre, `f` for another; a name
-/// in brackets lacks its last layers.
+/// Parses loaded ranges: each word is a version with the prefix `n` for the own data centre or `f`
+/// for another one; a version in parentheses lacks its last layers.
 fn loaded(held: &str, complete: bool) -> LoadedRanges {
     let range = |word: &str| {
         let (local, version) = (word.starts_with('n'), &word[1..]);
@@ -26,7 +26,7 @@
 
 struct Case {
     name: &'static str,
-    heard: bool,
+    complete: bool,
     steps: &'static [Step],
 }
 
@@ -36,8 +36,8 @@
 
 const CASES: &[Case] = &[
     Case {
-        name: "the old version serves until a chain of the new one is whole",
-        heard: true,
+        name: "the old version serves until a chain of the new one is complete",
+        complete: true,
         steps: &[
             step("1", "n1 n1", "1"),
             step("2", "n1 n1", "1"),
@@ -46,8 +46,8 @@
         ],
     },
     Case {
-        name: "never back, even when no chain of the new version is left",
-        heard: true,
+        name: "no return to the old version, even when no chain of the new one is left",
+        complete: true,
         steps: &[
             step("1", "n1", "1"),
             step("2", "n1 n2", "2"),
@@ -56,13 +56,13 @@
         ],
     },
     Case {
-        name: "back when it is declared again",
-        heard: true,
+        name: "the old version is used when it is declared again",
+        complete: true,
         steps: &[step("1", "n1", "1"), step("2", "n1 n2", "2"), step("1", "n1 n2", "1")],
     },
     Case {
         name: "a second change overtakes the first",
-        heard: true,
+        complete: true,
         steps: &[
             step("1", "n1 n1", "1"),
             step("2", "n1 n(2)", "1"),
@@ -71,8 +71,8 @@
         ],
     },
     Case {
-        name: "another data centre's new version does not draw all work there",
-        heard: true,
+        name: "a new version in another data centre does not attract all answers",
+        complete: true,
         steps: &[
             step("1", "n1 f1", "1"),
             step("2", "n1 f2", "1"),
@@ -81,23 +81,23 @@
         ],
     },
     Case {
-        name: "the old version elsewhere when none is whole here",
-        heard: true,
+        name: "the old version elsewhere when no chain is complete here",
+        complete: true,
         steps: &[step("1", "n1 f1", "1"), step("2", "n(1) f1", "1")],
     },
     Case {
-        name: "a daemon that starts meanwhile takes what serves",
-        heard: true,
+        name: "a daemon that starts during the change takes the version that serves",
+        complete: true,
         steps: &[step("2", "n1 n(2)", "1"), step("2", "n1 n2", "2")],
     },
     Case {
-        name: "a daemon that has not heard of every target yet waits",
-        heard: false,
+        name: "a daemon without reports from every target waits",
+        complete: false,
         steps: &[step("2", "n1", "2"), step("2", "n1 n2", "2"), step("2", "n1", "2")],
     },
     Case {
-        name: "nothing serves",
-        heard: true,
+        name: "no version serves",
+        complete: true,
         steps: &[
             step("1", "", "1"),
             step("2", "n1", "1"),
@@ -112,35 +112,35 @@
     for case in CASES {
         let mut rollout = Rollout::default();
         for (at, step) in case.steps.iter().enumerate() {
-            let look = || loaded(step.held, case.heard);
-            let choice = rollout.choose(&"m".into(), &step.declared.into(), DEPTH, look);
+            let loaded_ranges = || loaded(step.held, case.complete);
+            let choice = rollout.choose(&"m".into(), &step.declared.into(), DEPTH, loaded_ranges);
             assert_eq!(choice.version, step.version, "{}: step {at}", case.name);
         }
     }
 }
 
 proptest! {
-    /// Whatever serves and is declared when: once the declared version was used, it stays, and
-    /// a version that was left comes back only when it is declared.
+    /// For any sequence of served and declared versions: once the declared version was used, it
+    /// stays in use, and a replaced version is used again only when it is declared again.
     #[test]
-    fn a_version_never_comes_back_undeclared(
+    fn a_replaced_version_returns_only_when_declared(
         steps in prop::collection::vec((0_u8..4, prop::collection::vec((0_u8..4, any::<bool>()), 0..4), any::<bool>()), 1..40)
     ) {
         let mut rollout = Rollout::default();
         let mut declared = 0;
         let mut last: Option<VersionId> = None;
         let mut used = false;
-        for (at, (pick, held, heard)) in steps.into_iter().enumerate() {
+        for (at, (pick, held, complete)) in steps.into_iter().enumerate() {
             let before = declared;
             declared = if at % 4 == 0 { pick } else { declared };
             used &= declared == before;
             let words: Vec<String> =
                 held.iter().map(|(v, near)| format!("{}{v}", if *near { 'n' } else { 'f' })).collect();
-            let look = || loaded(&words.join(" "), heard);
+            let loaded_ranges = || loaded(&words.join(" "), complete);
             let wanted = declared.to_string();
-            let choice = rollout.choose(&"m".into(), &wanted, DEPTH, look);
+            let choice = rollout.choose(&"m".into(), &wanted, DEPTH, loaded_ranges);
             let whole = held.iter().any(|(v, _)| v.to_string() == choice.version);
-            prop_assert!(choice.version == wanted || whole, "{choice:?} serves nowhere");
+            prop_assert!(choice.version == wanted || whole, "{choice:?} has no complete chain");
             prop_assert!(!used || choice.version == wanted, "{choice:?} after {wanted}");
             if whole {
                 let same = last.as_ref() == Some(&choice.version);
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -13,7 +13,7 @@
 use roseshore_core::order::lease::{LeaseClient, LeaseRecord, LeaseTimes};
 use roseshore_core::order::placement::{Placement, PlacementBounds};
 use roseshore_core::order::reconciler::{
-    Action, DueOrder, Observed, Reconciler, ReconcilerLimits, Store,
+    Action, DueOrder, Observed, Reconciler, ReconcilerLimits, WeightStoreState,
 };
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{ConfigSource, Members, Report, ReportContent, ReportStore};
@@ -206,7 +206,7 @@
         let placed = self.placement.place(Instant::now(), &wants, &spares, &seen);
         wants.extend(placed);
         let store = self.parts.weights.weights().ok();
-        let store = store.map(|s| Store { rate: s.rate, backlog: s.backlog });
+        let store = store.map(|s| WeightStoreState { rate: s.rate, backlog: s.backlog });
         let now = Instant::now();
         let lease_client = self.lease_client.clone();
         let allowed = |checks_fence| lease_client.lock().may_order(now, checks_fence).is_some();
@@ -260,7 +260,7 @@
 impl Job {
     fn order(&self, fence: Fence) -> Order {
         let target = &self.due.target;
-        match &self.due.step {
+        match &self.due.action {
             Action::Hold(want) => Order {
                 fence,
                 order: format!("{fence}-{target}-{}-{}", want.model, want.version),
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -31,7 +31,7 @@
 const SPARE: &str = "spare";
 
 pub(crate) fn times(ttl: Duration) -> OrderTimes {
-    let lease = LeaseTimes { ttl, renew: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
+    let lease = LeaseTimes { ttl, renew_before: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
     let soon = Duration::from_millis(100);
     let reconciler =
         ReconcilerLimits { retry_after: soon, propagation: soon, ..ReconcilerLimits::default() };
