--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -10,7 +10,7 @@
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Output, Stage, Stamp,
 };
-use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, run_over};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, Sink, run_with};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::net::SocketAddr;
@@ -228,10 +228,10 @@
             rules.timeouts.prefill = Duration::from_secs(20);
         }
         let engine = Arc::new(EngineClient::new());
-        let parts = Parts { router: router.clone(), engine, budgets: Arc::default(), rules };
+        let parts = AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), rules };
         let leave = leave.map(|at| (at, router));
         let mut listener = Listener { leave, ..Listener::default() };
-        let whole = run_over(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
+        let whole = run_with(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
         assert_eq!(whole.expect("a whole answer").count, tokens);
         listener
     }
@@ -269,8 +269,8 @@
     }
 }
 
-fn question(prompt: u32, tokens: u32) -> AnswerAsk {
-    AnswerAsk {
+fn question(prompt: u32, tokens: u32) -> AnswerRequest {
+    AnswerRequest {
         model: "m".to_owned(),
         version: "v1".to_owned(),
         layers: 12,
@@ -295,14 +295,14 @@
     let rows = RANGES.into_iter().enumerate().map(|s| vec![stage(s)]).collect();
     let first = Duration::from_secs(1);
     let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-    let parts = Parts {
+    let parts = AnswerDeps {
         router,
         engine: Arc::new(Flood),
         budgets: Arc::default(),
         rules: AnswerSettings::default(),
     };
     let mut listener = Listener::default();
-    let whole = run_over(&parts, &ask(count), question(1, count), &mut listener);
+    let whole = run_with(&parts, &ask(count), question(1, count), &mut listener);
     assert_eq!(whole.expect("a whole answer").count, count);
     let times = &listener.times;
     times[times.len() - 1] - times[0]
--- a/crates/roseshore_bench/src/bin/claims.rs
+++ b/crates/roseshore_bench/src/bin/claims.rs
@@ -99,10 +99,10 @@
     Ok(())
 }
 
-fn run(partitions: usize, together: usize, callers: usize) -> std::io::Result<Figures> {
+fn run(partitions: usize, max_batch: usize, callers: usize) -> std::io::Result<Figures> {
     let platform = PlatformFake::start(PlatformSettings::default())?;
     let log = Arc::new(HttpPlatform::new(platform.addr(), Duration::from_secs(2)));
-    let config = ClaimsConfig { partitions, remembered: 100_000, together };
+    let config = ClaimsConfig { partitions, max_records: 100_000, max_batch };
     let start = |host: usize| {
         let members = Arc::new(One(member(host)));
         ClaimsDriver::start(config, log.clone(), Arc::new(Nobody), members)
--- a/crates/roseshored/src/gate.rs
+++ b/crates/roseshored/src/admission.rs
@@ -68,7 +68,7 @@
     }
 
     /// Takes another daemon's demand.
-    pub fn heard(&self, host: &HostId, demands: &Demands) {
+    pub fn record_peer_demand(&self, host: &HostId, demands: &Demands) {
         self.state.lock().admission.record_peer_demand(host, demands, Instant::now());
     }
 
--- a/crates/roseshored/src/answer.rs
+++ b/crates/roseshored/src/answer.rs
@@ -20,7 +20,7 @@
 
 /// What is asked of a model.
 #[derive(Clone, Debug)]
-pub struct AnswerAsk {
+pub struct AnswerRequest {
     /// The model.
     pub model: ModelId,
     /// The version that every stage must hold.
@@ -60,7 +60,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Whole {
+pub struct CompletedAnswer {
     /// The text: the tokens as they came, joined without anything between them.
     pub text: String,
     /// Tokens in the answer.
@@ -81,18 +81,22 @@
 pub fn run(
     app: &App,
     ask: &RequestInfo,
-    prompt: AnswerAsk,
+    prompt: AnswerRequest,
     sink: &mut dyn Sink,
-) -> Result<Whole, Refusal> {
+) -> Result<CompletedAnswer, Refusal> {
     let (router, engine) = (app.router.clone(), app.engine.clone());
-    let parts =
-        Parts { router, engine, budgets: app.budgets.clone(), rules: AnswerSettings::default() };
-    run_over(&parts, ask, prompt, sink)
+    let parts = AnswerDeps {
+        router,
+        engine,
+        budgets: app.budgets.clone(),
+        rules: AnswerSettings::default(),
+    };
+    run_with(&parts, ask, prompt, sink)
 }
 
 /// What an answer needs of the daemon.
 #[derive(Clone)]
-pub struct Parts {
+pub struct AnswerDeps {
     /// The choice of targets.
     pub router: Arc<dyn Router>,
     /// Model engines.
@@ -107,11 +111,11 @@
 ///
 /// # Errors
 /// As [`run`].
-pub fn run_over(
-    parts: &Parts,
+pub fn run_with(
+    parts: &AnswerDeps,
     ask: &RequestInfo,
-    prompt: AnswerAsk,
+    prompt: AnswerRequest,
     sink: &mut dyn Sink,
-) -> Result<Whole, Refusal> {
+) -> Result<CompletedAnswer, Refusal> {
     driver::Driver::new(parts, ask, prompt, sink).run()
 }
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -3,7 +3,7 @@
 
 use super::calls::{self, Calls, Moves, Report};
 
-use super::{AnswerAsk, CallerLeft, Parts, Sink, Whole};
+use super::{AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, Sink};
 use crate::event;
 use flume::{Receiver, RecvError, Selector};
 use roseshore_core::answer::interval::IntervalMeter;
@@ -26,9 +26,9 @@
 
 /// One running answer.
 pub(super) struct Driver<'a> {
-    parts: &'a Parts,
+    parts: &'a AnswerDeps,
     ask: &'a RequestInfo,
-    prompt: AnswerAsk,
+    prompt: AnswerRequest,
     sink: &'a mut dyn Sink,
     machine: Answer,
     actions: Vec<Action>,
@@ -55,9 +55,9 @@
 
 impl<'a> Driver<'a> {
     pub(super) fn new(
-        parts: &'a Parts,
+        parts: &'a AnswerDeps,
         ask: &'a RequestInfo,
-        prompt: AnswerAsk,
+        prompt: AnswerRequest,
         sink: &'a mut dyn Sink,
     ) -> Driver<'a> {
         let now = Instant::now();
@@ -89,7 +89,7 @@
     }
 
     /// Runs the answer to its end.
-    pub(super) fn run(mut self) -> Result<Whole, Refusal> {
+    pub(super) fn run(mut self) -> Result<CompletedAnswer, Refusal> {
         self.act();
         while self.end.is_none() {
             let heard = self.hear();
@@ -186,7 +186,7 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Route { charge_budget: true, .. }
-                if !self.parts.budgets.spend(&self.ask.service) =>
+                if !self.parts.budgets.try_spend(&self.ask.service) =>
             {
                 let why = "the retry budget is spent; come back later";
                 self.feed(Input::RetryDenied(Refusal::not_run(Code::RetryBudget, why)));
@@ -215,7 +215,7 @@
             Action::Failed(target) => self.parts.router.failed(&target),
             Action::Log(what, text) => event!(what, "request={} {text}", self.ask.request),
             Action::Finish(finish) => {
-                self.parts.budgets.earn(&self.ask.service);
+                self.parts.budgets.record_success(&self.ask.service);
                 self.end = Some(Ok(finish));
             }
             Action::Refuse(refusal) => self.end = Some(Err(refusal)),
@@ -320,9 +320,9 @@
         }
     }
 
-    fn whole(&self, finish: Finish) -> Whole {
+    fn whole(&self, finish: Finish) -> CompletedAnswer {
         let tokens = self.machine.tokens();
-        Whole {
+        CompletedAnswer {
             text: tokens.concat(),
             count: tokens.len() as u32,
             reason: finish.reason,
@@ -349,7 +349,7 @@
     Refusal::may_have_run(Code::TargetLost, "the caller left before the answer was whole")
 }
 
-fn job(ask: &RequestInfo, prompt: &AnswerAsk) -> Job {
+fn job(ask: &RequestInfo, prompt: &AnswerRequest) -> Job {
     Job {
         answer: ask.request.clone(),
         layers: prompt.layers,
--- a/crates/roseshored/src/app.rs
+++ b/crates/roseshored/src/app.rs
@@ -14,7 +14,7 @@
     /// The configuration in force.
     pub fleets: Arc<dyn ConfigSource>,
     /// Admission and limits.
-    pub gate: Arc<dyn AdmissionControl>,
+    pub admission: Arc<dyn AdmissionControl>,
     /// The choice of targets.
     pub router: Arc<dyn Router>,
     /// Unrepeatable work.
--- a/crates/roseshored/src/budgets.rs
+++ b/crates/roseshored/src/budgets.rs
@@ -11,12 +11,12 @@
 
 impl Budgets {
     /// Whether a service may make one more attempt now; if so, it is paid for.
-    pub fn spend(&self, service: &ServiceId) -> bool {
+    pub fn try_spend(&self, service: &ServiceId) -> bool {
         self.with(service, |budget| budget.try_spend(Instant::now()))
     }
 
     /// A service has answered.
-    pub fn earn(&self, service: &ServiceId) {
+    pub fn record_success(&self, service: &ServiceId) {
         self.with(service, RetryBudget::record_success);
     }
 
--- a/crates/roseshored/src/calls.rs
+++ b/crates/roseshored/src/calls.rs
@@ -6,7 +6,7 @@
 //! byte, and whatever ends the call ends the claim.
 
 use crate::app::App;
-use crate::claims::Won;
+use crate::claims::ClaimGuard;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{ClaimResult, Outcome, Replica, RequestInfo};
 use roseshore_ports::outside::{CallContext, CallError, ServiceReply};
@@ -18,7 +18,7 @@
 
 /// The end of a call that ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallEnd {
+pub struct CallOutcome {
     /// What the replica said, now or when the key was first used.
     pub reply: ServiceReply,
     /// Whether it is the recorded answer given again.
@@ -36,7 +36,7 @@
     key: Option<&Key>,
     digest: u64,
     trace: Option<&str>,
-) -> Result<CallEnd, Refusal> {
+) -> Result<CallOutcome, Refusal> {
     let idempotent = is_idempotent(app, &ask.service)?;
     let mut call = Call { app, ask, body, key, trace, idempotent, won: None };
     let Some(key) = key.filter(|_| !idempotent) else { return call.run() };
@@ -44,7 +44,7 @@
         ClaimResult::Settled(outcome) => Ok(repeat(outcome)),
         ClaimResult::Refused(refusal) => Err(refusal),
         ClaimResult::Won(claim) => {
-            call.won = Some(Won::new(&*app.claims, claim));
+            call.won = Some(ClaimGuard::new(&*app.claims, claim));
             call.run()
         }
     }
@@ -62,9 +62,9 @@
     })
 }
 
-fn repeat(outcome: Outcome) -> CallEnd {
+fn repeat(outcome: Outcome) -> CallOutcome {
     let Outcome { status, content, body, .. } = outcome;
-    CallEnd { reply: ServiceReply { status, content, body, replayed: true }, repeated: true }
+    CallOutcome { reply: ServiceReply { status, content, body, replayed: true }, repeated: true }
 }
 
 struct Call<'a> {
@@ -74,11 +74,11 @@
     key: Option<&'a Key>,
     trace: Option<&'a str>,
     idempotent: bool,
-    won: Option<Won<'a>>,
+    won: Option<ClaimGuard<'a>>,
 }
 
 impl Call<'_> {
-    fn run(mut self) -> Result<CallEnd, Refusal> {
+    fn run(mut self) -> Result<CallOutcome, Refusal> {
         let mut tried: Vec<TargetId> = vec![];
         let mut last: Option<Refusal> = None;
         while tried.len() < ATTEMPTS {
@@ -107,7 +107,7 @@
     /// Asks for the dispatch of the claim, if there is one; the answer holds for every attempt.
     fn may_send(&mut self) -> bool {
         let in_time = Instant::now() < self.ask.deadline;
-        in_time && self.won.as_mut().is_none_or(Won::dispatch)
+        in_time && self.won.as_mut().is_none_or(ClaimGuard::dispatch)
     }
 
     fn send(&self, replica: &Replica) -> Result<ServiceReply, CallError> {
@@ -129,22 +129,22 @@
     }
 
     fn may_retry(&self, verdict: Verdict) -> bool {
-        verdict.may_retry(self.idempotent) && self.app.budgets.spend(&self.ask.service)
+        verdict.may_retry(self.idempotent) && self.app.budgets.try_spend(&self.ask.service)
     }
 
-    fn answer(self, reply: ServiceReply) -> CallEnd {
-        self.app.budgets.earn(&self.ask.service);
+    fn answer(self, reply: ServiceReply) -> CallOutcome {
+        self.app.budgets.record_success(&self.ask.service);
         if let Some(won) = self.won {
             let (status, content) = (reply.status, reply.content.clone());
             let body = reply.body.clone();
             won.settle(Outcome { verdict: Verdict::Answered, status, content, body });
         }
-        CallEnd { reply, repeated: false }
+        CallOutcome { reply, repeated: false }
     }
 
     /// Ends the claim as the refusal says; a dropped one is abandoned or recorded as not known.
-    fn refuse(self, refusal: Refusal) -> Result<CallEnd, Refusal> {
-        if let Some(won) = self.won.filter(Won::dispatched)
+    fn refuse(self, refusal: Refusal) -> Result<CallOutcome, Refusal> {
+        if let Some(won) = self.won.filter(ClaimGuard::dispatched)
             && refusal.verdict == Verdict::NotRun
         {
             won.settle(Outcome::not_run());
--- a/crates/roseshored/src/claims.rs
+++ b/crates/roseshored/src/claims.rs
@@ -4,11 +4,11 @@
 //! blocks on anything but its events, one appends, one reads. Callers send an event and wait for
 //! the machine's word; it answers every attempt by its deadline, so that nobody needs a timer here.
 
-mod desk;
 mod guard;
+mod operator;
 mod partition;
 
-pub use guard::Won;
+pub use guard::ClaimGuard;
 
 use flume::{Receiver, Sender};
 use partition::Event;
@@ -44,14 +44,14 @@
     /// The number of claim streams; the same on every daemon, or keys may run twice.
     pub partitions: usize,
     /// Records remembered in each partition.
-    pub remembered: usize,
+    pub max_records: usize,
     /// Records in one append at most.
-    pub together: usize,
+    pub max_batch: usize,
 }
 
 impl Default for ClaimsConfig {
     fn default() -> ClaimsConfig {
-        ClaimsConfig { partitions: PARTITIONS, remembered: 20_000, together: MAX_RECORDS }
+        ClaimsConfig { partitions: PARTITIONS, max_records: 20_000, max_batch: MAX_RECORDS }
     }
 }
 
--- a/crates/roseshored/src/claims/guard.rs
+++ b/crates/roseshored/src/claims/guard.rs
@@ -4,7 +4,7 @@
 
 /// A won key that is never left hanging: dropped before its dispatch, by a panic too, it is
 /// abandoned; dropped after it without an outcome, it is recorded as not known.
-pub struct Won<'a> {
+pub struct ClaimGuard<'a> {
     claims: &'a dyn Claims,
     claim: Claim,
     state: GuardState,
@@ -17,10 +17,10 @@
     Ended,
 }
 
-impl<'a> Won<'a> {
+impl<'a> ClaimGuard<'a> {
     /// Guards a claim.
-    pub fn new(claims: &'a dyn Claims, claim: Claim) -> Won<'a> {
-        Won { claims, claim, state: GuardState::Open }
+    pub fn new(claims: &'a dyn Claims, claim: Claim) -> ClaimGuard<'a> {
+        ClaimGuard { claims, claim, state: GuardState::Open }
     }
 
     /// Whether the first byte may be sent now; see [`Claims::dispatch`].
@@ -44,7 +44,7 @@
     }
 }
 
-impl Drop for Won<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         match self.state {
             GuardState::Open => self.claims.abandon(&self.claim),
--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -82,7 +82,7 @@
     let (reads, read_asks) = flume::unbounded();
     let own = members.own();
     let own = Owner { host: own.host, incarnation: own.incarnation };
-    let machine = Partition::new(own, rand::random(), config.remembered, config.together);
+    let machine = Partition::new(own, rand::random(), config.max_records, config.max_batch);
     let callers = FxHashMap::default();
     let (name, flushing, settling) = (stream.clone(), vec![], FxHashMap::default());
     let driver = Driver {
--- a/crates/roseshored/src/site.rs
+++ b/crates/roseshored/src/context.rs
@@ -7,13 +7,13 @@
 
 /// What the paths need of the daemon.
 #[derive(Clone)]
-pub struct Site {
+pub struct ServerContext {
     /// The parts.
     pub app: App,
     /// What operators' calls touch; without it there are none.
     pub console: Option<Console>,
     /// The spans of the last requests.
-    pub store: &'static Store,
+    pub spans: &'static Store,
     /// The metrics.
     pub metrics: Option<PrometheusHandle>,
 }
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -5,12 +5,12 @@
 //! go before connections are refused.
 
 use crate::app::{App, Drain};
+use crate::context::ServerContext;
 use crate::event;
-use crate::front::Front;
+use crate::http::HttpServer;
 use crate::operators::Console;
 use crate::serve::Paths;
 use crate::settings::Settings;
-use crate::site::Site;
 use crate::spans;
 use flume::Receiver;
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
@@ -32,7 +32,7 @@
 pub struct Running {
     /// Where callers are heard.
     pub addr: SocketAddr,
-    front: Front,
+    server: HttpServer,
     drain: Arc<Drain>,
     grace: Duration,
     limit: Duration,
@@ -44,16 +44,17 @@
 /// When the address cannot be listened on.
 pub fn start(settings: &Settings, app: App, console: Option<Console>) -> io::Result<Running> {
     let drain = app.drain.clone();
-    let site = Site { app, console, store: spans::install(settings.traces), metrics: recorder() };
-    let front = Front::start(settings, site, &Paths)?;
-    let addr = front.addr();
+    let context =
+        ServerContext { app, console, spans: spans::install(settings.traces), metrics: recorder() };
+    let server = HttpServer::start(settings, context, &Paths)?;
+    let addr = server.addr();
     event!(
         Event::Started,
         "host={} data_centre={} listen={addr}",
         settings.host,
         settings.data_centre
     );
-    Ok(Running { addr, front, drain, grace: settings.grace, limit: settings.drain_limit })
+    Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_limit })
 }
 
 /// The metrics of this process, once.
@@ -71,7 +72,7 @@
     /// Takes no new work from now on.
     pub fn drain(&self) {
         self.drain.start();
-        event!(Event::Draining, "in_flight={}", self.front.in_flight());
+        event!(Event::Draining, "in_flight={}", self.server.in_flight());
     }
 
     /// Drains to the end; returns how many requests were cut off.
@@ -81,9 +82,9 @@
         }
         let begun = Instant::now();
         thread::sleep(self.grace);
-        self.front.wait(self.limit.saturating_sub(begun.elapsed()));
-        let cut = self.front.in_flight();
-        self.front.stop();
+        self.server.wait(self.limit.saturating_sub(begun.elapsed()));
+        let cut = self.server.in_flight();
+        self.server.stop();
         event!(Event::Stopped, "cut={cut}");
         cut
     }
--- a/crates/roseshored/src/front.rs
+++ b/crates/roseshored/src/http.rs
@@ -10,10 +10,10 @@
 pub mod reply;
 mod work;
 
+use crate::context::ServerContext;
 use crate::event;
 use crate::settings::Settings;
-use crate::site::Site;
-use exchange::{Behind, Exchange};
+use exchange::{Exchange, RequestHandler};
 use parking_lot::Mutex;
 use pool::Pool;
 use read::{Bounds, ReadEnd, Reader, Request};
@@ -43,8 +43,8 @@
 
 /// What all connections share.
 struct Shared {
-    site: Site,
-    behind: &'static dyn Behind,
+    context: ServerContext,
+    behind: &'static dyn RequestHandler,
     bounds: Bounds,
     write: Duration,
     work: Work,
@@ -54,22 +54,22 @@
 }
 
 /// The callers' side of a running daemon.
-pub struct Front {
+pub struct HttpServer {
     addr: SocketAddr,
     shared: Arc<Shared>,
     acceptor: JoinHandle<()>,
 }
 
-impl Front {
+impl HttpServer {
     /// Listens and serves.
     ///
     /// # Errors
     /// When the address cannot be listened on.
     pub fn start(
         settings: &Settings,
-        site: Site,
-        behind: &'static dyn Behind,
-    ) -> io::Result<Front> {
+        context: ServerContext,
+        behind: &'static dyn RequestHandler,
+    ) -> io::Result<HttpServer> {
         let listener = listen(settings.listen)?;
         let addr = listener.local_addr()?;
         let bounds = Bounds {
@@ -78,7 +78,7 @@
             idle: settings.idle_limit,
         };
         let shared = Arc::new(Shared {
-            site,
+            context,
             behind,
             bounds,
             write: settings.write_limit,
@@ -90,7 +90,7 @@
         let acceptor = Acceptor::new(listener, shared.clone(), settings.connections);
         let acceptor =
             thread::Builder::new().name("accept".to_owned()).spawn(move || acceptor.run())?;
-        Ok(Front { addr, shared, acceptor })
+        Ok(HttpServer { addr, shared, acceptor })
     }
 
     /// Where callers are heard.
@@ -215,8 +215,8 @@
     fn answer(&self, stream: &TcpStream, request: &Request) -> bool {
         let Ok(copy) = stream.try_clone() else { return true };
         let last = request.last || self.closing.load(Ordering::SeqCst);
-        let mut exchange = Exchange::new(&self.site, self.behind, copy, Some(request), last);
-        if self.behind.is_sight(request) {
+        let mut exchange = Exchange::new(&self.context, self.behind, copy, Some(request), last);
+        if self.behind.is_status(request) {
             exchange.run(request);
         } else {
             match self.work.enter() {
@@ -229,7 +229,7 @@
 
     fn refuse(&self, stream: &TcpStream, head: Option<&Request>, refusal: Refusal) {
         if let Ok(copy) = stream.try_clone() {
-            Exchange::new(&self.site, self.behind, copy, head, true).refuse(refusal);
+            Exchange::new(&self.context, self.behind, copy, head, true).refuse(refusal);
         }
     }
 
--- a/crates/roseshored/src/front/exchange.rs
+++ b/crates/roseshored/src/http/exchange.rs
@@ -3,10 +3,10 @@
 //! Whatever a handler does - answer, refuse, panic, or forget to answer - ends here, in one
 //! place, with one verdict: to the caller, the ledger, the metrics and the log.
 
+use crate::context::ServerContext;
 use crate::event;
-use crate::front::read::Request;
-use crate::front::reply::{Reply, Response};
-use crate::site::Site;
+use crate::http::read::Request;
+use crate::http::reply::{Reply, Response};
 use crate::spans::{Trace, hex16};
 use rand::RngExt;
 use roseshore_core::prelude::*;
@@ -31,7 +31,7 @@
 }
 
 /// What is behind the front.
-pub trait Behind: Sync {
+pub trait RequestHandler: Sync {
     /// Serves one request.
     ///
     /// # Errors
@@ -39,17 +39,22 @@
     fn handle(&self, request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal>;
 
     /// Whether a request only looks at the daemon; those are served while it is full or leaving.
-    fn is_sight(&self, request: &Request) -> bool;
+    fn is_status(&self, request: &Request) -> bool;
 
     /// Whose request it is, if it is one that must not be dropped silently.
-    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo>;
+    fn advisory(
+        &self,
+        context: &ServerContext,
+        request: &Request,
+        id: &RequestId,
+    ) -> Option<RequestInfo>;
 }
 
 /// One request on its way to its end.
 pub struct Exchange<'a> {
     /// The daemon's parts.
-    pub site: &'a Site,
-    behind: &'a dyn Behind,
+    pub context: &'a ServerContext,
+    behind: &'a dyn RequestHandler,
     /// The request's own id: the caller's, if it gave one, and a part that never occurs twice.
     pub id: RequestId,
     /// The id as the caller knows it.
@@ -77,8 +82,8 @@
 impl<'a> Exchange<'a> {
     /// The exchange of a request, or of one whose head could not be read.
     pub fn new(
-        site: &'a Site,
-        behind: &'a dyn Behind,
+        context: &'a ServerContext,
+        behind: &'a dyn RequestHandler,
         stream: TcpStream,
         request: Option<&'a Request>,
         last: bool,
@@ -90,7 +95,7 @@
         let sane = header("x-request-id").filter(|it| is_sane(it));
         let id = sane.map_or(nonce.clone(), |it| format!("{it}~{nonce}"));
         Exchange {
-            site,
+            context,
             behind,
             given: sane.map_or(nonce, str::to_owned),
             id,
@@ -161,10 +166,10 @@
     /// A request that was refused before it was read may be advisory work.
     fn look_whose(&mut self) {
         let (None, Some(request)) = (&self.ask, self.request) else { return };
-        self.ask = self.behind.advisory(self.site, request, &self.id);
+        self.ask = self.behind.advisory(self.context, request, &self.id);
         if let Some(ask) = &self.ask {
             self.advisory = true;
-            self.site.app.ledger.begun(ask);
+            self.context.app.ledger.begun(ask);
         }
     }
 
@@ -254,7 +259,7 @@
         if end.missed() {
             tell_missed(&end);
         }
-        self.site.app.ledger.ended(&end);
+        self.context.app.ledger.ended(&end);
     }
 }
 
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -1,7 +1,7 @@
 //! Writes this daemon's part of the weekly account, and reads the whole.
 
 use crate::event;
-use crate::stream::{Met, read_on};
+use crate::log_reader::{Batch, read_to_end};
 use parking_lot::Mutex;
 use roseshore_core::ledger::account::{AccountDelta, Counter, Fold, Row, Summary};
 use roseshore_core::ledger::history::EndedRequest;
@@ -129,10 +129,10 @@
             self.resume()?;
         }
         let from = self.fold.lock().next();
-        read_on(&*self.log, PARTS, from, |met| {
+        read_to_end(&*self.log, PARTS, from, |met| {
             match met {
-                Met::Records(records) => self.take(records),
-                Met::Trimmed(oldest) => {
+                Batch::Records(records) => self.take(records),
+                Batch::Trimmed(oldest) => {
                     self.resume()?;
                     self.skip(oldest);
                 }
@@ -160,9 +160,9 @@
     /// Goes on from the newest summary that is kept.
     fn resume(&self) -> CallResult<()> {
         let mut next = 0;
-        read_on(&*self.log, SUMMARIES, next, |met| {
+        read_to_end(&*self.log, SUMMARIES, next, |met| {
             match met {
-                Met::Records(records) => {
+                Batch::Records(records) => {
                     for record in records {
                         if let Ok(summary) = serde_json::from_str::<Summary>(&record.data) {
                             self.fold.lock().resume(&summary);
@@ -170,7 +170,7 @@
                         next = record.offset + 1;
                     }
                 }
-                Met::Trimmed(oldest) => next = oldest,
+                Batch::Trimmed(oldest) => next = oldest,
             }
             Ok(next)
         })
--- a/crates/roseshored/src/lib.rs
+++ b/crates/roseshored/src/lib.rs
@@ -4,19 +4,21 @@
 //! sockets. Each part is a module with a driver; parts know each other by the traits of
 //! `roseshore_ports` only, and [`app::App`] holds them together.
 
+pub mod admission;
 pub mod answer;
 pub mod app;
 pub mod budgets;
 pub mod calls;
 pub mod claims;
+pub mod context;
 pub mod drain;
 pub mod entry;
 pub mod events;
 pub mod fleets;
-pub mod front;
-pub mod gate;
+pub mod http;
 pub mod ledger;
 pub mod loads;
+mod log_reader;
 pub mod lookups;
 pub mod members;
 pub mod operators;
@@ -26,8 +28,6 @@
 pub mod routing;
 pub mod serve;
 pub mod settings;
-pub mod site;
 pub mod spans;
-mod stream;
 
 pub use drain::{Running, start};
--- a/crates/roseshored/src/stream.rs
+++ b/crates/roseshored/src/log_reader.rs
@@ -8,7 +8,7 @@
 const RECORDS: usize = 512;
 
 /// What a reading met.
-pub(crate) enum Met<'a> {
+pub(crate) enum Batch<'a> {
     /// Records, in order and from where the reader stands.
     Records(&'a [Record]),
     /// What comes before this offset is no longer kept.
@@ -19,21 +19,21 @@
 ///
 /// # Errors
 /// When the log does not answer, and those of `take`.
-pub(crate) fn read_on(
+pub(crate) fn read_to_end(
     log: &dyn Log,
     stream: &str,
     mut from: Offset,
-    mut take: impl FnMut(Met<'_>) -> CallResult<Offset>,
+    mut take: impl FnMut(Batch<'_>) -> CallResult<Offset>,
 ) -> CallResult<()> {
     loop {
         match log.read(stream, from, RECORDS, Duration::ZERO) {
             Ok(read) => {
-                from = take(Met::Records(&read.records))?;
+                from = take(Batch::Records(&read.records))?;
                 if read.records.is_empty() || from >= read.end {
                     return Ok(());
                 }
             }
-            Err(CallError::Trimmed(oldest, _)) => from = take(Met::Trimmed(oldest))?,
+            Err(CallError::Trimmed(oldest, _)) => from = take(Batch::Trimmed(oldest))?,
             Err(err) => return Err(err),
         }
     }
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -7,7 +7,7 @@
 
 use crate::app::Drain;
 use crate::event;
-use crate::stream::{Met, read_on};
+use crate::log_reader::{Batch, read_to_end};
 use parking_lot::Mutex;
 use roseshore_core::order::desired::{desired, spares};
 use roseshore_core::order::giver::{Due, Giver, GiverBounds, Seen, Step, Store};
@@ -151,11 +151,11 @@
     /// Reads the stream up to its end; `false` when the log does not answer.
     fn read(&self) -> bool {
         let from = self.leaser.lock().fold().next();
-        let read = read_on(&*self.parts.log, &self.stream, from, |met| {
+        let read = read_to_end(&*self.parts.log, &self.stream, from, |met| {
             let mut leaser = self.leaser.lock();
             match met {
-                Met::Records(records) => records.iter().for_each(|it| take(&mut leaser, it)),
-                Met::Trimmed(oldest) => leaser.skip_to(oldest),
+                Batch::Records(records) => records.iter().for_each(|it| take(&mut leaser, it)),
+                Batch::Trimmed(oldest) => leaser.skip_to(oldest),
             }
             Ok(leaser.fold().next())
         });
--- a/crates/roseshored/src/parts.rs
+++ b/crates/roseshored/src/parts.rs
@@ -6,11 +6,11 @@
 mod outside;
 mod worker;
 
+use crate::admission::AdmissionDriver;
 use crate::app::{App, Drain};
 use crate::claims::{ClaimsConfig, ClaimsDriver};
 use crate::event;
 use crate::fleets::{FleetDriver, FleetSettings};
-use crate::gate::AdmissionDriver;
 use crate::ledger::account::Account;
 use crate::ledger::{Asker, LedgerDriver};
 use crate::loads::caches::CacheReader;
@@ -175,7 +175,11 @@
         };
         let (fleets, members) = (ground.fleets, ground.members);
         let app = App {
-            gate: Arc::new(AdmissionDriver::new(fleets.clone(), members.clone(), routing.clone())),
+            admission: Arc::new(AdmissionDriver::new(
+                fleets.clone(),
+                members.clone(),
+                routing.clone(),
+            )),
             router: routing,
             fleets,
             claims: claims.clone(),
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -3,7 +3,7 @@
 //! One lock around [`Router`]: a decision takes microseconds. It follows the configuration in force
 //! and asks the members whether a chosen host is leaving before a choice is given out.
 
-use crate::gate::CapacitySource;
+use crate::admission::CapacitySource;
 use parking_lot::Mutex;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
--- a/crates/roseshored/src/serve.rs
+++ b/crates/roseshored/src/serve.rs
@@ -5,15 +5,15 @@
 //! room, is the key free - and only then is a target given anything.
 
 mod advisory;
-mod asking;
 mod models;
 mod record;
+mod request_info;
 mod services;
-mod sight;
+mod status;
 
-use crate::front::exchange::{Behind, Exchange, Finish};
-use crate::front::read::Request;
-use crate::site::Site;
+use crate::context::ServerContext;
+use crate::http::exchange::{Exchange, Finish, RequestHandler};
+use crate::http::read::Request;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::RequestInfo;
 use tiny_http::Method;
@@ -30,32 +30,37 @@
 /// The paths behind the front.
 pub struct Paths;
 
-impl Behind for Paths {
+impl RequestHandler for Paths {
     fn handle(&self, request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
         handle(request, exchange)
     }
 
-    fn is_sight(&self, request: &Request) -> bool {
-        is_sight(request)
+    fn is_status(&self, request: &Request) -> bool {
+        is_status(request)
     }
 
-    fn advisory(&self, site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo> {
-        advisory::ask(site, request, id)
+    fn advisory(
+        &self,
+        context: &ServerContext,
+        request: &Request,
+        id: &RequestId,
+    ) -> Option<RequestInfo> {
+        advisory::ask(context, request, id)
     }
 }
 
 /// Whether a request only looks at the daemon; those are served while it is full or leaving.
-fn is_sight(request: &Request) -> bool {
+fn is_status(request: &Request) -> bool {
     let work = [CHAT, TEXT, LOOKUP, CALL];
     !work.iter().any(|it| request.path.starts_with(it))
 }
 
 fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
     let path = request.path.as_str();
-    if is_sight(request) {
-        return sight::handle(request, exchange);
+    if is_status(request) {
+        return status::handle(request, exchange);
     }
-    if exchange.site.app.leaving() {
+    if exchange.context.app.leaving() {
         exchange.reply.close = true;
         let text = "this host is leaving and takes no new work; another one will";
         return Err(Refusal::not_run(Code::Draining, text));
--- a/crates/roseshored/src/serve/advisory.rs
+++ b/crates/roseshored/src/serve/advisory.rs
@@ -4,8 +4,8 @@
 //! silently is found here all the same, so that its end is told and counted like any other.
 
 use super::{CALL, CHAT, LOOKUP, TEXT};
-use crate::front::read::Request;
-use crate::site::Site;
+use crate::context::ServerContext;
+use crate::http::read::Request;
 use roseshore_core::ledger::account::OTHERS;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::RequestInfo;
@@ -19,18 +19,22 @@
 
 /// Whose request it is, if it names an advisory service; an organisation that is not declared is
 /// counted under [`OTHERS`].
-pub(super) fn ask(site: &Site, request: &Request, id: &RequestId) -> Option<RequestInfo> {
-    let fleet = site.app.fleets.current()?.fleet;
+pub(super) fn ask(
+    context: &ServerContext,
+    request: &Request,
+    id: &RequestId,
+) -> Option<RequestInfo> {
+    let fleet = context.app.fleets.current()?.fleet;
     let service = service(request)?;
     let declared = fleet.services.get(&service).filter(|it| it.advisory)?;
-    let organisation = super::asking::organisation(request, &fleet);
+    let organisation = super::request_info::organisation(request, &fleet);
     Some(RequestInfo {
         request: id.clone(),
         organisation: organisation.unwrap_or_else(|_| OTHERS.to_owned()),
         service,
         deadline: request.received + declared.deadline,
         arrived: request.received,
-        priority: super::asking::PRIORITY,
+        priority: super::request_info::PRIORITY,
         cost: 1,
     })
 }
--- a/crates/roseshored/src/serve/models.rs
+++ b/crates/roseshored/src/serve/models.rs
@@ -3,13 +3,13 @@
 mod body;
 mod form;
 
-use super::asking::{self, Asking};
 use super::record::{self, Recorded};
-use crate::answer::{self, AnswerAsk, CallerLeft, Sink, Whole};
-use crate::claims::Won;
-use crate::front::exchange::{Exchange, Finish};
-use crate::front::read::Request;
-use crate::front::reply::{Field, Response};
+use super::request_info::{self, RequestHeaders};
+use crate::answer::{self, AnswerRequest, CallerLeft, CompletedAnswer, Sink};
+use crate::claims::ClaimGuard;
+use crate::http::exchange::{Exchange, Finish};
+use crate::http::read::Request;
+use crate::http::reply::{Field, Response};
 use body::Question;
 use form::Shape;
 use roseshore_core::fleet::ServiceKind;
@@ -24,7 +24,7 @@
     exchange: &mut Exchange<'_>,
     form: Form,
 ) -> Result<Finish, Refusal> {
-    let fleet = asking::fleet(exchange)?;
+    let fleet = request_info::fleet(exchange)?;
     let question = Question::read(&request.body, form)?;
     let (service, adapter) = split(&question.model);
     let declared = find(&fleet, service)?;
@@ -37,12 +37,12 @@
         return Err(Refusal::not_run(Code::UnknownAdapter, text));
     }
     let cost = question.prompt.len() as u32 + question.max_tokens;
-    let asking = Asking { fleet: &fleet, service, declared, cost };
-    let ask = asking.ask(request, exchange)?;
-    let key = asking::key(request, &ask)?;
-    let version = exchange.site.app.router.version(&model.to_owned());
+    let headers = RequestHeaders { fleet: &fleet, service, declared, cost };
+    let ask = headers.ask(request, exchange)?;
+    let key = request_info::key(request, &ask)?;
+    let version = exchange.context.app.router.version(&model.to_owned());
     let version = version.unwrap_or_else(|| behind.version.clone());
-    let work = AnswerAsk {
+    let work = AnswerRequest {
         model: model.to_owned(),
         version,
         layers: behind.layers,
@@ -52,7 +52,7 @@
         trace: Some(exchange.trace.header()),
     };
     let shape = Shape::new(form, &exchange.given, &question);
-    let _permit = asking::admit(exchange, &ask)?;
+    let _permit = request_info::admit(exchange, &ask)?;
     match key.filter(|_| !declared.idempotent) {
         Some(key) => once(exchange, &ask, work, &shape, &key),
         None => give(exchange, &ask, work, &shape, None),
@@ -63,11 +63,11 @@
 fn once(
     exchange: &mut Exchange<'_>,
     ask: &RequestInfo,
-    work: AnswerAsk,
+    work: AnswerRequest,
     shape: &Shape,
     key: &Key,
 ) -> Result<Finish, Refusal> {
-    let claims = exchange.site.app.claims.clone();
+    let claims = exchange.context.app.claims.clone();
     let begin = {
         let _span = tracing::info_span!("claim").entered();
         claims.begin(key, digest(&work), ask.deadline)
@@ -75,7 +75,7 @@
     exchange.consulted = true;
     match begin {
         ClaimResult::Won(claim) => {
-            give(exchange, ask, work, shape, Some(Won::new(claims.as_ref(), claim)))
+            give(exchange, ask, work, shape, Some(ClaimGuard::new(claims.as_ref(), claim)))
         }
         ClaimResult::Settled(outcome) => Ok(replay(exchange, shape, &Recorded::read(&outcome)?)),
         ClaimResult::Refused(refusal) => Err(refusal),
@@ -83,21 +83,21 @@
 }
 
 /// A digest over what decides the answer, however the body is written and delivered.
-fn digest(work: &AnswerAsk) -> u64 {
+fn digest(work: &AnswerRequest) -> u64 {
     let max = work.max_tokens.to_be_bytes();
     let adapter = work.adapter.as_deref().unwrap_or_default();
     let head = [work.model.as_bytes(), adapter.as_bytes(), &max];
-    asking::digest(head.into_iter().chain(work.prompt.iter().map(String::as_bytes)))
+    request_info::digest(head.into_iter().chain(work.prompt.iter().map(String::as_bytes)))
 }
 
 fn give(
     exchange: &mut Exchange<'_>,
     ask: &RequestInfo,
-    work: AnswerAsk,
+    work: AnswerRequest,
     shape: &Shape,
-    won: Option<Won<'_>>,
+    won: Option<ClaimGuard<'_>>,
 ) -> Result<Finish, Refusal> {
-    let app = exchange.site.app.clone();
+    let app = exchange.context.app.clone();
     let request = exchange.id.clone();
     let mut live = Live { exchange, shape, won };
     let result = answer::run(&app, ask, work, &mut live);
@@ -114,7 +114,7 @@
     Ok(Finish { repeated: false, resumed: whole.resumed })
 }
 
-fn finish(exchange: &mut Exchange<'_>, shape: &Shape, whole: &Whole) {
+fn finish(exchange: &mut Exchange<'_>, shape: &Shape, whole: &CompletedAnswer) {
     if !shape.stream {
         let body = shape.whole(&whole.text, whole.count, &whole.reason);
         send(exchange, &body, false);
@@ -162,7 +162,7 @@
 struct Live<'a, 'b, 'c> {
     exchange: &'a mut Exchange<'b>,
     shape: &'a Shape,
-    won: Option<Won<'c>>,
+    won: Option<ClaimGuard<'c>>,
 }
 
 impl Sink for Live<'_, '_, '_> {
--- a/crates/roseshored/src/serve/models/form.rs
+++ b/crates/roseshored/src/serve/models/form.rs
@@ -1,7 +1,7 @@
 //! The two forms in which answers are written.
 
 use super::body::Question;
-use crate::front::reply::data;
+use crate::http::reply::data;
 use serde_json::{Value, json};
 use std::time::SystemTime;
 
--- a/crates/roseshored/src/serve/record.rs
+++ b/crates/roseshored/src/serve/record.rs
@@ -1,6 +1,6 @@
 //! The recorded answer of an unrepeatable question.
 
-use crate::answer::Whole;
+use crate::answer::CompletedAnswer;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::Outcome;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
 }
 
 impl Recorded {
-    pub(super) fn new(request: &str, whole: &Whole) -> Recorded {
+    pub(super) fn new(request: &str, whole: &CompletedAnswer) -> Recorded {
         Recorded {
             request: request.to_owned(),
             text: whole.text.clone(),
--- a/crates/roseshored/src/serve/asking.rs
+++ b/crates/roseshored/src/serve/request_info.rs
@@ -1,7 +1,7 @@
 //! Whose request it is and by when: the headers that every kind of request shares.
 
-use crate::front::exchange::Exchange;
-use crate::front::read::Request;
+use crate::http::exchange::Exchange;
+use crate::http::read::Request;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Permit, RequestInfo};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 /// The fleet in force.
 pub(super) fn fleet(exchange: &Exchange<'_>) -> Result<Arc<Fleet>, Refusal> {
-    let current = exchange.site.app.fleets.current();
+    let current = exchange.context.app.fleets.current();
     current.map(|it| it.fleet).ok_or_else(|| {
         let text = "this host has no configuration yet; ask another one, or come back";
         Refusal::not_run(Code::NoConfiguration, text)
@@ -26,14 +26,14 @@
 }
 
 /// What the headers say of one request.
-pub(super) struct Asking<'a> {
+pub(super) struct RequestHeaders<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) service: &'a str,
     pub(super) declared: &'a Service,
     pub(super) cost: u32,
 }
 
-impl Asking<'_> {
+impl RequestHeaders<'_> {
     /// Reads the headers; from here on the request is in the ledger.
     pub(super) fn ask(
         &self,
@@ -53,7 +53,7 @@
             priority: priority(request)?,
             cost: self.cost,
         };
-        exchange.site.app.ledger.begun(&ask);
+        exchange.context.app.ledger.begun(&ask);
         exchange.ask = Some(ask.clone());
         Ok(ask)
     }
@@ -62,7 +62,7 @@
 /// Waits for the request's turn.
 pub(super) fn admit(exchange: &Exchange<'_>, ask: &RequestInfo) -> Result<Permit, Refusal> {
     let _span = tracing::info_span!("admit").entered();
-    exchange.site.app.gate.admit(ask)
+    exchange.context.app.admission.admit(ask)
 }
 
 /// The customer: its own header, or what stock clients of model interfaces send.
--- a/crates/roseshored/src/serve/services.rs
+++ b/crates/roseshored/src/serve/services.rs
@@ -1,9 +1,9 @@
 //! Lookups by name and calls of plain services.
 
-use super::asking::{self, Asking};
-use crate::front::exchange::{Exchange, Finish};
-use crate::front::read::Request;
-use crate::front::reply::Response;
+use super::request_info::{self, RequestHeaders};
+use crate::http::exchange::{Exchange, Finish};
+use crate::http::read::Request;
+use crate::http::reply::Response;
 use crate::{calls, lookups};
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::prelude::*;
@@ -15,7 +15,7 @@
     exchange: &mut Exchange<'_>,
     rest: &str,
 ) -> Result<Finish, Refusal> {
-    let fleet = asking::fleet(exchange)?;
+    let fleet = request_info::fleet(exchange)?;
     let (service, name) = rest.split_once('/').unwrap_or((rest, ""));
     let declared = find(&fleet, service, ServiceKind::Lookup)?;
     if !is_name(name) {
@@ -23,13 +23,13 @@
             "a name is missing or has an empty or dotted part; ask for `/v1/lookup/SERVICE/NAME`";
         return Err(Refusal::not_run(Code::BadRequest, text));
     }
-    let asking = Asking { fleet: &fleet, service, declared, cost: 1 };
-    let ask = asking.ask(request, exchange)?;
-    let _permit = asking::admit(exchange, &ask)?;
+    let headers = RequestHeaders { fleet: &fleet, service, declared, cost: 1 };
+    let ask = headers.ask(request, exchange)?;
+    let _permit = request_info::admit(exchange, &ask)?;
     exchange.dispatched = true;
     exchange.consulted = true;
     let trace = exchange.trace.header();
-    let reply = lookups::run(&exchange.site.app, &ask, name, Some(&trace))?;
+    let reply = lookups::run(&exchange.context.app, &ask, name, Some(&trace))?;
     give(exchange, &reply, false);
     Ok(Finish::default())
 }
@@ -40,17 +40,17 @@
     exchange: &mut Exchange<'_>,
     service: &str,
 ) -> Result<Finish, Refusal> {
-    let fleet = asking::fleet(exchange)?;
+    let fleet = request_info::fleet(exchange)?;
     let declared = find(&fleet, service, ServiceKind::Plain)?;
-    let asking = Asking { fleet: &fleet, service, declared, cost: 1 };
-    let ask = asking.ask(request, exchange)?;
-    let key = asking::key(request, &ask)?;
-    let _permit = asking::admit(exchange, &ask)?;
-    let digest = asking::digest([request.body.as_slice()]);
+    let headers = RequestHeaders { fleet: &fleet, service, declared, cost: 1 };
+    let ask = headers.ask(request, exchange)?;
+    let key = request_info::key(request, &ask)?;
+    let _permit = request_info::admit(exchange, &ask)?;
+    let digest = request_info::digest([request.body.as_slice()]);
     let trace = exchange.trace.header();
     exchange.dispatched = true;
     exchange.consulted = true;
-    let app = &exchange.site.app;
+    let app = &exchange.context.app;
     let end = calls::run(app, &ask, &request.body, key.as_ref(), digest, Some(&trace))?;
     let repeated = end.repeated || end.reply.replayed;
     give(exchange, &end.reply, repeated);
--- a/crates/roseshored/src/serve/sight.rs
+++ b/crates/roseshored/src/serve/status.rs
@@ -1,9 +1,9 @@
 //! What the balancer, operators and scrapers ask of this daemon.
 
-use super::asking;
-use crate::front::exchange::{Exchange, Finish};
-use crate::front::read::Request;
-use crate::front::reply::Response;
+use super::request_info;
+use crate::http::exchange::{Exchange, Finish};
+use crate::http::read::Request;
+use crate::http::reply::Response;
 use crate::operators::{self, Call, Console};
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::ledger::history::{EndedRequest, RequestState};
@@ -16,7 +16,7 @@
 
 /// Serves the paths that start no work.
 pub(super) fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
-    if let Some(console) = &exchange.site.console
+    if let Some(console) = &exchange.context.console
         && request.path.starts_with(operators::PREFIX)
     {
         let response = operate(console, request);
@@ -51,22 +51,22 @@
 }
 
 fn ready(exchange: &Exchange<'_>) -> Result<Response, Refusal> {
-    if exchange.site.app.leaving() {
+    if exchange.context.app.leaving() {
         return Err(Refusal::not_run(Code::Draining, "this host is leaving"));
     }
-    asking::fleet(exchange)?;
+    request_info::fleet(exchange)?;
     Ok(Response::json(200, &json!({"status": "ready"})))
 }
 
 fn metrics(exchange: &Exchange<'_>) -> String {
-    let Some(handle) = &exchange.site.metrics else { return String::new() };
+    let Some(handle) = &exchange.context.metrics else { return String::new() };
     handle.run_upkeep();
     handle.render()
 }
 
 /// Every service of models, and each with its adapters, in the form of model interfaces.
 fn models(exchange: &Exchange<'_>) -> Result<Value, Refusal> {
-    let fleet = asking::fleet(exchange)?;
+    let fleet = request_info::fleet(exchange)?;
     let mut ids = Vec::new();
     for (name, service) in &fleet.services {
         if service.kind != ServiceKind::Model {
@@ -86,7 +86,7 @@
 }
 
 fn fate(exchange: &Exchange<'_>, id: &str) -> Response {
-    match exchange.site.app.ledger.find(id) {
+    match exchange.context.app.ledger.find(id) {
         Some(RequestState::Running(it)) => {
             let body = json!({"request": id, "state": "running", "service": it.meta.service});
             Response::json(200, &body)
@@ -116,7 +116,7 @@
 }
 
 fn trace(exchange: &Exchange<'_>, id: &str) -> Response {
-    if let Some(tree) = exchange.site.store.find(id) {
+    if let Some(tree) = exchange.context.spans.find(id) {
         return Response::json(200, &json!({"request": id, "spans": tree}));
     }
     let text = "no spans of it are kept here; raise `--traces`, or ask the host that served it";
--- a/crates/roseshored/tests/gate.rs
+++ b/crates/roseshored/tests/admission.rs
@@ -8,7 +8,7 @@
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{ActiveConfig, AdmissionControl, ConfigSource, Permit, RequestInfo};
-use roseshored::gate::{AdmissionDriver, CapacitySource};
+use roseshored::admission::{AdmissionDriver, CapacitySource};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/roseshored/tests/advisory.rs
+++ b/crates/roseshored/tests/advisory.rs
@@ -127,7 +127,7 @@
     Case { name: "target lost", flags: &[], act: |d| play(d, lost(), false), told: Some("verdict=may_have_run") },
     Case { name: "cut in the stream", flags: &[], act: |d| play(d, Play::Cut(2), true), told: Some("verdict=may_have_run") },
     Case { name: "panic", flags: &[], act: |d| play(d, Play::Panic, false), told: Some("verdict=may_have_run") },
-    Case { name: "gate panics", flags: &[], act: |d| { *d.gate.panics.lock() = true; ask(d, "", false) }, told: Some("verdict=not_run code=RS503") },
+    Case { name: "admission panics", flags: &[], act: |d| { *d.admission.panics.lock() = true; ask(d, "", false) }, told: Some("verdict=not_run code=RS503") },
     Case { name: "key refused", flags: &[], act: |d| { *d.claims.key.lock() = Key1::Refuse(Refusal::may_have_run(Code::KeyUnknown, "x")); ask(d, "idempotency-key: k\r\n", false) }, told: Some("verdict=may_have_run code=RS402") },
     Case { name: "source silent", flags: &[], act: |d| look(d, "other"), told: Some("code=RS602") },
     Case { name: "host leaving", flags: &[], act: |d| { d.drain.start(); ask(d, "", false) }, told: Some("verdict=not_run code=RS204") },
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -8,7 +8,7 @@
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
-use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, Whole, run_over};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, Sink, run_with};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -72,7 +72,7 @@
 pub(crate) struct Bed {
     pub(crate) engines: Vec<Vec<EngineFake>>,
     pub(crate) router: Arc<FirstFree>,
-    parts: Parts,
+    parts: AnswerDeps,
     /// Engines take an answer's id once for each epoch, so every answer has its own.
     asked: AtomicU32,
     /// One for each bed, for retry budgets are kept by service.
@@ -95,7 +95,7 @@
             TimeoutSettings { open: Duration::from_millis(800), ..TimeoutSettings::default() };
         let rules = AnswerSettings { timeouts, max_attempts: 6, ..AnswerSettings::default() };
         let engine = Arc::new(EngineClient::new());
-        let parts = Parts { router: router.clone(), engine, budgets: Arc::default(), rules };
+        let parts = AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), rules };
         let service = engines[0][0].addr().to_string();
         Bed { service, engines, router, parts, asked: AtomicU32::new(1) }
     }
@@ -104,7 +104,7 @@
         self.engines[row][at].faults().change(change);
     }
 
-    pub(crate) fn run(&self, caller: &mut Caller) -> Result<Whole, Refusal> {
+    pub(crate) fn run(&self, caller: &mut Caller) -> Result<CompletedAnswer, Refusal> {
         let now = Instant::now();
         let ask = RequestInfo {
             request: format!("r{}", self.asked.fetch_add(1, Ordering::Relaxed)),
@@ -115,7 +115,7 @@
             priority: 4,
             cost: TOKENS,
         };
-        let got = run_over(&self.parts, &ask, question(), caller);
+        let got = run_with(&self.parts, &ask, question(), caller);
         assert_eq!(*self.router.seen.lock().permits.lock(), 0, "every place is given back");
         got
     }
@@ -134,8 +134,8 @@
     }
 }
 
-fn question() -> AnswerAsk {
-    AnswerAsk {
+fn question() -> AnswerRequest {
+    AnswerRequest {
         model: "m".to_owned(),
         version: "v1".to_owned(),
         layers: 12,
--- a/crates/roseshored/tests/calls.rs
+++ b/crates/roseshored/tests/calls.rs
@@ -4,7 +4,7 @@
 mod fakes;
 
 use fakes::{
-    Alone, FakeClaims, FakeEngine, FakeGate, FakeLedger, FirstFit, Key1, Play, StaticFleets,
+    Alone, FakeAdmission, FakeClaims, FakeEngine, FakeLedger, FirstFit, Key1, Play, StaticFleets,
 };
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
@@ -257,7 +257,7 @@
     App {
         router: Arc::new(FirstFit::new(fleets.clone())),
         fleets,
-        gate: Arc::new(FakeGate::default()),
+        admission: Arc::new(FakeAdmission::default()),
         claims,
         ledger: Arc::new(FakeLedger::default()),
         members: Arc::new(Alone::new(&fakes::settings(&[]))),
--- a/crates/roseshored/tests/claims.rs
+++ b/crates/roseshored/tests/claims.rs
@@ -11,14 +11,14 @@
 };
 use roseshore_ports::outside::{CallError, CallResult, Log, Peers};
 use roseshore_wire::peer::{PeerReply, PeerRequest};
-use roseshored::claims::{ClaimsConfig, ClaimsDriver, Won};
+use roseshored::claims::{ClaimGuard, ClaimsConfig, ClaimsDriver};
 use std::net::SocketAddr;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 use std::thread;
 
 const KEY: &str = "org/plates/7781";
-const CONFIG: ClaimsConfig = ClaimsConfig { partitions: 2, remembered: 1000, together: 512 };
+const CONFIG: ClaimsConfig = ClaimsConfig { partitions: 2, max_records: 1000, max_batch: 512 };
 
 /// The daemons of a test, as each sees the others.
 #[derive(Default)]
@@ -248,7 +248,7 @@
     Story {
         name: "dropped before its dispatch",
         before: |world| {
-            drop(Won::new(&*world.daemons[0], world.win(0)));
+            drop(ClaimGuard::new(&*world.daemons[0], world.win(0)));
             world.records(2);
         },
         told: "won",
@@ -259,7 +259,7 @@
             let claim = world.win(0);
             let driver = world.daemons[0].clone();
             let caught = catch_unwind(AssertUnwindSafe(|| {
-                let mut won = Won::new(&*driver, claim);
+                let mut won = ClaimGuard::new(&*driver, claim);
                 assert!(won.dispatch());
                 std::panic::resume_unwind(Box::new("a fault of the caller"));
             }));
--- a/crates/roseshored/tests/front.rs
+++ b/crates/roseshored/tests/http.rs
@@ -200,10 +200,10 @@
 #[test]
 fn panics() {
     let daemon = daemon(&[]);
-    *daemon.gate.panics.lock() = true;
+    *daemon.admission.panics.lock() = true;
     let got = post(daemon.addr, CHAT, "", &chat("verdicts", true));
     assert_eq!((got.status, got.refusal().as_str()), (500, "RS503 not_run"));
-    *daemon.gate.panics.lock() = false;
+    *daemon.admission.panics.lock() = false;
     // The first chain is refused by its engine, the choice of the second one panics.
     daemon.router.panics_from.store(1, Ordering::SeqCst);
     *daemon.engine.play.lock() = Play::Fail(CallError::Refused(503, None, String::new()));
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -7,7 +7,7 @@
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
-use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, run_over};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, Sink, run_with};
 use std::sync::Arc;
 
 const TOKENS: u32 = 12;
@@ -101,14 +101,14 @@
         old.faults().set(case.faults);
         let router = Changing { old: Mutex::new(Some(old.stage())), new: new.stage() };
         let engine = Arc::new(EngineClient::new());
-        let parts = Parts {
+        let parts = AnswerDeps {
             router: Arc::new(router),
             engine,
             budgets: Arc::default(),
             rules: AnswerSettings::default(),
         };
         let prompt = vec!["review".to_owned(), "plate".to_owned()];
-        let work = AnswerAsk {
+        let work = AnswerRequest {
             model: "m".into(),
             version: "v1".into(),
             layers: 4,
@@ -128,7 +128,7 @@
             cost: TOKENS,
         };
         let mut sink = Tokens::default();
-        let got = run_over(&parts, &ask, work, &mut sink);
+        let got = run_with(&parts, &ask, work, &mut sink);
         let expected = text::expected("m", case.version, None, &prompt, TOKENS);
         assert_eq!(sink.0, expected[..case.tokens], "{}: {got:?}", case.name);
         match got {
--- a/crates/roseshored/tests/support/fakes.rs
+++ b/crates/roseshored/tests/support/fakes.rs
@@ -215,11 +215,11 @@
 
 /// Admits everybody, or panics.
 #[derive(Default)]
-pub struct FakeGate {
+pub struct FakeAdmission {
     pub panics: Mutex<bool>,
 }
 
-impl AdmissionControl for FakeGate {
+impl AdmissionControl for FakeAdmission {
     fn admit(&self, _: &RequestInfo) -> Result<Permit, Refusal> {
         assert!(!*self.panics.lock(), "asked for by the test");
         Ok(Permit::new(|| {}))
@@ -406,7 +406,7 @@
     pub addr: SocketAddr,
     pub engine: Arc<FakeEngine>,
     pub claims: Arc<FakeClaims>,
-    pub gate: Arc<FakeGate>,
+    pub admission: Arc<FakeAdmission>,
     pub router: Arc<FirstFit>,
     pub ledger: Arc<FakeLedger>,
     pub drain: Arc<Drain>,
@@ -434,14 +434,14 @@
     let engine =
         Arc::new(FakeEngine { play: Mutex::new(Play::Whole(3)), opened: Mutex::default() });
     let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
-    let gate = Arc::new(FakeGate::default());
+    let admission = Arc::new(FakeAdmission::default());
     let ledger = Arc::new(FakeLedger::default());
     let drain = Arc::new(Drain::default());
     let router = Arc::new(FirstFit::new(fleets.clone()));
     let app = App {
         router: router.clone(),
         fleets,
-        gate: gate.clone(),
+        admission: admission.clone(),
         claims: claims.clone(),
         ledger: ledger.clone(),
         members: Arc::new(Alone::new(&settings)),
@@ -452,7 +452,7 @@
     };
     let running = roseshored::start(&settings, app, None).expect("start");
     let addr = running.addr;
-    Daemon { running, addr, engine, claims, gate, router, ledger, drain }
+    Daemon { running, addr, engine, claims, admission, router, ledger, drain }
 }
 
 /// A stream of the engine that the test feeds.
