--- a/crates/roseshored/src/claims.rs
+++ b/crates/roseshored/src/claims.rs
@@ -1,8 +1,8 @@
-//! The driver of unrepeatable work.
+//! Claims idempotency keys in the log, so that non-idempotent work runs at most once.
 //!
-//! Each partition of the claim streams has three threads: one owns the state machine and never
-//! blocks on anything but its events, one appends, one reads. Callers send an event and wait for
-//! the machine's word; it answers every attempt by its deadline, so that nobody needs a timer here.
+//! Each partition of the claim streams has three threads: one owns the state machine and blocks only
+//! on its event queue, one appends to the log, one reads from it. Callers send an event and wait for
+//! the decision. The state machine decides every attempt by its deadline, so callers need no timer.
 
 mod guard;
 mod operator;
@@ -23,14 +23,14 @@
 use std::io;
 use std::sync::Arc;
 
-/// How long a claimant is asked for its answer.
-const ASK_LIMIT: Duration = Duration::from_secs(1);
-/// How long past its deadline an attempt waits for the machine's word.
-const GRACE: Duration = Duration::from_secs(5);
-/// How long an answer waits for its record in the log.
-const RECORD_LIMIT: Duration = Duration::from_millis(500);
+/// Time limit of a query to the daemon that claimed a key.
+const OWNER_QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long after its deadline an attempt still waits for the state machine's decision.
+const DECISION_GRACE: Duration = Duration::from_secs(5);
+/// How long the answer to a caller is held back until its outcome is in the log.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Claims keys through the log.
+/// Claims idempotency keys through the shared log; one per daemon.
 pub struct ClaimsDriver {
     partitions: Vec<Sender<Event>>,
     log: Arc<dyn Log>,
@@ -38,14 +38,15 @@
     members: Arc<dyn Members>,
 }
 
-/// What the driver is started with.
+/// Settings of [`ClaimsDriver`].
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimsConfig {
-    /// The number of claim streams; the same on every daemon, or keys may run twice.
+    /// Number of claim streams. Must be equal on every daemon, otherwise a key maps to different
+    /// streams and its work may run twice.
     pub partitions: usize,
-    /// Records remembered in each partition.
+    /// Number of log records kept in memory per partition.
     pub max_records: usize,
-    /// Records in one append at most.
+    /// Maximum number of records in one append.
     pub max_batch: usize,
 }
 
@@ -56,10 +57,10 @@
 }
 
 impl ClaimsDriver {
-    /// Starts the threads of every partition; they end when the driver is dropped.
+    /// Starts the threads of every partition; they stop when the driver is dropped.
     ///
     /// # Errors
-    /// When a thread cannot be started.
+    /// Fails when a thread cannot be spawned.
     pub fn start(
         config: ClaimsConfig,
         log: Arc<dyn Log>,
@@ -74,20 +75,21 @@
         Ok(ClaimsDriver { partitions, log, peers, members })
     }
 
-    /// Waits until the log has taken every outcome and abandonment, for `limit` at most; a daemon
-    /// that ends before leaves keys whose end nobody knows.
+    /// Waits until every outcome and abandonment is in the log, for at most `limit`; returns false
+    /// when that ran out. A daemon that exits earlier leaves keys whose outcome is unknown.
     pub fn flush(&self, limit: Duration) -> bool {
         let deadline = Instant::now() + limit;
-        let ask = |partition: &Sender<Event>| {
-            let (told, flushed) = flume::bounded(1);
-            partition.send(Event::Flush(told)).ok().map(|()| flushed)
+        let request = |partition: &Sender<Event>| {
+            let (reply, flushed) = flume::bounded(1);
+            partition.send(Event::Flush(reply)).ok().map(|()| flushed)
         };
-        let asked: Vec<_> = self.partitions.iter().filter_map(ask).collect();
-        asked.iter().all(|flushed| flushed.recv_deadline(deadline).is_ok())
+        let pending: Vec<_> = self.partitions.iter().filter_map(request).collect();
+        pending.iter().all(|flushed| flushed.recv_deadline(deadline).is_ok())
     }
 
     fn send(&self, key: &Key, event: Event) {
-        // A partition whose thread is gone drops the event, and the caller's channel with it.
+        // If the partition's thread has stopped, the event is dropped together with its reply channel,
+        // which the caller sees as a disconnect.
         let _ = self.sender(key).send(event);
     }
 
@@ -95,19 +97,19 @@
         &self.partitions[partition_of(key, self.partitions.len())]
     }
 
-    fn work(&self, key: &Key) -> LocalWork {
-        let (told, answer) = flume::bounded(1);
-        self.send(key, Event::Work(key.clone(), told));
-        answer.recv().unwrap_or(LocalWork::Unknown)
+    fn local_work(&self, key: &Key) -> LocalWork {
+        let (reply, work) = flume::bounded(1);
+        self.send(key, Event::LocalWork(key.clone(), reply));
+        work.recv().unwrap_or(LocalWork::Unknown)
     }
 
-    /// Reads a recorded answer that is not held in memory any more.
-    fn stored(&self, key: &Key, offset: Offset, refusal: Refusal) -> ClaimResult {
+    /// Reads a recorded answer that was evicted from memory back from the log.
+    fn read_recorded(&self, key: &Key, offset: Offset, refusal: Refusal) -> ClaimResult {
         let stream = stream_of(partition_of(key, self.partitions.len()));
         let read = self.log.read(&stream, offset, 1, Duration::ZERO);
-        let line = read.ok().and_then(|read| read.records.into_iter().next());
-        let record = line.filter(|line| line.offset == offset);
-        match record.and_then(|line| Record::parse(&line.data)) {
+        let first = read.ok().and_then(|read| read.records.into_iter().next());
+        let found = first.filter(|record| record.offset == offset);
+        match found.and_then(|record| Record::parse(&record.data)) {
             Some(Record { key: of, act: Act::Outcome { outcome, .. }, .. }) if of == *key => {
                 ClaimResult::Settled(outcome)
             }
@@ -115,7 +117,7 @@
         }
     }
 
-    fn ask_owner(
+    fn query_owner(
         &self,
         key: &Key,
         owner: &Owner,
@@ -123,18 +125,18 @@
         refusal: Refusal,
     ) -> ClaimResult {
         if self.members.own().host == owner.host {
-            return match self.work(key) {
+            return match self.local_work(key) {
                 LocalWork::Done(outcome) if outcome.verdict == Verdict::Answered => {
                     ClaimResult::Settled(Outcome::clone(&outcome))
                 }
                 _ => ClaimResult::Refused(refusal),
             };
         }
-        let limit = ASK_LIMIT.min(deadline.saturating_duration_since(Instant::now()));
-        let ask = PeerRequest::Outcome { key: key.clone() };
+        let limit = OWNER_QUERY_TIMEOUT.min(deadline.saturating_duration_since(Instant::now()));
+        let request = PeerRequest::Outcome { key: key.clone() };
         let members = self.members.all();
         let member = members.iter().find(|member| member.host == owner.host);
-        let reply = member.and_then(|member| self.peers.ask(member.peer, &ask, limit).ok());
+        let reply = member.and_then(|member| self.peers.ask(member.peer, &request, limit).ok());
         match reply {
             Some(PeerReply::Outcome { outcome: Some(json) }) => serde_json::from_str(&json)
                 .ok()
@@ -147,7 +149,8 @@
 
 impl Drop for ClaimsDriver {
     fn drop(&mut self) {
-        // The reader and the appender hold senders too, so that the channel alone would not end.
+        // The reader and appender threads hold senders too, so dropping ours does not close the
+        // channel.
         for partition in &self.partitions {
             let _ = partition.send(Event::Stop);
         }
@@ -156,34 +159,34 @@
 
 impl Claims for ClaimsDriver {
     fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> ClaimResult {
-        let (told, decided): (Sender<Decision>, Receiver<Decision>) = flume::bounded(1);
-        let ask = Attempt { key: key.clone(), digest, deadline };
-        self.send(key, Event::Begin(ask, told));
-        match decided.recv_deadline(deadline + GRACE) {
+        let (reply, decision): (Sender<Decision>, Receiver<Decision>) = flume::bounded(1);
+        let attempt = Attempt { key: key.clone(), digest, deadline };
+        self.send(key, Event::Begin(attempt, reply));
+        match decision.recv_deadline(deadline + DECISION_GRACE) {
             Ok(Decision::Won(offset)) => ClaimResult::Won(Claim { key: key.clone(), offset }),
             Ok(Decision::Replay(outcome)) => ClaimResult::Settled(Outcome::clone(&outcome)),
-            Ok(Decision::ReadFromLog(offset, refusal)) => self.stored(key, offset, refusal),
+            Ok(Decision::ReadFromLog(offset, refusal)) => self.read_recorded(key, offset, refusal),
             Ok(Decision::AskOwner(owner, refusal)) => {
-                self.ask_owner(key, &owner, deadline, refusal)
+                self.query_owner(key, &owner, deadline, refusal)
             }
             Ok(Decision::Refused(refusal)) => ClaimResult::Refused(refusal),
-            Err(_) => ClaimResult::Refused(lost(key)),
+            Err(_) => ClaimResult::Refused(partition_stopped(key)),
         }
     }
 
     fn dispatch(&self, claim: &Claim) -> bool {
-        let (told, granted) = flume::bounded(1);
-        self.send(&claim.key, Event::Dispatch(claim.offset, told));
+        let (reply, granted) = flume::bounded(1);
+        self.send(&claim.key, Event::Dispatch(claim.offset, reply));
         granted.recv().unwrap_or(false)
     }
 
     fn settle(&self, claim: &Claim, outcome: Outcome) {
-        let (told, recorded) = flume::bounded(1);
-        self.send(&claim.key, Event::Settle(claim.offset, outcome, told));
-        // A host that is lost right after its caller was answered must leave the answer behind.
-        // When the log does not take it in time, the caller is answered all the same, since the
-        // work has run. The end of the wait is a dropped sender.
-        let _ = recorded.recv_timeout(RECORD_LIMIT);
+        let (reply, recorded) = flume::bounded(1);
+        self.send(&claim.key, Event::Settle(claim.offset, outcome, reply));
+        // The outcome has to be in the log before the caller is answered, so that it survives the
+        // loss of this host right afterwards. If the append takes too long, the caller is answered
+        // anyway, since the work has run. A disconnect signals that the record was written.
+        let _ = recorded.recv_timeout(RECORD_TIMEOUT);
     }
 
     fn abandon(&self, claim: &Claim) {
@@ -192,9 +195,9 @@
 }
 
 impl PeerHandler for ClaimsDriver {
-    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
-        let PeerRequest::Outcome { key } = ask else { return None };
-        let reply = match self.work(key) {
+    fn answer(&self, request: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Outcome { key } = request else { return None };
+        let reply = match self.local_work(key) {
             LocalWork::Unknown => {
                 PeerReply::Unable { reason: format!("key `{key}` is not worked on here") }
             }
@@ -208,8 +211,8 @@
     }
 }
 
-/// The partition's thread is gone; what the log holds of the key is not known here.
-fn lost(key: &Key) -> Refusal {
+/// Refusal when the partition's thread has stopped, so that the key's state in the log is unknown.
+fn partition_stopped(key: &Key) -> Refusal {
     let text = format!(
         "this attempt did not run; whether an earlier one with key `{key}` ran is not known: this \
          daemon cannot judge keys; send it again with the same key"
--- a/crates/roseshored/src/claims/guard.rs
+++ b/crates/roseshored/src/claims/guard.rs
@@ -1,9 +1,10 @@
-//! A won key in the hands of a caller.
+//! Guard that ends a won claim on every path.
 
 use roseshore_ports::inside::{Claim, Claims, Outcome};
 
-/// A won key that is never left hanging: dropped before its dispatch, by a panic too, it is
-/// abandoned; dropped after it without an outcome, it is recorded as not known.
+/// A won claim that always gets an end. If the guard is dropped before dispatch, also by a panic, the
+/// claim is abandoned; if it is dropped after dispatch without an outcome, the outcome is recorded as
+/// unknown.
 pub struct ClaimGuard<'a> {
     claims: &'a dyn Claims,
     claim: Claim,
@@ -18,12 +19,13 @@
 }
 
 impl<'a> ClaimGuard<'a> {
-    /// Guards a claim.
+    /// Takes over a claim that was won and not dispatched yet.
     pub fn new(claims: &'a dyn Claims, claim: Claim) -> ClaimGuard<'a> {
         ClaimGuard { claims, claim, state: GuardState::Open }
     }
 
-    /// Whether the first byte may be sent now; see [`Claims::dispatch`].
+    /// Requests permission to send the first byte; see [`Claims::dispatch`]. The first result holds for
+    /// all later calls.
     pub fn dispatch(&mut self) -> bool {
         if self.state == GuardState::Open {
             let granted = self.claims.dispatch(&self.claim);
@@ -32,12 +34,12 @@
         self.state == GuardState::Dispatched
     }
 
-    /// Whether something may have been sent.
+    /// Whether dispatch was granted, so that a target may have received the work.
     pub fn dispatched(&self) -> bool {
         self.state == GuardState::Dispatched
     }
 
-    /// Records the end.
+    /// Records the outcome of the work.
     pub fn settle(mut self, outcome: Outcome) {
         self.state = GuardState::Ended;
         self.claims.settle(&self.claim, outcome);
--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -1,9 +1,9 @@
-//! The threads of one partition.
+//! The threads of one claim partition: state machine, appender and reader.
 
 use super::ClaimsConfig;
 use crate::event;
 use flume::{Receiver, RecvTimeoutError, Sender};
-use roseshore_core::event as numbered;
+use roseshore_core::event as catalogue;
 use roseshore_core::once::Outcome;
 use roseshore_core::once::batch::AppendResult;
 use roseshore_core::once::partition::{
@@ -19,33 +19,33 @@
 use std::sync::Arc;
 use std::{io, thread};
 
-/// Records in one read at most; with the longest answers some 11 MB.
-const READ_MAX: usize = 128;
-/// How old the view of the daemons may be while work is under way.
-const MEMBERS_EVERY: Duration = Duration::from_millis(100);
-/// The longest wait for an event.
-const IDLE: Duration = Duration::from_secs(1);
+/// Maximum number of records in one read; about 11 MB with the longest answers.
+const MAX_READ_RECORDS: usize = 128;
+/// How often the member list is refreshed while work is in progress.
+const MEMBERS_REFRESH: Duration = Duration::from_millis(100);
+/// Longest wait for an event.
+const MAX_EVENT_WAIT: Duration = Duration::from_secs(1);
 
-/// What the machine's thread is told.
+/// Input to the state machine's thread; replies go to the enclosed sender.
 pub(super) enum Event {
     Begin(Attempt, Sender<Decision>),
     Dispatch(Offset, Sender<bool>),
-    /// The sender is dropped once the outcome stands in the log.
+    /// The sender is dropped, without a message, once the outcome is in the log.
     Settle(Offset, Outcome, Sender<()>),
-    /// What is known of a key; `true` to learn the log's time too.
-    Look(Key, bool, Instant, Sender<KeyStatus>),
-    SettleBy(SettleRequest, Sender<SettleResult>),
+    /// Queries what is known of a key; `true` requests the log's time too.
+    QueryKey(Key, bool, Instant, Sender<KeyStatus>),
+    SettleByOperator(SettleRequest, Sender<SettleResult>),
     Abandon(Offset),
-    Work(Key, Sender<LocalWork>),
+    LocalWork(Key, Sender<LocalWork>),
     Appended(AppendResult),
     Read(ReadResult),
-    /// Tell when nothing waits for the log.
+    /// Replies once no write to the log is pending.
     Flush(Sender<()>),
-    /// The driver is gone.
+    /// Sent when the driver is dropped.
     Stop,
 }
 
-struct ReadAsk {
+struct ReadRequest {
     from: Offset,
     wait: Duration,
 }
@@ -55,19 +55,19 @@
     machine: Partition,
     callers: FxHashMap<AttemptId, Caller>,
     members: Arc<dyn Members>,
-    /// When the daemons were looked at last.
-    looked: Option<Instant>,
+    /// When the member list was last passed to the state machine.
+    members_at: Option<Instant>,
     appends: Sender<Vec<String>>,
-    reads: Sender<ReadAsk>,
+    reads: Sender<ReadRequest>,
     flushing: Vec<Sender<()>>,
     settling: FxHashMap<Offset, Sender<()>>,
-    looks: FxHashMap<AttemptId, Sender<KeyStatus>>,
-    words: FxHashMap<AttemptId, Sender<SettleResult>>,
+    key_queries: FxHashMap<AttemptId, Sender<KeyStatus>>,
+    settlements: FxHashMap<AttemptId, Sender<SettleResult>>,
 }
 
 struct Caller {
     key: Key,
-    told: Sender<Decision>,
+    reply: Sender<Decision>,
 }
 
 /// Starts the threads of the partition with this stream.
@@ -78,8 +78,8 @@
     members: Arc<dyn Members>,
 ) -> io::Result<Sender<Event>> {
     let (events, inbox) = flume::unbounded();
-    let (appends, append_asks) = flume::unbounded();
-    let (reads, read_asks) = flume::unbounded();
+    let (appends, append_requests) = flume::unbounded();
+    let (reads, read_requests) = flume::unbounded();
     let own = members.own();
     let own = Owner { host: own.host, incarnation: own.incarnation };
     let machine = Partition::new(own, rand::random(), config.max_records, config.max_batch);
@@ -90,21 +90,21 @@
         machine,
         callers,
         members,
-        looked: None,
+        members_at: None,
         appends,
         reads,
         flushing,
         settling,
-        looks: FxHashMap::default(),
-        words: FxHashMap::default(),
+        key_queries: FxHashMap::default(),
+        settlements: FxHashMap::default(),
     };
     spawn(format!("{name} append"), {
         let (stream, log, events) = (name.clone(), log.clone(), events.clone());
-        move || append_all(&stream, &*log, &append_asks, &events)
+        move || append_all(&stream, &*log, &append_requests, &events)
     })?;
     spawn(format!("{name} read"), {
         let (stream, events) = (name.clone(), events.clone());
-        move || read_all(&stream, &*log, &read_asks, &events)
+        move || read_all(&stream, &*log, &read_requests, &events)
     })?;
     spawn(name, move || driver.run(&inbox))?;
     Ok(events)
@@ -114,10 +114,15 @@
     thread::Builder::new().name(name).spawn(work).map(drop)
 }
 
-fn append_all(stream: &str, log: &dyn Log, asks: &Receiver<Vec<String>>, events: &Sender<Event>) {
-    for lines in asks {
+fn append_all(
+    stream: &str,
+    log: &dyn Log,
+    requests: &Receiver<Vec<String>>,
+    events: &Sender<Event>,
+) {
+    for lines in requests {
         let began = Instant::now();
-        let how = match log.append(stream, &lines) {
+        let result = match log.append(stream, &lines) {
             Ok(_) => AppendResult::Done,
             Err(CallError::Refused(429, ..)) => AppendResult::RateLimited,
             Err(err) if err.verdict() == Verdict::NotRun => AppendResult::Unreachable,
@@ -125,31 +130,31 @@
         };
         metrics::histogram!("roseshore_claims_append_seconds").record(began.elapsed());
         metrics::histogram!("roseshore_claims_append_records").record(lines.len() as f64);
-        if events.send(Event::Appended(how)).is_err() {
+        if events.send(Event::Appended(result)).is_err() {
             return;
         }
     }
 }
 
-fn read_all(stream: &str, log: &dyn Log, asks: &Receiver<ReadAsk>, events: &Sender<Event>) {
-    for ask in asks {
-        let end = read_end(log.read(stream, ask.from, READ_MAX, ask.wait));
-        if events.send(Event::Read(end)).is_err() {
+fn read_all(stream: &str, log: &dyn Log, requests: &Receiver<ReadRequest>, events: &Sender<Event>) {
+    for request in requests {
+        let result = read_result(log.read(stream, request.from, MAX_READ_RECORDS, request.wait));
+        if events.send(Event::Read(result)).is_err() {
             return;
         }
     }
 }
 
-fn read_end(read: CallResult<Records>) -> ReadResult {
+fn read_result(read: CallResult<Records>) -> ReadResult {
     match read {
         Ok(read) => {
-            let line = |record: roseshore_wire::platform::Record| LogRecord {
+            let log_record = |record: roseshore_wire::platform::Record| LogRecord {
                 offset: record.offset,
                 time: record.time_ms,
                 data: record.data,
             };
             ReadResult::Records {
-                records: read.records.into_iter().map(line).collect(),
+                records: read.records.into_iter().map(log_record).collect(),
                 end: read.end,
             }
         }
@@ -162,69 +167,73 @@
     fn run(mut self, inbox: &Receiver<Event>) {
         loop {
             let now = Instant::now();
-            let due = self.machine.due(now).map_or(now + IDLE, |due| due.min(now + IDLE));
+            let due = self
+                .machine
+                .due(now)
+                .map_or(now + MAX_EVENT_WAIT, |due| due.min(now + MAX_EVENT_WAIT));
             let busy = !self.machine.is_idle();
-            let due = if busy { due.min(now + MEMBERS_EVERY) } else { due };
+            let due = if busy { due.min(now + MEMBERS_REFRESH) } else { due };
             match inbox.recv_deadline(due) {
                 Ok(Event::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Ok(event) => self.take(event),
+                Ok(event) => self.handle(event),
                 Err(RecvTimeoutError::Timeout) => self.machine.tick(Instant::now()),
             }
-            self.look_around();
-            self.act();
+            self.refresh_members();
+            self.run_actions();
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = Instant::now();
         match event {
-            Event::Begin(ask, told) => {
-                let key = ask.key.clone();
-                let id = self.machine.begin(ask, now);
-                self.callers.insert(id, Caller { key, told });
+            Event::Begin(attempt, reply) => {
+                let key = attempt.key.clone();
+                let id = self.machine.begin(attempt, now);
+                self.callers.insert(id, Caller { key, reply });
             }
-            Event::Dispatch(offset, told) => {
+            Event::Dispatch(offset, reply) => {
                 let granted = self.machine.dispatch(offset, now);
                 if !granted {
-                    event!(numbered::Event::KeyAbandoned, "offset={offset} why=late");
+                    event!(catalogue::Event::KeyAbandoned, "offset={offset} why=late");
                 }
-                // A caller that is gone leaves its guard's outcome, or a claim that stays unknown.
-                let _ = told.send(granted);
+                // If the caller is gone, its guard has recorded an outcome, or the claim stays unknown.
+                let _ = reply.send(granted);
             }
-            Event::Settle(offset, outcome, told) => {
-                self.settling.insert(offset, told);
+            Event::Settle(offset, outcome, reply) => {
+                self.settling.insert(offset, reply);
                 self.machine.record_outcome(offset, outcome, now);
             }
-            Event::Look(key, mark, deadline, told) => {
-                let id = self.machine.query_key(key, mark, deadline);
-                self.looks.insert(id, told);
+            Event::QueryKey(key, log_time, deadline, reply) => {
+                let id = self.machine.query_key(key, log_time, deadline);
+                self.key_queries.insert(id, reply);
             }
-            Event::SettleBy(settling, told) => {
-                let id = self.machine.submit_settlement(settling);
-                self.words.insert(id, told);
+            Event::SettleByOperator(request, reply) => {
+                let id = self.machine.submit_settlement(request);
+                self.settlements.insert(id, reply);
             }
             Event::Abandon(offset) => {
-                event!(numbered::Event::KeyAbandoned, "offset={offset}");
+                event!(catalogue::Event::KeyAbandoned, "offset={offset}");
                 self.machine.abandon(offset);
             }
-            Event::Work(key, told) => {
-                let _ = told.send(self.machine.local_work(&key));
+            Event::LocalWork(key, reply) => {
+                let _ = reply.send(self.machine.local_work(&key));
             }
-            Event::Appended(how) => self.machine.on_append(how, now),
-            Event::Read(end) => self.machine.on_read(end, now),
-            Event::Flush(told) => self.flushing.push(told),
+            Event::Appended(result) => self.machine.on_append(result, now),
+            Event::Read(result) => self.machine.on_read(result, now),
+            Event::Flush(reply) => self.flushing.push(reply),
             Event::Stop => {}
         }
     }
 
-    /// Passes on who is counted among the daemons, not more often than need be.
-    fn look_around(&mut self) {
+    /// Passes the member list to the state machine, at most every [`MEMBERS_REFRESH`] and only while
+    /// there is work.
+    fn refresh_members(&mut self) {
         let now = Instant::now();
-        let fresh = self.looked.is_some_and(|looked| now < looked + MEMBERS_EVERY);
+        let fresh = self.members_at.is_some_and(|at| now < at + MEMBERS_REFRESH);
         if fresh || self.machine.is_idle() {
             return;
         }
-        self.looked = Some(now);
+        self.members_at = Some(now);
         let all = self.members.all();
         let owner = |member: roseshore_ports::inside::Member| Owner {
             host: member.host,
@@ -233,25 +242,25 @@
         self.machine.set_members(all.into_iter().map(owner).collect(), now);
     }
 
-    fn act(&mut self) {
+    fn run_actions(&mut self) {
         for action in self.machine.actions(Instant::now()) {
             match action {
                 Action::Append(lines) => drop(self.appends.send(lines)),
-                Action::Read { from, wait } => drop(self.reads.send(ReadAsk { from, wait })),
+                Action::Read { from, wait } => drop(self.reads.send(ReadRequest { from, wait })),
                 Action::Decide(id, decision) => self.decide(id, decision),
-                Action::ReportKey(id, known) => {
-                    self.looks.remove(&id).map(|told| told.send(known));
+                Action::ReportKey(id, status) => {
+                    self.key_queries.remove(&id).map(|reply| reply.send(status));
                 }
-                Action::ReportSettle(id, ruling) => {
-                    self.words.remove(&id).map(|told| told.send(ruling));
+                Action::ReportSettle(id, result) => {
+                    self.settlements.remove(&id).map(|reply| reply.send(result));
                 }
                 Action::Recorded(offset) => drop(self.settling.remove(&offset)),
             }
         }
         if self.machine.is_idle() {
             self.settling.clear();
-            for told in self.flushing.drain(..) {
-                let _ = told.send(());
+            for reply in self.flushing.drain(..) {
+                let _ = reply.send(());
             }
         }
         metrics::gauge!("roseshore_claims_keys", "stream" => self.stream.clone())
@@ -263,26 +272,26 @@
         let key = &caller.key;
         let name = match &decision {
             Decision::Won(offset) => {
-                event!(numbered::Event::KeyClaimed, "key={key} offset={offset}");
+                event!(catalogue::Event::KeyClaimed, "key={key} offset={offset}");
                 "won"
             }
             Decision::Replay(_) | Decision::ReadFromLog(..) => {
-                event!(numbered::Event::KeyRepeated, "key={key}");
+                event!(catalogue::Event::KeyRepeated, "key={key}");
                 "repeated"
             }
             Decision::AskOwner(owner, _) => {
-                event!(numbered::Event::KeyRepeated, "key={key} owner={}", owner.host);
+                event!(catalogue::Event::KeyRepeated, "key={key} owner={}", owner.host);
                 "asked"
             }
             Decision::Refused(refusal) => {
                 if refusal.code == Code::KeyUnknown {
-                    event!(numbered::Event::KeyUnsettled, "key={key}");
+                    event!(catalogue::Event::KeyUnsettled, "key={key}");
                 }
                 "refused"
             }
         };
         metrics::counter!("roseshore_claims_total", "decision" => name).increment(1);
-        if let Err(flume::SendError(Decision::Won(offset))) = caller.told.send(decision) {
+        if let Err(flume::SendError(Decision::Won(offset))) = caller.reply.send(decision) {
             self.machine.abandon(offset);
         }
     }
--- a/crates/roseshored/tests/claims.rs
+++ b/crates/roseshored/tests/claims.rs
@@ -1,4 +1,4 @@
-//! The driver of unrepeatable work: several daemons on one log service, with its faults.
+//! Claims of idempotency keys by several daemons that share one log service, under faults of the log.
 
 use parking_lot::Mutex;
 use roseshore_adapters::platform::HttpPlatform;
@@ -20,25 +20,25 @@
 const KEY: &str = "org/plates/7781";
 const CONFIG: ClaimsConfig = ClaimsConfig { partitions: 2, max_records: 1000, max_batch: 512 };
 
-/// The daemons of a test, as each sees the others.
+/// The daemons of a test, shared by their member lists and peer connections.
 #[derive(Default)]
-struct Site {
+struct Daemons {
     members: Mutex<Vec<Member>>,
     drivers: Mutex<Vec<(SocketAddr, Arc<ClaimsDriver>)>>,
 }
 
-struct View {
-    site: Arc<Site>,
+struct MemberList {
+    shared: Arc<Daemons>,
     own: Member,
 }
 
-impl Members for View {
+impl Members for MemberList {
     fn own(&self) -> Member {
         self.own.clone()
     }
 
     fn all(&self) -> Vec<Member> {
-        self.site.members.lock().clone()
+        self.shared.members.lock().clone()
     }
 
     fn ranked(&self, _subject: &str) -> Vec<Member> {
@@ -50,48 +50,53 @@
     }
 }
 
-struct Link(Arc<Site>);
+struct LocalPeers(Arc<Daemons>);
 
-impl Peers for Link {
-    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _limit: Duration) -> CallResult<PeerReply> {
+impl Peers for LocalPeers {
+    fn ask(
+        &self,
+        addr: SocketAddr,
+        request: &PeerRequest,
+        _limit: Duration,
+    ) -> CallResult<PeerReply> {
         let drivers = self.0.drivers.lock().clone();
         let peer = drivers.into_iter().find(|(at, _)| *at == addr);
-        let reply = peer.and_then(|(_, driver)| driver.answer(ask));
+        let reply = peer.and_then(|(_, driver)| driver.answer(request));
         reply.ok_or_else(|| CallError::Unreached("no such peer".into()))
     }
 }
 
-struct World {
+struct Cluster {
     platform: PlatformFake,
     log: Arc<HttpPlatform>,
-    site: Arc<Site>,
+    shared: Arc<Daemons>,
     daemons: Vec<Arc<ClaimsDriver>>,
 }
 
-impl World {
-    fn new(daemons: u16) -> World {
+impl Cluster {
+    fn new(daemons: u16) -> Cluster {
         let platform = PlatformFake::start(PlatformSettings::default()).expect("a port is free");
         let log = Arc::new(HttpPlatform::new(platform.addr(), Duration::from_secs(2)));
-        let mut world = World { platform, log, site: Arc::default(), daemons: vec![] };
-        (0..daemons).for_each(|host| world.add(host));
-        world
+        let mut cluster = Cluster { platform, log, shared: Arc::default(), daemons: vec![] };
+        (0..daemons).for_each(|host| cluster.add(host));
+        cluster
     }
 
-    /// Adds a daemon on a host, in place of the one that was there.
+    /// Starts a daemon on a host; replaces the one that ran there.
     fn add(&mut self, host: u16) {
         let peer = SocketAddr::from(([127, 0, 0, 1], host + 1));
         let incarnation = self.daemons.len() as u64 + 1;
         let (host, data_centre) = (format!("h{host}"), "dc".into());
         let state = MemberState::Alive;
         let own = Member { host, data_centre, peer, incarnation, state, offset: 0, digest: 0 };
-        self.site.members.lock().retain(|member| member.host != own.host);
-        self.site.members.lock().push(own.clone());
-        let view = Arc::new(View { site: self.site.clone(), own });
-        let link = Arc::new(Link(self.site.clone()));
+        self.shared.members.lock().retain(|member| member.host != own.host);
+        self.shared.members.lock().push(own.clone());
+        let view = Arc::new(MemberList { shared: self.shared.clone(), own });
+        let link = Arc::new(LocalPeers(self.shared.clone()));
         let driver = ClaimsDriver::start(CONFIG, self.log.clone(), link, view);
         let driver = Arc::new(driver.expect("threads can be started"));
-        self.site.drivers.lock().retain(|(at, _)| *at != peer);
-        self.site.drivers.lock().push((peer, driver.clone()));
+        self.shared.drivers.lock().retain(|(at, _)| *at != peer);
+        self.shared.drivers.lock().push((peer, driver.clone()));
         self.daemons.push(driver);
     }
 
@@ -107,11 +112,11 @@
         won(self.begin(daemon))
     }
 
-    /// Has an operator settle the key through daemon 1.
+    /// Settles the key by an operator's decision through daemon 1.
     fn settle(&self, ran: bool) -> String {
-        let word = OperatorDecision { operator: "op".into(), note: "looked".into(), ran };
+        let decision = OperatorDecision { operator: "op".into(), note: "looked".into(), ran };
         let deadline = Instant::now() + Duration::from_secs(20);
-        match self.daemons[1].settle_by_operator(&KEY.into(), word, deadline) {
+        match self.daemons[1].settle_by_operator(&KEY.into(), decision, deadline) {
             SettleResult::Applied(offset) => format!("taken {offset}"),
             SettleResult::Rejected(refusal) if refusal.message.contains("among the daemons") => {
                 "at work".into()
@@ -121,8 +126,8 @@
         }
     }
 
-    /// Waits until the stream of the key holds so many records.
-    fn records(&self, count: Offset) {
+    /// Waits until the stream of the key holds `count` records.
+    fn wait_for_records(&self, count: Offset) {
         let stream = stream_of(partition_of(&KEY.into(), CONFIG.partitions));
         let end = || self.log.read(&stream, count - 1, 1, Duration::from_millis(100));
         let limit = Instant::now() + Duration::from_secs(20);
@@ -132,12 +137,12 @@
     }
 }
 
-/// Daemon 0 wins the key, sends it and gets no whole reply.
-fn lose_outcome(world: &World) {
-    let claim = world.win(0);
-    assert!(world.daemons[0].dispatch(&claim));
-    world.daemons[0].settle(&claim, Outcome::unknown());
-    world.records(2);
+/// Daemon 0 wins the key and dispatches the work, but its outcome stays unknown.
+fn lose_outcome(cluster: &Cluster) {
+    let claim = cluster.win(0);
+    assert!(cluster.daemons[0].dispatch(&claim));
+    cluster.daemons[0].settle(&claim, Outcome::unknown());
+    cluster.wait_for_records(2);
 }
 
 fn begin(claims: &dyn Claims) -> ClaimResult {
@@ -147,11 +152,11 @@
 fn won(begin: ClaimResult) -> Claim {
     match begin {
         ClaimResult::Won(claim) => claim,
-        other => panic!("not won but {}", told(&other)),
+        other => panic!("not won but {}", describe(&other)),
     }
 }
 
-fn told(begin: &ClaimResult) -> String {
+fn describe(begin: &ClaimResult) -> String {
     match begin {
         ClaimResult::Won(_) => "won".into(),
         ClaimResult::Settled(outcome) => format!("settled {}", outcome.body.len()),
@@ -184,237 +189,237 @@
         Case { name: "log slow", faults: PlatformFaults { slow_ms: 100, ..Default::default() } },
     ];
     for case in cases {
-        let world = World::new(8);
-        world.faults(case.faults);
+        let cluster = Cluster::new(8);
+        cluster.faults(case.faults);
         let work = |driver: &Arc<ClaimsDriver>| match begin(&**driver) {
             ClaimResult::Won(claim) => {
                 run(&**driver, &claim, answer(3));
                 "won".to_owned()
             }
-            other => told(&other),
+            other => describe(&other),
         };
-        let mut ends: Vec<String> = thread::scope(|scope| {
-            let twice = world.daemons.iter().chain(&world.daemons);
+        let mut results: Vec<String> = thread::scope(|scope| {
+            let twice = cluster.daemons.iter().chain(&cluster.daemons);
             let threads: Vec<_> = twice.map(|driver| scope.spawn(|| work(driver))).collect();
             threads.into_iter().map(|thread| thread.join().expect("no panic")).collect()
         });
-        ends.sort();
+        results.sort();
         let mut expected = vec!["settled 3"; 15];
         expected.push("won");
-        assert_eq!(ends, expected, "{}", case.name);
+        assert_eq!(results, expected, "{}", case.name);
     }
 }
 
-struct Story {
+struct Scenario {
     name: &'static str,
-    /// What daemon 0 does first.
-    before: fn(&mut World),
-    /// What daemon 1 is told then.
-    told: &'static str,
+    /// The steps before daemon 1 begins its attempt.
+    before: fn(&mut Cluster),
+    /// The result of daemon 1's attempt.
+    expected: &'static str,
 }
 
-const STORIES: &[Story] = &[
-    Story {
-        name: "log out before the claim",
-        before: |world| world.faults(PlatformFaults { log_out: true, ..Default::default() }),
-        told: "RS502 may_have_run",
+const SCENARIOS: &[Scenario] = &[
+    Scenario {
+        name: "log unavailable before the claim",
+        before: |cluster| cluster.faults(PlatformFaults { log_out: true, ..Default::default() }),
+        expected: "RS502 may_have_run",
     },
-    Story {
+    Scenario {
         name: "log back after an outage",
-        before: |world| {
-            world.faults(PlatformFaults { log_out: true, ..Default::default() });
-            assert_eq!(told(&world.begin(1)), "RS502 may_have_run");
-            world.faults(PlatformFaults::default());
-            // Daemon 1 believes in the outage until its own reads tell it otherwise.
+        before: |cluster| {
+            cluster.faults(PlatformFaults { log_out: true, ..Default::default() });
+            assert_eq!(describe(&cluster.begin(1)), "RS502 may_have_run");
+            cluster.faults(PlatformFaults::default());
+            // Daemon 1 takes the log for unavailable until one of its own reads succeeds.
             let claim = loop {
-                if let ClaimResult::Won(claim) = world.begin(1) {
+                if let ClaimResult::Won(claim) = cluster.begin(1) {
                     break claim;
                 }
             };
-            world.daemons[1].abandon(&claim);
+            cluster.daemons[1].abandon(&claim);
         },
-        told: "won",
+        expected: "won",
     },
-    Story {
-        name: "given up",
-        before: |world| {
-            let claim = world.win(0);
-            world.daemons[0].abandon(&claim);
-            assert!(!world.daemons[0].dispatch(&claim), "it was given up");
-            world.records(2);
+    Scenario {
+        name: "abandoned",
+        before: |cluster| {
+            let claim = cluster.win(0);
+            cluster.daemons[0].abandon(&claim);
+            assert!(!cluster.daemons[0].dispatch(&claim), "dispatched an abandoned claim");
+            cluster.wait_for_records(2);
         },
-        told: "won",
+        expected: "won",
     },
-    Story {
+    Scenario {
         name: "dropped before its dispatch",
-        before: |world| {
-            drop(ClaimGuard::new(&*world.daemons[0], world.win(0)));
-            world.records(2);
+        before: |cluster| {
+            drop(ClaimGuard::new(&*cluster.daemons[0], cluster.win(0)));
+            cluster.wait_for_records(2);
         },
-        told: "won",
+        expected: "won",
     },
-    Story {
+    Scenario {
         name: "panic after its dispatch",
-        before: |world| {
-            let claim = world.win(0);
-            let driver = world.daemons[0].clone();
+        before: |cluster| {
+            let claim = cluster.win(0);
+            let driver = cluster.daemons[0].clone();
             let caught = catch_unwind(AssertUnwindSafe(|| {
                 let mut won = ClaimGuard::new(&*driver, claim);
                 assert!(won.dispatch());
                 std::panic::resume_unwind(Box::new("a fault of the caller"));
             }));
             assert!(caught.is_err());
-            world.records(2);
+            cluster.wait_for_records(2);
         },
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
-    Story {
+    Scenario {
         name: "host replaced after the dispatch",
-        before: |world| {
-            let claim = world.win(0);
-            assert!(world.daemons[0].dispatch(&claim));
-            world.add(0);
+        before: |cluster| {
+            let claim = cluster.win(0);
+            assert!(cluster.daemons[0].dispatch(&claim));
+            cluster.add(0);
         },
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
-    Story {
+    Scenario {
         name: "host replaced after the outcome",
-        before: |world| {
-            run(&*world.daemons[0], &world.win(0), answer(3));
-            world.records(2);
-            world.add(0);
+        before: |cluster| {
+            run(&*cluster.daemons[0], &cluster.win(0), answer(3));
+            cluster.wait_for_records(2);
+            cluster.add(0);
         },
-        told: "settled 3",
+        expected: "settled 3",
     },
-    Story {
+    Scenario {
         name: "settled by an operator",
-        before: |world| {
-            lose_outcome(world);
-            assert_eq!(world.settle(true), "taken 3");
+        before: |cluster| {
+            lose_outcome(cluster);
+            assert_eq!(cluster.settle(true), "taken 3");
         },
-        told: "RS406 may_have_run",
+        expected: "RS406 may_have_run",
     },
-    Story {
+    Scenario {
         name: "settled by an operator as not run",
-        before: |world| {
-            lose_outcome(world);
-            assert_eq!(world.settle(false), "taken 3");
-            assert_eq!(world.settle(true), "taken 5", "the key is free again");
-            assert_eq!(world.settle(false), "RS701", "the first word stays");
+        before: |cluster| {
+            lose_outcome(cluster);
+            assert_eq!(cluster.settle(false), "taken 3");
+            assert_eq!(cluster.settle(true), "taken 5", "the key is free again");
+            assert_eq!(cluster.settle(false), "RS701", "the first word stays");
         },
-        told: "RS406 may_have_run",
+        expected: "RS406 may_have_run",
     },
-    Story {
+    Scenario {
         name: "settled while the claimant works",
-        before: |world| {
-            let claim = world.win(0);
-            assert_eq!(world.settle(true), "at work");
-            run(&*world.daemons[0], &claim, answer(3));
-            assert_eq!(world.settle(true), "RS701", "the answer stays");
+        before: |cluster| {
+            let claim = cluster.win(0);
+            assert_eq!(cluster.settle(true), "at work");
+            run(&*cluster.daemons[0], &claim, answer(3));
+            assert_eq!(cluster.settle(true), "RS701", "the answer stays");
         },
-        told: "settled 3",
+        expected: "settled 3",
     },
-    Story {
-        name: "settled while the claimant may yet wake",
-        before: |world| {
-            world.win(0);
-            world.add(0);
-            assert_eq!(world.settle(false), "RS401");
+    Scenario {
+        name: "settled while the claimant may still dispatch",
+        before: |cluster| {
+            cluster.win(0);
+            cluster.add(0);
+            assert_eq!(cluster.settle(false), "RS401");
         },
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
-    Story {
-        name: "settled with the log out",
-        before: |world| {
-            lose_outcome(world);
-            world.faults(PlatformFaults { log_out: true, ..Default::default() });
-            assert_eq!(world.settle(true), "RS502");
-            world.faults(PlatformFaults::default());
-            // The first questions after an outage are still refused at once.
-            while world.settle(false) == "RS502" {}
+    Scenario {
+        name: "settled while the log is unavailable",
+        before: |cluster| {
+            lose_outcome(cluster);
+            cluster.faults(PlatformFaults { log_out: true, ..Default::default() });
+            assert_eq!(cluster.settle(true), "RS502");
+            cluster.faults(PlatformFaults::default());
+            // Requests are still refused at once until a read succeeds after the outage.
+            while cluster.settle(false) == "RS502" {}
         },
-        told: "won",
+        expected: "won",
     },
-    Story {
+    Scenario {
         name: "settled, reply lost",
-        before: |world| {
-            lose_outcome(world);
-            world.faults(PlatformFaults { lose_replies: 2, ..Default::default() });
-            assert!(world.settle(true).starts_with("taken"));
-            world.faults(PlatformFaults::default());
+        before: |cluster| {
+            lose_outcome(cluster);
+            cluster.faults(PlatformFaults { lose_replies: 2, ..Default::default() });
+            assert!(cluster.settle(true).starts_with("taken"));
+            cluster.faults(PlatformFaults::default());
         },
-        told: "RS406 may_have_run",
+        expected: "RS406 may_have_run",
     },
-    Story {
+    Scenario {
         name: "nothing to settle",
-        before: |world| assert_eq!(world.settle(false), "RS702"),
-        told: "won",
+        before: |cluster| assert_eq!(cluster.settle(false), "RS702"),
+        expected: "won",
     },
-    Story {
+    Scenario {
         name: "answer too large for the log",
-        before: |world| {
-            run(&*world.daemons[0], &world.win(0), answer(MAX_BODY + 1));
-            world.records(2);
+        before: |cluster| {
+            run(&*cluster.daemons[0], &cluster.win(0), answer(MAX_BODY + 1));
+            cluster.wait_for_records(2);
         },
-        told: "settled 65537",
+        expected: "settled 65537",
     },
-    Story {
+    Scenario {
         name: "answer too large, claimant replaced",
-        before: |world| {
-            run(&*world.daemons[0], &world.win(0), answer(MAX_BODY + 1));
-            world.records(2);
-            world.add(0);
+        before: |cluster| {
+            run(&*cluster.daemons[0], &cluster.win(0), answer(MAX_BODY + 1));
+            cluster.wait_for_records(2);
+            cluster.add(0);
         },
-        told: "RS402 may_have_run",
+        expected: "RS402 may_have_run",
     },
-    Story {
-        name: "log out at the outcome, claimant asked",
-        before: |world| {
-            let claim = world.win(0);
-            assert!(world.daemons[0].dispatch(&claim));
+    Scenario {
+        name: "log unavailable at the outcome, claimant queried",
+        before: |cluster| {
+            let claim = cluster.win(0);
+            assert!(cluster.daemons[0].dispatch(&claim));
             let soon = || Instant::now() + Duration::from_millis(100);
-            let ask = || told(&world.daemons[1].begin(&KEY.into(), 7, soon()));
-            while ask() != "RS401 may_have_run" {}
-            world.faults(PlatformFaults { log_out: true, ..Default::default() });
-            world.daemons[0].settle(&claim, answer(4));
+            let attempt = || describe(&cluster.daemons[1].begin(&KEY.into(), 7, soon()));
+            while attempt() != "RS401 may_have_run" {}
+            cluster.faults(PlatformFaults { log_out: true, ..Default::default() });
+            cluster.daemons[0].settle(&claim, answer(4));
         },
-        told: "settled 4",
+        expected: "settled 4",
     },
-    Story {
+    Scenario {
         name: "trimmed after the outcome",
-        before: |world| {
-            run(&*world.daemons[0], &world.win(0), answer(3));
-            world.records(2);
-            world.faults(PlatformFaults { trim_to: Some(0), ..Default::default() });
+        before: |cluster| {
+            run(&*cluster.daemons[0], &cluster.win(0), answer(3));
+            cluster.wait_for_records(2);
+            cluster.faults(PlatformFaults { trim_to: Some(0), ..Default::default() });
         },
-        told: "RS403 may_have_run",
+        expected: "RS403 may_have_run",
     },
-    Story {
-        name: "trimmed, but followed before",
-        before: |world| {
-            run(&*world.daemons[0], &world.win(0), answer(3));
-            assert_eq!(told(&world.begin(1)), "settled 3");
-            world.faults(PlatformFaults { trim_to: Some(0), ..Default::default() });
+    Scenario {
+        name: "trimmed after daemon 1 read the outcome",
+        before: |cluster| {
+            run(&*cluster.daemons[0], &cluster.win(0), answer(3));
+            assert_eq!(describe(&cluster.begin(1)), "settled 3");
+            cluster.faults(PlatformFaults { trim_to: Some(0), ..Default::default() });
         },
-        told: "settled 3",
+        expected: "settled 3",
     },
 ];
 
 #[test]
 fn faults_at_each_step() {
-    for story in STORIES {
-        let mut world = World::new(2);
-        (story.before)(&mut world);
-        assert_eq!(told(&world.begin(1)), story.told, "{}", story.name);
+    for scenario in SCENARIOS {
+        let mut cluster = Cluster::new(2);
+        (scenario.before)(&mut cluster);
+        assert_eq!(describe(&cluster.begin(1)), scenario.expected, "{}", scenario.name);
     }
 }
 
 #[test]
-fn a_settled_key_stands_in_the_log() {
-    let world = World::new(1);
+fn a_settled_key_is_in_the_log() {
+    let cluster = Cluster::new(1);
     let stream = stream_of(partition_of(&KEY.into(), CONFIG.partitions));
-    run(&*world.daemons[0], &world.win(0), answer(3));
-    let end = world.log.read(&stream, 0, 9, Duration::ZERO).expect("the log answers").end;
+    run(&*cluster.daemons[0], &cluster.win(0), answer(3));
+    let end = cluster.log.read(&stream, 0, 9, Duration::ZERO).expect("the log answers").end;
     assert_eq!(end, 2, "claim and outcome");
 }
 
@@ -437,29 +442,29 @@
         Case { name: "garbled", faults: PlatformFaults { garbled: true, ..Default::default() } },
     ];
     for case in cases {
-        let world = World::new(2);
-        let claim = world.win(0);
-        world.faults(case.faults);
-        run(&*world.daemons[0], &claim, answer(3));
-        let early = world.daemons[0].flush(Duration::from_millis(100));
-        assert!(!early, "{}: the log tells nothing", case.name);
-        world.faults(PlatformFaults::default());
-        assert!(world.daemons[0].flush(Duration::from_secs(20)), "{}", case.name);
-        assert_eq!(told(&world.begin(1)), "settled 3", "{}", case.name);
+        let cluster = Cluster::new(2);
+        let claim = cluster.win(0);
+        cluster.faults(case.faults);
+        run(&*cluster.daemons[0], &claim, answer(3));
+        let early = cluster.daemons[0].flush(Duration::from_millis(100));
+        assert!(!early, "{}: flushed although the log takes no records", case.name);
+        cluster.faults(PlatformFaults::default());
+        assert!(cluster.daemons[0].flush(Duration::from_secs(20)), "{}", case.name);
+        assert_eq!(describe(&cluster.begin(1)), "settled 3", "{}", case.name);
     }
 }
 
 #[test]
-fn an_answer_that_left_memory_is_read_again() {
-    let world = World::new(2);
+fn an_evicted_answer_is_read_from_the_log() {
+    let cluster = Cluster::new(2);
     let keys: Vec<Key> = (0..200).map(|n| format!("org/plates/{n}")).collect();
     let deadline = Instant::now() + Duration::from_mins(1);
     for key in &keys {
-        let claim = won(world.daemons[0].begin(key, 7, deadline));
-        run(&*world.daemons[0], &claim, answer(MAX_BODY));
+        let claim = won(cluster.daemons[0].begin(key, 7, deadline));
+        run(&*cluster.daemons[0], &claim, answer(MAX_BODY));
     }
     for key in &keys {
-        let again = world.daemons[1].begin(key, 7, deadline);
-        assert_eq!(told(&again), "settled 65536", "{key}");
+        let again = cluster.daemons[1].begin(key, 7, deadline);
+        assert_eq!(describe(&again), "settled 65536", "{key}");
     }
 }
