--- a/crates/roseshored/src/admission.rs
+++ b/crates/roseshored/src/admission.rs
@@ -1,9 +1,8 @@
-//! The driver of admission.
+//! Admission control for the requests of this daemon.
 //!
-//! A request without a queue passes under one short lock. One that has to wait gets a channel of its
-//! own, on which its admission or refusal comes; its thread sleeps until then, or until its deadline
-//! can no longer be made. It has no thread of its own: limits are renewed by whoever comes first after
-//! [`TICK`].
+//! A request that need not queue is admitted under one short lock. One that queues blocks its thread
+//! on a channel of its own until it is admitted or refused, or until its deadline cannot be met any
+//! more. There is no background thread: the first request after [`LIMIT_REFRESH`] updates the limits.
 
 use flume::{Receiver, Sender};
 use parking_lot::Mutex;
@@ -16,18 +15,18 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// How often limits are renewed.
-const TICK: Duration = Duration::from_millis(250);
-/// When a caller should come back to a host that has no configuration yet.
-const NO_CONFIGURATION: Duration = Duration::from_secs(2);
+/// How often limits are updated.
+const LIMIT_REFRESH: Duration = Duration::from_millis(250);
+/// Retry delay given to a caller of a host that has no configuration yet.
+const NO_CONFIG_RETRY: Duration = Duration::from_secs(2);
 
-/// Says the capacity of the targets of a service.
+/// Source of the capacity of a service's targets.
 pub trait CapacitySource: Send + Sync {
-    /// The capacity by the newest reports; `None` when no target reported.
+    /// The capacity according to the newest load reports; `None` if no target has reported.
     fn capacity(&self, service: &ServiceId) -> Option<Capacity>;
 }
 
-/// Admission for the services of the configuration in force.
+/// Admits requests to the services of the current configuration.
 pub struct AdmissionDriver {
     fleets: Arc<dyn ConfigSource>,
     members: Arc<dyn Members>,
@@ -40,11 +39,11 @@
     admission: Admission,
     waiters: FxHashMap<WaiterId, Sender<Result<Slot, Refusal>>>,
     offset: Option<Offset>,
-    ticked: Instant,
+    refreshed: Instant,
 }
 
 impl AdmissionDriver {
-    /// Admission for the services of the configuration in force.
+    /// Creates a driver with limits according to the current members and capacities.
     pub fn new(
         fleets: Arc<dyn ConfigSource>,
         members: Arc<dyn Members>,
@@ -54,44 +53,45 @@
             admission: Admission::default(),
             waiters: FxHashMap::default(),
             offset: None,
-            ticked: Instant::now(),
+            refreshed: Instant::now(),
         };
         let driver =
             AdmissionDriver { fleets, members, capacities, state: Arc::new(Mutex::new(state)) };
-        driver.renew(Instant::now());
+        driver.refresh_limits(Instant::now());
         driver
     }
 
-    /// What this daemon tells the others about its demand.
+    /// This daemon's demand by service and organisation, to be sent to the other daemons.
     pub fn demands(&self) -> Demands {
         self.state.lock().admission.demands(Instant::now())
     }
 
-    /// Takes another daemon's demand.
+    /// Records the demand that another daemon has sent.
     pub fn record_peer_demand(&self, host: &HostId, demands: &Demands) {
         self.state.lock().admission.record_peer_demand(host, demands, Instant::now());
     }
 
-    /// Renews limits, when it is time; other parts are asked without the lock.
-    fn renew_at_times(&self, now: Instant) {
+    /// Updates the limits if [`LIMIT_REFRESH`] has passed since the last update.
+    fn refresh_if_due(&self, now: Instant) {
         let mut state = self.state.lock();
-        let due = now.saturating_duration_since(state.ticked) >= TICK;
+        let due = now.saturating_duration_since(state.refreshed) >= LIMIT_REFRESH;
         if due {
-            state.ticked = now;
+            state.refreshed = now;
         }
         drop(state);
         if due {
-            self.renew(now);
+            self.refresh_limits(now);
         }
     }
 
-    /// Requests of a service inside and waiting.
+    /// The number of admitted requests of a service and of those waiting.
     pub fn counts(&self, service: &str) -> (usize, usize) {
         self.state.lock().admission.counts(service)
     }
 
-    /// Renews the limits by the daemons and the capacity that there is now.
-    pub fn renew(&self, now: Instant) {
+    /// Updates the limits according to the current number of daemons and the capacity of targets.
+    /// Capacities are queried without holding the lock.
+    pub fn refresh_limits(&self, now: Instant) {
         let daemons = self.members.all().len();
         let mut state = self.state.lock();
         state.admission.tick(daemons, now);
@@ -101,111 +101,117 @@
             let Some(capacity) = self.capacities.capacity(&service) else { continue };
             let mut state = self.state.lock();
             state.admission.update_limit(&service, capacity);
-            let turns = state.admission.admit_waiting(&service, now, rand::random());
-            state.tell(turns);
-            report(&service, state.admission.counts(&service));
+            let outcomes = state.admission.admit_waiting(&service, now, rand::random());
+            state.notify(outcomes);
+            export_counts(&service, state.admission.counts(&service));
         }
     }
 
-    fn permit(&self, pass: Slot) -> Permit {
+    fn permit(&self, slot: Slot) -> Permit {
         let shared = Arc::clone(&self.state);
         Permit::new(move || {
             let mut state = shared.lock();
-            let turns = state.admission.release(pass, Instant::now(), rand::random());
-            state.tell(turns);
+            let outcomes = state.admission.release(slot, Instant::now(), rand::random());
+            state.notify(outcomes);
         })
     }
 
-    fn arrive(&self, fleet: &Fleet, offset: Offset, ask: &RequestInfo) -> Arrived {
-        let who = Arrival {
-            organisation: &ask.organisation,
-            service: &ask.service,
-            deadline: ask.deadline,
-            priority: ask.priority,
-            cost: ask.cost,
+    fn arrive(&self, fleet: &Fleet, offset: Offset, info: &RequestInfo) -> ArrivalResult {
+        let arrival = Arrival {
+            organisation: &info.organisation,
+            service: &info.service,
+            deadline: info.deadline,
+            priority: info.priority,
+            cost: info.cost,
         };
         let mut state = self.state.lock();
         if state.offset != Some(offset) {
             state.admission.apply_fleet(fleet);
             state.offset = Some(offset);
         }
-        match state.admission.arrive(fleet, &who, Instant::now(), rand::random()) {
-            AdmitResult::Admitted(pass) => Arrived::Ended(Ok(pass)),
-            AdmitResult::Refused(refusal) => Arrived::Ended(Err(refusal)),
-            AdmitResult::Queued(waits) => {
-                let (turn, waiting) = flume::bounded(1);
-                state.waiters.insert(waits.waiter, turn);
-                state.tell(waits.displaced);
-                Arrived::Waits(Waiting { waiter: waits.waiter, until: waits.until, turn: waiting })
+        match state.admission.arrive(fleet, &arrival, Instant::now(), rand::random()) {
+            AdmitResult::Admitted(slot) => ArrivalResult::Decided(Ok(slot)),
+            AdmitResult::Refused(refusal) => ArrivalResult::Decided(Err(refusal)),
+            AdmitResult::Queued(queued) => {
+                let (sender, receiver) = flume::bounded(1);
+                state.waiters.insert(queued.waiter, sender);
+                state.notify(queued.displaced);
+                ArrivalResult::Queued(Waiter {
+                    id: queued.waiter,
+                    until: queued.until,
+                    result: receiver,
+                })
             }
         }
     }
 
-    fn wait(&self, waiting: Waiting) -> Result<Slot, Refusal> {
-        if let Ok(end) = waiting.turn.recv_deadline(waiting.until) {
-            return end;
+    fn wait(&self, waiter: Waiter) -> Result<Slot, Refusal> {
+        if let Ok(result) = waiter.result.recv_deadline(waiter.until) {
+            return result;
         }
         let mut state = self.state.lock();
-        if let Some(refusal) = state.admission.give_up(waiting.waiter, rand::random()) {
-            state.waiters.remove(&waiting.waiter);
+        if let Some(refusal) = state.admission.give_up(waiter.id, rand::random()) {
+            state.waiters.remove(&waiter.id);
             return Err(refusal);
         }
         drop(state);
-        // Its turn came at the same moment and stands in the channel.
-        waiting.turn.try_recv().unwrap_or_else(|_| Err(lost_turn()))
+        // It was admitted or refused at the same moment; the result is in the channel.
+        waiter.result.try_recv().unwrap_or_else(|_| Err(lost_result()))
     }
 }
 
-enum Arrived {
-    Ended(Result<Slot, Refusal>),
-    Waits(Waiting),
+enum ArrivalResult {
+    Decided(Result<Slot, Refusal>),
+    Queued(Waiter),
 }
 
-struct Waiting {
-    waiter: WaiterId,
+/// A queued request; it is refused if it has no result at `until`.
+struct Waiter {
+    id: WaiterId,
     until: Instant,
-    turn: Receiver<Result<Slot, Refusal>>,
+    result: Receiver<Result<Slot, Refusal>>,
 }
 
 impl State {
-    fn tell(&mut self, turns: impl IntoIterator<Item = WaitOutcome>) {
-        for turn in turns {
-            if let Some(waiter) = self.waiters.remove(&turn.waiter) {
-                // The receiver lives until it has its turn or has given up under the lock.
-                let _ = waiter.send(turn.result);
+    fn notify(&mut self, outcomes: impl IntoIterator<Item = WaitOutcome>) {
+        for outcome in outcomes {
+            if let Some(waiter) = self.waiters.remove(&outcome.waiter) {
+                // The receiver is kept until it has its result or has given up under the lock.
+                let _ = waiter.send(outcome.result);
             }
         }
     }
 }
 
 impl AdmissionControl for AdmissionDriver {
-    fn admit(&self, ask: &RequestInfo) -> Result<Permit, Refusal> {
-        let Some(force) = self.fleets.current() else { return Err(no_configuration()) };
-        self.renew_at_times(Instant::now());
-        let end = match self.arrive(&force.fleet, force.offset, ask) {
-            Arrived::Ended(end) => end,
-            Arrived::Waits(waiting) => self.wait(waiting),
+    fn admit(&self, info: &RequestInfo) -> Result<Permit, Refusal> {
+        let Some(current) = self.fleets.current() else { return Err(no_configuration()) };
+        self.refresh_if_due(Instant::now());
+        let result = match self.arrive(&current.fleet, current.offset, info) {
+            ArrivalResult::Decided(result) => result,
+            ArrivalResult::Queued(waiter) => self.wait(waiter),
         };
-        if let Err(refusal) = &end {
+        if let Err(refusal) = &result {
             let code = refusal.code.to_string();
             metrics::counter!("roseshore_admission_refusals_total", "code" => code).increment(1);
         }
-        end.map(|pass| self.permit(pass))
+        result.map(|slot| self.permit(slot))
     }
 }
 
-fn report(service: &ServiceId, counts: (usize, usize)) {
-    let (inside, waiting) = counts;
-    metrics::gauge!("roseshore_admission_inside", "service" => service.clone()).set(inside as f64);
+fn export_counts(service: &ServiceId, counts: (usize, usize)) {
+    let (admitted, waiting) = counts;
+    metrics::gauge!("roseshore_admission_inside", "service" => service.clone())
+        .set(admitted as f64);
     metrics::gauge!("roseshore_admission_waiting", "service" => service.clone())
         .set(waiting as f64);
 }
 
 fn no_configuration() -> Refusal {
     let text = "this host has no configuration yet; come back later, or ask another host";
-    Refusal::not_run(Code::NoConfiguration, text).after(NO_CONFIGURATION)
+    Refusal::not_run(Code::NoConfiguration, text).after(NO_CONFIG_RETRY)
 }
 
-fn lost_turn() -> Refusal {
-    Refusal::not_run(Code::Internal, "a turn in the queue was lost; ask again").after(TICK)
+fn lost_result() -> Refusal {
+    Refusal::not_run(Code::Internal, "a turn in the queue was lost; ask again").after(LIMIT_REFRESH)
 }
--- a/crates/roseshored/src/log_reader.rs
+++ b/crates/roseshored/src/log_reader.rs
@@ -1,24 +1,24 @@
-//! Reads a stream of the log on to its end.
+//! Reads a stream of the log up to its current end.
 
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::{CallError, CallResult, Log};
 use roseshore_wire::platform::Record;
 
-/// The most records read at once.
-const RECORDS: usize = 512;
+/// Maximum number of records in one read.
+const MAX_RECORDS: usize = 512;
 
-/// What a reading met.
+/// The result of one read.
 pub(crate) enum Batch<'a> {
-    /// Records, in order and from where the reader stands.
+    /// Records in order, starting at the requested offset.
     Records(&'a [Record]),
-    /// What comes before this offset is no longer kept.
+    /// Records before this offset have been trimmed.
     Trimmed(Offset),
 }
 
-/// Reads from an offset to the end as it is now; `take` returns where the reader stands then.
+/// Reads from an offset up to the current end; `take` handles each batch and returns the next offset.
 ///
 /// # Errors
-/// When the log does not answer, and those of `take`.
+/// Fails when the log does not answer or `take` fails.
 pub(crate) fn read_to_end(
     log: &dyn Log,
     stream: &str,
@@ -26,7 +26,7 @@
     mut take: impl FnMut(Batch<'_>) -> CallResult<Offset>,
 ) -> CallResult<()> {
     loop {
-        match log.read(stream, from, RECORDS, Duration::ZERO) {
+        match log.read(stream, from, MAX_RECORDS, Duration::ZERO) {
             Ok(read) => {
                 from = take(Batch::Records(&read.records))?;
                 if read.records.is_empty() || from >= read.end {
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -1,7 +1,8 @@
-//! The driver of the choice of targets.
+//! Target selection for this daemon.
 //!
-//! One lock around [`Router`]: a decision takes microseconds. It follows the configuration in force
-//! and asks the members whether a chosen host is leaving before a choice is given out.
+//! One lock guards the core's router, since a decision takes microseconds. The driver applies each new
+//! configuration and, before it returns a choice, checks with the membership that no chosen host is
+//! leaving.
 
 use crate::admission::CapacitySource;
 use parking_lot::Mutex;
@@ -22,14 +23,14 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// How often hosts that were leaving are asked about again.
-const RECHECK: Duration = Duration::from_millis(500);
-/// The tokens of prompt and answer for which the capacity of a model's targets is worked out.
-const TYPICAL: (u32, u32) = (200, 100);
-/// When a caller without a route should come back.
-const NO_ROUTE: Duration = Duration::from_secs(1);
+/// How often hosts marked as leaving are checked again.
+const LEAVING_RECHECK: Duration = Duration::from_millis(500);
+/// Prompt and answer length, in tokens, for which the capacity of a model's targets is computed.
+const TYPICAL_TOKENS: (u32, u32) = (200, 100);
+/// Retry delay given to a caller for which there is no route.
+const NO_ROUTE_RETRY: Duration = Duration::from_secs(1);
 
-/// The daemon's choice of targets.
+/// Chooses targets for this daemon's requests from load reports and cache contents.
 pub struct Routing {
     fleets: Arc<dyn ConfigSource>,
     members: Arc<dyn Members>,
@@ -43,11 +44,11 @@
     offset: Option<Offset>,
     newest: FxHashMap<TargetId, Report>,
     leaving: Vec<TargetIndex>,
-    checked: Instant,
+    last_recheck: Instant,
 }
 
 impl Routing {
-    /// A choice among the targets of the configuration in force.
+    /// Creates a router over the targets of the current configuration.
     pub fn new(fleets: Arc<dyn ConfigSource>, members: Arc<dyn Members>) -> Routing {
         let own = members.own().data_centre;
         let random = SmallRng::from_rng(&mut rand::rng());
@@ -58,45 +59,46 @@
             offset: None,
             newest: FxHashMap::default(),
             leaving: Vec::new(),
-            checked: Instant::now(),
+            last_recheck: Instant::now(),
         };
         Routing { fleets, members, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Takes over a new configuration and looks again at hosts that were leaving.
+    /// Applies a new configuration and rechecks hosts marked as leaving.
     ///
-    /// Other parts are asked without the lock, for they may be telling this one something.
+    /// Other components are called without holding the lock, because they may call into this one at
+    /// the same time.
     fn refresh(&self, now: Instant) {
-        let force = self.fleets.current();
+        let current = self.fleets.current();
         let mut state = self.state.lock();
-        if let Some(force) = force
-            && state.offset.is_none_or(|known| force.offset > known)
+        if let Some(current) = current
+            && state.offset.is_none_or(|known| current.offset > known)
         {
-            state.declare(&force.fleet, force.offset);
+            state.apply_fleet(&current.fleet, current.offset);
         }
-        if now.saturating_duration_since(state.checked) < RECHECK {
+        if now.saturating_duration_since(state.last_recheck) < LEAVING_RECHECK {
             return;
         }
-        state.checked = now;
+        state.last_recheck = now;
         let hosts = state.leaving_hosts();
         drop(state);
         for (row, host) in hosts {
             if !self.members.leaving(&host) {
-                self.state.lock().stays(row, &host);
+                self.state.lock().clear_leaving(row, &host);
             }
         }
     }
 
-    /// Chooses until none of the chosen hosts is leaving.
+    /// Repeats `select` until none of the chosen hosts is leaving, and marks those that are.
     fn choose<T>(
         &self,
-        mut choice: impl FnMut(&mut route::Router, Instant) -> Option<Chosen<T>>,
+        mut select: impl FnMut(&mut route::Router, Instant) -> Option<Selection<T>>,
     ) -> Option<(T, Permit)> {
         let now = Instant::now();
         self.refresh(now);
         loop {
             let mut state = self.state.lock();
-            let chosen = choice(&mut state.router, now)?;
+            let chosen = select(&mut state.router, now)?;
             let ticket = state.router.begin(&chosen.rows, now);
             drop(state);
             let shared = Arc::clone(&self.state);
@@ -108,7 +110,7 @@
             }
             let mut state = self.state.lock();
             for (&row, host) in leaving {
-                state.leaves(row, host);
+                state.mark_leaving(row, host);
             }
             drop(state);
             drop(permit);
@@ -116,25 +118,25 @@
     }
 }
 
-/// A choice that was not yet checked for leaving hosts.
-struct Chosen<T> {
+/// A choice that has not been checked for leaving hosts yet.
+struct Selection<T> {
     value: T,
     rows: Vec<TargetIndex>,
     hosts: Vec<HostId>,
 }
 
 impl State {
-    fn declare(&mut self, fleet: &Arc<Fleet>, offset: Offset) {
+    fn apply_fleet(&mut self, fleet: &Arc<Fleet>, offset: Offset) {
         self.fleet = Arc::clone(fleet);
         self.router.apply_fleet(fleet);
         self.rollout.declare(fleet);
         self.newest.retain(|id, _| fleet.targets.contains_key(id));
-        self.count_answering();
+        self.export_answering();
         self.leaving.retain(|&row| self.router.loads().row(row).host_leaving);
         self.offset = Some(offset);
     }
 
-    fn count_answering(&self) {
+    fn export_answering(&self) {
         let count = self.newest.values().filter(|report| answers(report)).count();
         metrics::gauge!("roseshore_targets_answering").set(count as f64);
     }
@@ -144,14 +146,14 @@
         self.leaving.iter().map(host).collect()
     }
 
-    fn leaves(&mut self, row: TargetIndex, host: &HostId) {
+    fn mark_leaving(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host && !self.leaving.contains(&row) {
             self.router.set_host_leaving(row, true);
             self.leaving.push(row);
         }
     }
 
-    fn stays(&mut self, row: TargetIndex, host: &HostId) {
+    fn clear_leaving(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host {
             self.router.set_host_leaving(row, false);
             self.leaving.retain(|&known| known != row);
@@ -161,7 +163,7 @@
 
 impl Router for Routing {
     fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
-        let wants = ChainRequest {
+        let request = ChainRequest {
             model: &need.model,
             version: &need.version,
             layers: need.layers,
@@ -172,8 +174,8 @@
             avoid: &need.avoid,
         };
         let chosen = self.choose(|router, now| {
-            let choice = router.choose_chain(&wants, now)?;
-            Some(chosen_chain(router, choice))
+            let choice = router.choose_chain(&request, now)?;
+            Some(chain_selection(router, choice))
         });
         chosen.ok_or_else(|| no_chain(need))
     }
@@ -184,8 +186,8 @@
         let mut state = self.state.lock();
         let State { router, rollout, fleet, .. } = &mut *state;
         let declared = fleet.models.get(model)?;
-        let look = || router.loaded_ranges(model, now);
-        let choice = rollout.choose(model, &declared.version, declared.layers, look);
+        let holdings = || router.loaded_ranges(model, now);
+        let choice = rollout.choose(model, &declared.version, declared.layers, holdings);
         drop(state);
         if choice.switched {
             crate::event!(Event::VersionServes, "model=`{model}` version=`{}`", choice.version);
@@ -198,7 +200,7 @@
             let row = router.choose_replica(serves, avoid, now)?;
             let target = router.loads().row(row);
             let value = Replica { target: target.id.clone(), addr: target.addr };
-            Some(Chosen { value, rows: vec![row], hosts: vec![target.host.clone()] })
+            Some(Selection { value, rows: vec![row], hosts: vec![target.host.clone()] })
         });
         chosen.ok_or_else(|| no_replica(serves))
     }
@@ -207,7 +209,10 @@
         self.state.lock().router.record_failure(target, Instant::now());
         metrics::counter!("roseshore_target_failures_total", "target" => target.clone())
             .increment(1);
-        crate::event!(Event::TargetLost, "target=`{target}` out of use for a while");
+        crate::event!(
+            Event::TargetLost,
+            "target=`{target}` is not used for a while after a failed call"
+        );
     }
 
     fn record_step_time(&self, stages: &[Stage], took: Duration) {
@@ -229,11 +234,11 @@
         let Some(row) = loads.find(target).map(|index| loads.row(index)) else {
             return false;
         };
-        let known = row.host_leaving || row.draining;
+        let marked = row.host_leaving || row.draining;
         let host = row.host.clone();
-        // Other parts are asked without the lock.
+        // The membership is queried without holding the lock.
         drop(state);
-        known || self.members.leaving(&host)
+        marked || self.members.leaving(&host)
     }
 }
 
@@ -251,7 +256,7 @@
             state.newest.insert(report.target.clone(), report);
         }
         if changed {
-            state.count_answering();
+            state.export_answering();
         }
     }
 
@@ -269,8 +274,8 @@
 
 impl CapacitySource for Routing {
     fn capacity(&self, service: &ServiceId) -> Option<Capacity> {
-        let force = self.fleets.current()?;
-        let declared = force.fleet.services.get(service)?;
+        let current = self.fleets.current()?;
+        let declared = current.fleet.services.get(service)?;
         let now = Instant::now();
         let Some(id) = &declared.model else {
             let mut state = self.state.lock();
@@ -282,19 +287,19 @@
             let capacities = sources.filter_map(|source| capacity(&format!("{service}/{source}")));
             return capacities.min_by(|a, b| a.slots.total_cmp(&b.slots));
         };
-        let model = force.fleet.models.get(id)?;
+        let model = current.fleet.models.get(id)?;
         let version = self.version(id)?;
-        let need = ChainRequest {
+        let request = ChainRequest {
             model: id,
             version: &version,
             layers: model.layers,
             adapter: None,
             prefixes: &[],
-            prompt: TYPICAL.0,
-            expected: TYPICAL.1,
+            prompt: TYPICAL_TOKENS.0,
+            expected: TYPICAL_TOKENS.1,
             avoid: &[],
         };
-        self.state.lock().router.chain_capacity(&need, now)
+        self.state.lock().router.chain_capacity(&request, now)
     }
 }
 
@@ -303,7 +308,7 @@
     report.content != ReportContent::Silent
 }
 
-fn chosen_chain(router: &route::Router, choice: ChainChoice) -> Chosen<Chain> {
+fn chain_selection(router: &route::Router, choice: ChainChoice) -> Selection<Chain> {
     let row = |stage: &StageChoice| router.loads().row(stage.row);
     let stages = choice.stages.iter().map(|choice| Stage {
         target: row(choice).id.clone(),
@@ -311,7 +316,7 @@
         layers: choice.layers,
         incarnation: row(choice).incarnation,
     });
-    Chosen {
+    Selection {
         value: Chain {
             stages: stages.collect(),
             first: choice.first_token,
@@ -328,7 +333,7 @@
          see `roseshore running` for its targets, or come back later",
         need.layers, need.model, need.version
     );
-    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE)
+    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE_RETRY)
 }
 
 fn no_replica(serves: &str) -> Refusal {
@@ -336,7 +341,7 @@
         "no replica of `{serves}` is in use; declare a target with `serves = \"{serves}\"`, or \
          come back later"
     );
-    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE)
+    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE_RETRY)
 }
 
 fn cache_change(event: &CacheEvent) -> CacheChange {
--- a/crates/roseshored/tests/admission.rs
+++ b/crates/roseshored/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The driver of admission: threads wait for their turn, and every one of them gets an end.
+//! Admission control: requests queue, and every one of them is admitted or refused in time.
 
 #[path = "support/hosts.rs"]
 mod hosts;
@@ -12,20 +12,20 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-const LONG: Duration = Duration::from_mins(1);
+const LONG_DEADLINE: Duration = Duration::from_mins(1);
 
-struct Fixed(Option<Arc<Fleet>>);
+struct FixedConfig(Option<Arc<Fleet>>);
 
-impl ConfigSource for Fixed {
+impl ConfigSource for FixedConfig {
     fn current(&self) -> Option<ActiveConfig> {
         Some(ActiveConfig { fleet: self.0.clone()?, offset: 1, digest: 0 })
     }
 }
 
-/// Four slots that are overcrowded, so that a limit never grows.
-struct Four;
+/// Reports four overloaded slots, so that limits never grow.
+struct OverloadedTargets;
 
-impl CapacitySource for Four {
+impl CapacitySource for OverloadedTargets {
     fn capacity(&self, _: &ServiceId) -> Option<Capacity> {
         Some(Capacity { slots: 4.0, busy: 100.0 })
     }
@@ -47,7 +47,7 @@
     Arc::new(fleet)
 }
 
-fn ask(left: Duration) -> RequestInfo {
+fn request(left: Duration) -> RequestInfo {
     let now = Instant::now();
     RequestInfo {
         request: "r".into(),
@@ -60,60 +60,60 @@
     }
 }
 
-fn door(fleet: Option<Arc<Fleet>>) -> Arc<AdmissionDriver> {
+fn driver(fleet: Option<Arc<Fleet>>) -> Arc<AdmissionDriver> {
     Arc::new(AdmissionDriver::new(
-        Arc::new(Fixed(fleet)),
+        Arc::new(FixedConfig(fleet)),
         Arc::new(Hosts::default()),
-        Arc::new(Four),
+        Arc::new(OverloadedTargets),
     ))
 }
 
-/// Fills the service, so that the next one has to wait.
-fn fill(door: &AdmissionDriver) -> Vec<Permit> {
-    // The first renewal after a line exists fits its limit to the room.
-    let mut permits = vec![door.admit(&ask(LONG)).unwrap()];
-    door.renew(Instant::now());
-    permits.extend((1..5).map(|_| door.admit(&ask(LONG)).unwrap()));
+/// Fills the service so that the next request has to queue.
+fn fill(driver: &AdmissionDriver) -> Vec<Permit> {
+    // The first refresh after a service has been used sets its limit from the capacity.
+    let mut permits = vec![driver.admit(&request(LONG_DEADLINE)).unwrap()];
+    driver.refresh_limits(Instant::now());
+    permits.extend((1..5).map(|_| driver.admit(&request(LONG_DEADLINE)).unwrap()));
     permits
 }
 
 #[test]
-fn every_waiting_thread_has_its_turn() {
-    let door = door(Some(fleet()));
-    let permits = fill(&door);
+fn every_queued_request_is_admitted() {
+    let driver = driver(Some(fleet()));
+    let permits = fill(&driver);
     let done = Arc::new(AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..40 {
-            let (door, done) = (Arc::clone(&door), Arc::clone(&done));
+            let (driver, done) = (Arc::clone(&driver), Arc::clone(&done));
             scope.spawn(move || {
-                drop(door.admit(&ask(LONG)).unwrap());
+                drop(driver.admit(&request(LONG_DEADLINE)).unwrap());
                 done.fetch_add(1, Ordering::SeqCst);
             });
         }
-        let begun = Instant::now();
-        while door.counts("s").1 < 40 && begun.elapsed() < LONG / 3 {
+        let started = Instant::now();
+        while driver.counts("s").1 < 40 && started.elapsed() < LONG_DEADLINE / 3 {
             std::thread::yield_now();
         }
         assert_eq!(done.load(Ordering::SeqCst), 0, "none is admitted beyond the limit");
         drop(permits);
     });
-    assert_eq!((done.load(Ordering::SeqCst), door.counts("s")), (40, (0, 0)));
+    assert_eq!((done.load(Ordering::SeqCst), driver.counts("s")), (40, (0, 0)));
 }
 
 #[test]
-fn a_waiting_thread_gives_up_in_time() {
-    let door = door(Some(fleet()));
-    let permits = fill(&door);
-    let refusal = door.admit(&ask(Duration::from_millis(50))).err().unwrap();
+fn a_queued_request_gives_up_in_time() {
+    let driver = driver(Some(fleet()));
+    let permits = fill(&driver);
+    let refusal = driver.admit(&request(Duration::from_millis(50))).err().unwrap();
     assert_eq!((refusal.code, refusal.verdict), (Code::TooLate, Verdict::NotRun));
     assert!(refusal.retry_after.is_some());
-    assert_eq!(door.counts("s"), (5, 0));
+    assert_eq!(driver.counts("s"), (5, 0));
     drop(permits);
-    assert_eq!(door.counts("s"), (0, 0));
+    assert_eq!(driver.counts("s"), (0, 0));
 }
 
 #[test]
-fn without_a_configuration_nothing_is_let_in() {
-    let refusal = door(None).admit(&ask(Duration::from_secs(1))).err().unwrap();
+fn without_a_configuration_nothing_is_admitted() {
+    let refusal = driver(None).admit(&request(Duration::from_secs(1))).err().unwrap();
     assert_eq!((refusal.code, refusal.verdict), (Code::NoConfiguration, Verdict::NotRun));
 }
--- a/crates/roseshored/tests/calls.rs
+++ b/crates/roseshored/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services: who is asked how often, and what the caller is told.
+//! Calls of plain services: which attempts are made, and what the caller gets.
 
 #[path = "support/fakes.rs"]
 mod fakes;
@@ -18,21 +18,21 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-/// What a replica does with a call.
+/// How a replica responds to a call.
 #[derive(Clone, Copy, Debug)]
-enum Does {
+enum Behaviour {
     Answers,
     Fails,
-    Unreached,
+    Unreachable,
     Refuses,
     Loses,
     Garbles,
     Panics,
 }
 
-/// Replicas that do what a test says, one after the other.
+/// Replicas that respond by a script, one entry per call.
 struct Replicas {
-    script: Mutex<VecDeque<Does>>,
+    script: Mutex<VecDeque<Behaviour>>,
     keys: Mutex<Vec<Option<String>>>,
 }
 
@@ -50,19 +50,19 @@
         _: &CallContext,
     ) -> CallResult<ServiceReply> {
         self.keys.lock().push(key.map(str::to_owned));
-        let does = self.script.lock().pop_front().expect("no more calls than the script says");
+        let behaviour = self.script.lock().pop_front().expect("no more calls than the script says");
         let reply = |status| {
             let (content, body) = ("text/plain".into(), body.to_vec());
             Ok(ServiceReply { status, content, body, replayed: false })
         };
-        match does {
-            Does::Answers => reply(200),
-            Does::Fails => reply(500),
-            Does::Unreached => Err(CallError::Unreached("refused".into())),
-            Does::Refuses => Err(CallError::Refused(503, None, String::new())),
-            Does::Loses => Err(CallError::Lost("cut".into())),
-            Does::Garbles => Err(CallError::Garbled("what?".into())),
-            Does::Panics => panic!("asked for by the test"),
+        match behaviour {
+            Behaviour::Answers => reply(200),
+            Behaviour::Fails => reply(500),
+            Behaviour::Unreachable => Err(CallError::Unreached("refused".into())),
+            Behaviour::Refuses => Err(CallError::Refused(503, None, String::new())),
+            Behaviour::Loses => Err(CallError::Lost("cut".into())),
+            Behaviour::Garbles => Err(CallError::Garbled("what?".into())),
+            Behaviour::Panics => panic!("asked for by the test"),
         }
     }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// A fleet with three replicas of one plain service, which has a retry budget of its own.
+/// A fleet with three replicas of one plain service.
 fn fleet(service: &str, idempotent: bool) -> Fleet {
     let replica = |number: u8| {
         format!(
@@ -90,12 +90,12 @@
 struct Case {
     name: &'static str,
     idempotent: bool,
-    /// How the key begins, if there is one.
+    /// The result of claiming the key; `None` for a call without a key.
     key: Option<Key1>,
-    /// What the replicas do, in the order of the calls; all must be made.
-    script: &'static [Does],
-    told: &'static str,
-    /// What becomes of the claim.
+    /// The replicas' behaviour in the order of the calls, all of which must be made.
+    script: &'static [Behaviour],
+    expected: &'static str,
+    /// The calls made on the claims port.
     claim: &'static [&'static str],
 }
 
@@ -104,43 +104,55 @@
     Outcome { verdict: Verdict::Answered, status: 201, content, body }
 }
 
-fn once(name: &'static str, script: &'static [Does], told: &'static str) -> Case {
-    Case { name, idempotent: false, key: None, script, told, claim: &[] }
+fn non_idempotent(
+    name: &'static str,
+    script: &'static [Behaviour],
+    expected: &'static str,
+) -> Case {
+    Case { name, idempotent: false, key: None, script, expected, claim: &[] }
 }
 
 fn keyed(
     name: &'static str,
     key: Key1,
-    script: &'static [Does],
-    told: &'static str,
+    script: &'static [Behaviour],
+    expected: &'static str,
     claim: &'static [&'static str],
 ) -> Case {
-    Case { key: Some(key), claim, ..once(name, script, told) }
+    Case { key: Some(key), claim, ..non_idempotent(name, script, expected) }
 }
 
-fn free(name: &'static str, script: &'static [Does], told: &'static str) -> Case {
-    Case { idempotent: true, ..once(name, script, told) }
+fn idempotent(name: &'static str, script: &'static [Behaviour], expected: &'static str) -> Case {
+    Case { idempotent: true, ..non_idempotent(name, script, expected) }
 }
 
 fn cases() -> Vec<Case> {
-    use Does::{Answers, Fails, Garbles, Loses, Panics, Refuses, Unreached};
+    use Behaviour::{Answers, Fails, Garbles, Loses, Panics, Refuses, Unreachable};
     let refusal = Refusal::may_have_run(Code::KeyUnknown, "not known");
     vec![
-        once("once: answered", &[Answers], "200"),
-        once("once: an error of the target is an answer", &[Fails], "500"),
-        once("once: lost", &[Loses], "RS303 may_have_run"),
-        once("once: garbled", &[Garbles], "RS306 may_have_run"),
-        once("once: unreached, then answered", &[Unreached, Answers], "200"),
-        once("once: refused, then lost", &[Refuses, Loses], "RS303 may_have_run"),
-        once("once: nobody began it", &[Unreached, Refuses, Unreached], "RS302 not_run"),
-        free("idempotent: lost, then answered", &[Loses, Answers], "200"),
-        free("idempotent: garbled, then answered", &[Garbles, Answers], "200"),
-        free(
+        non_idempotent("once: answered", &[Answers], "200"),
+        non_idempotent("once: an error of the target is an answer", &[Fails], "500"),
+        non_idempotent("once: lost", &[Loses], "RS303 may_have_run"),
+        non_idempotent("once: garbled", &[Garbles], "RS306 may_have_run"),
+        non_idempotent("once: unreached, then answered", &[Unreachable, Answers], "200"),
+        non_idempotent("once: refused, then lost", &[Refuses, Loses], "RS303 may_have_run"),
+        non_idempotent(
+            "once: no replica started it",
+            &[Unreachable, Refuses, Unreachable],
+            "RS302 not_run",
+        ),
+        idempotent("idempotent: lost, then answered", &[Loses, Answers], "200"),
+        idempotent("idempotent: garbled, then answered", &[Garbles, Answers], "200"),
+        idempotent(
             "idempotent: lost, then unreached",
-            &[Loses, Unreached, Unreached],
+            &[Loses, Unreachable, Unreachable],
             "RS302 may_have_run",
         ),
-        free("idempotent: nobody began it", &[Refuses, Refuses, Refuses], "RS304 not_run"),
+        idempotent(
+            "idempotent: no replica started it",
+            &[Refuses, Refuses, Refuses],
+            "RS304 not_run",
+        ),
         keyed(
             "key: answered",
             Key1::Win,
@@ -158,12 +170,12 @@
         keyed(
             "key: unreached, then answered",
             Key1::Win,
-            &[Unreached, Answers],
+            &[Unreachable, Answers],
             "200",
             &["begin k", "dispatch", "settle answered"],
         ),
         keyed(
-            "key: nobody began it",
+            "key: no replica started it",
             Key1::Win,
             &[Refuses, Refuses, Refuses],
             "RS304 not_run",
@@ -182,13 +194,13 @@
         Case {
             key: Some(Key1::Win),
             claim: &[],
-            ..free("key of an idempotent service claims nothing", &[Answers], "200")
+            ..idempotent("key of an idempotent service claims nothing", &[Answers], "200")
         },
     ]
 }
 
 #[test]
-fn what_a_caller_is_told() {
+fn results_and_claims_by_replica_behaviour() {
     for (at, case) in cases().into_iter().enumerate() {
         let service = format!("s{at}");
         let script = Mutex::new(case.script.iter().copied().collect());
@@ -197,35 +209,36 @@
         let claims = Arc::new(FakeClaims { key, calls: Mutex::default() });
         let app = app(&service, case.idempotent, claims.clone(), replicas.clone());
         let key = case.key.is_some().then(|| Key::from("k"));
-        let run = || calls::run(&app, &ask(&service), b"body", key.as_ref(), 7, None);
-        let told = match catch_unwind(AssertUnwindSafe(run)) {
+        let run = || calls::run(&app, &request(&service), b"body", key.as_ref(), 7, None);
+        let result = match catch_unwind(AssertUnwindSafe(run)) {
             Ok(Ok(end)) if end.repeated => format!("{} repeated", end.reply.status),
             Ok(Ok(end)) => end.reply.status.to_string(),
             Ok(Err(refusal)) => format!("{} {}", refusal.code, refusal.verdict.name()),
             Err(_) => "panic".into(),
         };
-        assert_eq!(told, case.told, "{}", case.name);
+        assert_eq!(result, case.expected, "{}", case.name);
         assert!(replicas.script.lock().is_empty(), "{}: fewer calls than expected", case.name);
         assert!(replicas.keys.lock().iter().all(|sent| *sent == key), "{}", case.name);
         assert_eq!(*claims.calls.lock(), case.claim, "{}", case.name);
     }
 }
 
-/// Two daemons in one process do not spend each other's budget.
+/// Guards against retry budgets shared between two daemons of one process.
 #[test]
-fn a_budget_is_its_daemons_own() {
+fn each_daemon_has_its_own_retry_budget() {
     let attempts = |calls: usize| {
-        let script = Mutex::new(VecDeque::from(vec![Does::Loses; 3 * calls]));
+        let script = Mutex::new(VecDeque::from(vec![Behaviour::Loses; 3 * calls]));
         let replicas = Arc::new(Replicas { script, keys: Mutex::default() });
         let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
         let app = app("shared", true, claims, replicas.clone());
         for _ in 0..calls {
-            calls::run(&app, &ask("shared"), b"", None, 7, None).expect_err("every reply is lost");
+            calls::run(&app, &request("shared"), b"", None, 7, None)
+                .expect_err("every reply is lost");
         }
         replicas.keys.lock().len()
     };
-    assert!(attempts(50) < 150, "the budget of the first one is spent");
-    assert_eq!(attempts(1), 3, "the second one has a full one");
+    assert!(attempts(50) < 150, "the retry budget of the first daemon must run out");
+    assert_eq!(attempts(1), 3, "the second daemon must have a full retry budget");
 }
 
 #[test]
@@ -233,13 +246,13 @@
     let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
     let replicas = Arc::new(Replicas { script: Mutex::default(), keys: Mutex::default() });
     let app = app("late", false, claims.clone(), replicas);
-    let late = RequestInfo { deadline: Instant::now(), ..ask("late") };
+    let late = RequestInfo { deadline: Instant::now(), ..request("late") };
     let refusal = calls::run(&app, &late, b"", Some(&"k".into()), 7, None).expect_err("too late");
     assert_eq!((refusal.code, refusal.verdict), (Code::DeadlinePassed, Verdict::NotRun));
     assert_eq!(*claims.calls.lock(), ["begin k", "abandon"]);
 }
 
-fn ask(service: &str) -> RequestInfo {
+fn request(service: &str) -> RequestInfo {
     let now = Instant::now();
     RequestInfo {
         request: "r1".into(),
--- a/crates/roseshored/tests/routing.rs
+++ b/crates/roseshored/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The routing driver: leaving hosts and permits.
+//! Target selection: leaving hosts, failed targets, permits and load reports.
 
 #[path = "support/hosts.rs"]
 mod hosts;
@@ -14,9 +14,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-struct Fixed(Arc<Fleet>);
+struct FixedConfig(Arc<Fleet>);
 
-impl ConfigSource for Fixed {
+impl ConfigSource for FixedConfig {
     fn current(&self) -> Option<ActiveConfig> {
         Some(ActiveConfig { fleet: Arc::clone(&self.0), offset: 1, digest: 0 })
     }
@@ -67,7 +67,7 @@
     Report { target: id.into(), seen: Instant::now(), content: ReportContent::Engine(load) }
 }
 
-fn need() -> ChainNeeds {
+fn needs() -> ChainNeeds {
     ChainNeeds {
         model: "m".into(),
         version: "v".into(),
@@ -96,21 +96,21 @@
     ];
     for case in cases {
         let hosts = Arc::new(Hosts::default());
-        let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), hosts.clone());
+        let routing = Routing::new(Arc::new(FixedConfig(Arc::new(fleet()))), hosts.clone());
         for id in ["e1", "e2"] {
             routing.take(report(id));
         }
         hosts.0.lock().extend(case.leaving.iter().map(|id| (*id).to_owned()));
         case.failed.iter().for_each(|id| routing.failed(&(*id).to_owned()));
         for id in ["e1", "e2"] {
-            let leaves = case.leaving.contains(&format!("host-{id}").as_str());
-            assert_eq!(routing.leaving(&id.to_owned()), leaves, "{}: {id}", case.name);
+            let leaving = case.leaving.contains(&format!("host-{id}").as_str());
+            assert_eq!(routing.leaving(&id.to_owned()), leaving, "{}: {id}", case.name);
         }
         let mut chosen = BTreeSet::new();
-        // Permits are held, so that queues grow and every usable target is chosen.
+        // Permits are held so that queues grow and every usable target is chosen.
         let mut permits = Vec::new();
         for _ in 0..20 {
-            match routing.chain(&need()) {
+            match routing.chain(&needs()) {
                 Ok((chain, permit)) => {
                     let stage = &chain.stages[0];
                     assert_eq!((stage.layers, stage.incarnation), ((0, 4), 5), "{}", case.name);
@@ -131,21 +131,23 @@
 
 #[test]
 fn a_permit_counts_until_it_is_dropped() {
-    let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), Arc::new(Hosts::default()));
+    let routing =
+        Routing::new(Arc::new(FixedConfig(Arc::new(fleet()))), Arc::new(Hosts::default()));
     for id in ["e1", "e2"] {
         routing.take(report(id));
     }
-    let predicted = || routing.chain(&need()).map(|(chain, _)| chain.between).ok();
-    let idle = predicted();
-    let permits: Vec<_> = (0..20).map(|_| routing.chain(&need()).map(|(_, p)| p).ok()).collect();
-    assert!(predicted() > idle, "own requests in flight make the prediction longer");
+    let interval = || routing.chain(&needs()).map(|(chain, _)| chain.between).ok();
+    let idle = interval();
+    let permits: Vec<_> = (0..20).map(|_| routing.chain(&needs()).map(|(_, p)| p).ok()).collect();
+    assert!(interval() > idle, "requests in flight must raise the predicted token interval");
     drop(permits);
-    assert_eq!(predicted(), idle);
+    assert_eq!(interval(), idle);
 }
 
 #[test]
 fn the_newest_report_is_shared() {
-    let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), Arc::new(Hosts::default()));
+    let routing =
+        Routing::new(Arc::new(FixedConfig(Arc::new(fleet()))), Arc::new(Hosts::default()));
     let old = report("e1");
     let new = report("e1");
     routing.take(new.clone());
--- a/crates/roseshored/tests/support/hosts.rs
+++ b/crates/roseshored/tests/support/hosts.rs
@@ -1,11 +1,11 @@
-//! One daemon that knows which hosts leave.
+//! A member list of one daemon with a settable set of leaving hosts.
 
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Member, MemberState, Members};
 use std::collections::BTreeSet;
 
-/// The hosts that leave.
+/// The hosts reported as leaving.
 #[derive(Default)]
 pub(crate) struct Hosts(pub(crate) Mutex<BTreeSet<HostId>>);
 
