--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -136,8 +136,8 @@
         let pick = |row: &Vec<Stage>| row.iter().find(|s| !out(&s.target)).cloned();
         let stages = self.rows.iter().map(pick).collect::<Option<Vec<_>>>();
         let stages = stages.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
-        let between = Duration::from_millis(6);
-        Ok((Chain { stages, first: self.first, between }, Permit::new(|| ())))
+        let token_interval = Duration::from_millis(6);
+        Ok((Chain { stages, first_token: self.first, token_interval }, Permit::new(|| ())))
     }
 
     fn replica(&self, _: &str, _: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
--- a/crates/roseshore_ports/src/clock.rs
+++ b/crates/roseshore_ports/src/clock.rs
@@ -1,11 +1,11 @@
-//! Where a part of the daemon gets the time from.
+//! The source of time for the components of the daemon.
 
 use std::time::{Instant, SystemTime};
 
-/// A clock that never goes back, and runs on while the machine is suspended.
+/// A monotonic clock that keeps running while the machine is suspended.
 pub trait Clock: Send {
-    /// The time now; only times of one clock may be compared.
+    /// The current time. Only times from the same clock may be compared.
     fn now(&self) -> Instant;
-    /// The time of day, which may jump either way.
+    /// The time of day, which may jump forwards or backwards.
     fn wall(&self) -> SystemTime;
 }
--- a/crates/roseshore_ports/src/entry.rs
+++ b/crates/roseshore_ports/src/entry.rs
@@ -1,7 +1,7 @@
-//! The border towards the platform that an entry host runs on.
+//! The interface to the platform that an entry host runs on.
 //!
-//! Implementations spell and read; they hold no state, wait for nothing and choose nothing. The
-//! readiness loop carries the bytes.
+//! Implementations only encode and decode: they are stateless, never block and make no decisions.
+//! The event loop of the entry host does the I/O.
 
 use quick_error::quick_error;
 use roseshore_core::gateway::limits::AdvertisedLimit;
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A header field as it stood on the wire.
+/// A header field as received: its name, and its value as raw bytes.
 pub type Field = (String, Vec<u8>);
 
 quick_error! {
-    /// Something that came over the wire and cannot be read.
+    /// Received data that cannot be decoded.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum WireError {
-        /// What it was and why.
+        /// What cannot be decoded, and why.
         Bad(what: String) {
             display("{what}")
         }
@@ -25,21 +25,22 @@
 }
 
 impl WireError {
-    /// An error that says what cannot be read and why.
+    /// Creates an error from a description of what cannot be decoded and why.
     pub fn new(what: impl Into<String>) -> WireError {
         WireError::Bad(what.into())
     }
 }
 
 quick_error! {
-    /// Why a reply of the store brought nothing.
+    /// Why a reply of the store has no records.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum StoreFault {
-        /// The records asked for are gone; the newest of each key are to be read instead.
+        /// The requested offset has been trimmed. The latest record of each key has to be read
+        /// instead.
         Trimmed { display("the records asked for are gone") }
-        /// The store refused the call, with this status; nothing was done.
+        /// The store refused the call with this HTTP status and did not carry it out.
         Refused(status: u16) { display("the store refused with {status}") }
-        /// The reply cannot be read.
+        /// The reply cannot be decoded.
         Unreadable(what: String) { display("the store's reply cannot be read: {what}") }
     }
 }
@@ -53,33 +54,33 @@
     Targets,
 }
 
-/// A small HTTP call of the daemon's own.
+/// An HTTP request that the daemon itself makes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
     /// Path and query.
     pub path: String,
-    /// The body; JSON if not empty.
+    /// The body, sent as `application/json` unless empty; records to append are binary.
     pub body: Vec<u8>,
 }
 
 impl CallRequest {
-    /// A call without a body.
+    /// Creates a `GET` request, which has no body.
     pub fn get(path: String) -> CallRequest {
         CallRequest { method: "GET", path, body: Vec::new() }
     }
 
-    /// A call with a JSON body.
+    /// Creates a `POST` request with this body.
     pub fn post(path: String, body: Vec<u8>) -> CallRequest {
         CallRequest { method: "POST", path, body }
     }
 }
 
-/// The whole reply to a call.
+/// The complete reply to a [`CallRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallReply {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The header fields.
     pub fields: Vec<Field>,
@@ -87,175 +88,179 @@
     pub body: Vec<u8>,
 }
 
-/// One record; without a value its key was dropped.
+/// A record of the store: a key with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyedRecord {
     /// The key.
     pub key: String,
-    /// The value.
+    /// The value; `None` if the key has been deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// Records in order.
+/// Consecutive records of a stream, in order of offset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadBatch {
-    /// One past the last offset of the stream.
+    /// One past the last offset of the whole stream.
     pub end: u64,
-    /// The records; `None` for one whose key cannot be read, so that it still counts as an offset.
+    /// The records. A malformed record is `None`, because it still takes up an offset.
     pub entries: Vec<Option<KeyedRecord>>,
 }
 
-/// A page of the newest record of each key.
+/// A page of the latest record of each key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// The records.
+    /// The records, in order of the page.
     pub entries: Vec<KeyedRecord>,
-    /// The key to go on after, if there are more.
+    /// The key after which the next page starts; `None` on the last page.
     pub next_key: Option<String>,
-    /// One past the last offset when the page was made.
+    /// One past the last offset of the stream when the page was made.
     pub end: u64,
 }
 
-/// What a caller says of its request.
+/// The header fields of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestFields {
-    /// The id of this attempt.
+    /// Id of this attempt; never empty.
     pub attempt: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer, if it says so.
     pub deadline: Option<Duration>,
-    /// Its API key.
+    /// The API key.
     pub api_key: Option<String>,
-    /// The last event of a stream that it has.
+    /// Id of the last event of a stream that the caller has received.
     pub last_event: Option<u64>,
-    /// The model.
+    /// The requested model.
     pub model: Option<String>,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt; 0 if unknown.
     pub prompt_tokens: u32,
-    /// The most tokens that the answer may have.
+    /// Maximum tokens in the answer; 0 if unknown.
     pub max_tokens: u32,
-    /// The caller's guess of the answer's tokens.
+    /// The caller's estimate of the tokens in the answer.
     pub length_hint: Option<u32>,
 }
 
-/// What goes to a target beside the caller's own fields.
+/// The fields that this host adds to a request to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardedFields<'a> {
-    /// How long the caller still waits.
+    /// Time left until the deadline of the caller.
     pub remaining: Duration,
-    /// The target that is meant; any other must not run the request.
+    /// Id of the intended target. A target with another id must not run the request.
     pub target: &'a str,
-    /// The organisation that the key belongs to.
+    /// The organisation that the caller's API key belongs to.
     pub organisation: Option<&'a str>,
-    /// The event after which a stream goes on.
+    /// Id of the event after which a stream resumes.
     pub last_event: Option<u64>,
-    /// The path through the layers; empty for plain services.
+    /// The targets and the layers each one runs, in order; empty for plain services.
     pub path: &'a [(SocketAddr, Hop)],
 }
 
-/// What a target says of its answer.
+/// The header fields of a target's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseFields {
-    /// Proof that the request did not run.
+    /// Whether the target states that the request did not run.
     pub not_run: bool,
-    /// The attempt that it answers.
+    /// Id of the attempt that this is the response to.
     pub attempt: Option<String>,
-    /// The target at fault, when another on the path was.
+    /// Address of the target that failed, if it is another one on the path.
     pub faulty_target: Option<SocketAddr>,
-    /// Requests running, requests waiting, slots.
+    /// Running requests, waiting requests and slots.
     pub load: Option<(u32, u32, u32)>,
-    /// Whether it bears the target's seal.
+    /// Whether the response carries the target's seal field.
     pub sealed: bool,
-    /// Whether the target says that it leaves; true for the rest of its life.
+    /// Whether the target announces that it is leaving. Once true, it stays true for this
+    /// incarnation.
     pub leaving: bool,
-    /// For how long the target wants nothing from this host, where it says so.
+    /// How long this host must not send to the target, if it says so.
     pub retry_after: Option<Duration>,
-    /// What it says of the requests that the target takes from all hosts together.
+    /// The rate limit of the target for all hosts together.
     pub limit: AdvertisedLimit,
 }
 
-/// What a target reports of itself, some time late.
+/// A target's report about itself. It may be out of date.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The life that it speaks of; 0 where targets do not tell it.
+    /// Incarnation of the target, 0 if it reports none.
     pub life: Incarnation,
-    /// Orders taken in this life.
+    /// Orders accepted in this incarnation.
     pub orders_taken: u64,
-    /// Whether an order is being carried out.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// The layers held.
+    /// The layers the target holds; `None` if it holds none.
     pub holding: Option<Holding>,
-    /// How many times slower it runs than published; below 1 when faster.
+    /// Step time relative to the published one: above 1 is slower, below 1 is faster.
     pub pace: f64,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Waiting requests.
     pub waiting: u32,
-    /// KV cache in use, tokens times layers.
+    /// Used KV cache, in tokens times layers.
     pub kv_used: f64,
-    /// KV cache in all, tokens times layers.
+    /// Size of the KV cache, in tokens times layers.
     pub kv_total: f64,
 }
 
-/// Everything that is spelled in the platform's own way.
+/// Encodes and decodes everything that has a platform-specific form.
 pub trait EntryPlatform {
-    /// Reads what a caller says.
+    /// Parses the header fields of a caller's request.
     ///
     /// # Errors
-    /// When a field that is needed is missing or wrong.
+    /// If a required field is missing or invalid.
     fn read_request(&self, fields: &[Field]) -> Result<RequestFields, WireError>;
-    /// The fields that go to a target.
+    /// Returns the header fields of the request to a target.
     fn forwarded_headers(&self, fields: &[Field], carried: &ForwardedFields<'_>) -> Vec<Field>;
-    /// Reads what a target says.
+    /// Parses the header fields of a target's response.
     fn read_response(&self, fields: &[Field]) -> ResponseFields;
-    /// The fields of an answer that go to the caller.
+    /// Returns the header fields of a response that are forwarded to the caller.
     fn caller_headers(&self, fields: &[Field]) -> Vec<Field>;
-    /// The era that the store names in its reply, if it does.
+    /// Returns the era of a reply of the store, if the reply has one.
     fn era(&self, reply: &CallReply) -> Option<Era>;
-    /// A read of a stream from an offset; waits for a record at most `wait`.
+    /// Requests the records of a stream from offset `from` on. The store waits up to `wait` for the
+    /// first one.
     fn read(&self, stream: Stream, from: u64, wait: Duration) -> CallRequest;
-    /// Reads the reply to [`EntryPlatform::read`].
+    /// Decodes the reply to [`EntryPlatform::read`].
     ///
     /// # Errors
-    /// When it brought no records, and why.
+    /// If the reply has no records; the fault says why.
     fn read_reply(&self, reply: &CallReply) -> Result<ReadBatch, StoreFault>;
-    /// A read of the newest record of each key, after the key `since`.
+    /// Requests a page of the latest record of each key, after the key `since`.
     fn read_latest(&self, stream: Stream, since: Option<&str>) -> CallRequest;
-    /// Reads the reply to [`EntryPlatform::read_latest`].
+    /// Decodes the reply to [`EntryPlatform::read_latest`].
     ///
     /// # Errors
-    /// When it brought no records, and why.
+    /// If the reply has no records; the fault says why.
     fn latest_reply(&self, reply: &CallReply) -> Result<Page, StoreFault>;
-    /// A read of the records of blocked requests, after the key `since`; its reply is read by
-    /// [`EntryPlatform::latest_reply`].
+    /// Requests a page of the records of blocked requests, after the key `since`. The reply is
+    /// decoded by [`EntryPlatform::latest_reply`].
     fn read_blocked(&self, since: Option<&str>) -> CallRequest;
-    /// Writes records of blocked requests; those without a value are dropped.
+    /// Requests that records of blocked requests are appended. A record without a value deletes its
+    /// key.
     fn write_blocked(&self, records: &[KeyedRecord]) -> CallRequest;
-    /// Reads the reply to [`EntryPlatform::write_blocked`].
+    /// Decodes the reply to [`EntryPlatform::write_blocked`].
     ///
     /// # Errors
-    /// When the records may not have been written, and why.
+    /// If the records may not have been written; the fault says why.
     fn write_reply(&self, reply: &CallReply) -> Result<(), StoreFault>;
-    /// The key of the configuration in its stream.
+    /// Returns the key of the configuration in [`Stream::Config`].
     fn config_key(&self) -> &'static str;
-    /// Reads a configuration.
+    /// Decodes a configuration.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// If it is malformed.
     fn config(&self, value: &[u8]) -> Result<Snapshot, WireError>;
-    /// Reads the record of a target.
+    /// Decodes the record of a target.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// If it is malformed.
     fn target(&self, id: &str, value: &[u8]) -> Result<TargetRecord, WireError>;
-    /// Asks a target for its report.
+    /// Requests the report of a target.
     fn report(&self) -> CallRequest;
-    /// Reads a report.
+    /// Decodes a report.
     ///
     /// # Errors
-    /// When it cannot be read.
+    /// If the request failed or the report is malformed.
     fn report_reply(&self, reply: &CallReply) -> Result<Report, WireError>;
-    /// Orders a target to hold these layers, if it has taken `expected` orders so far.
+    /// Orders a target to hold the layers from the first number up to, but excluding, the second.
+    /// The order applies only if the target has accepted `expected` orders so far.
     fn assign_layers(&self, layers: (u16, u16), expected: u64) -> CallRequest;
-    /// Orders the first target of a path to go on over another one.
+    /// Orders the first target of a path to continue an attempt over another path.
     fn reroute(&self, attempt: &str, path: &[(SocketAddr, Hop)]) -> CallRequest;
 }
--- a/crates/roseshore_ports/src/inside.rs
+++ b/crates/roseshore_ports/src/inside.rs
@@ -1,7 +1,7 @@
-//! What the parts of the daemon need of each other.
+//! Traits between the components of the daemon.
 //!
-//! One trait per part; each is given out as a trait object, so that a part can be swapped for its
-//! first, simple version or for a fake in tests.
+//! Each component has one trait and is passed as a trait object, so that it can be replaced by a
+//! simpler implementation, or by a fake in tests.
 
 pub use roseshore_core::ledger::history::RequestState;
 pub use roseshore_core::membership::{Member, MemberState};
@@ -12,135 +12,135 @@
 use roseshore_wire::service::ServiceLoad;
 use std::sync::Arc;
 
-/// The configuration in force.
+/// Access to the active configuration.
 pub trait ConfigSource: Send + Sync {
-    /// The fleet, and one past the last record folded; `None` until the first is known.
+    /// Returns the active configuration; `None` until the first one is known.
     fn current(&self) -> Option<ActiveConfig>;
 }
 
-/// A configuration with its place in the log.
+/// A configuration and its position in the log.
 #[derive(Clone, Debug)]
 pub struct ActiveConfig {
     /// The declared state.
     pub fleet: Arc<Fleet>,
-    /// One past the last record folded.
+    /// One past the offset of the last record applied.
     pub offset: Offset,
-    /// The digest of the folded state.
+    /// Digest of the state after that record.
     pub digest: u64,
 }
 
-/// Whose request it is and by when it must be answered.
+/// A request's identity, deadline and expected cost.
 #[derive(Clone, Debug)]
 pub struct RequestInfo {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The customer.
+    /// The organisation that made the request.
     pub organisation: OrganisationId,
-    /// The service.
+    /// The requested service.
     pub service: ServiceId,
-    /// When the answer must be whole.
+    /// When the answer must be complete.
     pub deadline: Instant,
     /// When the request arrived.
     pub arrived: Instant,
-    /// Larger goes first; 4 where the caller names none, 0 to 9.
+    /// Priority from 0 to 9, larger first; 4 if the caller gives none.
     pub priority: u8,
-    /// Its expected work, in tokens for models and in calls for services.
+    /// Expected cost, in tokens for models and in calls for services.
     pub cost: u32,
 }
 
-/// Admission and limits.
+/// Admission control and limits.
 pub trait AdmissionControl: Send + Sync {
-    /// Lets a request in, waiting for its turn if need be, or refuses it at once.
+    /// Admits a request, after waiting for its turn if necessary, or refuses it immediately.
     ///
-    /// The permit gives its place back when it is dropped.
+    /// Dropping the permit releases the slot.
     ///
     /// # Errors
-    /// A refusal with [`Verdict::NotRun`] and, where it makes sense, when to come back.
+    /// A refusal with [`Verdict::NotRun`] and, where useful, the time after which to retry.
     fn admit(&self, ask: &RequestInfo) -> Result<Permit, Refusal>;
 }
 
-/// A place among the admitted requests.
+/// A guard for a slot in use; dropping it releases the slot.
 pub struct Permit {
-    leave: Option<Box<dyn FnOnce() + Send>>,
+    release: Option<Box<dyn FnOnce() + Send>>,
 }
 
 impl Permit {
-    /// A place that calls `leave` when it is given back.
-    pub fn new(leave: impl FnOnce() + Send + 'static) -> Permit {
-        Permit { leave: Some(Box::new(leave)) }
+    /// Creates a permit that calls `release` when it is dropped.
+    pub fn new(release: impl FnOnce() + Send + 'static) -> Permit {
+        Permit { release: Some(Box::new(release)) }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(leave) = self.leave.take() {
-            leave();
+        if let Some(release) = self.release.take() {
+            release();
         }
     }
 }
 
-/// What an answer needs of its chain.
+/// The requirements of an answer on its chain, and the data for predicting its latency.
 #[derive(Clone, Debug)]
 pub struct ChainNeeds {
     /// The model.
     pub model: ModelId,
-    /// The version.
+    /// The version of the model.
     pub version: VersionId,
-    /// The number of layers.
+    /// The number of layers of the model.
     pub layers: Layer,
-    /// The adapter.
+    /// The adapter, if any.
     pub adapter: Option<AdapterId>,
-    /// Hashes of growing prefixes of the prompt, `(tokens, hash)`, shortest first.
+    /// Hashes of prefixes of the prompt as `(tokens, hash)`, shortest first.
     pub prefixes: Vec<(u32, u64)>,
-    /// Tokens to prefill if nothing is cached.
+    /// Tokens in the prompt, all of which need a prefill if nothing is cached.
     pub prompt: u32,
-    /// Tokens expected to be generated.
+    /// Expected number of generated tokens.
     pub expected: u32,
-    /// Targets that failed this answer already.
+    /// Targets that have already failed for this answer.
     pub avoid: Vec<TargetId>,
 }
 
-/// A chain of stages that tile all layers.
+/// A chain of stages that together cover every layer exactly once.
 #[derive(Clone, Debug)]
 pub struct Chain {
-    /// In order of layers.
+    /// The stages, in order of their layers.
     pub stages: Vec<Stage>,
-    /// Predicted time to the next token.
-    pub first: Duration,
+    /// Predicted time until the next token, including any prefill.
+    pub first_token: Duration,
     /// Predicted time between tokens.
-    pub between: Duration,
+    pub token_interval: Duration,
 }
 
-/// Chooses targets by what is known of their load.
+/// Chooses targets by their known load.
 pub trait Router: Send + Sync {
-    /// A chain for an answer; its stages count as in use until the guard is dropped.
+    /// Chooses a chain for an answer. Its stages count as in use until the permit is dropped.
     ///
     /// # Errors
-    /// [`Code::NoRoute`] when the live targets leave a hole.
+    /// [`Code::NoRoute`] if the live targets do not cover all layers.
     fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal>;
 
-    /// The version that a new answer of a model is to use: the declared one, or while targets
-    /// change to it, the one that serves still. `None` leaves it at the declared one.
+    /// Returns the version of a model for new answers. While targets are changing to the declared
+    /// version, this is the one still served; `None` stands for the declared one.
     fn version(&self, _model: &ModelId) -> Option<VersionId> {
         None
     }
 
-    /// A replica that serves `serves` (`service` or `service/source`), not one of `avoid`.
+    /// Chooses a replica for `serves` (`service` or `service/source`) that is not in `avoid`.
     ///
     /// # Errors
-    /// [`Code::NoRoute`] when none is in use.
+    /// [`Code::NoRoute`] if no replica is in use.
     fn replica(&self, serves: &str, avoid: &[TargetId]) -> Result<(Replica, Permit), Refusal>;
 
-    /// Tells that a target failed just now.
+    /// Records that a target has just failed.
     fn failed(&self, target: &TargetId);
 
-    /// Tells how long one step over a whole chain took, links included.
+    /// Records how long one step over a whole chain took, including its links.
     fn record_step_time(&self, _stages: &[Stage], _took: Duration) {}
 
-    /// Tells how long a target took for one step or call.
+    /// Records how long a target took for one step or call.
     fn record_latency(&self, target: &TargetId, took: Duration);
 
-    /// Whether a target is known to be going away, so that answers on it should be handed over.
+    /// Whether a target is known to be leaving, so that its answers should move to another one.
     fn leaving(&self, _target: &TargetId) -> bool {
         false
     }
@@ -149,20 +149,20 @@
 /// A replica of a plain or lookup service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// The target.
+    /// Id of the target.
     pub target: TargetId,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: std::net::SocketAddr,
 }
 
-/// A target's last report, with its age counted from `seen`.
+/// The latest report of a target; its age counts from `seen`.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The target.
+    /// Id of the target.
     pub target: TargetId,
-    /// When it was polled.
+    /// When the target was polled.
     pub seen: Instant,
-    /// What it said.
+    /// What the target reported.
     pub content: ReportContent,
 }
 
@@ -173,166 +173,166 @@
     Engine(Load),
     /// A service replica's report.
     Service(ServiceLoad),
-    /// It did not answer.
+    /// The target did not answer.
     Silent,
 }
 
-/// How the start of unrepeatable work went.
+/// The result of claiming a key for non-idempotent work.
 pub enum ClaimResult {
-    /// This daemon won the key and must call [`Claims::settle`] or [`Claims::abandon`] once.
+    /// This daemon holds the key and must call [`Claims::settle`] or [`Claims::abandon`] once.
     Won(Claim),
-    /// The key was settled before; this is the recorded answer.
+    /// The key was already settled, with this recorded outcome.
     Settled(Outcome),
-    /// Refused; nothing was dispatched by this attempt.
+    /// Refused. This attempt did not dispatch anything.
     Refused(Refusal),
 }
 
-/// A won key.
+/// A key that this daemon has claimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The key.
     pub key: Key,
-    /// The offset of the winning record.
+    /// The offset of the record that claimed it.
     pub offset: Offset,
 }
 
-/// Unrepeatable work, run at most once per key.
+/// Claims keys, so that non-idempotent work runs at most once per key.
 pub trait Claims: Send + Sync {
-    /// Claims a key; waits for the log, or for another's outcome, until the deadline at most.
+    /// Claims a key. Waits for the log, or for the outcome of another claim, until the deadline.
     ///
-    /// `digest` is over the request's body: a key that comes back with another body is refused.
+    /// `digest` covers the body of the request. A key that is reused with another body is refused.
     fn begin(&self, key: &Key, digest: u64, deadline: Instant) -> ClaimResult;
 
-    /// Whether a won claim may be dispatched now; asked right before the first byte is sent. After a
-    /// `true` the claim cannot be abandoned, after a `false` it has been.
+    /// Whether a claim may be dispatched now. Must be called immediately before the first byte is
+    /// sent. After `true` the claim can no longer be abandoned; after `false` it has been.
     fn dispatch(&self, claim: &Claim) -> bool;
 
-    /// Records the end of a won key; returns once the record is safe, or after a bounded time.
+    /// Records the outcome of a claim. Returns once the record is durable, or after a bounded time.
     fn settle(&self, claim: &Claim, outcome: Outcome);
 
-    /// Gives up a won key that was not dispatched.
+    /// Releases a claim that was not dispatched.
     fn abandon(&self, claim: &Claim);
 }
 
-/// An operator's word on a key.
+/// An operator's statement whether the request with a key ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OperatorDecision {
-    /// Who says so.
+    /// Name of the operator.
     pub operator: String,
-    /// What the operator looked at.
+    /// The operator's evidence.
     pub note: String,
-    /// Whether the key ran.
+    /// Whether the request with the key ran.
     pub ran: bool,
 }
 
-/// What operators ask about keys.
+/// Operators' access to keys.
 pub trait Keys: Send + Sync {
-    /// What is known of a key; `None` when this daemon cannot judge keys.
+    /// Returns the status of a key; `None` if this daemon does not track keys.
     fn known(&self, key: &Key, deadline: Instant) -> Option<KeyStatus>;
 
-    /// Records an operator's word on a key that nobody else can settle.
+    /// Settles a key that cannot be settled otherwise by an operator's decision.
     fn settle_by_operator(
         &self,
         key: &Key,
-        word: OperatorDecision,
+        decision: OperatorDecision,
         deadline: Instant,
     ) -> SettleResult;
 }
 
-/// How a request ended, for the account, the operators' queries and the metrics.
+/// How a request ended; feeds the accounts, the operators' queries and the metrics.
 #[derive(Clone, Debug)]
 pub struct RequestEnd {
-    /// Whose it was.
+    /// The request.
     pub ask: RequestInfo,
-    /// What the caller was told.
+    /// The verdict that the caller got.
     pub verdict: Verdict,
-    /// The code of a refusal, or of the answer that a name is not found.
+    /// The code of a refusal, or of the answer that a name was not found.
     pub code: Option<Code>,
-    /// Whether it was a recorded answer given again.
+    /// Whether the answer was a recorded one.
     pub repeated: bool,
-    /// Whether the caller left first.
-    pub left: bool,
-    /// When it ended.
+    /// Whether the caller disconnected before the end.
+    pub caller_left: bool,
+    /// When the request ended.
     pub ended: Instant,
-    /// When the first token or byte was sent.
+    /// When the first token or byte was sent; `None` if nothing was.
     pub first: Option<Instant>,
-    /// Re-routes it took.
+    /// How many times it was rerouted.
     pub resumed: u32,
-    /// Whether its service's work must not be dropped silently.
+    /// Whether the service is advisory, that is, its requests must not be dropped silently.
     pub advisory: bool,
 }
 
 impl RequestEnd {
-    /// Whether it is advisory work that ended without a whole answer in time.
+    /// Whether an advisory request ended without a complete answer in time.
     pub fn missed(&self) -> bool {
-        let in_time = self.ended <= self.ask.deadline && !self.left;
+        let in_time = self.ended <= self.ask.deadline && !self.caller_left;
         self.advisory && !(self.verdict == Verdict::Answered && in_time)
     }
 }
 
 /// The record of running and ended requests.
 pub trait Ledger: Send + Sync {
-    /// A request has come in.
+    /// Records that a request has arrived.
     fn begun(&self, ask: &RequestInfo);
 
-    /// A request got its final verdict.
+    /// Records the final verdict of a request.
     fn ended(&self, end: &RequestEnd);
 
-    /// What became of a request, by its id or the part of it before `~`, which its caller gave.
+    /// Returns the state of a request. `_id` is its full id, or the part before `~` that the caller
+    /// gave.
     fn find(&self, _id: &str) -> Option<RequestState> {
         None
     }
 }
 
-/// The daemons, and what the platform says of hosts.
+/// The members of the system, and the state of hosts.
 pub trait Members: Send + Sync {
-    /// This daemon.
+    /// Returns this daemon.
     fn own(&self) -> Member;
 
-    /// Every daemon known and not gone, own data centre first.
+    /// Returns every known daemon that is not gone, those of the own data centre first.
     fn all(&self) -> Vec<Member>;
 
-    /// The alive daemons of the own data centre in rendezvous order for a subject; the first does
-    /// the work, the next ones take over.
+    /// Returns the alive daemons of the own data centre in rendezvous-hash order for a subject. The
+    /// first one does the work, and the following ones take over if it fails.
     fn ranked(&self, subject: &str) -> Vec<Member>;
 
-    /// Whether the platform or an own observation says that a host is being taken away.
+    /// Whether a host is leaving, according to the platform or to this daemon's own observation.
     fn leaving(&self, host: &HostId) -> bool;
 }
 
-/// Takes reports of targets, polled here or told by a peer.
+/// Stores reports of targets, from own polls and from peers.
 pub trait ReportStore: Send + Sync {
-    /// Takes one report; an older one than known is ignored.
-    fn take(&self, report: Report);
+    /// Stores a report, unless a newer one is known.
+    fn store(&self, report: Report);
 
-    /// The newest reports, for sharing with peers.
+    /// Returns the latest reports, for sharing with peers.
     fn newest(&self) -> Vec<Report>;
 }
 
-/// Takes what entered and left the prefix caches of engines; it may be late and have gaps.
+/// Receives changes of the engines' prefix caches. Events may arrive late and have gaps.
 pub trait CacheEventSink: Send + Sync {
-    /// Takes events of one engine, in order.
-    fn take_cache(&self, target: &TargetId, events: &[CacheEvent]);
+    /// Applies events of one engine, in order.
+    fn apply_events(&self, target: &TargetId, events: &[CacheEvent]);
 }
 
-/// Answers questions of peers; every part that knows a [`roseshore_wire::peer::PeerRequest`] is asked in
-/// turn.
+/// Handles requests of peers. The components are tried in turn until one of them replies.
 pub trait PeerHandler: Send + Sync {
-    /// The reply, or `None` when the question is for another part.
+    /// Returns the reply, or `None` if another component has to answer.
     fn answer(
         &self,
-        ask: &roseshore_wire::peer::PeerRequest,
+        request: &roseshore_wire::peer::PeerRequest,
     ) -> Option<roseshore_wire::peer::PeerReply>;
 }
 
-/// Takes records of a stream that came from a peer or the log.
+/// Receives records of a stream from a peer or from the log.
 pub trait RecordSink: Send + Sync {
-    /// Takes records in any order, repeats and holes allowed.
-    fn take(&self, records: &[roseshore_wire::platform::Record]);
+    /// Accepts records in any order, with duplicates and gaps.
+    fn accept(&self, records: &[roseshore_wire::platform::Record]);
 }
 
-/// Answers operators' questions about requests, for the whole system.
+/// Answers operators' queries about requests, for the whole system.
 pub trait QueryHandler: Send + Sync {
-    /// The rows, with the daemons that could not be asked.
+    /// Returns the rows, and the daemons that could not be queried.
     fn ask(&self, query: &roseshore_wire::query::Query) -> roseshore_wire::query::Reply;
 }
--- a/crates/roseshore_ports/src/lib.rs
+++ b/crates/roseshore_ports/src/lib.rs
@@ -1,8 +1,9 @@
-//! The traits at the border between decisions, their drivers and the outside.
+//! The traits between the decision logic, its drivers and external systems.
 //!
-//! [`outside`] is what the daemon needs of the world; adapters over sockets and fakes in memory
-//! implement it. [`inside`] is what the parts of the daemon need of each other, so that each can
-//! be replaced or tested alone. [`clock`] is where time comes from, and [`entry`] is the border towards the platform of an entry host.
+//! [`outside`] has the traits for external systems, implemented by adapters over sockets and by
+//! in-memory fakes. [`inside`] has the traits between the components of the daemon, so that each
+//! can be replaced or tested alone. [`clock`] is the source of time, and [`entry`] is the interface
+//! to the platform of an entry host.
 
 pub mod clock;
 pub mod entry;
--- a/crates/roseshore_ports/src/outside.rs
+++ b/crates/roseshore_ports/src/outside.rs
@@ -1,8 +1,8 @@
-//! What the daemon needs of the world.
+//! Traits for the external systems that the daemon calls.
 //!
-//! Every error says by its [`Verdict`] what it proves: refused before the first byte was written
-//! is [`Verdict::NotRun`]; anything later, without a reply that says otherwise, is
-//! [`Verdict::MayHaveRun`].
+//! The [`Verdict`] of an error tells whether the call may have run. A failure before the first byte
+//! was written is [`Verdict::NotRun`]. A later failure is [`Verdict::MayHaveRun`], unless a reply
+//! states otherwise.
 
 use quick_error::quick_error;
 use roseshore_core::prelude::*;
@@ -15,26 +15,27 @@
 use std::net::SocketAddr;
 
 quick_error! {
-    /// Why a call to the outside failed.
+    /// Why a call to an external system failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CallError {
-        /// The connection was not made, or nothing had been written on it.
+        /// No connection was made, or nothing was written to it.
         Unreached(why: String) {
             display("not reached: {why}")
         }
-        /// The call was sent and no whole reply came.
+        /// The call was sent, but no complete reply arrived.
         Lost(why: String) {
             display("reply lost: {why}")
         }
-        /// The other side said that it did nothing.
+        /// The other side replied with this status that it did not carry out the call. Holds the
+        /// `Retry-After` delay, if given, and the body.
         Refused(status: u16, after: Option<Duration>, body: String) {
             display("refused with status {status}")
         }
-        /// The other side's reply broke the protocol.
+        /// The reply violates the protocol.
         Garbled(why: String) {
             display("reply not understood: {why}")
         }
-        /// The log no longer keeps the offset.
+        /// The requested offset has been trimmed. Holds the oldest offset kept and the end offset.
         Trimmed(oldest: Offset, end: Offset) {
             display("the oldest offset kept is {oldest}")
         }
@@ -42,7 +43,7 @@
 }
 
 impl CallError {
-    /// What the failure proves about the call.
+    /// Whether the call may have run despite the failure.
     pub fn verdict(&self) -> Verdict {
         match self {
             CallError::Unreached(_) | CallError::Refused(..) | CallError::Trimmed(..) => {
@@ -53,66 +54,67 @@
     }
 }
 
-/// The outcome of a call to the outside.
+/// The result of a call to an external system.
 pub type CallResult<T> = Result<T, CallError>;
 
 /// The platform's log service.
 pub trait Log: Send + Sync {
-    /// Appends records, all or none, and returns the offset of the first.
+    /// Appends all records or none, and returns the offset of the first one.
     ///
     /// # Errors
-    /// [`CallError::Lost`] when the append may have taken effect.
+    /// [`CallError::Lost`] if the records may have been appended.
     fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset>;
 
-    /// Reads at most `max` records from `from` on, waiting up to `wait` for the first.
+    /// Reads at most `max` records from offset `from` on. Waits up to `wait` for the first one.
     ///
     /// # Errors
-    /// [`CallError::Trimmed`] when `from` is no longer kept.
+    /// [`CallError::Trimmed`] if `from` is older than the oldest offset kept.
     fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> CallResult<Records>;
 }
 
 /// The platform's host list.
 pub trait HostList: Send + Sync {
-    /// The list as the platform shows it now, late.
+    /// Returns the current list. It lags behind the actual state.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not answer.
     fn hosts(&self) -> CallResult<Hosts>;
 }
 
 /// The platform's weight store.
 pub trait WeightStore: Send + Sync {
-    /// Its rate and backlog.
+    /// Returns its transfer rate and backlog.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not answer.
     fn weights(&self) -> CallResult<Weights>;
 }
 
-/// What comes out of an open stream, in the order of arrival.
+/// An item of an open stream, in order of arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// One line of the engine.
+    /// One line of the engine's output.
     Output(Output),
-    /// The stream ended or broke; nothing follows.
+    /// The stream ended or failed. This is the last item.
     Ended(Result<(), CallError>),
 }
 
 /// Model engines.
 pub trait Engine: Send + Sync {
-    /// Asks for the engine's report.
+    /// Requests the engine's load report.
     ///
     /// # Errors
-    /// When the engine does not answer within `limit`.
+    /// If the engine does not answer within `limit`.
     fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load>;
 
-    /// Opens a stream and returns once its head has come.
+    /// Opens a stream and returns once the response head has arrived.
     ///
     /// Items arrive on the returned channel; the last one is [`StreamItem::Ended`]. Dropping the
-    /// receiver closes the connection within a bound.
+    /// receiver closes the connection after a bounded delay.
     ///
     /// # Errors
-    /// [`CallError::Refused`] when the engine does not hold what the route says, or is full.
+    /// [`CallError::Refused`] if the engine does not hold the model or layers of the route, or its
+    /// queue is full.
     fn generate(
         &self,
         addr: SocketAddr,
@@ -120,34 +122,34 @@
         deadline: Instant,
     ) -> CallResult<flume::Receiver<StreamItem>>;
 
-    /// Ends an answer's work on one stage.
+    /// Cancels an answer on one stage.
     ///
     /// # Errors
-    /// When the engine does not answer within `limit`.
+    /// If the engine does not answer within `limit`.
     fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()>;
 
-    /// Takes an answer's KV cache out of a stage.
+    /// Exports the KV cache of an answer from a stage.
     ///
     /// # Errors
-    /// [`CallError::Refused`] when it is gone.
+    /// [`CallError::Refused`] if the stage no longer has it.
     fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv>;
 
-    /// Puts an answer's KV cache into a stage.
+    /// Imports the KV cache of an answer into a stage.
     ///
     /// # Errors
-    /// [`CallError::Refused`] when the stage cannot take it.
+    /// [`CallError::Refused`] if the stage cannot accept it.
     fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()>;
 
-    /// Reads cache events.
+    /// Reads the events of the prefix cache from number `from` on.
     ///
     /// # Errors
-    /// When the engine does not answer within `limit`.
+    /// If the engine does not answer within `limit`.
     fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents>;
 
-    /// Gives an order; the reply is what the engine holds then.
+    /// Sends an order. Returns what the engine holds afterwards.
     ///
     /// # Errors
-    /// [`CallError::Refused`] with status 412 for an old fencing number.
+    /// [`CallError::Refused`] with status 412 if the fencing number is outdated.
     fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding>;
 }
 
@@ -160,16 +162,16 @@
     pub content: String,
     /// The body.
     pub body: Vec<u8>,
-    /// Whether the target said that this is an earlier call's result.
+    /// Whether the target marked this as the recorded result of an earlier call.
     pub replayed: bool,
 }
 
 /// Replicas of plain and lookup services.
 pub trait Services: Send + Sync {
-    /// Asks one source for one name. A reply of any status is `Ok`.
+    /// Looks up one name in one source. A reply of any status is `Ok`.
     ///
     /// # Errors
-    /// When no whole reply came by the deadline.
+    /// If no complete reply arrived by the deadline.
     fn lookup(
         &self,
         addr: SocketAddr,
@@ -178,10 +180,10 @@
         hop: &CallContext,
     ) -> CallResult<ServiceReply>;
 
-    /// Runs a call. A reply that says something ran, or may have, is `Ok` whatever its status.
+    /// Runs a call. A reply after which the call may have run is `Ok` whatever its status.
     ///
     /// # Errors
-    /// [`CallError::Refused`] only when the replica said that nothing ran.
+    /// [`CallError::Refused`] only if the replica stated that the call did not run.
     fn call(
         &self,
         addr: SocketAddr,
@@ -191,51 +193,52 @@
         hop: &CallContext,
     ) -> CallResult<ServiceReply>;
 
-    /// Asks for the replica's report.
+    /// Requests the replica's load report.
     ///
     /// # Errors
-    /// When the replica does not answer within `limit`.
+    /// If the replica does not answer within `limit`.
     fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<ServiceLoad>;
 }
 
-/// What travels with a call over a hop.
+/// Metadata that is sent along with a call.
 #[derive(Clone, Debug)]
 pub struct CallContext {
-    /// When the answer must be here.
+    /// When the answer must have arrived.
     pub deadline: Instant,
     /// The W3C `traceparent` of this hop's span.
     pub trace: Option<String>,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
 }
 
-/// The other daemons, over TCP.
+/// Calls to other daemons over TCP.
 pub trait Peers: Send + Sync {
-    /// Asks one daemon.
+    /// Sends a request to one daemon and waits for the reply.
     ///
     /// # Errors
-    /// When it does not answer within `limit`.
+    /// If it does not answer within `limit`.
     fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply>;
 }
 
-/// A datagram with the address it came from.
+/// A received datagram with its sender.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedDatagram {
-    /// The sender's address, as the network gives it.
+    /// The source address of the UDP packet.
     pub from: SocketAddr,
-    /// What it said.
+    /// The decoded message.
     pub datagram: Datagram,
 }
 
-/// The other daemons, over UDP; any message may be lost, repeated or reordered.
+/// Messages to and from other daemons over UDP. They may be lost, duplicated or reordered.
 pub trait Datagrams: Send + Sync {
     /// Sends one message.
     ///
     /// # Errors
-    /// When it exceeds the bound or the socket refuses it; a loss on the way is not noticed.
+    /// If it is too large for a datagram or the socket refuses it. Loss in the network is not
+    /// detected.
     fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()>;
 
-    /// The next message that can be read, or `None` when none came within `limit`; what cannot be
-    /// read is counted and passed over.
+    /// Receives the next valid message, or returns `None` if none arrived within `limit`. Invalid
+    /// messages are counted and skipped.
     fn receive(&self, limit: Duration) -> Option<ReceivedDatagram>;
 }
--- a/crates/roseshore_wire/src/admin.rs
+++ b/crates/roseshore_wire/src/admin.rs
@@ -1,224 +1,224 @@
-//! The operators' interface of a daemon, JSON over HTTP.
+//! The operators' API of a daemon, JSON over HTTP.
 //!
-//! | call | body | answer |
+//! | call | body | reply |
 //! |---|---|---|
 //! | `GET /v1/admin/config` | - | [`Config`] |
 //! | `POST /v1/admin/commands?wait_ms=W` | a [`Command`] | [`Report`] |
 //! | `GET /v1/admin/commands/ID` | - | [`Report`] |
 //! | `GET /v1/admin/status` | - | [`Status`] |
 //! | `POST /v1/admin/query` | [`crate::query::Query`] | [`crate::query::Reply`] |
-//! | `POST /v1/admin/drain` | - | [`Drained`]; the daemon that is asked drains |
+//! | `POST /v1/admin/drain` | - | [`Drained`]; drains the daemon that receives the call |
 //! | `GET /v1/admin/keys?organisation=O&service=S&key=K` | - | [`KeyReport`] |
 //! | `POST /v1/admin/keys/settle` | a [`Settle`] | [`Settled`] |
 //!
-//! Sending a command again with the same id is harmless: it is one command.
+//! A command may be sent again with the same id; it takes effect only once.
 
 use roseshore_core::config::{Command, Object, ObjectKey, Reason};
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// The configuration as one daemon has it in force.
+/// The active configuration of one daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// One past the last record folded.
+    /// One past the offset of the last record applied.
     pub offset: Offset,
-    /// The digest of the folded state.
+    /// Digest of the state after that record.
     pub digest: u64,
-    /// Every object, in order of key.
+    /// All objects, ordered by key.
     pub objects: Vec<Versioned>,
 }
 
-/// An object with the record that made it what it is.
+/// An object with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// Which object.
+    /// Key of the object.
     pub key: ObjectKey,
-    /// The offset of the record that last changed it.
+    /// Offset of the record that last changed it.
     pub version: Offset,
     /// Its content.
     pub object: Object,
 }
 
-/// What became of a command.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The command.
+    /// Id of the command.
     pub command: CommandId,
-    /// What is known of it.
+    /// Its outcome, as far as known.
     pub outcome: Outcome,
 }
 
-/// What is known of a command.
+/// The known outcome of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Outcome {
-    /// It is decided and will not be undone.
+    /// The command is accepted and will not be undone.
     Accepted {
-        /// Its place in the log, and the version of every object it touched.
+        /// Its offset in the log, which is the new version of every object it changed.
         version: Offset,
-        /// Data centres whose daemons all say that they have it in force.
+        /// Data centres in which all daemons have confirmed that it is active.
         in_force: Vec<DataCentreId>,
-        /// Data centres of which that is not known yet.
+        /// Data centres that have not confirmed it yet.
         unconfirmed: Vec<DataCentreId>,
     },
-    /// It changed nothing and never will.
+    /// The command is rejected and will never take effect.
     Rejected {
-        /// Why, as a stable numbered code.
+        /// Stable numeric code of the refusal.
         code: Code,
-        /// Why, if the fold decided so.
+        /// The reason, if the command was rejected when it was applied to the state.
         reason: Option<Reason>,
-        /// Why, for people.
+        /// Explanation for people.
         message: String,
     },
-    /// Nobody here knows; ask again with the command's id.
+    /// The outcome is not known. Query again with the id of the command.
     Unknown {
-        /// Why it is not known.
+        /// Why the outcome is not known.
         message: String,
     },
 }
 
-/// The daemons as one of them sees them.
+/// The daemons from the point of view of one of them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The daemon that was asked.
+    /// Host of the daemon that replies.
     pub host: HostId,
-    /// Whether the log service answered this daemon the last time.
+    /// Whether the last call of this daemon to the log service succeeded.
     pub log: bool,
-    /// Every daemon known.
+    /// All known daemons.
     pub daemons: Vec<Daemon>,
 }
 
-/// One daemon.
+/// The state of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Daemon {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Where it is.
+    /// Data centre of the daemon.
     pub data_centre: DataCentreId,
     /// `alive`, `suspect`, `leaving` or `gone`.
     pub state: String,
-    /// One past the last configuration record it says it has folded.
+    /// One past the offset of the last configuration record that it reports as applied.
     pub offset: Offset,
-    /// The digest it gives for that offset, in hexadecimal.
+    /// The digest that it reports for that offset, in hexadecimal.
     pub digest: String,
 }
 
-/// A daemon's confirmation that it takes no new work.
+/// Confirmation that a daemon accepts no new work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drained {
-    /// The daemon.
+    /// Host of the daemon.
     pub host: HostId,
 }
 
-/// What is known of a key.
+/// The known state of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyReport {
-    /// The key, joined with its organisation and service.
+    /// The key, combined with its organisation and service.
     pub key: Key,
-    /// One past the last record of its stream that this daemon has folded.
+    /// One past the offset of the last record of its stream that this daemon has applied.
     pub offset: Offset,
-    /// Whether the log's end was read for this answer.
+    /// Whether the end of the log was read for this reply.
     pub current: bool,
-    /// Whether no older record of the key can be missing.
+    /// Whether all older records of the key are known, so that none can be missing.
     pub complete: bool,
-    /// Where it stands.
+    /// State of the key.
     pub state: KeyState,
-    /// The last operator's word that took effect.
+    /// The last operator's decision that took effect.
     pub word: Option<DecisionReport>,
 }
 
-/// Where a key stands.
+/// The state of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum KeyState {
-    /// Nobody holds it.
+    /// The key is not claimed.
     Free,
-    /// A claimant may be working on it.
+    /// The key is claimed, and the claimant may be running its request.
     Held {
-        /// The claimant's host, where it is known.
+        /// Host of the claimant, if known.
         host: Option<HostId>,
-        /// The log's time of the claim, milliseconds of the epoch.
+        /// Log time of the claim, Unix milliseconds.
         since_ms: u64,
-        /// The log's time after which the claimant does not dispatch any more.
+        /// Log time after which the claimant no longer dispatches the request, Unix milliseconds.
         until_ms: u64,
     },
-    /// Its claimant recorded that nobody knows whether it ran.
+    /// The claimant recorded that it is not known whether the request ran.
     Unknown {
-        /// The claimant's host, where it is known.
+        /// Host of the claimant, if known.
         host: Option<HostId>,
-        /// The log's time of the record, milliseconds of the epoch.
+        /// Log time of the record, Unix milliseconds.
         since_ms: u64,
     },
-    /// It ran, and its answer is recorded at this offset.
+    /// The request ran, and its answer is recorded.
     Settled {
-        /// What repeats are told.
+        /// The verdict that repeated requests get.
         verdict: Verdict,
-        /// Where the record stands.
+        /// Offset of the record.
         offset: Offset,
     },
-    /// It ran by an operator's word, and its answer is not recorded.
+    /// An operator stated that the request ran. Its answer is not recorded.
     Ran,
 }
 
-/// An operator's word that took effect.
+/// An operator's decision that took effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionReport {
-    /// Who said so.
+    /// Name of the operator.
     pub operator: String,
-    /// What the operator looked at.
+    /// The operator's evidence.
     pub note: String,
-    /// Whether the key ran.
+    /// Whether the request with the key ran.
     pub ran: bool,
-    /// Where the record stands.
+    /// Offset of the record.
     pub offset: Offset,
 }
 
-/// An operator's word on a key that nobody else can settle.
+/// An operator's decision on a key that cannot be settled otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
-    /// The customer.
+    /// The organisation of the key.
     pub organisation: OrganisationId,
-    /// The service.
+    /// The service of the key.
     pub service: ServiceId,
-    /// The key as the caller gave it.
+    /// The key as given by the caller.
     pub key: String,
-    /// Whether it ran.
+    /// Whether the request with the key ran.
     pub ran: bool,
-    /// What the operator looked at.
+    /// The operator's evidence.
     pub note: String,
-    /// Who says so.
+    /// Name of the operator.
     pub operator: String,
 }
 
-/// What became of an operator's word.
+/// The result of an operator's decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "outcome")]
 pub enum Settled {
-    /// It took effect, and stands at this offset of the key's stream.
+    /// The decision took effect.
     Taken {
-        /// Where it stands.
+        /// Its offset in the stream of the key.
         offset: Offset,
     },
-    /// It changed nothing and never will.
+    /// The decision is rejected and will never take effect.
     Rejected {
-        /// Why, as a stable numbered code.
+        /// Stable numeric code of the refusal.
         code: Code,
-        /// Why, for people.
+        /// Explanation for people.
         message: String,
     },
-    /// It may take effect; look at the key.
+    /// The decision may take effect. Query the key to find out.
     Unknown {
-        /// Why it is not known.
+        /// Why the outcome is not known.
         message: String,
     },
 }
 
-/// A refusal of the interface itself.
+/// A refusal by the operators' API itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Why, as a stable numbered code.
+    /// Stable numeric code of the refusal.
     pub code: Code,
-    /// Why, for people.
+    /// Explanation for people.
     pub message: String,
 }
 
--- a/crates/roseshore_wire/src/engine.rs
+++ b/crates/roseshore_wire/src/engine.rs
@@ -1,20 +1,20 @@
 //! The protocol of a model engine, JSON over HTTP.
 //!
-//! | call | body | answer |
+//! | call | body | reply |
 //! |---|---|---|
 //! | `GET /v1/load` | - | [`Load`] |
 //! | `POST /v1/generate` to the first stage | [`Generate`] | a stream of lines, each an [`Output`] |
-//! | `POST /v1/cancel` to any stage | [`Cancel`] | `200` once nothing more of that answer and epoch will run here |
-//! | `POST /v1/kv/export` | [`KvExport`] | [`Kv`], `404` if the cache is gone |
-//! | `POST /v1/kv/import` | [`Kv`] | `200`, `409` if an own newer epoch exists |
-//! | `GET /v1/cache?from=SEQ` | - | [`CacheEvents`], late and with gaps |
-//! | `POST /v1/order` | [`Order`] | [`Holding`] now in force; `412` with [`Holding`] for an old fencing number |
+//! | `POST /v1/cancel` to any stage | [`Cancel`] | `200` once this stage runs nothing more for that answer up to that epoch |
+//! | `POST /v1/kv/export` | [`KvExport`] | [`Kv`]; `404` if the stage no longer has the cache |
+//! | `POST /v1/kv/import` | [`Kv`] | `200`; `409` if the stage has a newer epoch of the answer |
+//! | `GET /v1/cache?from=SEQ` | - | [`CacheEvents`], which may be late and have gaps |
+//! | `POST /v1/order` | [`Order`] | [`Holding`] after the order; `412` with [`Holding`] for an outdated fencing number |
 //!
-//! `POST /v1/generate` answers `409` with a [`Holding`] when the stage does not hold what the route
-//! says; nothing ran then. `503` with a `Retry-After` header when the queue is full; nothing ran.
-//! The first stage hands activations on along the route and gets the tokens back; between engines
-//! is their own affair. The stream's head is sent at once, before the prefill. A stream without
-//! [`Output::Done`] or [`Output::Lost`] at its end was cut.
+//! `POST /v1/generate` returns `409` with a [`Holding`] if the stage does not hold what the route
+//! requires, and `503` with a `Retry-After` header if the queue is full. In both cases nothing ran.
+//! The first stage passes activations along the route and gets the tokens back; the protocol
+//! between engines is not specified here. The head of the stream is sent immediately, before the
+//! prefill. A stream that does not end with [`Output::Done`] or [`Output::Lost`] was cut off.
 
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -22,28 +22,28 @@
 
 pub use roseshore_core::answer::lineage::{Stage, Stamp};
 
-/// What an engine holds now.
+/// What an engine currently holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
-    /// The number of the engine's life.
+    /// Incarnation number of the engine.
     pub incarnation: Incarnation,
-    /// The model whose layers are loaded, if any.
+    /// The model whose layers are loaded; `None` if nothing is loaded.
     pub model: Option<ModelId>,
     /// The version of the weights.
     pub version: Option<VersionId>,
-    /// First layer and one past the last.
+    /// The first layer, and one past the last one.
     pub layers: (Layer, Layer),
-    /// The adapters loaded.
+    /// The loaded adapters.
     pub adapters: BTreeSet<AdapterId>,
-    /// What stages it serves: `both`, `prefill`, `decode`.
+    /// The phases it serves: `both`, `prefill` or `decode`.
     pub role: Role,
-    /// The highest fencing number seen, if the engine looks at it.
+    /// The highest fencing number seen; `None` if the engine does not check fencing numbers.
     pub fence: Option<Fence>,
-    /// Whether a load is under way; the old holding is gone already then.
+    /// Whether weights are being loaded. The previous ones are already gone then.
     pub loading: bool,
 }
 
-/// What an engine's accelerator is used for.
+/// The phases that an engine serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -56,58 +56,59 @@
     Decode,
 }
 
-/// An engine's report, as old as its lag says.
+/// The load report of an engine. It may be out of date.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// What it holds.
+    /// What the engine holds.
     pub holding: Holding,
-    /// Requests waiting.
+    /// Waiting requests.
     pub queue: u32,
-    /// Answers being worked on.
+    /// Running answers.
     pub running: u32,
-    /// Steps that run at once before a step has to wait.
+    /// Number of steps that can run at once; further steps wait.
     pub slots: u32,
-    /// Time of one step of one token through this stage, microseconds.
+    /// Duration of one step of one token through this stage, microseconds.
     pub step_us: u64,
-    /// Prefill rate of this stage, tokens a second.
+    /// Prefill rate of this stage, tokens per second.
     pub prefill_rate: f64,
-    /// KV cache in use, tokens.
+    /// Used KV cache, tokens.
     pub kv_used: u64,
-    /// KV cache in all, tokens.
+    /// Size of the KV cache, tokens.
     pub kv_cap: u64,
-    /// Bytes of KV cache of one token.
+    /// Size of the KV cache of one token, bytes.
     pub kv_bytes: u64,
     /// Whether the engine asks for no new work.
     pub leaving: bool,
 }
 
-/// Opens or resumes an answer.
+/// Starts or resumes an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Generate {
-    /// The answer's id, equal over all epochs.
+    /// Id of the answer, the same in all epochs.
     pub answer: RequestId,
-    /// The number of this route.
+    /// The epoch; each new route of the answer has a higher one.
     pub epoch: Epoch,
-    /// The stages in order; the receiver is the first.
+    /// The stages in order. The receiver is the first one.
     pub route: Vec<Stage>,
-    /// The model version that every stage must hold.
+    /// The model that every stage must hold.
     pub model: ModelId,
-    /// See `model`.
+    /// The version that every stage must hold.
     pub version: VersionId,
-    /// The adapter that every stage must hold.
+    /// The adapter that every stage must hold, if any.
     pub adapter: Option<AdapterId>,
-    /// The prompt's tokens.
+    /// The tokens of the prompt.
     pub prompt: Vec<String>,
-    /// Tokens that were delivered already, by earlier epochs; the next position is its length.
+    /// The tokens already delivered by earlier epochs. The next position is the length of this
+    /// list.
     pub done: Vec<String>,
     /// Whether every stage holds the KV cache of `prompt` and `done` for this answer, so that no
-    /// prefill is needed; a stage that does not ends the stream with [`Output::Lost`].
+    /// prefill is needed. A stage without it ends the stream with [`Output::Lost`].
     pub warm: bool,
-    /// How many tokens the whole answer may have.
+    /// Maximum tokens of the whole answer.
     pub max_tokens: u32,
-    /// Larger goes first.
+    /// Priority, larger first.
     pub priority: u8,
-    /// The caller's trace, as W3C `traceparent`.
+    /// The trace context of the caller, as W3C `traceparent`.
     pub trace: Option<String>,
 }
 
@@ -115,88 +116,89 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "type", rename_all = "snake_case")]
 pub enum Output {
-    /// One token.
+    /// A token.
     Token {
-        /// Which answer.
+        /// Id of the answer.
         answer: RequestId,
-        /// Which route.
+        /// Epoch of the answer.
         epoch: Epoch,
-        /// Which place.
+        /// Position of the token in the answer.
         position: Position,
-        /// The text.
+        /// Text of the token.
         text: String,
-        /// What ran, in order.
+        /// The stages that computed it, in order.
         lineage: Vec<Stamp>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Which answer.
+        /// Id of the answer.
         answer: RequestId,
-        /// Which route.
+        /// Epoch of the answer.
         epoch: Epoch,
-        /// Tokens in the whole answer, earlier epochs included.
+        /// Tokens in the whole answer, including earlier epochs.
         count: u32,
         /// `stop` or `length`.
         reason: String,
-        /// Prompt tokens that a prefix cache saved from prefill.
+        /// Prompt tokens that needed no prefill because they were in a prefix cache.
         cached: u32,
     },
-    /// The answer cannot go on over this route.
+    /// The answer cannot continue on this route.
     Lost {
-        /// Which answer.
+        /// Id of the answer.
         answer: RequestId,
-        /// Which route.
+        /// Epoch of the answer.
         epoch: Epoch,
         /// The stage that failed, if known.
         stage: Option<TargetId>,
-        /// Why.
+        /// What failed.
         reason: String,
     },
 }
 
-/// Ends an answer's work on a stage.
+/// Cancels an answer on a stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cancel {
-    /// Which answer.
+    /// Id of the answer.
     pub answer: RequestId,
-    /// This epoch and every older one.
+    /// Cancels this epoch and all older ones.
     pub epoch: Epoch,
     /// Whether to keep the KV cache for an export or a resume.
     pub keep_kv: bool,
 }
 
-/// Asks for an answer's KV cache.
+/// Requests the KV cache of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Which answer.
+    /// Id of the answer.
     pub answer: RequestId,
 }
 
 /// The KV cache of one answer on one stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kv {
-    /// Which answer.
+    /// Id of the answer.
     pub answer: RequestId,
-    /// The epoch that wrote it last.
+    /// The last epoch that wrote to it.
     pub epoch: Epoch,
-    /// The layers it is of.
+    /// The layers it covers: the first one, and one past the last one.
     pub layers: (Layer, Layer),
-    /// The weights it was made with.
+    /// The version of the weights that computed it.
     pub version: VersionId,
-    /// Tokens it covers, prompt included.
+    /// Number of tokens it covers, including the prompt.
     pub tokens: u64,
-    /// A digest of the tokens it covers.
+    /// Digest of the tokens it covers.
     pub digest: u64,
-    /// Opaque content, base64 in the stand-in.
+    /// Opaque content; base64 in the simulated engine.
     pub content: String,
 }
 
-/// What entered and left an engine's prefix cache.
+/// Changes of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The number of the first event here; a gap to the last one seen means lost events.
+    /// Number of the first event in `events`. A gap after the last one seen means that events were
+    /// lost.
     pub first: u64,
-    /// The number to ask from next.
+    /// Number to request from next.
     pub next: u64,
     /// The events in order.
     pub events: Vec<CacheEvent>,
@@ -206,37 +208,37 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEvent {
-    /// The prefix with this hash of its tokens, and this length, is cached.
+    /// A prefix has been cached.
     Stored {
-        /// `xxh3` over the tokens, each followed by a zero byte.
+        /// `xxh3` hash of the tokens, each followed by a zero byte.
         hash: u64,
-        /// Tokens in the prefix.
+        /// Number of tokens in the prefix.
         tokens: u32,
     },
-    /// It was dropped.
+    /// A prefix has been evicted.
     Evicted {
-        /// See [`CacheEvent::Stored`].
+        /// Hash of the prefix, as in [`CacheEvent::Stored`].
         hash: u64,
     },
-    /// Everything was dropped.
+    /// The cache has been cleared.
     Cleared,
 }
 
-/// An order to an engine; level-triggered: it says what to hold, not what to change.
+/// An order to an engine. It is level-triggered: it states what to hold, not what to change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number of the giver's lease.
+    /// Fencing number of the sender's lease.
     pub fence: Fence,
-    /// An id with which a repeat is recognized.
+    /// Id of the order, used to recognize duplicates.
     pub order: String,
-    /// What to hold.
+    /// The model to hold; `None` to hold nothing.
     pub model: Option<ModelId>,
-    /// See `model`.
+    /// The version to hold.
     pub version: Option<VersionId>,
-    /// See `model`.
+    /// The layers to hold: the first one, and one past the last one.
     pub layers: (Layer, Layer),
-    /// See `model`.
+    /// The adapters to hold.
     pub adapters: BTreeSet<AdapterId>,
-    /// See `model`.
+    /// The phases to serve.
     pub role: Role,
 }
--- a/crates/roseshore_wire/src/frame.rs
+++ b/crates/roseshore_wire/src/frame.rs
@@ -1,20 +1,21 @@
-//! Frames over TCP and datagrams over UDP, coded with `postcard`.
+//! Framing of messages over TCP and UDP, encoded with `postcard`.
 //!
-//! A frame is a length (four bytes, big end first), the protocol's version byte, and the message. A
-//! datagram is the version byte and the message. Lengths are bounded before anything is
-//! allocated, and another version is refused rather than guessed at.
+//! A TCP frame is a length (four bytes, big-endian), the protocol version (one byte) and the
+//! message; the length covers version and message. A UDP datagram is the version byte and the
+//! message. Lengths are checked before anything is allocated, and messages of another version are
+//! rejected.
 
 use quick_error::quick_error;
 use serde::{Serialize, de::DeserializeOwned};
 use std::io::{Read, Write};
 
-/// The version of the messages between daemons. Daemons of two versions skip each other's
-/// messages, so that hosts can be replaced one after the other: each version reads the store for
-/// itself meanwhile.
+/// The protocol version of the messages between daemons. Daemons of different versions ignore each
+/// other's messages, so that hosts can be upgraded one at a time. Meanwhile the daemons of each
+/// version read the store on their own.
 pub const VERSION: u8 = 6;
-/// The longest frame, bytes.
+/// Maximum size of version and message in a frame, bytes.
 pub const MAX_FRAME: usize = 8 << 20;
-/// The longest datagram, bytes; below what a local network carries in one piece.
+/// Maximum size of a datagram, bytes; small enough for a single packet on a local network.
 pub const MAX_DATAGRAM: usize = 1400;
 
 quick_error! {
@@ -27,27 +28,27 @@
             display("socket: {err}")
             source(err)
         }
-        /// The content cannot be read.
+        /// The content cannot be encoded or decoded.
         Codec(err: postcard::Error) {
             from()
             display("codec: {err}")
             source(err)
         }
-        /// The other side speaks another version.
+        /// The message has another protocol version.
         Version(got: u8) {
             display("peer speaks version {got}, this daemon {VERSION}")
         }
-        /// The message is longer than the bound.
+        /// The message is empty or exceeds the maximum size.
         Length(got: usize) {
             display("message of {got} bytes exceeds the bound")
         }
     }
 }
 
-/// Codes a message with its version byte.
+/// Encodes a message, preceded by the version byte.
 ///
 /// # Errors
-/// When the message cannot be coded or exceeds `bound` bytes.
+/// If the message cannot be encoded or exceeds `bound` bytes.
 pub fn encode<T: Serialize>(message: &T, bound: usize) -> Result<Vec<u8>, FrameError> {
     let bytes = postcard::to_extend(message, vec![VERSION])?;
     if bytes.len() > bound {
@@ -56,10 +57,10 @@
     Ok(bytes)
 }
 
-/// Reads a message with its version byte.
+/// Decodes a message that is preceded by the version byte.
 ///
 /// # Errors
-/// When the version differs or the content cannot be read.
+/// If the version differs or the content is malformed.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, FrameError> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
@@ -71,7 +72,7 @@
 /// Writes one frame.
 ///
 /// # Errors
-/// When the message exceeds [`MAX_FRAME`] or the socket fails.
+/// If the message exceeds [`MAX_FRAME`] or writing fails.
 pub fn write<T: Serialize>(out: &mut impl Write, message: &T) -> Result<(), FrameError> {
     let bytes = encode(message, MAX_FRAME)?;
     let mut frame = Vec::with_capacity(bytes.len() + 4);
@@ -82,10 +83,11 @@
     Ok(())
 }
 
-/// Takes one frame out of bytes that came so far; `None` when more are needed.
+/// Removes one complete frame from the start of a receive buffer and decodes it. Returns `None` if
+/// the frame is incomplete.
 ///
 /// # Errors
-/// When the length exceeds [`MAX_FRAME`], the version differs, or the content cannot be read.
+/// If the length exceeds [`MAX_FRAME`], the version differs or the content is malformed.
 pub fn take<T: DeserializeOwned>(input: &mut Vec<u8>) -> Result<Option<T>, FrameError> {
     let Some(len) = input.first_chunk::<4>() else { return Ok(None) };
     let len = u32::from_be_bytes(*len) as usize;
@@ -98,10 +100,11 @@
     Ok(Some(message))
 }
 
-/// Reads one frame.
+/// Reads one frame and blocks until it is complete.
 ///
 /// # Errors
-/// When the length exceeds [`MAX_FRAME`], the version differs, or the socket fails.
+/// If the length exceeds [`MAX_FRAME`], the version differs, the content is malformed or reading
+/// fails.
 pub fn read<T: DeserializeOwned>(input: &mut impl Read) -> Result<T, FrameError> {
     let mut len = [0; 4];
     input.read_exact(&mut len)?;
--- a/crates/roseshore_wire/src/lib.rs
+++ b/crates/roseshore_wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The messages that cross a process border.
+//! Messages between processes.
 //!
-//! [`engine`], [`platform`] and [`service`] are the JSON bodies of the outside systems' published
-//! protocols; [`admin`] and [`query`] those of the operators' interface; [`peer`] holds what our
-//! daemons say to each other, coded with `postcard`.
+//! [`engine`], [`platform`] and [`service`] are the JSON bodies of the published protocols of
+//! external systems. [`admin`] and [`query`] are the JSON bodies of the operators' API. [`peer`]
+//! has the messages between daemons, which [`frame`] encodes with `postcard`.
 
 pub mod admin;
 pub mod engine;
--- a/crates/roseshore_wire/src/peer.rs
+++ b/crates/roseshore_wire/src/peer.rs
@@ -1,7 +1,7 @@
-//! What daemons say to each other.
+//! Messages between daemons.
 //!
-//! [`Datagram`] goes over UDP and may be lost; [`PeerRequest`] and [`PeerReply`] go over one TCP connection per
-//! pair, one reply per question.
+//! [`Datagram`] is sent over UDP and may be lost. [`PeerRequest`] and [`PeerReply`] are sent over
+//! one TCP connection per pair of daemons, with one reply per request.
 
 use crate::engine::Load;
 use crate::service::ServiceLoad;
@@ -9,75 +9,77 @@
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A message that may be lost.
+/// A message over UDP, which may be lost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// A daemon lives, and what the targets that it polls said.
+    /// A heartbeat of a daemon, with load reports of the targets that it polls.
     Beat {
-        /// The daemon's own heartbeat.
+        /// The heartbeat.
         heartbeat: Heartbeat,
-        /// Reports polled since the last one, as many as fit.
+        /// Load reports polled since the previous heartbeat, as many as fit.
         notes: Vec<TargetLoad>,
     },
 }
 
-/// A target's report on its way to the other daemons of the data centre.
+/// A target's load report as sent to the other daemons of the data centre.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// Its age when it was sent, milliseconds.
+    /// Age of the report when it was sent, milliseconds.
     pub age_ms: u32,
-    /// What it says.
+    /// The report.
     pub content: LoadReport,
 }
 
-/// Six bytes of a hash: short on the wire, and a data centre has a few hundred of them at most.
+/// Six bytes of a hash. This is short on the wire and enough for the few hundred keys of a data
+/// centre.
 pub type LoadReportKey = [u8; 6];
 
 /// The content of a [`TargetLoad`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LoadReport {
-    /// An engine's whole report.
+    /// The complete report of an engine.
     Engine {
-        /// The target.
+        /// Id of the target.
         target: TargetId,
         /// The report.
         load: Load,
     },
-    /// A service replica's whole report.
+    /// The complete report of a service replica.
     Service {
-        /// The target.
+        /// Id of the target.
         target: TargetId,
         /// The report.
         load: ServiceLoad,
     },
-    /// Only what changes from poll to poll; the rest is as in the last whole report with this key.
+    /// Only the values that change with each poll. The other values equal those of the last
+    /// complete report with the same key.
     Brief {
-        /// Hash of the target and all that is not in here.
+        /// Hash of the target's id and of all values that are left out.
         key: LoadReportKey,
-        /// Requests waiting.
+        /// Waiting requests.
         queue: u32,
-        /// Requests being worked on.
+        /// Running requests.
         running: u32,
-        /// Time of one step or call, microseconds.
+        /// Duration of one step or call, microseconds.
         step_us: u64,
-        /// KV cache in use, tokens; 0 for a service.
+        /// Used KV cache, tokens; 0 for a service.
         kv_used: u64,
     },
     /// The target does not answer.
     Silent {
-        /// The target.
+        /// Id of the target.
         target: TargetId,
     },
 }
 
-/// The state of one data centre, for another.
+/// The state of a data centre, as sent to other data centres.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The data centre that it is about.
+    /// The data centre.
     pub data_centre: DataCentreId,
     /// Its daemons.
     pub members: Vec<MemberDigest>,
-    /// Its load by model.
+    /// Its load, per model.
     pub summaries: Vec<Summary>,
 }
 
@@ -86,73 +88,75 @@
 pub struct Summary {
     /// The model.
     pub model: ModelId,
-    /// Requests waiting at its targets.
+    /// Waiting requests on its targets.
     pub queue: u32,
-    /// Requests being worked on.
+    /// Running requests.
     pub running: u32,
-    /// Requests that run at once.
+    /// Requests that can run at once.
     pub slots: u32,
-    /// Age of the oldest report in it when it was sent, milliseconds.
+    /// Age of the oldest report in this summary when it was sent, milliseconds.
     pub age_ms: u32,
 }
 
-/// A question over TCP.
+/// A request to another daemon over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Records of a stream from an offset on, as this daemon knows them.
+    /// Requests the records of a stream that the receiver holds, from an offset on.
     Records {
         /// The stream.
         stream: String,
-        /// The first offset wanted.
+        /// The first requested offset.
         from: Offset,
     },
-    /// What became of a key that the receiver claimed.
+    /// Requests the outcome of a key that the receiver has claimed.
     Outcome {
         /// The key.
         key: Key,
     },
-    /// Rows for an operator's query about the receiver.
+    /// Requests the receiver's rows for an operator's query.
     Query {
-        /// The query, as JSON.
+        /// The query ([`crate::query::Query`]) as JSON.
         query: String,
     },
-    /// Digests of data centres, from a speaker to another data centre's or to its own daemons.
+    /// Sends digests of data centres, from the speaker of a data centre to the speaker of another
+    /// one or to the daemons of its own.
     Digests {
         /// The digests.
         digests: Vec<Digest>,
-        /// Whether the receiver is to pass them on to its data centre and answer with its own.
+        /// Whether the receiver is to forward them within its data centre and reply with the digest
+        /// of its own.
         speaker: bool,
     },
 }
 
-/// The answer to a [`PeerRequest`].
+/// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// See [`PeerRequest::Records`]; offset, time in milliseconds of the epoch, data.
+    /// Reply to [`PeerRequest::Records`].
     Records {
-        /// The records.
+        /// The records: offset, Unix time in milliseconds, data.
         records: Vec<(Offset, u64, String)>,
-        /// One past the last record known to the sender.
+        /// One past the last offset known to the sender.
         end: Offset,
     },
-    /// See [`PeerRequest::Outcome`]: the recorded answer, as JSON, once there is one.
+    /// Reply to [`PeerRequest::Outcome`].
     Outcome {
-        /// The answer.
+        /// The recorded outcome as JSON; `None` until there is one.
         outcome: Option<String>,
     },
-    /// See [`PeerRequest::Query`]: rows, as JSON.
+    /// Reply to [`PeerRequest::Query`].
     Rows {
-        /// The rows.
+        /// The rows ([`crate::query::Reply`]) as JSON.
         rows: String,
     },
-    /// See [`PeerRequest::Digests`]: what the receiver's data centre says of itself.
+    /// Reply to [`PeerRequest::Digests`], with the receiver's own data centre.
     Digests {
         /// The digests.
         digests: Vec<Digest>,
     },
-    /// Taken note.
+    /// Acknowledges the request.
     Done,
-    /// The receiver cannot say.
+    /// The receiver cannot answer the request.
     Unable {
         /// Why.
         reason: String,
--- a/crates/roseshore_wire/src/platform.rs
+++ b/crates/roseshore_wire/src/platform.rs
@@ -1,100 +1,101 @@
-//! The protocols of the platform: log service, host list and weight store, JSON over HTTP.
+//! The protocols of the platform's log service, host list and weight store, JSON over HTTP.
 //!
-//! | call | body | answer |
+//! | call | body | reply |
 //! |---|---|---|
-//! | `POST /v1/streams/NAME/records` | [`Append`] | [`Appended`]; `429` over the rate, `503` in an outage, both with nothing appended |
-//! | `GET /v1/streams/NAME/records?from=O&max=N&wait_ms=W` | - | [`Records`]; `410` with [`Trimmed`] when `from` is no longer kept |
-//! | `GET /v1/hosts` | - | [`Hosts`], late |
+//! | `POST /v1/streams/NAME/records` | [`Append`] | [`Appended`]; `429` above the rate limit, `503` in an outage; neither appends anything |
+//! | `GET /v1/streams/NAME/records?from=O&max=N&wait_ms=W` | - | [`Records`]; `410` with [`Trimmed`] if `from` is no longer kept |
+//! | `GET /v1/hosts` | - | [`Hosts`], which lags behind the actual state |
 //! | `GET /v1/weights` | - | [`Weights`] |
 //!
-//! A reply to an append may be lost after it took effect. Offsets of a stream begin at 0 and have
-//! no holes. A read of a stream that was never written to is empty.
+//! The reply to an append may be lost although the records were appended. Offsets of a stream start
+//! at 0 and are contiguous. A stream that was never written to reads as empty.
 
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Records to add, all or none, one after the other.
+/// Records to append, all or none, at consecutive offsets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Append {
     /// The records.
     pub records: Vec<String>,
 }
 
-/// Where the records were put.
+/// Where the records were appended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Appended {
-    /// The offset of the first.
+    /// The offset of the first record.
     pub first: Offset,
 }
 
-/// One record.
+/// A record of a stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place.
+    /// Its offset in the stream.
     pub offset: Offset,
-    /// When the log service took it, milliseconds of the epoch, never falling within a stream.
+    /// When the log service accepted it, Unix milliseconds. Never decreases within a stream.
     pub time_ms: u64,
     /// Its content.
     pub data: String,
 }
 
-/// A part of a stream.
+/// Consecutive records of a stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Records {
-    /// In order of offset, without holes.
+    /// The records, in order of offset without gaps.
     pub records: Vec<Record>,
-    /// One past the last record of the whole stream at the time of reading.
+    /// One past the last offset of the whole stream at the time of the read.
     pub end: Offset,
     /// The oldest offset kept.
     pub oldest: Offset,
 }
 
-/// Why a read from an old offset failed.
+/// The reply to a read from an offset that is no longer kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trimmed {
     /// The oldest offset kept.
     pub oldest: Offset,
-    /// One past the last record.
+    /// One past the last offset.
     pub end: Offset,
 }
 
-/// The host list.
+/// The list of hosts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Hosts {
-    /// Grows with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// The hosts known.
+    /// The known hosts.
     pub hosts: Vec<Host>,
 }
 
-/// One host.
+/// A host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it is.
+    /// The data centre it is in.
     pub data_centre: DataCentreId,
-    /// Whether it is being taken away.
+    /// Whether it is in service or leaving.
     pub state: HostState,
-    /// Where a daemon of ours on it hears peers, UDP and TCP; absent for targets.
+    /// The address, for UDP and TCP, on which a daemon on this host listens for its peers; `None`
+    /// for hosts of targets.
     pub peer: Option<std::net::SocketAddr>,
 }
 
-/// What the platform says of a host.
+/// The state of a host according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
     /// In service.
     Live,
-    /// Being taken away.
+    /// About to be removed.
     Leaving,
 }
 
 /// The state of the weight store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
-    /// Bytes a second that it gives to all engines together.
+    /// Transfer rate to all engines together, bytes per second.
     pub rate: u64,
-    /// Bytes that are asked for and not yet given.
+    /// Requested bytes that have not been transferred yet.
     pub backlog: u64,
 }
--- a/crates/roseshore_wire/src/query.rs
+++ b/crates/roseshore_wire/src/query.rs
@@ -1,61 +1,61 @@
-//! Operators' questions about requests, and their rows.
+//! Operators' queries about requests, and the result rows.
 //!
-//! `POST /v1/admin/query` takes a [`Query`] and answers [`Reply`] for the whole system; between
-//! daemons the same two travel as JSON in [`crate::peer::PeerRequest::Query`] and
-//! [`crate::peer::PeerReply::Rows`], where the reply is about the receiver alone.
+//! `POST /v1/admin/query` takes a [`Query`] and returns a [`Reply`] for the whole system. Daemons
+//! exchange the same types as JSON in [`crate::peer::PeerRequest::Query`] and
+//! [`crate::peer::PeerReply::Rows`], where the reply covers the receiver alone.
 
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// One question.
+/// A query about requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Query {
-    /// What is asked for.
+    /// The kind of rows.
     pub topic: Topic,
-    /// Which rows.
+    /// Restriction of the rows.
     #[serde(default)]
     pub filter: Filter,
 }
 
-/// What is asked for.
+/// The kind of rows that a query returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Topic {
     /// Requests in flight.
     Running,
-    /// Answers that were given after their deadline.
+    /// Answers given after their deadline.
     Late,
-    /// Requests that were refused.
+    /// Refused requests.
     Refused,
-    /// Counts of late and repeated answers by week.
+    /// Counts of requests per week, service and organisation.
     Account,
 }
 
-/// Which rows; an absent field lets every row through.
+/// Conditions that a row has to meet. An absent field matches every row.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Filter {
-    /// Only of this service.
+    /// Only requests to this service.
     pub service: Option<ServiceId>,
-    /// Only of this organisation.
+    /// Only requests of this organisation.
     pub organisation: Option<OrganisationId>,
-    /// Only of daemons in this data centre.
+    /// Only requests to daemons in this data centre.
     pub data_centre: Option<DataCentreId>,
-    /// Only what ended, or for [`Topic::Running`] began, at this time or later, milliseconds of
-    /// the epoch.
+    /// Only requests that ended, or for [`Topic::Running`] began, at or after this Unix time,
+    /// milliseconds.
     pub since_ms: Option<u64>,
 }
 
-/// The rows, and what could not be asked.
+/// The result of a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
     /// The rows.
     pub rows: Rows,
-    /// Daemons that did not answer; their rows are missing.
+    /// Daemons that did not answer, so that their rows are missing.
     #[serde(default)]
     pub unasked: Vec<HostId>,
-    /// Whether rows were left out to keep the reply within its bound.
+    /// Whether rows were left out because the reply would have become too large.
     #[serde(default)]
     pub cut: bool,
 }
@@ -74,83 +74,83 @@
     Account(Vec<AccountRow>),
 }
 
-/// Whose request it is and where it came in.
+/// Identity of a request, and the daemon that received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
     /// The service.
     pub service: ServiceId,
-    /// The customer.
+    /// The organisation that made the request.
     pub organisation: OrganisationId,
-    /// Where the daemon is.
+    /// The data centre of the daemon.
     pub data_centre: DataCentreId,
-    /// The daemon.
+    /// The host of the daemon.
     pub host: HostId,
 }
 
 /// A request in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningRow {
-    /// Whose it is.
+    /// Identity of the request.
     pub origin: Origin,
-    /// When it came in, milliseconds of the epoch.
+    /// When the request arrived, Unix milliseconds.
     pub begun_ms: u64,
-    /// Time left to its deadline in milliseconds; negative once it is late.
+    /// Time left until the deadline, milliseconds; negative after it.
     pub left_ms: i64,
 }
 
-/// An answer that was late.
+/// An answer that came after its deadline.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LateRow {
-    /// Whose it was.
+    /// Identity of the request.
     pub origin: Origin,
-    /// When it ended, milliseconds of the epoch.
+    /// When the request ended, Unix milliseconds.
     pub ended_ms: u64,
-    /// By how much it was late, milliseconds.
+    /// Time between deadline and end, milliseconds.
     pub late_ms: u64,
-    /// What the caller was told.
+    /// The verdict that the caller got.
     pub verdict: Verdict,
-    /// Re-routes it took.
+    /// How many times it was rerouted.
     pub resumed: u32,
 }
 
 /// A request that was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedRow {
-    /// Whose it was.
+    /// Identity of the request.
     pub origin: Origin,
-    /// When it ended, milliseconds of the epoch.
+    /// When the request ended, Unix milliseconds.
     pub ended_ms: u64,
-    /// What the caller was told.
+    /// The verdict that the caller got.
     pub verdict: Verdict,
-    /// Why.
+    /// The code of the refusal.
     pub code: Code,
 }
 
-/// Counts of one week, service and organisation.
+/// Request counts of one week, service and organisation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRow {
-    /// The start of the week, Monday 00:00 UTC, milliseconds of the epoch.
+    /// Start of the week, Monday 00:00 UTC, Unix milliseconds.
     pub week_ms: u64,
     /// The service.
     pub service: ServiceId,
-    /// The customer.
+    /// The organisation that made the request.
     pub organisation: OrganisationId,
-    /// Whole answers in time.
+    /// Complete answers in time.
     pub answered: u64,
-    /// Whole answers after their deadline.
+    /// Complete answers after their deadline.
     pub late: u64,
-    /// Recorded answers that were given again.
+    /// Recorded answers that were returned again.
     pub repeated: u64,
-    /// Refusals that did not run.
+    /// Refused requests that did not run.
     pub refused: u64,
-    /// Requests of which the caller was told that they may have run.
+    /// Requests that the caller was told may have run.
     pub unsettled: u64,
-    /// Advisory requests that ended without a whole answer in time, however they ended.
+    /// Advisory requests that ended without a complete answer in time, for any reason.
     #[serde(default)]
     pub missed: u64,
-    /// Whether the service is declared advisory now.
+    /// Whether the service is currently declared as advisory.
     #[serde(default)]
     pub advisory: bool,
 }
--- a/crates/roseshore_wire/tests/frame.rs
+++ b/crates/roseshore_wire/tests/frame.rs
@@ -1,8 +1,8 @@
-//! Frames out of bytes that come in pieces.
+//! Frames in a receive buffer that fills piece by piece.
 
 use roseshore_wire::frame::{self, FrameError, MAX_FRAME, VERSION};
 
-/// Bytes that came, and what is taken out of them.
+/// The content of a receive buffer, the message decoded from it and the bytes left in it.
 struct Case {
     name: &'static str,
     bytes: Vec<u8>,
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -243,8 +243,11 @@
             return self.feed(Input::RetryDenied(refusal));
         }
         self.permit = Some(permit);
-        let route =
-            Route { stages: chain.stages, first_token: chain.first, token_interval: chain.between };
+        let route = Route {
+            stages: chain.stages,
+            first_token: chain.first_token,
+            token_interval: chain.token_interval,
+        };
         self.feed(Input::Chosen(route));
     }
 
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -146,7 +146,7 @@
 }
 
 impl RecordSink for FleetDriver {
-    fn take(&self, records: &[Record]) {
+    fn accept(&self, records: &[Record]) {
         let mut folding = self.folding.lock();
         let mut folded = Vec::new();
         for record in records {
--- a/crates/roseshored/src/fleets/source.rs
+++ b/crates/roseshored/src/fleets/source.rs
@@ -33,7 +33,7 @@
         let from = self.inspect(roseshore_core::config::State::offset);
         match self.log.read(STREAM, from, BATCH, wait) {
             Ok(found) => {
-                self.take(&found.records);
+                self.accept(&found.records);
                 self.stands(found.end);
                 let offset = self.inspect(roseshore_core::config::State::offset);
                 Ok(if offset < found.end { Reach::More } else { Reach::End })
@@ -112,7 +112,7 @@
             return false;
         };
         if records.first().is_some_and(|it| it.offset == before) {
-            self.take(&records);
+            self.accept(&records);
         } else if end > before {
             self.pull_snapshot(peers, addr);
         }
--- a/crates/roseshored/src/front/exchange.rs
+++ b/crates/roseshored/src/front/exchange.rs
@@ -226,8 +226,8 @@
 
     fn end(&mut self, verdict: Verdict, code: Option<Code>, finish: Finish) {
         let now = Instant::now();
-        let left = self.reply.broken;
-        if left {
+        let caller_left = self.reply.broken;
+        if caller_left {
             event!(Event::CallerLeft, "request={} verdict={}", self.id, verdict.name());
         }
         let Some(ask) = self.ask.take() else {
@@ -237,7 +237,7 @@
             }
             return;
         };
-        count(&ask, verdict, code, left);
+        count(&ask, verdict, code, caller_left);
         if let Some(first) = self.first {
             metrics::histogram!("roseshore_first_seconds").record(first - ask.arrived);
         }
@@ -249,8 +249,17 @@
         let Finish { repeated, resumed } = finish;
         let first = self.first;
         let advisory = self.advisory;
-        let end =
-            RequestEnd { ask, verdict, code, repeated, left, ended: now, first, resumed, advisory };
+        let end = RequestEnd {
+            ask,
+            verdict,
+            code,
+            repeated,
+            caller_left,
+            ended: now,
+            first,
+            resumed,
+            advisory,
+        };
         if end.missed() {
             tell_missed(&end);
         }
@@ -289,7 +298,7 @@
         Event::AdvisoryMissed,
         "request={request} organisation={organisation} service={service} verdict={verdict} \
          code={code} late_ms={late} left={}",
-        end.left
+        end.caller_left
     );
     metrics::counter!(
         "roseshore_advisory_missed_total",
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -68,7 +68,7 @@
             verdict: end.verdict,
             code: end.code,
             repeated: end.repeated,
-            caller_left: end.left,
+            caller_left: end.caller_left,
             reroutes: end.resumed,
             missed: end.missed(),
         };
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -243,7 +243,7 @@
         let urgent = content == ReportContent::Silent;
         let note = self.packer.pack(&target, &content, Instant::now());
         self.members.share(Fresh { seen, content: note, urgent });
-        self.reports.take(Report { target, seen, content });
+        self.reports.store(Report { target, seen, content });
     }
 
     fn take_told(&mut self, told: Told) {
@@ -258,7 +258,7 @@
             let silent = content == ReportContent::Silent;
             let actions = self.polling.on_peer_report(&target, silent, seen);
             self.act_all(actions);
-            self.reports.take(Report { target, seen, content });
+            self.reports.store(Report { target, seen, content });
         }
     }
 }
--- a/crates/roseshored/src/loads/caches.rs
+++ b/crates/roseshored/src/loads/caches.rs
@@ -40,14 +40,14 @@
 
     fn round(&self, cursors: &mut polling::CacheCursors, now: Instant) {
         for restarted in cursors.set_engines(self.answering()) {
-            self.caches.take_cache(&restarted, &[CacheEvent::Cleared]);
+            self.caches.apply_events(&restarted, &[CacheEvent::Cleared]);
         }
         let Some((target, from)) = cursors.due(now) else { return };
         let Some(force) = self.fleets.current() else { return };
         let Some(declared) = force.fleet.targets.get(&target) else { return };
         match self.engine.cache(declared.addr, from, LIMIT) {
             Ok(read) => {
-                self.caches.take_cache(&target, &read.events);
+                self.caches.apply_events(&target, &read.events);
                 cursors.advance(&target, read.next);
             }
             Err(e) => {
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -238,7 +238,7 @@
 }
 
 impl ReportStore for Routing {
-    fn take(&self, report: Report) {
+    fn store(&self, report: Report) {
         self.refresh(Instant::now());
         let mut state = self.state.lock();
         let known = state.newest.get(&report.target);
@@ -261,7 +261,7 @@
 }
 
 impl CacheEventSink for Routing {
-    fn take_cache(&self, target: &TargetId, events: &[CacheEvent]) {
+    fn apply_events(&self, target: &TargetId, events: &[CacheEvent]) {
         let changes: Vec<CacheChange> = events.iter().map(cache_change).collect();
         self.state.lock().router.apply_cache_changes(target, &changes);
     }
@@ -314,8 +314,8 @@
     Chosen {
         value: Chain {
             stages: stages.collect(),
-            first: choice.first_token,
-            between: choice.token_interval,
+            first_token: choice.first_token,
+            token_interval: choice.token_interval,
         },
         rows: choice.stages.iter().map(|stage| stage.row).collect(),
         hosts: choice.stages.iter().map(|stage| row(stage).host.clone()).collect(),
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -45,8 +45,8 @@
         let count = seen.permits.clone();
         *count.lock() += 1;
         let permit = Permit::new(move || *count.lock() -= 1);
-        let first = Duration::from_millis(100);
-        Ok((Chain { stages, first, between: Duration::from_millis(2) }, permit))
+        let first_token = Duration::from_millis(100);
+        Ok((Chain { stages, first_token, token_interval: Duration::from_millis(2) }, permit))
     }
 
     fn replica(&self, _: &str, _: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -203,7 +203,7 @@
 pub(crate) struct Taken(pub(crate) Mutex<BTreeMap<TargetId, Report>>);
 
 impl ReportStore for Taken {
-    fn take(&self, report: Report) {
+    fn store(&self, report: Report) {
         let mut all = self.0.lock();
         if all.get(&report.target).is_none_or(|known| known.seen < report.seen) {
             all.insert(report.target.clone(), report);
--- a/crates/roseshored/tests/front.rs
+++ b/crates/roseshored/tests/front.rs
@@ -493,7 +493,7 @@
         })
     });
     let end = &daemon.ledger.wait(1)[0];
-    assert!(end.left);
+    assert!(end.caller_left);
     assert_eq!(end.verdict, Verdict::MayHaveRun);
     // The fake's own copy of the stream must go before the daemon's can be seen to be gone.
     *daemon.engine.play.lock() = Play::Whole(0);
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -159,7 +159,7 @@
     let daemon = Daemon::start(n, 1, SocketAddr::from(([127, 0, 0, 1], 0)), list);
     let reports = Arc::new(Taken::default());
     let content = ReportContent::Engine(Load { queue: n as u32, ..load() });
-    reports.take(Report { target: "t".into(), seen: Instant::now(), content });
+    reports.store(Report { target: "t".into(), seen: Instant::now(), content });
     let parts = peers::Parts {
         members: daemon.driver.clone(),
         peers: Arc::new(Wire { peers: TcpPeers::new(Limits::default()), cut: cut.clone() }),
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -87,7 +87,7 @@
 struct Polls(Vec<(TargetId, SocketAddr)>);
 
 impl ReportStore for Polls {
-    fn take(&self, _: Report) {}
+    fn store(&self, _: Report) {}
 
     fn newest(&self) -> Vec<Report> {
         let poll = |(target, addr): &(TargetId, SocketAddr)| {
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -23,8 +23,8 @@
         let new = (need.version == "v2").then(|| self.new.clone());
         let stage = new.or_else(|| self.old.lock().take());
         let stage = stage.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
-        let [first, between] = [100, 2].map(Duration::from_millis);
-        Ok((Chain { stages: vec![stage], first, between }, Permit::new(|| ())))
+        let [first_token, token_interval] = [100, 2].map(Duration::from_millis);
+        Ok((Chain { stages: vec![stage], first_token, token_interval }, Permit::new(|| ())))
     }
 
     fn version(&self, _: &ModelId) -> Option<VersionId> {
--- a/crates/roseshored/tests/routing.rs
+++ b/crates/roseshored/tests/routing.rs
@@ -98,7 +98,7 @@
         let hosts = Arc::new(Hosts::default());
         let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), hosts.clone());
         for id in ["e1", "e2"] {
-            routing.take(report(id));
+            routing.store(report(id));
         }
         hosts.0.lock().extend(case.leaving.iter().map(|id| (*id).to_owned()));
         case.failed.iter().for_each(|id| routing.failed(&(*id).to_owned()));
@@ -133,9 +133,9 @@
 fn a_permit_counts_until_it_is_dropped() {
     let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), Arc::new(Hosts::default()));
     for id in ["e1", "e2"] {
-        routing.take(report(id));
+        routing.store(report(id));
     }
-    let predicted = || routing.chain(&need()).map(|(chain, _)| chain.between).ok();
+    let predicted = || routing.chain(&need()).map(|(chain, _)| chain.token_interval).ok();
     let idle = predicted();
     let permits: Vec<_> = (0..20).map(|_| routing.chain(&need()).map(|(_, p)| p).ok()).collect();
     assert!(predicted() > idle, "own requests in flight make the prediction longer");
@@ -148,9 +148,9 @@
     let routing = Routing::new(Arc::new(Fixed(Arc::new(fleet()))), Arc::new(Hosts::default()));
     let old = report("e1");
     let new = report("e1");
-    routing.take(new.clone());
-    routing.take(old);
-    routing.take(report("unknown"));
+    routing.store(new.clone());
+    routing.store(old);
+    routing.store(report("unknown"));
     let newest: Vec<Instant> = routing.newest().iter().map(|report| report.seen).collect();
     assert_eq!(newest, [new.seen]);
 }
--- a/crates/roseshored/tests/support/fakes.rs
+++ b/crates/roseshored/tests/support/fakes.rs
@@ -306,7 +306,7 @@
             next = layers.1;
         }
         let none = Duration::ZERO;
-        Ok((Chain { stages, first: none, between: none }, Permit::new(|| {})))
+        Ok((Chain { stages, first_token: none, token_interval: none }, Permit::new(|| {})))
     }
 
     fn replica(&self, serves: &str, avoid: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
