--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -3,7 +3,7 @@
 //! One lock around [`Router`]: a decision takes microseconds. It follows the configuration in force
 //! and asks the members whether a chosen host is leaving before a choice is given out.
 
-use crate::gate::CapacitySource;
+use crate::admission::CapacitySource;
 use parking_lot::Mutex;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -184,7 +184,7 @@
         let mut state = self.state.lock();
         let State { router, rollout, fleet, .. } = &mut *state;
         let declared = fleet.models.get(model)?;
-        let look = || router.pieces(model, now);
+        let look = || router.loaded_ranges(model, now);
         let choice = rollout.choose(model, &declared.version, declared.layers, look);
         drop(state);
         if choice.switched {
