--- a/crates/roseshore_bench/src/bin/claims.rs
+++ b/crates/roseshore_bench/src/bin/claims.rs
@@ -8,9 +8,9 @@
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::prelude::*;
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
-use roseshore_ports::inside::{Begin, Claims, Member, MemberState, Members, Outcome};
-use roseshore_ports::outside::{CallError, Called, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{ClaimResult, Claims, Member, MemberState, Members, Outcome};
+use roseshore_ports::outside::{CallError, CallResult, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshored::claims::{ClaimsConfig, ClaimsDriver};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -49,7 +49,12 @@
 struct Nobody;
 
 impl Peers for Nobody {
-    fn ask(&self, _addr: SocketAddr, _ask: &Ask, _limit: Duration) -> Called<Reply> {
+    fn ask(
+        &self,
+        _addr: SocketAddr,
+        _ask: &PeerRequest,
+        _limit: Duration,
+    ) -> CallResult<PeerReply> {
         Err(CallError::Unreached("no peers in this run".into()))
     }
 }
@@ -94,10 +99,10 @@
     Ok(())
 }
 
-fn run(partitions: usize, together: usize, callers: usize) -> std::io::Result<Figures> {
+fn run(partitions: usize, max_batch: usize, callers: usize) -> std::io::Result<Figures> {
     let platform = PlatformFake::start(PlatformSettings::default())?;
     let log = Arc::new(HttpPlatform::new(platform.addr(), Duration::from_secs(2)));
-    let config = ClaimsConfig { partitions, remembered: 100_000, together };
+    let config = ClaimsConfig { partitions, max_records: 100_000, max_batch };
     let start = |host: usize| {
         let members = Arc::new(One(member(host)));
         ClaimsDriver::start(config, log.clone(), Arc::new(Nobody), members)
@@ -136,7 +141,7 @@
 /// Runs one key; the time until it was won.
 fn one(driver: &ClaimsDriver, key: usize) -> Option<Duration> {
     let began = Instant::now();
-    let Begin::Won(claim) = driver.begin(&format!("o/s/{key}"), 7, began + LIMIT) else {
+    let ClaimResult::Won(claim) = driver.begin(&format!("o/s/{key}"), 7, began + LIMIT) else {
         return None;
     };
     let took = began.elapsed();
--- a/crates/roseshore_core/src/gateway/peers/relation.rs
+++ b/crates/roseshore_core/src/gateway/peers/relation.rs
@@ -26,7 +26,7 @@
 const NEAR_PERIOD_PER_HOST: Duration = Duration::from_millis(4);
 /// Period per receiver where every host sends to every other.
 const MESH_PERIOD_PER_HOST: Duration = Duration::from_millis(10);
-/// Shortest period in a data centre with speakers. Its other hosts know only some of each other,
+/// Shortest period in a data centre with schedule. Its other hosts know only some of each other,
 /// and would take the data centre for a small one.
 const LARGE_CENTRE_MIN_PERIOD: Duration = Duration::from_millis(200);
 /// Longest period of heartbeats within a data centre: a third of the silence after which a host is
--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -13,7 +13,7 @@
 use roseshore_core::once::record::Owner;
 use roseshore_core::prelude::{Code, Duration, Instant, Key, Offset, Verdict};
 use roseshore_ports::inside::Members;
-use roseshore_ports::outside::{CallError, Called, Log};
+use roseshore_ports::outside::{CallError, CallResult, Log};
 use roseshore_wire::platform::Records;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
@@ -82,7 +82,7 @@
     let (reads, read_asks) = flume::unbounded();
     let own = members.own();
     let own = Owner { host: own.host, incarnation: own.incarnation };
-    let machine = Partition::new(own, rand::random(), config.remembered, config.together);
+    let machine = Partition::new(own, rand::random(), config.max_records, config.max_batch);
     let callers = FxHashMap::default();
     let (name, flushing, settling) = (stream.clone(), vec![], FxHashMap::default());
     let driver = Driver {
@@ -140,7 +140,7 @@
     }
 }
 
-fn read_end(read: Called<Records>) -> ReadResult {
+fn read_end(read: CallResult<Records>) -> ReadResult {
     match read {
         Ok(read) => {
             let line = |record: roseshore_wire::platform::Record| LogRecord {
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -13,10 +13,10 @@
 use crate::event;
 use parking_lot::{Condvar, Mutex, RwLock};
 use roseshore_core::config::{
-    Assembly, Folded, Follower, Judged, KeeperLimits, Outcome, ReaderLimits, STREAM, State,
+    Assembly, Decision, Folded, Follower, Outcome, ReaderLimits, STREAM, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, InForce, Records};
+use roseshore_ports::inside::{ActiveConfig, ConfigSource, RecordSink};
 use roseshore_ports::outside::Log;
 use roseshore_wire::platform::Record;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     /// Who reads the log when.
     pub reader: ReaderLimits,
     /// Who writes snapshots when.
-    pub keeper: KeeperLimits,
+    pub snapshots: SnapshotLimits,
     /// How often peers are looked at.
     pub tick: Duration,
     /// How long a peer may take to answer.
@@ -40,7 +40,7 @@
     fn default() -> FleetSettings {
         FleetSettings {
             reader: ReaderLimits::default(),
-            keeper: KeeperLimits::default(),
+            snapshots: SnapshotLimits::default(),
             tick: Duration::from_millis(200),
             peer: Duration::from_secs(2),
         }
@@ -53,7 +53,7 @@
     settings: FleetSettings,
     folding: Mutex<Folding>,
     folded: Condvar,
-    current: RwLock<Option<InForce>>,
+    current: RwLock<Option<ActiveConfig>>,
     healthy: AtomicBool,
     stopped: AtomicBool,
 }
@@ -123,7 +123,7 @@
         let mut current = self.current.write();
         let old = current.as_ref().filter(|_| !changed).map(|it| Arc::clone(&it.fleet));
         let fleet = old.unwrap_or_else(|| Arc::new(state.fleet().clone()));
-        *current = Some(InForce { fleet, offset: state.offset(), digest: state.digest() });
+        *current = Some(ActiveConfig { fleet, offset: state.offset(), digest: state.digest() });
         drop(current);
         metrics::gauge!("roseshore_config_offset").set(state.offset() as f64);
         self.folded.notify_all();
@@ -131,7 +131,7 @@
 
     /// Publishes and logs what records did.
     fn after(&self, folding: &Folding, folded: &[Folded]) {
-        let accepted = |it: &Folded| it.outcome == Outcome::Judged(Judged::Accepted);
+        let accepted = |it: &Folded| it.outcome == Outcome::Decided(Decision::Accepted);
         if !folded.is_empty() {
             self.publish(folding, folded.iter().any(accepted));
         }
@@ -139,14 +139,14 @@
     }
 }
 
-impl Fleets for FleetDriver {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for FleetDriver {
+    fn current(&self) -> Option<ActiveConfig> {
         self.current.read().clone()
     }
 }
 
-impl Records for FleetDriver {
-    fn take(&self, records: &[Record]) {
+impl RecordSink for FleetDriver {
+    fn accept(&self, records: &[Record]) {
         let mut folding = self.folding.lock();
         let mut folded = Vec::new();
         for record in records {
@@ -163,21 +163,21 @@
     let by = folded.author.as_ref();
     let (id, operator) = by.map_or(("", ""), |it| (it.command.as_str(), it.operator.as_str()));
     let outcome = match &folded.outcome {
-        Outcome::Judged(Judged::Accepted) => {
+        Outcome::Decided(Decision::Accepted) => {
             event!(
                 Event::ConfigApplied,
                 "command `{id}` of `{operator}` is in force, offset={offset}"
             );
             "accepted"
         }
-        Outcome::Judged(Judged::Rejected(reason)) => {
+        Outcome::Decided(Decision::Rejected(reason)) => {
             event!(
                 Event::ConfigRejected,
                 "command `{id}` of `{operator}`, offset={offset}: {reason}"
             );
             "rejected"
         }
-        Outcome::Judged(Judged::TooOld) => {
+        Outcome::Decided(Decision::TooOld) => {
             event!(
                 Event::ConfigRejected,
                 "command `{id}` of `{operator}`, offset={offset}: made too long ago"
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -1,6 +1,6 @@
 //! Exchanges digests with the other data centres.
 //!
-//! [`roseshore_core::membership::Speakers`] decides who speaks with whom; this driver carries the
+//! [`roseshore_core::membership::DigestSchedule`] decides who speaks with whom; this driver carries the
 //! digests and passes what was learned on to the own data centre. Nothing else waits for its
 //! thread, so a data centre that is cut off delays no other part.
 
@@ -10,11 +10,11 @@
 
 use crate::members::MemberDriver;
 use parking_lot::Mutex;
-use roseshore_core::membership::{Call, Settings, Speakers};
+use roseshore_core::membership::{DigestCall, DigestSchedule, Settings};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, MemberState, Members, Reports};
+use roseshore_ports::inside::{MemberState, Members, PeerHandler, ReportStore};
 use roseshore_ports::outside::Peers;
-use roseshore_wire::peer::{Ask, Digest, Reply, Summary};
+use roseshore_wire::peer::{Digest, PeerReply, PeerRequest, Summary};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -34,7 +34,7 @@
     /// The links.
     pub peers: Arc<dyn Peers>,
     /// The reports of the own data centre's targets.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// The bounds that the members go by.
     pub settings: Settings,
 }
@@ -50,12 +50,12 @@
     pub summaries: Vec<Summary>,
 }
 
-/// The running driver; put it among the [`Answers`] that serve peers.
+/// The running driver; put it among the [`PeerHandler`] that serve peers.
 pub struct PeerDriver {
     members: Arc<MemberDriver>,
     peers: Arc<dyn Peers>,
-    reports: Arc<dyn Reports>,
-    speakers: Mutex<Speakers>,
+    reports: Arc<dyn ReportStore>,
+    schedule: Mutex<DigestSchedule>,
     far: Mutex<BTreeMap<DataCentreId, FarLoad>>,
     learn: flume::Sender<Learned>,
     stopped: AtomicBool,
@@ -79,7 +79,7 @@
             members: parts.members,
             peers: parts.peers,
             reports: parts.reports,
-            speakers: Mutex::new(Speakers::new(own, parts.settings)),
+            schedule: Mutex::new(DigestSchedule::new(own, parts.settings)),
             far: Mutex::new(BTreeMap::new()),
             learn,
             stopped: AtomicBool::new(false),
@@ -112,21 +112,21 @@
             }
             let far = self.members.far();
             let place = |subject: &str| self.members.place(subject);
-            let calls = self.speakers.lock().tick(far, place, Instant::now());
+            let calls = self.schedule.lock().tick(far, place, Instant::now());
             for call in calls {
                 self.call(call);
             }
         }
     }
 
-    fn call(&self, call: Call) {
-        let ask = Ask::Digests { digests: vec![self.digest()], speaker: true };
-        if let Ok(Reply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
+    fn call(&self, call: DigestCall) {
+        let ask = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
+        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
             self.learned(digests);
             return;
         }
         metrics::counter!("roseshore_digests_failed_total").increment(1);
-        self.speakers.lock().failed(&call.data_centre, Instant::now());
+        self.schedule.lock().failed(&call.data_centre, Instant::now());
     }
 
     /// Takes digests from another data centre, and lets the own one know.
@@ -142,7 +142,7 @@
         for digest in digests {
             let data_centre = digest.data_centre.clone();
             self.members.take_digest(digest.members.clone());
-            self.speakers.lock().heard(&data_centre, told);
+            self.schedule.lock().heard(&data_centre, told);
             let summaries = digest.summaries.clone();
             let load = FarLoad { data_centre: data_centre.clone(), told, summaries };
             self.far.lock().insert(data_centre, load);
@@ -157,7 +157,7 @@
                 let near = member.data_centre == own.data_centre && member.host != own.host;
                 if near && member.state != MemberState::Suspect {
                     let digests = aged(&digests, at.elapsed());
-                    let ask = Ask::Digests { digests, speaker: false };
+                    let ask = PeerRequest::Digests { digests, speaker: false };
                     // A loss is made good by the next digest.
                     let _ = self.peers.ask(member.peer, &ask, LIMIT);
                 }
@@ -174,15 +174,15 @@
     }
 }
 
-impl Answers for PeerDriver {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
-        let Ask::Digests { digests, speaker } = ask else { return None };
+impl PeerHandler for PeerDriver {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Digests { digests, speaker } = ask else { return None };
         if !speaker {
             self.take(digests, Instant::now());
-            return Some(Reply::Done);
+            return Some(PeerReply::Done);
         }
         self.learned(digests.clone());
-        Some(Reply::Digests { digests: vec![self.digest()] })
+        Some(PeerReply::Digests { digests: vec![self.digest()] })
     }
 }
 
--- a/crates/roseshored/tests/advisory.rs
+++ b/crates/roseshored/tests/advisory.rs
@@ -6,7 +6,7 @@
 use fakes::*;
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::End;
+use roseshore_ports::inside::RequestEnd;
 use roseshore_ports::outside::CallError;
 use std::thread;
 
@@ -36,7 +36,7 @@
 }
 
 /// The end of the request that the case is about; it comes after the caller has its answer.
-fn ended(daemon: &Daemon) -> End {
+fn ended(daemon: &Daemon) -> RequestEnd {
     let limit = Instant::now() + PATIENCE;
     loop {
         let ends = daemon.ledger.wait(1);
@@ -127,7 +127,7 @@
     Case { name: "target lost", flags: &[], act: |d| play(d, lost(), false), told: Some("verdict=may_have_run") },
     Case { name: "cut in the stream", flags: &[], act: |d| play(d, Play::Cut(2), true), told: Some("verdict=may_have_run") },
     Case { name: "panic", flags: &[], act: |d| play(d, Play::Panic, false), told: Some("verdict=may_have_run") },
-    Case { name: "gate panics", flags: &[], act: |d| { *d.gate.panics.lock() = true; ask(d, "", false) }, told: Some("verdict=not_run code=RS503") },
+    Case { name: "admission panics", flags: &[], act: |d| { *d.admission.panics.lock() = true; ask(d, "", false) }, told: Some("verdict=not_run code=RS503") },
     Case { name: "key refused", flags: &[], act: |d| { *d.claims.key.lock() = Key1::Refuse(Refusal::may_have_run(Code::KeyUnknown, "x")); ask(d, "idempotency-key: k\r\n", false) }, told: Some("verdict=may_have_run code=RS402") },
     Case { name: "source silent", flags: &[], act: |d| look(d, "other"), told: Some("code=RS602") },
     Case { name: "host leaving", flags: &[], act: |d| { d.drain.start(); ask(d, "", false) }, told: Some("verdict=not_run code=RS204") },
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -4,17 +4,17 @@
 use roseshore_adapters::engine::EngineClient;
 use roseshore_adapters::platform::HttpPlatform;
 use roseshore_core::fleet::TargetKind;
-use roseshore_core::order::giver::GiverBounds;
 use roseshore_core::order::lease::LeaseTimes;
 use roseshore_core::order::placement::PlacementBounds;
+use roseshore_core::order::reconciler::ReconcilerLimits;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineSettings};
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
 pub(crate) use roseshore_fakes::wait::wait_until as wait;
 use roseshore_ports::inside::{
-    Fleets, InForce, Member, MemberState, Members, Report, ReportContent, Reports,
+    ActiveConfig, ConfigSource, Member, MemberState, Members, Report, ReportContent, ReportStore,
 };
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Role, Stage,
 };
@@ -33,17 +33,18 @@
 pub(crate) fn times(ttl: Duration) -> OrderTimes {
     let lease = LeaseTimes { ttl, renew: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
     let soon = Duration::from_millis(100);
-    let giver = GiverBounds { again: soon, quiet: soon, ..GiverBounds::default() };
-    let placement = PlacementBounds { hold: soon, ..PlacementBounds::default() };
-    OrderTimes { lease, giver, placement, ..OrderTimes::default() }
+    let reconciler =
+        ReconcilerLimits { retry_after: soon, propagation: soon, ..ReconcilerLimits::default() };
+    let placement = PlacementBounds { min_duration: soon, ..PlacementBounds::default() };
+    OrderTimes { lease, reconciler, placement, ..OrderTimes::default() }
 }
 
 /// One daemon's view of the configuration.
 struct View(Mutex<Arc<Fleet>>);
 
-impl Fleets for View {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: self.0.lock().clone(), offset: 1, digest: 0 })
+impl ConfigSource for View {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: self.0.lock().clone(), offset: 1, digest: 0 })
     }
 }
 
@@ -86,8 +87,8 @@
 /// Asks the engines whenever reports are wanted, so that none is late.
 struct Polls(Vec<(TargetId, SocketAddr)>);
 
-impl Reports for Polls {
-    fn take(&self, _: Report) {}
+impl ReportStore for Polls {
+    fn store(&self, _: Report) {}
 
     fn newest(&self) -> Vec<Report> {
         let poll = |(target, addr): &(TargetId, SocketAddr)| {
@@ -117,7 +118,7 @@
 }
 
 impl Engine for Gate {
-    fn load(&self, addr: SocketAddr, limit: Duration) -> Called<Load> {
+    fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load> {
         self.client.load(addr, limit)
     }
 
@@ -126,27 +127,27 @@
         addr: SocketAddr,
         ask: &Generate,
         deadline: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         self.client.generate(addr, ask, deadline)
     }
 
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> Called<()> {
+    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()> {
         self.client.cancel(addr, ask, limit)
     }
 
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> Called<Kv> {
+    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv> {
         self.client.export(addr, ask, limit)
     }
 
-    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> Called<()> {
+    fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()> {
         self.client.import(addr, kv, limit)
     }
 
-    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> Called<CacheEvents> {
+    fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents> {
         self.client.cache(addr, from, limit)
     }
 
-    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> Called<Holding> {
+    fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding> {
         if order.role == Role::Both {
             *self.waiting.lock() += 1;
             while *self.shut.lock() {
