--- a/crates/roseshore_relay/src/entry/blocked_requests.rs
+++ b/crates/roseshore_relay/src/entry/blocked_requests.rs
@@ -59,7 +59,7 @@
     fn read_blocked(&mut self) {
         self.blocked_records.in_flight = true;
         let request = self.platform.read_blocked(self.blocked_records.last_key.as_deref());
-        self.call(Purpose::Blocked, self.settings.store_addr, &request, STORE_TIMEOUT);
+        self.call(Purpose::ReadBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
     /// Handles the reply to a read of a page of records.
@@ -119,7 +119,7 @@
         log_event!(self, BlockedWritten, "written={} dropped={}", missing.len(), outdated.len());
         self.blocked_records.in_flight = true;
         let request = self.platform.write_blocked(&records);
-        self.call(Purpose::PutBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
+        self.call(Purpose::WriteBlocked, self.settings.store_addr, &request, STORE_TIMEOUT);
     }
 
     /// Handles the reply to a write. If it failed, the next read finds the records missing and
--- a/crates/roseshore_relay/src/entry/calls.rs
+++ b/crates/roseshore_relay/src/entry/calls.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
     /// Reads a page of the newest record of each key. Pages after the first belong to this era.
-    Newest(Stream, Option<Era>),
+    Latest(Stream, Option<Era>),
     /// Reads the records from a position on; the store waits up to this long for a new one.
     Read(Stream, Position, Duration),
     /// Asks a target for a report, before an order or to see whether one is done.
@@ -27,9 +27,9 @@
     /// Asks a target for a report to learn its pace.
     Pace(TargetId),
     /// Reads a page of the records of blocked requests.
-    Blocked,
+    ReadBlocked,
     /// Writes records of blocked requests.
-    PutBlocked,
+    WriteBlocked,
     /// Orders a target to hold these layers.
     Place(TargetId, (Layer, Layer)),
 }
@@ -168,14 +168,14 @@
             self.apply_reply_feedback(id, reply);
         }
         match purpose {
-            Purpose::Newest(stream, era) => self.newest_received(stream, sent, era, reply),
+            Purpose::Latest(stream, era) => self.latest_received(stream, sent, era, reply),
             Purpose::Read(stream, from, wait) => {
-                self.records_received(stream, sent, from, wait, reply);
+                self.read_received(stream, sent, from, wait, reply);
             }
             Purpose::Report(id) => self.report_received(&id, reply),
             Purpose::Pace(id) => self.pace_received(&id, reply),
-            Purpose::Blocked => self.blocked_page_received(reply),
-            Purpose::PutBlocked => self.blocked_write_done(reply),
+            Purpose::ReadBlocked => self.blocked_page_received(reply),
+            Purpose::WriteBlocked => self.blocked_write_done(reply),
             Purpose::Place(id, layers) => self.order_reply(&id, layers, reply),
         }
     }
--- a/crates/roseshore_relay/src/entry/dispatch.rs
+++ b/crates/roseshore_relay/src/entry/dispatch.rs
@@ -126,25 +126,25 @@
         let remaining = exchange.deadline.saturating_duration_since(self.now);
         let wire_path: Vec<(SocketAddr, Hop)> =
             choice.path.iter().map(|(_, addr, hop)| (*addr, *hop)).collect();
-        let carried = ForwardedFields {
+        let forwarded = ForwardedFields {
             remaining,
             target: &choice.target,
             organisation: exchange.organisation.as_deref(),
             last_event: exchange.delivery.last_id,
             path: &wire_path,
         };
-        let fields = self.platform.forwarded_headers(&exchange.head.fields, &carried);
+        let fields = self.platform.forwarded_headers(&exchange.head.fields, &forwarded);
         let mut out = Vec::with_capacity(1024 + exchange.body.len());
         let head = &exchange.head;
         http::write_request(&mut out, &head.method, &head.path, &fields, exchange.body.len());
         out.extend_from_slice(&exchange.body);
         let text = format!(
             "request={} fingerprint={} send={} {} prompt={} left_ms={}",
-            exchange.asked.attempt,
+            exchange.request_fields.attempt,
             exchange.fingerprint,
             exchange.sends,
             choice.log_text(),
-            exchange.asked.prompt_tokens,
+            exchange.request_fields.prompt_tokens,
             remaining.as_millis(),
         );
         if let Some(hash) = self.targets.hash(&choice.target) {
@@ -275,7 +275,7 @@
         let expected = expected_tokens(exchange, spec.mean_answer);
         let path_request = PathRequest {
             layers: spec.layers,
-            prompt_tokens: f64::from(exchange.asked.prompt_tokens) + written,
+            prompt_tokens: f64::from(exchange.request_fields.prompt_tokens) + written,
             answer_tokens: (expected - written).max(spec.event_tokens),
             data_centre,
             avoided: &avoid,
@@ -330,7 +330,7 @@
         let text = format!(
             "request={} fingerprint={} target={} path={path} fault={} verdict={} sends={} \
              waited_ms={waited} events={} kept={} status={} rest_ms={} leaving={} suspects={}",
-            exchange.asked.attempt,
+            exchange.request_fields.attempt,
             exchange.fingerprint,
             send.target,
             fault.name(),
@@ -417,7 +417,7 @@
 /// Expected number of tokens of an answer: the caller's estimate or else the usual number, within
 /// the caller's maximum.
 fn expected_tokens(exchange: &Exchange, default: f64) -> f64 {
-    let guess = exchange.asked.length_hint.map_or(default, f64::from);
-    let max_tokens = f64::from(exchange.asked.max_tokens);
+    let guess = exchange.request_fields.length_hint.map_or(default, f64::from);
+    let max_tokens = f64::from(exchange.request_fields.max_tokens);
     if max_tokens > 0.0 { guess.min(max_tokens) } else { guess }
 }
--- a/crates/roseshore_relay/src/entry/exchange.rs
+++ b/crates/roseshore_relay/src/entry/exchange.rs
@@ -34,7 +34,7 @@
     pub(super) caller: Key,
     pub(super) head: RequestHead,
     pub(super) body: Vec<u8>,
-    pub(super) asked: RequestFields,
+    pub(super) request_fields: RequestFields,
     pub(super) route: Arc<Route>,
     pub(super) service: Arc<ServiceSpec>,
     pub(super) organisation: Option<OrganisationId>,
@@ -116,15 +116,15 @@
         head: RequestHead,
         body: Vec<u8>,
     ) -> Result<Key, Refused> {
-        let asked = match self.platform.read_request(&head.fields) {
-            Ok(asked) => asked,
+        let request_fields = match self.platform.read_request(&head.fields) {
+            Ok(request_fields) => request_fields,
             Err(err) => {
                 let refusal = Refusal::not_run(Code::BadRequest, err.to_string());
                 return Err(self.log_refusal(refusal, None));
             }
         };
-        let attempt = asked.attempt.clone();
-        match self.admit(caller, head, body, asked) {
+        let attempt = request_fields.attempt.clone();
+        match self.admit(caller, head, body, request_fields) {
             Ok(exchange) => {
                 let until = exchange.deadline;
                 let now = self.now;
@@ -161,7 +161,7 @@
         caller: Key,
         head: RequestHead,
         body: Vec<u8>,
-        asked: RequestFields,
+        request_fields: RequestFields,
     ) -> Result<Exchange, Refusal> {
         let Some(snapshot) = self.snapshot.clone() else {
             let refusal = Refusal::not_run(Code::NoConfiguration, "no configuration yet");
@@ -170,23 +170,24 @@
         let host = http::field(&head.fields, "host").unwrap_or("");
         let route = snapshot.route(host, &head.path).cloned();
         let route = route.map_err(|denied| self.denial_refusal(denied))?;
-        let organisation = snapshot.authorise(&route, asked.api_key.as_deref());
+        let organisation = snapshot.authorise(&route, request_fields.api_key.as_deref());
         let organisation = organisation.map_err(|denied| self.denial_refusal(denied))?;
         let organisation = organisation.map(|o| o.name.clone());
         if self.config_outdated() || (organisation.is_some() && !self.config_current()) {
             return Err(self.unconfirmed_refusal());
         }
-        let service = route.service(&asked.attempt).and_then(|name| snapshot.service(name));
+        let service =
+            route.service(&request_fields.attempt).and_then(|name| snapshot.service(name));
         let Some(service) = service.cloned() else {
             let text = format!("route `{}` has no service", route.name);
             return Err(Refusal::not_run(Code::NoTarget, text).after(self.with_jitter(RETRY_AFTER)));
         };
-        if route.kind.is_stream() && !self.ends_before_exit(&asked, &service) {
+        if route.kind.is_stream() && !self.ends_before_exit(&request_fields, &service) {
             let refusal = Refusal::not_run(Code::Draining, "this host is leaving");
             return Err(refusal.after(self.with_jitter(RETRY_ELSEWHERE)));
         }
-        let deadline =
-            self.earliest_arrival + asked.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+        let deadline = self.earliest_arrival
+            + request_fields.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
         if deadline <= self.now {
             let text = "the request's time was over before this host looked at it";
             return Err(Refusal::not_run(Code::TooLate, text).after(self.with_jitter(RETRY_AFTER)));
@@ -215,17 +216,17 @@
             waiting_since: None,
             permit_wait: None,
             send: None,
-            delivery: Delivery { last_id: asked.last_event, ..Delivery::default() },
-            asked,
+            delivery: Delivery { last_id: request_fields.last_event, ..Delivery::default() },
+            request_fields,
         })
     }
 
     /// Whether a stream is expected to end before this host has to exit.
-    fn ends_before_exit(&self, asked: &RequestFields, service: &ServiceSpec) -> bool {
+    fn ends_before_exit(&self, request_fields: &RequestFields, service: &ServiceSpec) -> bool {
         let Some(left) = self.grace_left() else { return true };
         let mean_answer = service.engine.as_ref().map_or(0.0, |engine| engine.mean_answer);
-        let guess = asked.length_hint.map_or(mean_answer, f64::from);
-        self.pace.ends_within(guess, f64::from(asked.max_tokens), left)
+        let guess = request_fields.length_hint.map_or(mean_answer, f64::from);
+        self.pace.ends_within(guess, f64::from(request_fields.max_tokens), left)
     }
 
     /// The refusal of a request that the configuration denies. While the configuration is not known
@@ -286,7 +287,7 @@
         let Some(exchange) = self.exchanges.get(key) else { return };
         let end = failure::failure_reply(&exchange.retry_state(now));
         let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
-        let attempt = exchange.asked.attempt.clone();
+        let attempt = exchange.request_fields.attempt.clone();
         let engine = exchange.service.engine.is_some();
         let fingerprint = exchange.fingerprint;
         let code = match end {
@@ -330,7 +331,7 @@
     /// Ends an exchange whose caller closed its connection, and cancels the send in flight.
     pub(super) fn caller_left(&mut self, key: Key) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let (attempt, events) = (exchange.asked.attempt.clone(), exchange.delivery.events);
+        let (attempt, events) = (exchange.request_fields.attempt.clone(), exchange.delivery.events);
         let held = self.now.saturating_duration_since(exchange.started).as_millis();
         log_event!(self, CallerLeft, "request={attempt} events={events} held_ms={held}");
         self.close_exchange(key, 0, "the caller left");
@@ -357,7 +358,7 @@
             "request={} fingerprint={} route={} kind={} aim_ms={} pause_aim_ms={} organisation={} \
              service={} config_version={} sends={} verdict={} code={code} events={} first_ms={} pause_ms={} \
              took_ms={} why={why:?}",
-            exchange.asked.attempt,
+            exchange.request_fields.attempt,
             exchange.fingerprint,
             exchange.route.name,
             exchange.route.kind.name(),
--- a/crates/roseshore_relay/src/entry/fatal.rs
+++ b/crates/roseshore_relay/src/entry/fatal.rs
@@ -51,7 +51,7 @@
         }
         let broken = BrokenSend {
             fingerprint: exchange.fingerprint,
-            attempt: exchange.asked.attempt.clone(),
+            attempt: exchange.request_fields.attempt.clone(),
             targets,
             early: is_early(send, self.now),
             at: self.now,
--- a/crates/roseshore_relay/src/entry/rate_limits.rs
+++ b/crates/roseshore_relay/src/entry/rate_limits.rs
@@ -246,7 +246,7 @@
     /// Logs that a request was not sent to a target because of its limit.
     fn log_passed_over(&mut self, key: Key, choice: &Choice, why: &str, wait: Duration) {
         let Some(exchange) = self.exchanges.get(key) else { return };
-        let (attempt, target) = (&exchange.asked.attempt, choice.target());
+        let (attempt, target) = (&exchange.request_fields.attempt, choice.target());
         let hash = self.targets.hash(target);
         let limit = hash.and_then(|hash| self.rate_limits.limits.rate(hash, self.now));
         let text = format!(
--- a/crates/roseshore_relay/src/entry/responses.rs
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -79,7 +79,7 @@
         self.apply_feedback(key, head.status, &feedback);
         let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
         let Some(send) = exchange.send.as_mut() else { return Step::Finished };
-        if feedback.attempt.as_ref().is_some_and(|a| *a != exchange.asked.attempt) {
+        if feedback.attempt.as_ref().is_some_and(|a| *a != exchange.request_fields.attempt) {
             send.phase = Phase::Stale(BodyDecoder::new(head.framing));
             return Step::Continue;
         }
@@ -240,7 +240,7 @@
         let Some(exchange) = self.exchanges.get(key) else { return };
         let sent =
             exchange.send.as_ref().map(|send| self.now.saturating_duration_since(send.sent_at));
-        let (attempt, age) = (&exchange.asked.attempt, millis(sent));
+        let (attempt, age) = (&exchange.request_fields.attempt, millis(sent));
         let text = format!("target={target} by=answer request={attempt} sent_ms_ago={age}");
         log_event!(self, TargetBack, "{text}");
     }
@@ -259,7 +259,7 @@
     fn begin_stream(&mut self, key: Key, head: &ResponseHead) {
         let Some(exchange) = self.exchanges.get_mut(key) else { return };
         if exchange.delivery.started {
-            let attempt = exchange.asked.attempt.clone();
+            let attempt = exchange.request_fields.attempt.clone();
             let after = exchange.delivery.last_id.unwrap_or(0);
             log_event!(self, AnswerResumed, "request={attempt} after={after}");
             return;
--- a/crates/roseshore_relay/src/entry/store_sync.rs
+++ b/crates/roseshore_relay/src/entry/store_sync.rs
@@ -202,7 +202,7 @@
             let since = progress.pages.as_ref().and_then(|p| p.last_key.clone());
             let request = self.platform.read_latest(stream, since.as_deref());
             let era = since.map(|_| era);
-            self.call(Purpose::Newest(stream, era), store, &request, STORE_TIMEOUT);
+            self.call(Purpose::Latest(stream, era), store, &request, STORE_TIMEOUT);
         }
     }
 
@@ -260,7 +260,7 @@
         let reads = |purpose: &Purpose| {
             matches!(
                 purpose,
-                Purpose::Read(Stream::Config, ..) | Purpose::Newest(Stream::Config, _)
+                Purpose::Read(Stream::Config, ..) | Purpose::Latest(Stream::Config, _)
             )
         };
         self.cancel_calls(reads);
@@ -324,7 +324,7 @@
     }
 
     /// Handles the reply to a read of newest records.
-    pub(super) fn newest_received(
+    pub(super) fn latest_received(
         &mut self,
         stream: Stream,
         sent: Instant,
@@ -385,7 +385,7 @@
     }
 
     /// Handles the reply to a read from an offset.
-    pub(super) fn records_received(
+    pub(super) fn read_received(
         &mut self,
         stream: Stream,
         sent: Instant,
@@ -395,7 +395,7 @@
     ) {
         let Some(reply) = self.store_replied(stream, Some(from.era), reply) else { return };
         match self.platform.read_reply(&reply) {
-            Ok(reading) => self.reading_received(stream, sent, from.next, wait, reading),
+            Ok(batch) => self.batch_received(stream, sent, from.next, wait, batch),
             Err(StoreFault::Trimmed) => {
                 let progress = self.store_sync.stream(stream);
                 progress.next = None;
@@ -406,25 +406,25 @@
     }
 
     /// Applies the records from an offset on.
-    fn reading_received(
+    fn batch_received(
         &mut self,
         stream: Stream,
         sent: Instant,
         from: Offset,
         wait: Duration,
-        mut reading: ReadBatch,
+        mut batch: ReadBatch,
     ) {
         self.store_available(stream);
         let now = self.now;
         let progress = self.store_sync.stream(stream);
-        let empty = reading.entries.is_empty();
+        let empty = batch.entries.is_empty();
         let known = progress.next.unwrap_or(0);
-        let next = known.max(from + reading.entries.len() as u64);
+        let next = known.max(from + batch.entries.len() as u64);
         // A copy that reaches further may have been received during the read. Records that it
         // covers are skipped, so that older ones do not replace newer ones.
         let covered = known.saturating_sub(from) as usize;
-        reading.entries.drain(..covered.min(reading.entries.len()));
-        let caught_up = next >= reading.end;
+        batch.entries.drain(..covered.min(batch.entries.len()));
+        let caught_up = next >= batch.end;
         progress.next = Some(next);
         if stream == Stream::Targets && caught_up {
             progress.due = Some(now + TARGETS_INTERVAL);
@@ -433,7 +433,7 @@
         }
         match stream {
             Stream::Config => {
-                let newest = self.apply_configs(reading.entries.into_iter().flatten());
+                let newest = self.apply_configs(batch.entries.into_iter().flatten());
                 if newest.is_some() {
                     self.update_store_behind(newest);
                 }
@@ -451,7 +451,7 @@
                 let next = Position { era: self.store_sync.era, next };
                 self.store_sync.list = Some(next);
                 self.targets.advance_to(next);
-                for entry in reading.entries {
+                for entry in batch.entries {
                     match entry {
                         Some(Record { key, value: Some(value) }) => self.apply_record(&key, &value),
                         Some(Record { key, value: None }) => self.remove_record(&key),
--- a/crates/roseshore_relay/src/entry/target_feedback.rs
+++ b/crates/roseshore_relay/src/entry/target_feedback.rs
@@ -25,7 +25,7 @@
         }
         let Some(exchange) = self.exchanges.get(key) else { return };
         let Some(send) = &exchange.send else { return };
-        let by = format!("request={}", exchange.asked.attempt);
+        let by = format!("request={}", exchange.request_fields.attempt);
         let incarnation =
             |id: &TargetId| send.incarnations.iter().find(|(known, _)| known == id).cloned();
         let first = incarnation(&send.target);
@@ -35,8 +35,10 @@
             .and_then(|(id, _)| incarnation(id));
         let later = faulty.filter(|faulty| Some(faulty) != first.as_ref());
         // For the response to an earlier request, it is not known when that was sent.
-        let own =
-            feedback.attempt.as_ref().is_none_or(|attempt| *attempt == exchange.asked.attempt);
+        let own = feedback
+            .attempt
+            .as_ref()
+            .is_none_or(|attempt| *attempt == exchange.request_fields.attempt);
         let asked = Some(send.sent_at).filter(|_| own);
         if let Some((id, hash)) = first {
             self.apply_state(&id, hash, status, feedback, &by);
@@ -45,9 +47,9 @@
         if let Some((id, hash)) = later {
             // The first target of the path passes on the pause that a later one asked for. If it
             // reports leaving, that concerns itself.
-            let rest =
+            let pause =
                 ResponseFields { retry_after: feedback.retry_after, ..ResponseFields::default() };
-            self.apply_state(&id, hash, status, &rest, &by);
+            self.apply_state(&id, hash, status, &pause, &by);
         }
     }
 
@@ -74,11 +76,11 @@
         if feedback.leaving && self.targets.mark_leaving(hash, now) {
             log_event!(self, TargetLeft, "target={id} state=leaving by=answer {by}");
         }
-        let Some(rest) = feedback.retry_after.filter(|_| PAUSE_STATUSES.contains(&status)) else {
+        let Some(pause) = feedback.retry_after.filter(|_| PAUSE_STATUSES.contains(&status)) else {
             return;
         };
-        if let Some(given) = self.targets.pause(hash, rest, now) {
-            let (asked, given) = (rest.as_millis(), given.as_millis());
+        if let Some(given) = self.targets.pause(hash, pause, now) {
+            let (asked, given) = (pause.as_millis(), given.as_millis());
             let text = format!("target={id} status={status} rest_ms={given} asked_ms={asked} {by}");
             log_event!(self, TargetRests, "{text}");
         }
