--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -218,7 +218,7 @@
                 }
             }
             Action::Unresponsive(target) => {
-                self.publish(target, ReportContent::Silent, Instant::now())
+                self.publish(target, ReportContent::Silent, Instant::now());
             }
             Action::Down(target) => event!(Event::TargetLost, "target={target} does not answer"),
             Action::Up(target) => event!(Event::TargetBack, "target={target} answers"),
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -154,14 +154,12 @@
     fn read(&self) -> bool {
         let from = self.lease_client.lock().state().next_offset();
         let read = read_to_end(&*self.parts.log, &self.stream, from, |met| {
-            let mut lease_client = self.lease_client.lock();
+            let mut lease = self.lease_client.lock();
             match met {
-                Batch::Records(records) => {
-                    records.iter().for_each(|it| take(&mut lease_client, it))
-                }
-                Batch::Trimmed(oldest) => lease_client.skip_to(oldest),
+                Batch::Records(records) => records.iter().for_each(|it| take(&mut lease, it)),
+                Batch::Trimmed(oldest) => lease.skip_to(oldest),
             }
-            Ok(lease_client.state().next_offset())
+            Ok(lease.state().next_offset())
         });
         read.is_ok()
     }
