--- a/crates/roseshored/src/claims/guard.rs
+++ b/crates/roseshored/src/claims/guard.rs
@@ -1,10 +1,11 @@
-//! A won key in the hands of a caller.
+//! Guard that ends a won claim on every path.
 
 use roseshore_ports::inside::{Claim, Claims, Outcome};
 
-/// A won key that is never left hanging: dropped before its dispatch, by a panic too, it is
-/// abandoned; dropped after it without an outcome, it is recorded as not known.
-pub struct Won<'a> {
+/// A won claim that always gets an end. If the guard is dropped before dispatch, also by a panic, the
+/// claim is abandoned; if it is dropped after dispatch without an outcome, the outcome is recorded as
+/// unknown.
+pub struct ClaimGuard<'a> {
     claims: &'a dyn Claims,
     claim: Claim,
     state: GuardState,
@@ -17,13 +18,14 @@
     Ended,
 }
 
-impl<'a> Won<'a> {
-    /// Guards a claim.
-    pub fn new(claims: &'a dyn Claims, claim: Claim) -> Won<'a> {
-        Won { claims, claim, state: GuardState::Open }
+impl<'a> ClaimGuard<'a> {
+    /// Takes over a claim that was won and not dispatched yet.
+    pub fn new(claims: &'a dyn Claims, claim: Claim) -> ClaimGuard<'a> {
+        ClaimGuard { claims, claim, state: GuardState::Open }
     }
 
-    /// Whether the first byte may be sent now; see [`Claims::dispatch`].
+    /// Requests permission to send the first byte; see [`Claims::dispatch`]. The first result holds for
+    /// all later calls.
     pub fn dispatch(&mut self) -> bool {
         if self.state == GuardState::Open {
             let granted = self.claims.dispatch(&self.claim);
@@ -32,19 +34,19 @@
         self.state == GuardState::Dispatched
     }
 
-    /// Whether something may have been sent.
+    /// Whether dispatch was granted, so that a target may have received the work.
     pub fn dispatched(&self) -> bool {
         self.state == GuardState::Dispatched
     }
 
-    /// Records the end.
+    /// Records the outcome of the work.
     pub fn settle(mut self, outcome: Outcome) {
         self.state = GuardState::Ended;
         self.claims.settle(&self.claim, outcome);
     }
 }
 
-impl Drop for Won<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         match self.state {
             GuardState::Open => self.claims.abandon(&self.claim),
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -7,7 +7,7 @@
 
 use crate::app::Drain;
 use crate::event;
-use crate::stream::{Met, read_on};
+use crate::log_reader::{Batch, read_to_end};
 use parking_lot::Mutex;
 use roseshore_core::order::desired::{desired, spares};
 use roseshore_core::order::lease::{LeaseClient, LeaseRecord, LeaseTimes};
@@ -153,13 +153,13 @@
     /// Reads the stream up to its end; `false` when the log does not answer.
     fn read(&self) -> bool {
         let from = self.lease_client.lock().state().next_offset();
-        let read = read_on(&*self.parts.log, &self.stream, from, |met| {
-            let mut lease_client = self.lease_client.lock();
+        let read = read_to_end(&*self.parts.log, &self.stream, from, |met| {
+            let mut lease = self.lease_client.lock();
             match met {
-                Met::Records(records) => records.iter().for_each(|it| take(&mut lease_client, it)),
-                Met::Trimmed(oldest) => lease_client.skip_to(oldest),
+                Batch::Records(records) => records.iter().for_each(|it| take(&mut lease, it)),
+                Batch::Trimmed(oldest) => lease.skip_to(oldest),
             }
-            Ok(lease_client.state().next_offset())
+            Ok(lease.state().next_offset())
         });
         read.is_ok()
     }
