--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -345,7 +345,7 @@
         let mut view = members(n, now);
         let from = SocketAddr::from(([10, 0, 0, 1], 8081));
         micros(|round| {
-            drop(black_box(view.on_heartbeat(from, heartbeat(1, round as u64 + 1), now)))
+            drop(black_box(view.on_heartbeat(from, heartbeat(1, round as u64 + 1), now)));
         })
     });
     let series = |cost, points| {
--- a/crates/roseshore_core/examples/config_bench.rs
+++ b/crates/roseshore_core/examples/config_bench.rs
@@ -1,7 +1,7 @@
-//! Measures the configuration's fold at today's and the target size.
+//! Measures folding of the configuration at several sizes, up to the design size.
 //!
-//! `cargo run --release -p roseshore_core --example config_bench`; ends within a minute. Each
-//! figure is the median and the 99th percentile of single calls, microseconds.
+//! Run with `cargo run --release -p roseshore_core --example config_bench`; it takes less than a
+//! minute. Prints the median and the 99th percentile of single calls, in microseconds.
 
 use roseshore_core::config::{Assembly, Decision, Outcome, Snapshot, State};
 use roseshore_core::prelude::*;
@@ -69,7 +69,7 @@
     record("base", 0, all)
 }
 
-/// Times of single calls, sorted, microseconds.
+/// Durations of single calls in microseconds, sorted.
 struct Times(Vec<f64>);
 
 impl Times {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Folds one record and demands its verdict.
+/// Folds one record, checks whether it is accepted, and returns the duration.
 fn fold(state: &mut State, data: &str, accepted: bool) -> Duration {
     let begun = Instant::now();
     let folded = state.fold(state.offset(), data);
@@ -97,7 +97,7 @@
     took
 }
 
-/// Changes one object of a kind in each round.
+/// Measures changes of one object of a kind, one per round.
 fn changes(
     state: &mut State,
     kind: &str,
--- a/crates/roseshore_core/src/config.rs
+++ b/crates/roseshore_core/src/config.rs
@@ -1,11 +1,14 @@
 //! The configuration: a pure fold over the records of one stream of the log service.
 //!
-//! A record is a [`Command`]: changes of objects, each with the version that the operator saw. The
-//! [`State`] accepts or rejects it by its place in the log alone, so every daemon that folds the
-//! same records reaches the same verdicts, and of racing commands exactly one wins each object.
-//! Records reach a daemon in any order, repeated and with holes; [`Follower`] folds them in order
-//! and only forward. [`Snapshot`] carries a state over the log's retention, [`Reader`] and [`PeerSelector`] decide who
-//! asks the log and the peers when, [`SnapshotSchedule`] who writes snapshots, and [`Submission`] what an operator may be told of a command.
+//! A record is a [`Command`]: changes of objects, each with the version that the operator saw.
+//! [`State`] accepts or rejects it by its position in the log alone. Every daemon that folds the
+//! same records therefore reaches the same decisions, and of concurrent commands exactly one
+//! changes each version of an object.
+//!
+//! Records reach a daemon in any order, with duplicates and gaps; [`Follower`] folds them in order.
+//! [`Snapshot`] preserves a state beyond the retention of the log, and [`SnapshotSchedule`] decides
+//! when this daemon writes one. [`Reader`] and [`PeerSelector`] decide when to read from the log
+//! and from which peer. [`Submission`] decides what may be reported to the operator of a command.
 
 mod check;
 mod command;
@@ -24,10 +27,12 @@
 pub use reader::{Peer, PeerSelector, ReadAction, Reader, ReaderLimits, Transition, diverged};
 pub use snapshot::{Assembly, MAX_PART_BYTES, Snapshot, SnapshotError, Tail};
 pub use snapshot_schedule::{SnapshotAction, SnapshotLimits, SnapshotSchedule};
-pub use state::{Author, Decision, Folded, Meta, Outcome, Reason, State, WINDOW, record_digest};
+pub use state::{
+    Author, Decision, FoldedRecord, Meta, Outcome, Reason, State, WINDOW, record_digest,
+};
 pub use submit::{AppendOutcome, Settled, Step, Submission};
 
-/// The stream of commands.
+/// Log stream of commands.
 pub const STREAM: &str = "config";
-/// The stream of snapshots of the fold.
+/// Log stream of snapshots of the folded state.
 pub const SNAPSHOTS: &str = "config-snapshots";
--- a/crates/roseshore_core/src/config/check.rs
+++ b/crates/roseshore_core/src/config/check.rs
@@ -1,8 +1,8 @@
-//! What makes a declared fleet valid.
+//! Validation of a declared fleet.
 //!
-//! A command is judged by the fleet that it would leave behind. [`IndexedFleet`] keeps, beside the fleet,
-//! the few counts that let one change be checked by what it touches and refers to, without a walk
-//! over all targets and organisations.
+//! A command is validated by the fleet that it would produce. [`IndexedFleet`] maintains counts
+//! beside the fleet, so that a change is checked by the objects that it changes and refers to,
+//! without visiting all targets and organisations.
 
 use super::command::{Kind, Object, ObjectKey};
 use crate::fleet::{
@@ -13,90 +13,97 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest id, bytes.
+/// Longest id, in bytes.
 pub const MAX_ID: usize = 64;
-/// The most changes of one command.
+/// Largest number of changes of one command.
 pub const MAX_CHANGES: usize = 50_000;
 const MAX_LAYERS: Layer = 1024;
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 const MAX_ADAPTERS: usize = 4096;
 
-/// What is wrong with an object.
+/// Reason why an object is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Which object.
+    /// Invalid object.
     pub key: ObjectKey,
-    /// What is wrong, and a way out.
+    /// What is invalid and how to correct it.
     pub message: String,
 }
 
-/// A fleet with the counts that its checks need.
+/// Fleet with the counts that its validation needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct IndexedFleet {
     fleet: Fleet,
-    referrers: BTreeMap<ObjectKey, u32>,
-    listeners: BTreeMap<(SocketAddr, String), u32>,
-    ranges: BTreeMap<ModelId, BTreeMap<(Layer, Layer), u32>>,
+    /// Number of references to each object.
+    reference_counts: BTreeMap<ObjectKey, u32>,
+    /// Number of targets at each address that serve the same thing.
+    listener_counts: BTreeMap<(SocketAddr, String), u32>,
+    /// Number of targets of each model with each layer range.
+    range_counts: BTreeMap<ModelId, BTreeMap<(Layer, Layer), u32>>,
 }
 
 impl IndexedFleet {
-    /// The fleet.
+    /// Fleet without the counts.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Puts or deletes an object and returns what stood there.
+    /// Replaces or deletes an object and returns its previous content.
     pub fn replace(&mut self, key: &ObjectKey, new: Option<Object>) -> Option<Object> {
         let old = self.fleet.object(key);
         if let Some(old) = &old {
-            self.count(old, false);
+            self.update_counts(old, false);
             self.fleet.remove(key);
         }
         if let Some(new) = new {
-            self.count(&new, true);
+            self.update_counts(&new, true);
             self.fleet.put(&key.id, new);
         }
         old
     }
 
-    fn count(&mut self, object: &Object, add: bool) {
+    fn update_counts(&mut self, object: &Object, add: bool) {
         for key in object.references() {
-            bump(&mut self.referrers, key, add);
+            adjust_count(&mut self.reference_counts, key, add);
         }
         let Object::Target(target) = object else { return };
-        bump(&mut self.listeners, listener(target), add);
+        adjust_count(&mut self.listener_counts, listener_key(target), add);
         if let (Some(model), Some(range)) = (&target.model, target.layers) {
-            let ranges = self.ranges.entry(model.clone()).or_default();
-            bump(ranges, range, add);
+            let ranges = self.range_counts.entry(model.clone()).or_default();
+            adjust_count(ranges, range, add);
             if ranges.is_empty() {
-                self.ranges.remove(model);
+                self.range_counts.remove(model);
             }
         }
     }
 
-    /// The first fault that changed objects brought in, given with what stood there before.
-    pub fn fault(&self, touched: &[(ObjectKey, Option<Object>)]) -> Option<Fault> {
-        let object = touched.iter().find_map(|(key, old)| self.fault_of(key, old.as_ref()));
-        object.or_else(|| self.models(touched).iter().find_map(|id| self.tiling(id)))
+    /// Returns the first fault caused by the changed objects, each with its previous content.
+    pub fn first_fault(&self, touched: &[(ObjectKey, Option<Object>)]) -> Option<Fault> {
+        let object = touched.iter().find_map(|(key, old)| self.check_key(key, old.as_ref()));
+        object
+            .or_else(|| self.affected_models(touched).iter().find_map(|id| self.check_coverage(id)))
     }
 
-    fn fault_of(&self, key: &ObjectKey, old: Option<&Object>) -> Option<Fault> {
+    fn check_key(&self, key: &ObjectKey, old: Option<&Object>) -> Option<Fault> {
         let message = match self.fleet.object(key) {
-            None => self.in_use(key),
-            Some(object) => self.object(key, &object).err().or_else(|| self.served(key, old)),
+            None => self.check_unused(key),
+            Some(object) => self
+                .check_object(key, &object)
+                .err()
+                .or_else(|| self.check_served_targets(key, old)),
         };
         message.map(|message| Fault { key: key.clone(), message })
     }
 
-    fn in_use(&self, key: &ObjectKey) -> Option<String> {
-        self.referrers.get(key)?;
+    fn check_unused(&self, key: &ObjectKey) -> Option<String> {
+        self.reference_counts.get(key)?;
         let mut objects = self.fleet.objects().into_iter();
         let (user, _) = objects.find(|(_, object)| object.references().contains(key))?;
         Some(format!("{user} still refers to {key}; change or delete it in the same command"))
     }
 
-    /// Targets of a changed service must still fit it.
-    fn served(&self, key: &ObjectKey, old: Option<&Object>) -> Option<String> {
+    /// Checks that the targets of a changed service are still valid.
+    fn check_served_targets(&self, key: &ObjectKey, old: Option<&Object>) -> Option<String> {
         let new = self.fleet.services.get(&key.id).filter(|_| key.kind == Kind::Service)?;
         let Some(Object::Service(old)) = old else { return None };
         if (old.kind, &old.sources) == (new.kind, &new.sources) {
@@ -108,12 +115,12 @@
             if serves.split('/').next() != Some(&key.id) {
                 return None;
             }
-            let why = self.serves(serves).err()?;
+            let why = self.check_serves(serves).err()?;
             Some(format!("target `{id}` no longer fits: {why}"))
         })
     }
 
-    fn models(&self, touched: &[(ObjectKey, Option<Object>)]) -> BTreeSet<ModelId> {
+    fn affected_models(&self, touched: &[(ObjectKey, Option<Object>)]) -> BTreeSet<ModelId> {
         let mut out = BTreeSet::new();
         for (key, old) in touched {
             match key.kind {
@@ -131,10 +138,10 @@
         out
     }
 
-    /// The declared ranges of a model must leave no layer without a target.
-    fn tiling(&self, id: &ModelId) -> Option<Fault> {
+    /// Checks that the declared ranges of a model leave no layer without a target.
+    fn check_coverage(&self, id: &ModelId) -> Option<Fault> {
         let layers = self.fleet.models.get(id)?.layers;
-        let ranges = self.ranges.get(id)?;
+        let ranges = self.range_counts.get(id)?;
         let key = ObjectKey::new(Kind::Model, id);
         let mut covered = 0;
         for &(first, end) in ranges.keys() {
@@ -155,7 +162,7 @@
         Some(Fault { key, message })
     }
 
-    fn object(&self, key: &ObjectKey, object: &Object) -> Result<(), String> {
+    fn check_object(&self, key: &ObjectKey, object: &Object) -> Result<(), String> {
         check_id(&key.id)?;
         if object.kind() != key.kind {
             return Err(format!("its content is a {}", object.kind().name()));
@@ -170,13 +177,13 @@
             Object::Model(it) => check_model(it),
             Object::Service(it) => check_service(it),
             Object::Organisation(it) => check_organisation(it),
-            Object::Target(it) => self.target(it),
+            Object::Target(it) => self.check_target(it),
         }
     }
 
-    fn target(&self, it: &Target) -> Result<(), String> {
+    fn check_target(&self, it: &Target) -> Result<(), String> {
         check_id(&it.host)?;
-        self.address(it)?;
+        self.check_address(it)?;
         match it.kind {
             TargetKind::Engine => check_engine(it),
             TargetKind::Service => {
@@ -184,12 +191,12 @@
                     return Err("a service replica has no `model` or `layers`".into());
                 }
                 let serves = it.serves.as_ref().ok_or("name what it `serves`")?;
-                self.serves(serves)
+                self.check_serves(serves)
             }
         }
     }
 
-    fn serves(&self, serves: &str) -> Result<(), String> {
+    fn check_serves(&self, serves: &str) -> Result<(), String> {
         let (id, source) = match serves.split_once('/') {
             Some((id, source)) => (id, Some(source)),
             None => (serves, None),
@@ -207,13 +214,13 @@
         }
     }
 
-    /// Two service replicas may share a process if they serve different things; nothing else may.
-    fn address(&self, it: &Target) -> Result<(), String> {
+    /// Checks the address: only service replicas that serve different things may share one.
+    fn check_address(&self, it: &Target) -> Result<(), String> {
         if it.addr.port() == 0 || it.addr.ip().is_unspecified() || it.addr.ip().is_multicast() {
             return Err(format!("`{}` is not an address to connect to", it.addr));
         }
-        let own = listener(it);
-        let mut here = self.listeners.range((it.addr, String::new())..);
+        let own = listener_key(it);
+        let mut here = self.listener_counts.range((it.addr, String::new())..);
         let clash = here.by_ref().take_while(|(key, _)| key.0 == it.addr).any(|(key, count)| {
             let same = *key == own;
             let engine = own.1.is_empty() || key.1.is_empty();
@@ -226,20 +233,21 @@
     }
 }
 
-/// Every fault of a whole fleet, in order of key.
+/// Returns every fault of a fleet: first those of objects, then models with gaps in their layers,
+/// each ordered by key.
 pub fn check_fleet(fleet: &Fleet) -> Vec<Fault> {
-    let mut view = IndexedFleet::default();
+    let mut indexed = IndexedFleet::default();
     let objects = fleet.objects();
     for (key, object) in &objects {
-        view.replace(key, Some(object.clone()));
+        indexed.replace(key, Some(object.clone()));
     }
     let mut faults: Vec<Fault> =
-        objects.iter().filter_map(|(key, _)| view.fault_of(key, None)).collect();
-    faults.extend(fleet.models.keys().filter_map(|id| view.tiling(id)));
+        objects.iter().filter_map(|(key, _)| indexed.check_key(key, None)).collect();
+    faults.extend(fleet.models.keys().filter_map(|id| indexed.check_coverage(id)));
     faults
 }
 
-fn bump<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K, add: bool) {
+fn adjust_count<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K, add: bool) {
     let count = counts.entry(key);
     if add {
         *count.or_default() += 1;
@@ -251,11 +259,12 @@
     }
 }
 
-fn listener(target: &Target) -> (SocketAddr, String) {
+/// Address of a target and what it serves.
+fn listener_key(target: &Target) -> (SocketAddr, String) {
     (target.addr, target.serves.clone().unwrap_or_default())
 }
 
-/// Checks an id's length and letters.
+/// Checks the length and the characters of an id.
 fn check_id(id: &str) -> Result<(), String> {
     let letter = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if id.is_empty() || id.len() > MAX_ID || !id.chars().all(letter) {
--- a/crates/roseshore_core/src/config/command.rs
+++ b/crates/roseshore_core/src/config/command.rs
@@ -1,59 +1,59 @@
-//! What operators ask for.
+//! Commands of operators: records that change objects of the configuration.
 
 use crate::fleet::{DataCentre, Fleet, Model, Organisation, Service, Target};
 use crate::ids::*;
 use serde::{Deserialize, Serialize};
 
-/// The format of records that this daemon folds; others are skipped.
+/// Record format that this daemon folds; records of other formats are skipped.
 pub const FORMAT: u32 = 1;
 
-/// One record of the configuration stream.
+/// Record of the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// The format; see [`FORMAT`].
+    /// Record format; see [`FORMAT`].
     pub format: u32,
-    /// The command; a repeat of the id is the same command.
+    /// Unique id; records with the same id are copies of one command.
     pub id: CommandId,
-    /// Who asks.
+    /// Operator who issued the command.
     pub operator: String,
     /// One past the last record that the operator's view was folded from; every copy of the
-    /// command lies at this offset or later.
+    /// command has this offset or a later one.
     pub made_at: Offset,
-    /// The changes, all or none.
+    /// Changes, applied all or none.
     pub changes: Vec<Change>,
 }
 
-/// One object put or deleted.
+/// Creation, replacement or deletion of one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// Which object.
+    /// Object to change.
     pub key: ObjectKey,
-    /// The version that the operator saw; `None` where there was no such object.
+    /// Version that the operator saw; `None` if the object did not exist.
     pub base: Option<Offset>,
-    /// The new content; `None` deletes.
+    /// New content; `None` deletes the object.
     pub put: Option<Object>,
 }
 
-/// What an object is.
+/// Kind of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// A zone of machines.
+    /// Data centre.
     DataCentre,
-    /// A model family.
+    /// Model family.
     Model,
-    /// A named service.
+    /// Named service.
     Service,
-    /// A customer.
+    /// Organisation with its limits.
     Organisation,
-    /// A back end.
+    /// Target, such as an engine or a service replica.
     Target,
 }
 
 impl Kind {
-    /// The name used in files and messages.
+    /// Name used in files and messages.
     pub fn name(self) -> &'static str {
         match self {
             Kind::DataCentre => "data_centre",
@@ -65,18 +65,18 @@
     }
 }
 
-/// Which object.
+/// Key of an object.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ObjectKey {
-    /// What it is.
+    /// Kind of the object.
     pub kind: Kind,
-    /// Its id among its kind.
+    /// Id, unique among objects of the kind.
     pub id: String,
 }
 
 impl ObjectKey {
-    /// The key of an object.
+    /// Creates the key of an object.
     pub fn new(kind: Kind, id: impl Into<String>) -> ObjectKey {
         ObjectKey { kind, id: id.into() }
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The content of an object.
+/// Content of an object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Object {
@@ -105,7 +105,7 @@
 }
 
 impl Object {
-    /// What it is.
+    /// Returns the kind of the object.
     pub fn kind(&self) -> Kind {
         match self {
             Object::DataCentre(_) => Kind::DataCentre,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The objects that it refers to and that must therefore exist.
+    /// Returns the objects that it refers to, which must exist.
     pub fn references(&self) -> Vec<ObjectKey> {
         match self {
             Object::Model(_) | Object::Organisation(_) => Vec::new(),
@@ -139,9 +139,9 @@
     }
 }
 
-/// Reading and changing a [`Fleet`] by key.
+/// Access to the objects of a [`Fleet`] by key.
 impl Fleet {
-    /// The object of a key.
+    /// Returns a copy of the object of a key.
     pub fn object(&self, key: &ObjectKey) -> Option<Object> {
         match key.kind {
             Kind::DataCentre => self.data_centres.get(&key.id).cloned().map(Object::DataCentre),
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Puts an object in its place.
+    /// Inserts an object, or replaces the one with the same kind and id.
     pub fn put(&mut self, id: &str, object: Object) {
         let id = id.to_owned();
         match object {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Every object, in order of key.
+    /// Returns every object, ordered by key.
     pub fn objects(&self) -> Vec<(ObjectKey, Object)> {
         let mut out = Vec::new();
         let mut add = |kind, id: &String, object| out.push((ObjectKey::new(kind, id), object));
--- a/crates/roseshore_core/src/config/snapshot.rs
+++ b/crates/roseshore_core/src/config/snapshot.rs
@@ -1,44 +1,45 @@
-//! Carrying a folded state over the log's retention.
+//! Snapshots, which preserve a folded state beyond the retention of the log.
 //!
-//! A snapshot is a pure function of the state, so two daemons that write one at the same offset
-//! write the same. It is cut into [`MAX_PART_BYTES`]s, each a record of its own; [`Assembly`] puts parts of
-//! any order, repeated and mixed with those of other snapshots, together again.
+//! A snapshot is a pure function of the state, so daemons that write one at the same offset write
+//! the same records. It is split into parts of at most [`MAX_PART_BYTES`] bytes, one record each.
+//! [`Assembly`] reassembles parts that arrive in any order, repeated or mixed with those of other
+//! snapshots.
 
 use super::command::{Object, ObjectKey};
-use super::state::{Author, Deletion, Meta, Recent, State, object_hash};
+use super::state::{Author, Deletion, Meta, RecentCommand, State, object_hash};
 use crate::ids::*;
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The most bytes of one part's content.
+/// Largest content of one part, in bytes.
 pub const MAX_PART_BYTES: usize = 256 << 10;
 const FORMAT: u32 = 1;
 const MAX_PARTS: u32 = 4096;
-/// Unfinished snapshots that are kept; older ones are dropped first.
-const MAX_UNFINISHED: usize = 4;
+/// Number of incomplete snapshots that are kept; those with the lowest offset are dropped first.
+const MAX_INCOMPLETE: usize = 4;
 
 quick_error! {
-    /// Why a snapshot cannot be used.
+    /// Why a snapshot is unusable.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum SnapshotError {
-        /// It cannot be read.
+        /// The snapshot cannot be parsed.
         Unreadable(why: String) {
             display("the snapshot cannot be read: {why}")
         }
-        /// Its format is not known here.
+        /// The format is unknown to this daemon.
         Format(got: u32) {
             display("the snapshot has format {got}, this daemon reads {FORMAT}")
         }
-        /// Its content does not have the digest that it names.
+        /// The content does not have the digest stated in its parts.
         Digest(offset: Offset) {
             display("the snapshot at offset {offset} does not match its digest")
         }
     }
 }
 
-/// A checked snapshot.
+/// Snapshot whose digest has been verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Snapshot {
     state: State,
@@ -51,7 +52,7 @@
     chain: u64,
     digest: u64,
     objects: Vec<Entry>,
-    recent: BTreeMap<CommandId, Recent>,
+    recent: BTreeMap<CommandId, RecentCommand>,
     gone: Vec<(ObjectKey, Deletion)>,
 }
 
@@ -74,17 +75,17 @@
 }
 
 impl Snapshot {
-    /// The state that it carries.
+    /// State at the snapshot's offset.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The records that carry a state, equal for equal states.
+    /// Returns the snapshot records of a state, equal for equal states.
     pub fn records(state: &State) -> Vec<String> {
         let digest = state.digest();
         let text = content(state, digest);
-        let cuts = cuts(&text);
-        let parts = cuts.len() as u32;
+        let pieces = pieces(&text);
+        let parts = pieces.len() as u32;
         let part = |(part, data): (usize, &str)| Part {
             format: FORMAT,
             offset: state.offset,
@@ -93,11 +94,11 @@
             parts,
             data: data.to_owned(),
         };
-        let records = cuts.into_iter().enumerate().map(part);
+        let records = pieces.into_iter().enumerate().map(part);
         records.map(|it| serde_json::to_string(&it).unwrap_or_default()).collect()
     }
 
-    /// Reads and checks a snapshot's content.
+    /// Parses the content of a snapshot and verifies its digest.
     fn read(text: &str, offset: Offset, digest: u64) -> Result<Snapshot, SnapshotError> {
         let content: Content =
             serde_json::from_str(text).map_err(|err| SnapshotError::Unreadable(err.to_string()))?;
@@ -124,41 +125,42 @@
     let content = Content {
         format: FORMAT,
         offset: state.offset,
-        chain: state.chain,
+        chain: state.chained_hash,
         digest,
         objects: state.meta.iter().filter_map(entry).collect(),
         recent: state.recent.clone(),
-        gone: state.gone.iter().map(|(key, it)| (key.clone(), it.clone())).collect(),
+        gone: state.deletions.iter().map(|(key, it)| (key.clone(), it.clone())).collect(),
     };
     serde_json::to_string(&content).unwrap_or_default()
 }
 
-/// Makes the state anew, its digest included, from what the snapshot says.
+/// Rebuilds the state, including the hashes of its digest, from the content of a snapshot.
 fn rebuild(content: Content) -> State {
-    let mut state = State { offset: content.offset, chain: content.chain, ..State::default() };
+    let mut state =
+        State { offset: content.offset, chained_hash: content.chain, ..State::default() };
     for entry in content.objects {
         let hash = object_hash(&entry.key, entry.version, &entry.object);
-        state.sum = state.sum.wrapping_add(hash);
+        state.content_sum = state.content_sum.wrapping_add(hash);
         let meta = Meta { version: entry.version, author: entry.author, hash };
-        state.view.replace(&entry.key, Some(entry.object));
+        state.indexed.replace(&entry.key, Some(entry.object));
         state.meta.insert(entry.key, meta);
     }
     for (id, recent) in content.recent {
-        state.sum = state.sum.wrapping_add(recent.hash(&id));
-        state.order.push_back((recent.offset, id.clone()));
+        state.content_sum = state.content_sum.wrapping_add(recent.hash(&id));
+        state.recent_order.push_back((recent.offset, id.clone()));
         state.recent.insert(id, recent);
     }
-    for (key, gone) in content.gone {
-        state.sum = state.sum.wrapping_add(gone.hash(&key));
-        state.gone_order.insert((gone.offset, key.clone()));
-        state.gone.insert(key, gone);
+    for (key, deletion) in content.gone {
+        state.content_sum = state.content_sum.wrapping_add(deletion.hash(&key));
+        state.deletion_order.insert((deletion.offset, key.clone()));
+        state.deletions.insert(key, deletion);
     }
-    state.order.make_contiguous().sort();
+    state.recent_order.make_contiguous().sort();
     state
 }
 
-/// Cuts a text into pieces of at most [`MAX_PART_BYTES`] bytes, between characters.
-fn cuts(text: &str) -> Vec<&str> {
+/// Splits a text at character boundaries into pieces of at most [`MAX_PART_BYTES`] bytes.
+fn pieces(text: &str) -> Vec<&str> {
     let mut out = Vec::new();
     let mut rest = text;
     while rest.len() > MAX_PART_BYTES {
@@ -170,17 +172,17 @@
     out
 }
 
-/// Parts of snapshots on their way to being whole.
+/// Reassembles snapshots from their parts.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
-    unfinished: BTreeMap<(Offset, u64), BTreeMap<u32, String>>,
+    incomplete: BTreeMap<(Offset, u64), BTreeMap<u32, String>>,
 }
 
 impl Assembly {
-    /// Takes one record of the snapshot stream; gives the snapshot that it completes.
+    /// Adds one record of the snapshot stream; returns the snapshot that it completes, if any.
     ///
     /// # Errors
-    /// When the record or the completed snapshot cannot be used; it is dropped then.
+    /// When the record or the completed snapshot is unusable; it is dropped.
     pub fn take(&mut self, data: &str) -> Result<Option<Snapshot>, SnapshotError> {
         let part: Part =
             serde_json::from_str(data).map_err(|err| SnapshotError::Unreadable(err.to_string()))?;
@@ -191,31 +193,32 @@
             return Err(SnapshotError::Unreadable("parts do not add up".into()));
         }
         let id = (part.offset, part.digest);
-        let parts = self.unfinished.entry(id).or_default();
+        let parts = self.incomplete.entry(id).or_default();
         parts.insert(part.index, part.data);
         if parts.len() < part.parts as usize {
-            while self.unfinished.len() > MAX_UNFINISHED {
-                self.unfinished.pop_first();
+            while self.incomplete.len() > MAX_INCOMPLETE {
+                self.incomplete.pop_first();
             }
             return Ok(None);
         }
-        let parts = self.unfinished.remove(&id).unwrap_or_default();
+        let parts = self.incomplete.remove(&id).unwrap_or_default();
         let text: String = parts.into_values().collect();
         Snapshot::read(&text, part.offset, part.digest).map(Some)
     }
 }
 
-/// What the last record of the snapshot stream tells of the newest snapshot.
+/// Extent of the newest snapshot, read from the last record of the snapshot stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tail {
-    /// The offset that it was folded to.
+    /// Offset of the snapshot's state.
     pub offset: Offset,
-    /// How many records it has, the last one included.
+    /// Number of its records, including the last one.
     pub parts: u32,
 }
 
 impl Tail {
-    /// Reads the last record of the stream; `None` if it is no part of a snapshot known here.
+    /// Parses the last record of the stream; `None` if it is not the last part of a snapshot in a
+    /// known format.
     pub fn read(data: &str) -> Option<Tail> {
         let part: Part = serde_json::from_str(data).ok()?;
         let whole = part.format == FORMAT && part.index + 1 == part.parts;
--- a/crates/roseshore_core/src/config/state.rs
+++ b/crates/roseshore_core/src/config/state.rs
@@ -1,4 +1,4 @@
-//! The fold itself.
+//! The state of the configuration and how a record changes it.
 
 use super::check::{IndexedFleet, MAX_CHANGES, MAX_ID};
 use super::command::{Change, Command, FORMAT, Object, ObjectKey};
@@ -9,28 +9,30 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How many offsets back a command is remembered, and how old a command's view may be.
+/// Number of offsets for which a command is remembered, and greatest age of a command's view.
 ///
-/// Every copy of a command lies at its `made_at` or later, so a copy that is not older than this
-/// finds every earlier copy among the remembered ones, and an older copy is refused.
+/// Every copy of a command has an offset of at least `made_at`. A copy at most this many offsets
+/// after `made_at` therefore finds every earlier copy among the remembered ones; a later copy is
+/// rejected.
 pub const WINDOW: Offset = 4096;
+/// Longest message of a decision, in characters.
 const MAX_MESSAGE: usize = 400;
 
-/// Who made a change.
+/// Author of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Author {
-    /// The operator.
+    /// Operator who issued the command.
     pub operator: String,
-    /// The command.
+    /// Id of the command.
     pub command: CommandId,
 }
 
-/// Where an object comes from.
+/// Origin of the current content of an object.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Meta {
-    /// The offset of the record that last changed it.
+    /// Version of the object: the offset of the record that last changed it.
     pub version: Offset,
-    /// Who changed it.
+    /// Author of that change.
     pub author: Arc<Author>,
     pub(super) hash: u64,
 }
@@ -39,22 +41,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "why")]
 pub enum Reason {
-    /// An object is not what the operator saw.
+    /// An object has another version than the operator saw.
     Conflict {
-        /// Which object.
+        /// Object with the conflict.
         key: ObjectKey,
-        /// The version that the operator saw.
+        /// Version that the operator saw.
         base: Option<Offset>,
-        /// The version that stands; `None` if there is no such object.
+        /// Current version; `None` if the object does not exist.
         version: Option<Offset>,
-        /// Who changed it, if that is still remembered.
+        /// Author of the last change; `None` if it is no longer remembered.
         winner: Option<Author>,
     },
-    /// The declaration is invalid.
+    /// The command or the fleet that it would produce is invalid.
     Invalid {
-        /// The object, if the fault is one object's.
+        /// Invalid object; `None` if the command as a whole is invalid.
         key: Option<ObjectKey>,
-        /// What is wrong, and a way out.
+        /// What is invalid and how to correct it.
         message: String,
     },
 }
@@ -79,75 +81,77 @@
     }
 }
 
-/// What became of a command.
+/// Decision on a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decision {
-    /// It is in force from its offset on.
+    /// The changes are in force from the record's offset on.
     Accepted,
-    /// It changed nothing.
+    /// The command has no effect.
     Rejected(Reason),
-    /// It changed nothing, and is so old that an earlier copy of it may be forgotten.
+    /// The command has no effect; it is so old that an earlier copy may have been forgotten.
     TooOld,
 }
 
-/// A remembered command.
+/// Command of the last [`WINDOW`] offsets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Recent {
+pub(super) struct RecentCommand {
     pub(super) offset: Offset,
     pub(super) digest: u64,
     pub(super) judged: Decision,
 }
 
-/// A deleted object, remembered so that a conflict can name who deleted it.
+/// Deletion of an object, remembered so that a conflict can name its author.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Deletion {
     pub(super) offset: Offset,
     pub(super) author: Arc<Author>,
 }
 
-/// What one record did.
+/// Result of folding one record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Folded {
-    /// Its place.
+pub struct FoldedRecord {
+    /// Offset of the record.
     pub offset: Offset,
-    /// Its command and operator, if it could be read.
+    /// Its command and operator; `None` if it is unreadable.
     pub author: Option<Author>,
-    /// What became of it.
+    /// Effect of the record.
     pub outcome: Outcome,
 }
 
-/// What became of a record.
+/// Effect of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Its command is decided.
+    /// The record decided its command.
     Decided(Decision),
-    /// The command of this id was decided at an earlier offset; this copy changed nothing.
+    /// No effect: a command with this id was decided at an earlier offset.
     Repeated {
-        /// The place of the copy that counted.
+        /// Offset of the record that decided the command.
         first: Offset,
         /// Whether both copies have the same content.
         same: bool,
     },
-    /// It is no command that this daemon can read.
+    /// No effect: this daemon cannot read the record as a command.
     Skipped {
-        /// Why.
+        /// Why the record is unreadable.
         why: String,
     },
 }
 
-/// The folded configuration.
+/// Folded configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     pub(super) offset: Offset,
-    pub(super) chain: u64,
-    pub(super) sum: u64,
-    pub(super) view: IndexedFleet,
+    /// Hash of all records folded, each seeded with the hash of those before it.
+    pub(super) chained_hash: u64,
+    /// Wrapping sum of the hashes of all objects, remembered commands and deletions.
+    pub(super) content_sum: u64,
+    pub(super) indexed: IndexedFleet,
     pub(super) meta: BTreeMap<ObjectKey, Meta>,
-    pub(super) recent: BTreeMap<CommandId, Recent>,
-    pub(super) order: VecDeque<(Offset, CommandId)>,
-    pub(super) gone: BTreeMap<ObjectKey, Deletion>,
-    pub(super) gone_order: BTreeSet<(Offset, ObjectKey)>,
+    pub(super) recent: BTreeMap<CommandId, RecentCommand>,
+    pub(super) recent_order: VecDeque<(Offset, CommandId)>,
+    pub(super) deletions: BTreeMap<ObjectKey, Deletion>,
+    pub(super) deletion_order: BTreeSet<(Offset, ObjectKey)>,
 }
 
 #[derive(Deserialize)]
@@ -161,101 +165,101 @@
         self.offset
     }
 
-    /// The declared fleet.
+    /// Declared fleet.
     pub fn fleet(&self) -> &Fleet {
-        self.view.fleet()
+        self.indexed.fleet()
     }
 
-    /// Where an object comes from.
+    /// Returns the origin of an object; `None` if it does not exist.
     pub fn meta(&self, key: &ObjectKey) -> Option<&Meta> {
         self.meta.get(key)
     }
 
-    /// What became of a remembered command, where, and the digest of its record.
+    /// Returns the offset, the record digest and the decision of a remembered command.
     pub fn decision(&self, id: &str) -> Option<(Offset, u64, &Decision)> {
         self.recent.get(id).map(|it| (it.offset, it.digest, &it.judged))
     }
 
-    /// The digest over everything folded; equal offsets must have equal digests.
+    /// Digest of the state; daemons at equal offsets must have equal digests.
     pub fn digest(&self) -> u64 {
         let mut bytes = [0; 24];
         bytes[..8].copy_from_slice(&self.offset.to_le_bytes());
-        bytes[8..16].copy_from_slice(&self.chain.to_le_bytes());
-        bytes[16..].copy_from_slice(&self.sum.to_le_bytes());
+        bytes[8..16].copy_from_slice(&self.chained_hash.to_le_bytes());
+        bytes[16..].copy_from_slice(&self.content_sum.to_le_bytes());
         xxh3_64(&bytes)
     }
 
     /// Folds the record at the next offset; any other offset is ignored.
-    pub fn fold(&mut self, offset: Offset, data: &str) -> Option<Folded> {
+    pub fn fold(&mut self, offset: Offset, data: &str) -> Option<FoldedRecord> {
         if offset != self.offset {
             return None;
         }
         self.offset += 1;
-        self.chain = xxh3_64_with_seed(data.as_bytes(), self.chain);
-        self.forget(offset.saturating_sub(WINDOW));
+        self.chained_hash = xxh3_64_with_seed(data.as_bytes(), self.chained_hash);
+        self.forget_before(offset.saturating_sub(WINDOW));
         Some(match read(offset, data) {
-            Err(why) => Folded { offset, author: None, outcome: Outcome::Skipped { why } },
-            Ok(command) => self.command(offset, command, record_digest(data)),
+            Err(why) => FoldedRecord { offset, author: None, outcome: Outcome::Skipped { why } },
+            Ok(command) => self.apply_command(offset, command, record_digest(data)),
         })
     }
 
-    fn command(&mut self, offset: Offset, command: Command, digest: u64) -> Folded {
+    fn apply_command(&mut self, offset: Offset, command: Command, digest: u64) -> FoldedRecord {
         let author = Author { operator: command.operator, command: command.id };
         if let Some(first) = self.recent.get(&author.command) {
             let (first, same) = (first.offset, first.digest == digest);
             let outcome = Outcome::Repeated { first, same };
-            return Folded { offset, author: Some(author), outcome };
+            return FoldedRecord { offset, author: Some(author), outcome };
         }
-        let judged = if offset - command.made_at > WINDOW {
+        let decision = if offset - command.made_at > WINDOW {
             Decision::TooOld
         } else {
-            match self.attempt(offset, command.changes, &author) {
+            match self.try_apply(offset, command.changes, &author) {
                 Ok(()) => Decision::Accepted,
                 Err(reason) => Decision::Rejected(reason),
             }
         };
-        let recent = Recent { offset, digest, judged: judged.clone() };
-        self.sum = self.sum.wrapping_add(recent.hash(&author.command));
+        let recent = RecentCommand { offset, digest, judged: decision.clone() };
+        self.content_sum = self.content_sum.wrapping_add(recent.hash(&author.command));
         self.recent.insert(author.command.clone(), recent);
-        self.order.push_back((offset, author.command.clone()));
-        Folded { offset, author: Some(author), outcome: Outcome::Decided(judged) }
+        self.recent_order.push_back((offset, author.command.clone()));
+        FoldedRecord { offset, author: Some(author), outcome: Outcome::Decided(decision) }
     }
 
-    fn attempt(
+    fn try_apply(
         &mut self,
         offset: Offset,
         changes: Vec<Change>,
         author: &Author,
     ) -> Result<(), Reason> {
         check_shape(&changes)?;
-        changes.iter().try_for_each(|change| self.current(change))?;
+        changes.iter().try_for_each(|change| self.check_base(change))?;
         let mut touched = Vec::with_capacity(changes.len());
         for change in changes {
-            let old = self.view.replace(&change.key, change.put);
+            let old = self.indexed.replace(&change.key, change.put);
             touched.push((change.key, old));
         }
-        if let Some(fault) = self.view.fault(&touched) {
+        if let Some(fault) = self.indexed.first_fault(&touched) {
             for (key, old) in touched {
-                self.view.replace(&key, old);
+                self.indexed.replace(&key, old);
             }
             return Err(invalid(Some(fault.key), &fault.message));
         }
         let author = Arc::new(author.clone());
         for (key, _) in touched {
-            self.mark(key, offset, &author);
+            self.record_change(key, offset, &author);
         }
         Ok(())
     }
 
-    /// Whether an object is what the operator saw.
-    fn current(&self, change: &Change) -> Result<(), Reason> {
+    /// Checks that an object has the version that the operator saw.
+    fn check_base(&self, change: &Change) -> Result<(), Reason> {
         let meta = self.meta.get(&change.key);
         let version = meta.map(|it| it.version);
         if version == change.base {
             return Ok(());
         }
-        let gone = || self.gone.get(&change.key).map(|it| &it.author);
-        let winner = meta.map(|it| &it.author).or_else(gone);
+        let deleter = || self.deletions.get(&change.key).map(|it| &it.author);
+        let winner = meta.map(|it| &it.author).or_else(deleter);
         Err(Reason::Conflict {
             key: change.key.clone(),
             base: change.base,
@@ -264,74 +268,75 @@
         })
     }
 
-    /// Notes who changed an object last.
-    fn mark(&mut self, key: ObjectKey, version: Offset, author: &Arc<Author>) {
+    /// Records the version and author of a changed or deleted object.
+    fn record_change(&mut self, key: ObjectKey, version: Offset, author: &Arc<Author>) {
         if let Some(old) = self.meta.remove(&key) {
-            self.sum = self.sum.wrapping_sub(old.hash);
+            self.content_sum = self.content_sum.wrapping_sub(old.hash);
         }
-        if let Some(object) = self.view.fleet().object(&key) {
+        if let Some(object) = self.indexed.fleet().object(&key) {
             let hash = object_hash(&key, version, &object);
-            self.sum = self.sum.wrapping_add(hash);
-            self.revive(&key);
+            self.content_sum = self.content_sum.wrapping_add(hash);
+            self.forget_deletion(&key);
             self.meta.insert(key, Meta { version, author: Arc::clone(author), hash });
         } else {
-            let gone = Deletion { offset: version, author: Arc::clone(author) };
-            self.sum = self.sum.wrapping_add(gone.hash(&key));
-            self.gone_order.insert((version, key.clone()));
-            self.gone.insert(key, gone);
+            let deletion = Deletion { offset: version, author: Arc::clone(author) };
+            self.content_sum = self.content_sum.wrapping_add(deletion.hash(&key));
+            self.deletion_order.insert((version, key.clone()));
+            self.deletions.insert(key, deletion);
         }
     }
 
-    /// Forgets that an object was deleted.
-    fn revive(&mut self, key: &ObjectKey) {
-        if let Some(gone) = self.gone.remove(key) {
-            self.sum = self.sum.wrapping_sub(gone.hash(key));
-            self.gone_order.remove(&(gone.offset, key.clone()));
+    /// Drops the deletion record of an object.
+    fn forget_deletion(&mut self, key: &ObjectKey) {
+        if let Some(deletion) = self.deletions.remove(key) {
+            self.content_sum = self.content_sum.wrapping_sub(deletion.hash(key));
+            self.deletion_order.remove(&(deletion.offset, key.clone()));
         }
     }
 
-    /// Forgets commands and deletions before an offset.
-    fn forget(&mut self, before: Offset) {
-        while let Some((_, id)) = self.order.pop_front_if(|it| it.0 < before) {
+    /// Drops the records of commands and deletions before an offset.
+    fn forget_before(&mut self, before: Offset) {
+        while let Some((_, id)) = self.recent_order.pop_front_if(|it| it.0 < before) {
             if let Some(old) = self.recent.remove(&id) {
-                self.sum = self.sum.wrapping_sub(old.hash(&id));
+                self.content_sum = self.content_sum.wrapping_sub(old.hash(&id));
             }
         }
-        while self.gone_order.first().is_some_and(|it| it.0 < before) {
-            if let Some((_, key)) = self.gone_order.pop_first() {
-                self.revive(&key);
+        while self.deletion_order.first().is_some_and(|it| it.0 < before) {
+            if let Some((_, key)) = self.deletion_order.pop_first() {
+                self.forget_deletion(&key);
             }
         }
     }
 }
 
-impl Recent {
-    /// Its part of the digest; texts stay out, so that a clearer message is no divergence.
+impl RecentCommand {
+    /// Contribution to the digest; messages are left out, so that daemons with different wording
+    /// have equal digests.
     pub(super) fn hash(&self, id: &str) -> u64 {
-        let judged = match &self.judged {
+        let decision = match &self.judged {
             Decision::Accepted => 0,
             Decision::Rejected(Reason::Conflict { .. }) => 1,
             Decision::Rejected(Reason::Invalid { .. }) => 2,
             Decision::TooOld => 3,
         };
-        let seed = self.digest.wrapping_add(judged);
+        let seed = self.digest.wrapping_add(decision);
         xxh3_64_with_seed(id.as_bytes(), seed.rotate_left(17) ^ self.offset)
     }
 }
 
 impl Deletion {
-    /// Its part of the digest.
+    /// Contribution to the digest.
     pub(super) fn hash(&self, key: &ObjectKey) -> u64 {
         xxh3_64_with_seed(key.id.as_bytes(), self.offset ^ ((key.kind as u64) << 56))
     }
 }
 
-/// The digest by which two copies of a command are told to be the same.
+/// Digest of a record, which tells whether two copies of a command have the same content.
 pub fn record_digest(data: &str) -> u64 {
     xxh3_64(data.as_bytes())
 }
 
-/// An object's part of the digest.
+/// Contribution of an object to the digest.
 pub(super) fn object_hash(key: &ObjectKey, version: Offset, object: &Object) -> u64 {
     let bytes = serde_json::to_vec(&(key, object)).unwrap_or_default();
     xxh3_64_with_seed(&bytes, version)
--- a/crates/roseshore_core/src/config/submit.rs
+++ b/crates/roseshore_core/src/config/submit.rs
@@ -1,126 +1,131 @@
-//! What an operator may be told of a command.
+//! Decides how to append a command and what to report to its operator.
 //!
-//! An append whose reply is lost may have taken effect, now or later. Since a repeat of the id is
-//! the same command, it is appended again until one reply names a place, and the fold up to there
-//! decides. Only what the fold says is told as accepted or rejected; "nothing was appended" is
-//! told only when no append was ever lost; everything else is unknown.
+//! An append whose reply is lost may have taken effect or may do so later. Records with the same id
+//! are the same command, so the record is appended again until a reply states its offset, and the
+//! fold up to that offset decides. "Accepted" and "rejected" are reported only from the fold,
+//! "nothing was appended" only if no reply was ever lost, and otherwise the result is unknown.
 
 use super::state::{Decision, Reason, State, WINDOW};
 use crate::code::Code;
 use crate::ids::*;
 use std::time::{Duration, Instant};
 
-/// Refused or unreached appends that are tried before the command is given up.
+/// Number of refused appends after which the command fails, unless a reply was lost.
 const MAX_REFUSED: u32 = 4;
-const PAUSE: Duration = Duration::from_millis(150);
+/// Delay before an append is repeated.
+const APPEND_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How an append went.
+/// Outcome of an append.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The record lies at this offset.
+    /// The record was appended at this offset.
     Appended(Offset),
-    /// Certainly nothing was appended.
+    /// The record was certainly not appended; the text is the error.
     Refused(String),
-    /// Whether it was appended is not known.
+    /// Whether the record was appended is unknown; the text is the error.
     Lost(String),
 }
 
-/// What is known of a command in the end.
+/// Final result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Settled {
-    /// It was accepted at this offset.
+    /// The command was accepted at this offset.
     Accepted(Offset),
-    /// It changed nothing and never will; the reason if the fold decided so.
+    /// The command has no effect and never will; the reason is present if the fold decided so.
     Rejected(Code, Option<Reason>, String),
-    /// Nobody here knows.
+    /// Whether the command takes effect is unknown; the text tells why.
     Unknown(String),
 }
 
-/// What to do now.
+/// Next step of a [`Submission`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Append the record, then tell [`Submission::appended`].
+    /// Append the record, then call [`Submission::appended`].
     Append,
-    /// Read the log on, then tell [`Submission::log_read`].
+    /// Read and fold new records of the log, then call [`Submission::log_read`].
     Read,
     /// Wait until then.
     Wait(Instant),
-    /// Tell the operator.
+    /// Report the result to the operator.
     Done(Settled),
 }
 
-/// One command on its way.
+/// Submission of one command.
 #[derive(Clone, Debug)]
 pub struct Submission {
     id: CommandId,
     digest: u64,
     until: Instant,
-    place: Option<Offset>,
-    lost: bool,
-    look: bool,
+    appended_at: Option<Offset>,
+    reply_lost: bool,
+    must_read: bool,
     refused: u32,
-    rest: Instant,
-    why: String,
+    next_append: Instant,
+    last_error: String,
 }
 
 impl Submission {
-    /// A command whose record has this digest, to be settled by `until`.
+    /// Creates the submission of a command whose record has this digest; it ends by `until`.
     pub fn new(id: CommandId, digest: u64, now: Instant, until: Instant) -> Submission {
         Submission {
             id,
             digest,
             until,
-            place: None,
-            lost: false,
-            look: false,
+            appended_at: None,
+            reply_lost: false,
+            must_read: false,
             refused: 0,
-            rest: now,
-            why: String::new(),
+            next_append: now,
+            last_error: String::new(),
         }
     }
 
-    /// What to do now.
+    /// Returns the step for `now`.
     pub fn next(&self, now: Instant, state: &State) -> Step {
         if let Some(settled) = self.decided(state) {
             return Step::Done(settled);
         }
-        if now >= self.until || (self.refused >= MAX_REFUSED && !self.lost) {
+        if now >= self.until || (self.refused >= MAX_REFUSED && !self.reply_lost) {
             return Step::Done(self.undecided());
         }
-        if self.place.is_some() || self.look {
+        if self.appended_at.is_some() || self.must_read {
             return Step::Read;
         }
-        if now < self.rest { Step::Wait(self.rest.min(self.until)) } else { Step::Append }
+        if now < self.next_append {
+            Step::Wait(self.next_append.min(self.until))
+        } else {
+            Step::Append
+        }
     }
 
-    /// How the append went.
+    /// Records the outcome of an append.
     pub fn appended(&mut self, now: Instant, outcome: AppendOutcome) {
-        self.rest = now + PAUSE;
+        self.next_append = now + APPEND_INTERVAL;
         match outcome {
-            AppendOutcome::Appended(offset) => self.place = Some(offset),
+            AppendOutcome::Appended(offset) => self.appended_at = Some(offset),
             AppendOutcome::Refused(why) => {
                 self.refused += 1;
-                self.why = why;
+                self.last_error = why;
             }
             AppendOutcome::Lost(why) => {
-                self.lost = true;
-                self.look = true;
-                self.why = why;
+                self.reply_lost = true;
+                self.must_read = true;
+                self.last_error = why;
             }
         }
     }
 
-    /// The log was read on, or could not be.
+    /// Records that new records of the log were read, or that reading failed.
     pub fn log_read(&mut self) {
-        self.look = false;
+        self.must_read = false;
     }
 
     fn decided(&self, state: &State) -> Option<Settled> {
         if let Some((offset, digest, decision)) = state.decision(&self.id) {
-            return Some(settle(&self.id, offset, digest == self.digest, decision));
+            return Some(outcome_of(&self.id, offset, digest == self.digest, decision));
         }
-        let place = self.place.filter(|it| *it < state.offset())?;
-        if state.offset() - place > WINDOW {
+        let offset = self.appended_at.filter(|it| *it < state.offset())?;
+        if state.offset() - offset > WINDOW {
             return Some(Settled::Unknown("it is no longer remembered".into()));
         }
         let message = "the record cannot be read as a command of this format".to_owned();
@@ -128,22 +133,26 @@
     }
 
     fn undecided(&self) -> Settled {
-        if let Some(place) = self.place {
+        if let Some(offset) = self.appended_at {
             return Settled::Unknown(format!(
-                "it lies at offset {place} of the log, which could not be read up to there in time"
+                "it lies at offset {offset} of the log, which could not be read up to there in time"
             ));
         }
-        if self.lost {
-            return Settled::Unknown(format!("the log service's reply was lost: {}", self.why));
+        if self.reply_lost {
+            return Settled::Unknown(format!(
+                "the log service's reply was lost: {}",
+                self.last_error
+            ));
         }
-        let why = if self.why.is_empty() { "no time was left" } else { &self.why };
+        let why = if self.last_error.is_empty() { "no time was left" } else { &self.last_error };
         let message = format!("nothing was appended to the log: {why}");
         Settled::Rejected(Code::LogUnreachable, None, message)
     }
 }
 
-/// What a remembered verdict says to the sender of a record, the `same` as the remembered or not.
-pub(super) fn settle(id: &str, offset: Offset, same: bool, decision: &Decision) -> Settled {
+/// Returns the result for the sender of a record; `same` tells whether the record equals the one
+/// that the decision was made on.
+pub(super) fn outcome_of(id: &str, offset: Offset, same: bool, decision: &Decision) -> Settled {
     if !same {
         let message = format!(
             "the id `{id}` belongs to another command, at offset {offset}; choose a new id"
@@ -167,10 +176,10 @@
     }
 }
 
-/// What is known of a command by its id alone.
+/// Results of commands by id.
 impl State {
-    /// The end of a remembered command.
+    /// Returns the result of a remembered command; `None` if it is not remembered.
     pub fn settled(&self, id: &str) -> Option<Settled> {
-        self.decision(id).map(|(offset, _, decision)| settle(id, offset, true, decision))
+        self.decision(id).map(|(offset, _, decision)| outcome_of(id, offset, true, decision))
     }
 }
--- a/crates/roseshore_core/tests/config.rs
+++ b/crates/roseshore_core/tests/config.rs
@@ -1,4 +1,4 @@
-//! The fold of the configuration: one verdict for each record, however the records arrive.
+//! Tests of the configuration fold: each record has one outcome, whatever order records arrive in.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -6,7 +6,7 @@
 use roseshore_core::prelude::*;
 use serde_json::{Value, json};
 
-/// Changes as `(kind, id, base, content)`; a null content deletes.
+/// Change as `(kind, id, base, content)`; a null content deletes the object.
 type Edit<'a> = (&'a str, &'a str, Option<Offset>, Value);
 
 fn command(id: &str, made_at: Offset, edits: &[Edit<'_>]) -> String {
@@ -52,13 +52,13 @@
     )
 }
 
-fn fold(records: &[String]) -> (State, Vec<Folded>) {
+fn fold(records: &[String]) -> (State, Vec<FoldedRecord>) {
     let mut state = State::default();
     let folded = (0..).zip(records).filter_map(|(offset, it)| state.fold(offset, it)).collect();
     (state, folded)
 }
 
-fn verdict(folded: &Folded) -> String {
+fn outcome_text(folded: &FoldedRecord) -> String {
     match &folded.outcome {
         Outcome::Decided(Decision::Accepted) => "accepted".into(),
         Outcome::Decided(Decision::TooOld) => "too old".into(),
@@ -68,8 +68,8 @@
     }
 }
 
-/// Records after [`base`], and what the last one's verdict contains.
-struct Verdicts {
+/// Records after [`base`], and a part of the outcome of the last one.
+struct OutcomeCase {
     name: &'static str,
     records: Vec<String>,
     last: &'static str,
@@ -77,21 +77,21 @@
 
 // One case a line.
 #[rustfmt::skip]
-fn verdicts() -> Vec<Verdicts> {
-    let one = |name, edits: &[Edit<'_>], last| Verdicts {
+fn outcome_cases() -> Vec<OutcomeCase> {
+    let one = |name, edits: &[Edit<'_>], last| OutcomeCase {
         name,
         records: vec![command("c", 1, edits)],
         last,
     };
-    let many = |name, records, last| Verdicts { name, records, last };
+    let many = |name, records, last| OutcomeCase { name, records, last };
     let put = |id, base, rate| command(id, 1, &[("organisation", "o", base, org(rate))]);
     let raw = |text: &str| vec![text.to_owned()];
     vec![
         one("a new object", &[("organisation", "o", None, org(1.0))], "accepted"),
-        many("racing creators", vec![put("x", None, 1.0), put("y", None, 2.0)], "organisation `o` is version 1, not absent as you saw it: `op-x` changed it with command `x`",),
-        many("racing changes", vec![put("x", None, 1.0), put("y", Some(1), 2.0), put("z", Some(1), 3.0)], "version 2, not version 1 as you saw it: `op-y` changed it with command `y`",),
-        many("a change of what was deleted", vec![put("x", None, 1.0), command("d", 1, &[("organisation", "o", Some(1), Value::Null)]), put("y", Some(1), 2.0)], "organisation `o` is absent, not version 1 as you saw it: `op-d`",),
-        many("deleted and made anew is another version", vec![put("x", None, 1.0), command("d", 1, &[("organisation", "o", Some(1), Value::Null)]), put("n", None, 1.0), put("y", Some(1), 2.0)], "version 3, not version 1",),
+        many("concurrent creations", vec![put("x", None, 1.0), put("y", None, 2.0)], "organisation `o` is version 1, not absent as you saw it: `op-x` changed it with command `x`",),
+        many("concurrent changes", vec![put("x", None, 1.0), put("y", Some(1), 2.0), put("z", Some(1), 3.0)], "version 2, not version 1 as you saw it: `op-y` changed it with command `y`",),
+        many("a change of a deleted object", vec![put("x", None, 1.0), command("d", 1, &[("organisation", "o", Some(1), Value::Null)]), put("y", Some(1), 2.0)], "organisation `o` is absent, not version 1 as you saw it: `op-d`",),
+        many("a recreated object has another version", vec![put("x", None, 1.0), command("d", 1, &[("organisation", "o", Some(1), Value::Null)]), put("n", None, 1.0), put("y", Some(1), 2.0)], "version 3, not version 1",),
         many("one conflict rejects every change", vec![put("x", None, 1.0), command("y", 1, &[("organisation", "p", None, org(1.0)), ("organisation", "o", None, org(1.0))]), command("z", 1, &[("organisation", "p", None, org(1.0))])], "accepted",),
         many("the same command again", vec![put("x", None, 1.0), put("x", None, 1.0)], "repeat of 1, same: true",),
         many("the same id with another content", vec![put("x", None, 1.0), put("x", Some(1), 2.0)], "repeat of 1, same: false",),
@@ -99,7 +99,7 @@
         many("another format", raw(r#"{"format":2,"id":"x","shape":[]}"#), "skipped: format 2 is not known",),
         many("no JSON", raw("{nonsense"), "skipped: no command"),
         many("an unknown field", raw(r#"{"format":1,"id":"x","operator":"o","made_at":0,"changes":[],"more":1}"#), "skipped: unreadable command",),
-        many("made after its own place", vec![command("x", 9, &[("organisation", "o", None, org(1.0))])], "skipped: made at 9",),
+        many("made after its own offset", vec![command("x", 9, &[("organisation", "o", None, org(1.0))])], "skipped: made at 9",),
         one("no change", &[], "a command has 1 to"),
         one("one object twice", &[("organisation", "o", None, org(1.0)), ("organisation", "o", None, org(2.0))], "changed twice",),
         one("deleting nothing", &[("organisation", "o", None, Value::Null)], "nothing to delete"),
@@ -108,18 +108,18 @@
         one("a model in use", &[("model", "m", Some(0), Value::Null)], "service `notes` still refers to model `m`",),
         one("a model with its users", &[("service", "notes", Some(0), Value::Null), ("target", "e0", Some(0), Value::Null), ("target", "e1", Some(0), Value::Null), ("model", "m", Some(0), Value::Null)], "accepted",),
         one("a data centre in use", &[("data_centre", "korangi", Some(0), Value::Null)], "still refers to",),
-        one("a link to nowhere", &[("data_centre", "clifton", None, json!({"region": "r", "links": {"x": 1.0}}))], "data_centre `x` is not declared",),
+        one("a link to an undeclared data centre", &[("data_centre", "clifton", None, json!({"region": "r", "links": {"x": 1.0}}))], "data_centre `x` is not declared",),
         one("a service without its model", &[("service", "s", None, json!({"kind": "model", "model": "q"}))], "model `q` is not declared; declare it",),
         one("a lookup that may run once", &[("service", "s", None, json!({"kind": "lookup", "idempotent": false}))], "a lookup is idempotent",),
         one("a source that is still served", &[("service", "crates", Some(0), json!({"kind": "lookup", "sources": ["b"]}))], "target `r0` no longer fits: service `crates` has no source `a`",),
-        one("a hole in the layers", &[("target", "e1", Some(0), Value::Null)], "no target holds layers 4..8",),
-        one("a hole by fewer layers", &[("target", "e0", Some(0), engine(1, (0, 3)))], "no target holds layers 3..4",),
+        one("a gap in the layers", &[("target", "e1", Some(0), Value::Null)], "no target holds layers 4..8",),
+        one("a gap after a smaller range", &[("target", "e0", Some(0), engine(1, (0, 3)))], "no target holds layers 3..4",),
         one("layers past the end", &[("target", "e2", None, engine(9, (4, 9)))], "holds layers 4..9, but the model has 8",),
         one("a smaller model", &[("model", "m", Some(0), json!({"layers": 7, "version": "v1"}))], "but the model has 7",),
         one("empty layers", &[("target", "e2", None, engine(9, (4, 4)))], "4..4 is empty"),
         one("overlapping engines", &[("target", "e2", None, engine(9, (2, 8)))], "accepted"),
         one("two engines at one address", &[("target", "e2", None, engine(1, (0, 4)))], "another target has the address",),
-        one("an engine beside a replica", &[("target", "e2", None, engine(3, (0, 4)))], "another target has the address",),
+        one("an engine at the address of a replica", &[("target", "e2", None, engine(3, (0, 4)))], "another target has the address",),
         one("two sources in one process", &[("target", "r1", None, replica(3, "crates/b"))], "accepted",),
         one("one source twice in one process", &[("target", "r1", None, replica(3, "crates/a"))], "another target has",),
         one("addresses swapped", &[("target", "e0", Some(0), engine(2, (0, 4))), ("target", "e1", Some(0), engine(1, (4, 8)))], "accepted",),
@@ -128,12 +128,12 @@
 }
 
 #[test]
-fn every_record_has_its_verdict() {
-    for case in verdicts() {
+fn every_record_has_its_outcome() {
+    for case in outcome_cases() {
         let mut records = vec![base()];
         records.extend(case.records);
         let (state, folded) = fold(&records);
-        let got = verdict(folded.last().expect("folded"));
+        let got = outcome_text(folded.last().expect("folded"));
         assert!(got.contains(case.last), "{}: {got}", case.name);
         if got.starts_with("rejected") || got.starts_with("skipped") {
             let (before, _) = fold(&records[..records.len() - 1]);
@@ -143,30 +143,34 @@
 }
 
 #[test]
-fn a_repeat_past_the_window_changes_nothing() {
+fn a_duplicate_past_the_window_has_no_effect() {
     struct Case {
         name: &'static str,
-        place: Offset,
+        offset: Offset,
         want: &'static str,
     }
     let create = |id: &str| command(id, 0, &[("organisation", id, None, org(1.0))]);
     let delete = command("d", 0, &[("organisation", "x", Some(0), Value::Null)]);
     let cases = [
-        Case { name: "the last remembered place", place: WINDOW, want: "repeat of 0" },
-        Case { name: "one place later", place: WINDOW + 1, want: "too old" },
-        Case { name: "long after", place: WINDOW * 2, want: "too old" },
+        Case { name: "the last remembered offset", offset: WINDOW, want: "repeat of 0" },
+        Case { name: "one offset later", offset: WINDOW + 1, want: "too old" },
+        Case { name: "long after", offset: WINDOW * 2, want: "too old" },
     ];
     for case in cases {
         let mut records = vec![create("x"), delete.clone()];
-        records.resize(case.place as usize, "noise".into());
+        records.resize(case.offset as usize, "noise".into());
         records.push(create("x"));
         let (state, folded) = fold(&records);
-        assert!(verdict(folded.last().expect("folded")).starts_with(case.want), "{}", case.name);
+        assert!(
+            outcome_text(folded.last().expect("folded")).starts_with(case.want),
+            "{}",
+            case.name
+        );
         assert!(state.fleet().organisations.is_empty(), "{}", case.name);
     }
 }
 
-/// Records that race for few objects, with repeats, foreign formats and noise among them.
+/// Records that change the same few objects, with duplicates, unknown formats and invalid records.
 fn records() -> impl Strategy<Value = Vec<String>> {
     let object = || (0..4u8, proptest::option::of(0..24u64), 0..5u8);
     let one = (0..30u8, proptest::collection::vec(object(), 1..3), 0..12u8).prop_map(
@@ -191,7 +195,7 @@
     proptest::collection::vec(one, 1..40)
 }
 
-/// One thing that reaches a daemon.
+/// Record or snapshot that reaches a daemon; the number is its offset.
 #[derive(Clone, Debug)]
 enum Arrival {
     Record(usize),
@@ -221,7 +225,7 @@
         ..ProptestConfig::default() })]
 
     #[test]
-    fn any_arrival_gives_the_fold_in_order((records, arrivals) in arrivals()) {
+    fn any_arrival_order_gives_the_same_state((records, arrivals) in arrivals()) {
         let in_order: Vec<State> = (0..=records.len()).map(|end| fold(&records[..end]).0).collect();
         let mut follower = Follower::default();
         let mut last = 0;
@@ -231,7 +235,7 @@
                 Arrival::Snapshot(at) => drop(follower.restore(&assembled(&in_order[at]))),
             }
             let state = follower.state();
-            prop_assert!(state.offset() >= last, "went back");
+            prop_assert!(state.offset() >= last, "the offset decreased");
             last = state.offset();
             prop_assert_eq!(state, &in_order[last as usize]);
             prop_assert_eq!(state.digest(), in_order[last as usize].digest());
@@ -296,14 +300,18 @@
             data: part.replacen("\"offset\":1", "\"offset\":2", 1),
             want: "Digest",
         },
-        Case { name: "cut", data: part.replacen("\\\"objects\\\"", "", 1), want: "Unreadable" },
+        Case {
+            name: "malformed content",
+            data: part.replacen("\\\"objects\\\"", "", 1),
+            want: "Unreadable",
+        },
         Case {
             name: "another format",
             data: part.replacen("\"format\":1", "\"format\":2", 1),
             want: "Format(2)",
         },
         Case {
-            name: "a part that cannot be",
+            name: "a part index out of range",
             data: part.replacen("\"index\":0", "\"index\":1", 1),
             want: "Unreadable",
         },
--- a/crates/roseshore_core/tests/config_submit.rs
+++ b/crates/roseshore_core/tests/config_submit.rs
@@ -1,4 +1,5 @@
-//! What operators are told of a command, where it is in force, and who asks for records when.
+//! Tests of reports on commands, of where a command is in force, and of the schedules for reading
+//! records and writing snapshots.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -13,34 +14,34 @@
     )
 }
 
-/// How one append goes.
+/// Behaviour of one append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Append {
-    /// Effect and reply.
+    /// The record is appended and the reply arrives.
     Replied,
-    /// Effect, but no reply.
+    /// The record is appended, but the reply is lost.
     ReplyLost,
-    /// No effect now, no reply; the effect comes after everything else.
+    /// There is no reply, and the record is appended after everything else.
     Delayed,
-    /// No effect, no reply.
+    /// There is no reply, and the record is never appended.
     Vanished,
-    /// No effect, and the log says so.
+    /// The log refuses the record.
     Refused,
 }
 use Append::*;
 
-/// The fake log, with what each append and read does.
-struct World {
-    log: Vec<String>,
+/// Fake log with the behaviour of each append and read; `true` is a successful read.
+struct FakeLog {
+    records: Vec<String>,
     delayed: Vec<String>,
     appends: Vec<Append>,
     reads: Vec<bool>,
 }
 
-impl World {
-    fn new(before: &[String], appends: &[Append], reads: &[bool]) -> World {
-        World {
-            log: before.to_vec(),
+impl FakeLog {
+    fn new(before: &[String], appends: &[Append], reads: &[bool]) -> FakeLog {
+        FakeLog {
+            records: before.to_vec(),
             delayed: vec![],
             appends: appends.to_vec(),
             reads: reads.to_vec(),
@@ -50,22 +51,22 @@
     fn append(&mut self, data: &str) -> AppendOutcome {
         let how = if self.appends.is_empty() { Refused } else { self.appends.remove(0) };
         match how {
-            Replied | ReplyLost => self.log.push(data.to_owned()),
+            Replied | ReplyLost => self.records.push(data.to_owned()),
             Delayed => self.delayed.push(data.to_owned()),
             Vanished | Refused => {}
         }
         match how {
-            Replied => AppendOutcome::Appended(self.log.len() as Offset - 1),
+            Replied => AppendOutcome::Appended(self.records.len() as Offset - 1),
             Refused => AppendOutcome::Refused("outage".into()),
             _ => AppendOutcome::Lost("timeout".into()),
         }
     }
 
-    fn readable(&mut self) -> bool {
+    fn read_succeeds(&mut self) -> bool {
         !self.reads.is_empty() && self.reads.remove(0)
     }
 
-    /// Brings one command to its end as the driver would, on a clock of its own.
+    /// Submits one command as the driver does, with a simulated clock.
     fn run(&mut self, data: &str) -> Settled {
         let start = Instant::now();
         let mut now = start;
@@ -80,8 +81,8 @@
                     submission.appended(now, outcome);
                 }
                 Step::Read => {
-                    if self.readable() {
-                        fold_on(&mut state, &self.log);
+                    if self.read_succeeds() {
+                        fold_rest(&mut state, &self.records);
                     }
                     submission.log_read();
                 }
@@ -91,16 +92,16 @@
         }
     }
 
-    /// What the log says in the end, once what was delayed has come.
-    fn truth(mut self) -> Option<Decision> {
-        self.log.append(&mut self.delayed);
+    /// Decision by the log once delayed records have been appended.
+    fn final_decision(mut self) -> Option<Decision> {
+        self.records.append(&mut self.delayed);
         let mut state = State::default();
-        fold_on(&mut state, &self.log);
+        fold_rest(&mut state, &self.records);
         state.decision(ID).map(|(_, _, judged)| judged.clone())
     }
 }
 
-fn fold_on(state: &mut State, log: &[String]) {
+fn fold_rest(state: &mut State, log: &[String]) {
     for it in &log[state.offset() as usize..] {
         state.fold(state.offset(), it);
     }
@@ -131,28 +132,28 @@
     vec![
         case("accepted", vec![], good(), &[Replied], &[true], "Accepted(0)"),
         case("invalid", vec![], record(ID, "null", "0"), &[Replied], &[true], "Rejected(CommandInvalid, Some(Invalid",),
-        case("lost the race", raced(), good(), &[Replied], &[true], "Rejected(CommandConflict, Some(Conflict",),
+        case("a concurrent command was first", raced(), good(), &[Replied], &[true], "Rejected(CommandConflict, Some(Conflict",),
         case("reply lost, accepted", vec![], good(), &[ReplyLost], &[true], "Accepted(0)"),
-        case("reply lost, log unread, sent again", vec![], good(), &[ReplyLost, Replied], &[false, true], "Accepted(0)",),
-        case("reply lost, lost the race", raced(), good(), &[ReplyLost], &[true], "Rejected(CommandConflict",),
-        case("reply lost, then out", vec![], good(), &[ReplyLost], &[], "Unknown"),
-        case("vanished, sent again", vec![], good(), &[Vanished, Replied], &[true, true], "Accepted(0)",),
-        case("vanished, then out", vec![], good(), &[Vanished], &[true, true], "Unknown"),
-        case("delayed, then out", vec![], good(), &[Delayed], &[true], "Unknown"),
-        case("out from the start", vec![], good(), &[], &[], "Rejected(LogUnreachable, None, \"nothing was appended",),
-        case("refused, then taken", vec![], good(), &[Refused, Replied], &[true], "Accepted(0)"),
+        case("reply lost, read failed, appended again", vec![], good(), &[ReplyLost, Replied], &[false, true], "Accepted(0)",),
+        case("reply lost, a concurrent command was first", raced(), good(), &[ReplyLost], &[true], "Rejected(CommandConflict",),
+        case("reply lost, then outage", vec![], good(), &[ReplyLost], &[], "Unknown"),
+        case("vanished, appended again", vec![], good(), &[Vanished, Replied], &[true, true], "Accepted(0)",),
+        case("vanished, then outage", vec![], good(), &[Vanished], &[true, true], "Unknown"),
+        case("delayed, then outage", vec![], good(), &[Delayed], &[true], "Unknown"),
+        case("outage from the start", vec![], good(), &[], &[], "Rejected(LogUnreachable, None, \"nothing was appended",),
+        case("refused, then appended", vec![], good(), &[Refused, Replied], &[true], "Accepted(0)"),
         case("refused after a lost reply", vec![], good(), &[Delayed, Refused, Refused, Refused, Refused, Refused], &[true], "Unknown",),
-        case("taken, then out", vec![], good(), &[Replied], &[], "it lies at offset 0 of the log"),
+        case("appended, then outage", vec![], good(), &[Replied], &[], "it lies at offset 0 of the log"),
         case("the id of another command", vec![record(ID, "null", "9")], good(), &[Replied], &[true], "belongs to another command, at offset 0",),
-        case("sent before by another host", vec![good()], good(), &[Replied], &[true], "Accepted(0)",),
+        case("appended before by another host", vec![good()], good(), &[Replied], &[true], "Accepted(0)",),
     ]
 }
 
 #[test]
-fn a_report_is_never_wrong() {
+fn reports_are_correct() {
     for case in cases() {
-        let mut world = World::new(&case.before, case.appends, case.reads);
-        let got = format!("{:?}", world.run(&case.sent));
+        let mut log = FakeLog::new(&case.before, case.appends, case.reads);
+        let got = format!("{:?}", log.run(&case.sent));
         assert!(got.contains(case.want), "{}: {got}", case.name);
     }
 }
@@ -162,7 +163,7 @@
         ..ProptestConfig::default() })]
 
     #[test]
-    fn no_order_of_faults_makes_a_report_wrong(
+    fn reports_are_correct_under_any_faults(
         raced in any::<bool>(),
         valid in any::<bool>(),
         appends in proptest::collection::vec(
@@ -170,44 +171,44 @@
         reads in proptest::collection::vec(any::<bool>(), 0..12),
     ) {
         let before = if raced { vec![record("first", "null", "2")] } else { vec![] };
-        let mut world = World::new(&before, &appends, &reads);
-        let settled = world.run(&record(ID, "null", if valid { "1" } else { "0" }));
-        let truth = world.truth();
+        let mut log = FakeLog::new(&before, &appends, &reads);
+        let settled = log.run(&record(ID, "null", if valid { "1" } else { "0" }));
+        let actual = log.final_decision();
         match settled {
-            Settled::Accepted(_) => prop_assert_eq!(truth, Some(Decision::Accepted)),
-            Settled::Rejected(..) => prop_assert_ne!(truth, Some(Decision::Accepted)),
+            Settled::Accepted(_) => prop_assert_eq!(actual, Some(Decision::Accepted)),
+            Settled::Rejected(..) => prop_assert_ne!(actual, Some(Decision::Accepted)),
             Settled::Unknown(_) => {}
         }
     }
 }
 
 #[test]
-fn in_force_means_every_daemon_said_so() {
+fn in_force_requires_progress_of_every_daemon() {
     struct Case {
         name: &'static str,
-        words: &'static [(&'static str, Offset)],
+        progress: &'static [(&'static str, Offset)],
         in_force: &'static [&'static str],
         unconfirmed: &'static [&'static str],
     }
     #[rustfmt::skip] // One case a line.
     let cases = [
-        Case { name: "nobody heard", words: &[], in_force: &[], unconfirmed: &["a", "b"] },
-        Case { name: "one behind", words: &[("a", 6), ("b", 6), ("b", 5)], in_force: &["a"], unconfirmed: &["b"] },
-        Case { name: "everywhere", words: &[("a", 6), ("b", 9), ("b", 6)], in_force: &["a", "b"], unconfirmed: &[] },
-        Case { name: "an undeclared place counts", words: &[("a", 6), ("c", 1), ("b", 6)], in_force: &["a", "b"], unconfirmed: &["c"] },
+        Case { name: "no progress known", progress: &[], in_force: &[], unconfirmed: &["a", "b"] },
+        Case { name: "one behind", progress: &[("a", 6), ("b", 6), ("b", 5)], in_force: &["a"], unconfirmed: &["b"] },
+        Case { name: "everywhere", progress: &[("a", 6), ("b", 9), ("b", 6)], in_force: &["a", "b"], unconfirmed: &[] },
+        Case { name: "an undeclared data centre counts", progress: &[("a", 6), ("c", 1), ("b", 6)], in_force: &["a", "b"], unconfirmed: &["c"] },
     ];
     for case in cases {
         let declared = ["a".to_owned(), "b".to_owned()];
-        let word = |it: &(&str, Offset)| Progress { data_centre: it.0.into(), offset: it.1 };
-        let words: Vec<Progress> = case.words.iter().map(word).collect();
-        let got = confirmation(5, &declared, &words);
+        let progress = |it: &(&str, Offset)| Progress { data_centre: it.0.into(), offset: it.1 };
+        let progress: Vec<Progress> = case.progress.iter().map(progress).collect();
+        let got = confirmation(5, &declared, &progress);
         assert_eq!(got.in_force, case.in_force, "{}", case.name);
         assert_eq!(got.unconfirmed, case.unconfirmed, "{}", case.name);
     }
 }
 
 #[test]
-fn the_log_is_read_by_few_and_watched_by_all() {
+fn few_daemons_long_poll_and_all_read_at_an_interval() {
     struct Case {
         name: &'static str,
         rank: Option<usize>,
@@ -218,16 +219,16 @@
     #[rustfmt::skip] // One case a line.
     let cases = [
         Case { name: "at once after the start", rank: Some(5), failures: 0, since_ms: 0, want: Some(0) },
-        Case { name: "the first too", rank: Some(0), failures: 0, since_ms: 0, want: Some(0) },
-        Case { name: "the first holds a long poll", rank: Some(0), failures: 0, since_ms: 1, want: Some(2000) },
-        Case { name: "so does the second", rank: Some(1), failures: 0, since_ms: 1, want: Some(2000) },
-        Case { name: "the third rests", rank: Some(2), failures: 0, since_ms: 4999, want: None },
-        Case { name: "and asks as a backstop", rank: Some(2), failures: 0, since_ms: 5000, want: Some(0) },
-        Case { name: "without a rank too", rank: None, failures: 0, since_ms: 5000, want: Some(0) },
+        Case { name: "the first daemon at once after the start", rank: Some(0), failures: 0, since_ms: 0, want: Some(0) },
+        Case { name: "the first long-polls", rank: Some(0), failures: 0, since_ms: 1, want: Some(2000) },
+        Case { name: "the second long-polls", rank: Some(1), failures: 0, since_ms: 1, want: Some(2000) },
+        Case { name: "the third waits", rank: Some(2), failures: 0, since_ms: 4999, want: None },
+        Case { name: "the third reads at the poll interval", rank: Some(2), failures: 0, since_ms: 5000, want: Some(0) },
+        Case { name: "without a rank at the poll interval", rank: None, failures: 0, since_ms: 5000, want: Some(0) },
         Case { name: "a pause after a failure", rank: Some(0), failures: 1, since_ms: 49, want: None },
-        Case { name: "then again", rank: Some(0), failures: 1, since_ms: 100, want: Some(0) },
+        Case { name: "the next read after the pause", rank: Some(0), failures: 1, since_ms: 100, want: Some(0) },
         Case { name: "longer pauses", rank: Some(0), failures: 4, since_ms: 300, want: None },
-        Case { name: "up to a bound", rank: Some(0), failures: 40, since_ms: 2000, want: Some(0) },
+        Case { name: "up to the longest pause", rank: Some(0), failures: 40, since_ms: 2000, want: Some(0) },
     ];
     for case in cases {
         let start = Instant::now();
@@ -236,8 +237,8 @@
             assert_eq!(reader.answered(start, false), None, "{}", case.name);
         }
         for failure in 0..case.failures {
-            let turn = reader.failed(start, 0.5);
-            assert_eq!(turn, (failure == 0).then_some(Transition::Lost), "{}", case.name);
+            let transition = reader.failed(start, 0.5);
+            assert_eq!(transition, (failure == 0).then_some(Transition::Lost), "{}", case.name);
         }
         let act = reader.next(start + Duration::from_millis(case.since_ms), case.rank);
         let got = match act {
@@ -251,14 +252,15 @@
 }
 
 #[test]
-fn records_are_pulled_from_whoever_is_ahead() {
+fn records_are_pulled_from_a_peer_that_is_ahead() {
     struct Case {
         name: &'static str,
         offset: Offset,
         failures: usize,
         want: Option<&'static str>,
     }
-    let peer = |host: &str, near, offset| Peer { host: host.into(), near, offset, digest: offset };
+    let peer =
+        |host: &str, local, offset| Peer { host: host.into(), local, offset, digest: offset };
     let peers = [
         peer("far", false, 9),
         peer("near", true, 7),
@@ -267,15 +269,15 @@
     ];
     #[rustfmt::skip] // One case a line.
     let cases = [
-        Case { name: "the near one that is furthest", offset: 3, failures: 0, want: Some("top") },
+        Case { name: "the local peer with the latest offset", offset: 3, failures: 0, want: Some("top") },
         Case { name: "the next after a failure", offset: 3, failures: 1, want: Some("near") },
-        Case { name: "a far one when no near one can", offset: 8, failures: 0, want: Some("far") },
-        Case { name: "round again", offset: 3, failures: 3, want: Some("top") },
-        Case { name: "nobody is ahead", offset: 9, failures: 2, want: None },
+        Case { name: "a remote peer when no local peer is ahead", offset: 8, failures: 0, want: Some("far") },
+        Case { name: "after all peers the first again", offset: 3, failures: 3, want: Some("top") },
+        Case { name: "no peer is ahead", offset: 9, failures: 2, want: None },
     ];
     for case in cases {
         let mut selector = PeerSelector::default();
-        (0..case.failures).for_each(|_| selector.asked(false));
+        (0..case.failures).for_each(|_| selector.record(false));
         let got = selector.next(case.offset, &peers).map(|it| it.host.as_str());
         assert_eq!(got, case.want, "{}", case.name);
     }
@@ -285,7 +287,7 @@
 }
 
 #[test]
-fn a_snapshot_is_written_when_due_by_the_first_alone() {
+fn only_the_first_daemon_writes_a_due_snapshot() {
     struct Case {
         name: &'static str,
         first: bool,
@@ -306,12 +308,12 @@
     for case in cases {
         let now = Instant::now() + minutes(60);
         let mut schedule = SnapshotSchedule::new(SnapshotLimits::default(), now);
-        let look = if case.first && case.offset > 0 {
-            SnapshotAction::Look
+        let check = if case.first && case.offset > 0 {
+            SnapshotAction::CheckNewest
         } else {
             SnapshotAction::Nothing
         };
-        assert_eq!(schedule.next(now, case.first, case.offset), look, "{}", case.name);
+        assert_eq!(schedule.next(now, case.first, case.offset), check, "{}", case.name);
         schedule.found(now, case.newest.map(|(offset, age)| (offset, minutes(age))));
         assert_eq!(schedule.next(now, case.first, case.offset), case.want, "{}", case.name);
         schedule.failed(now);
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -13,7 +13,8 @@
 use crate::event;
 use parking_lot::{Condvar, Mutex, RwLock};
 use roseshore_core::config::{
-    Assembly, Decision, Folded, Follower, Outcome, ReaderLimits, STREAM, SnapshotLimits, State,
+    Assembly, Decision, FoldedRecord, Follower, Outcome, ReaderLimits, STREAM, SnapshotLimits,
+    State,
 };
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{ActiveConfig, ConfigSource, RecordSink};
@@ -130,8 +131,8 @@
     }
 
     /// Publishes and logs what records did.
-    fn after(&self, folding: &Folding, folded: &[Folded]) {
-        let accepted = |it: &Folded| it.outcome == Outcome::Decided(Decision::Accepted);
+    fn after(&self, folding: &Folding, folded: &[FoldedRecord]) {
+        let accepted = |it: &FoldedRecord| it.outcome == Outcome::Decided(Decision::Accepted);
         if !folded.is_empty() {
             self.publish(folding, folded.iter().any(accepted));
         }
@@ -158,7 +159,7 @@
 }
 
 /// Logs and counts what one record did.
-fn tell(folded: &Folded) {
+fn tell(folded: &FoldedRecord) {
     let offset = folded.offset;
     let by = folded.author.as_ref();
     let (id, operator) = by.map_or(("", ""), |it| (it.command.as_str(), it.operator.as_str()));
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -90,7 +90,9 @@
         let offset = self.inspect(roseshore_core::config::State::offset);
         let done = match schedule.next(Instant::now(), first, offset) {
             SnapshotAction::Nothing => return,
-            SnapshotAction::Look => self.newest().map(|it| schedule.found(Instant::now(), it)),
+            SnapshotAction::CheckNewest => {
+                self.newest().map(|it| schedule.found(Instant::now(), it))
+            }
             SnapshotAction::Write => {
                 self.write_snapshot().map(|at| schedule.written(Instant::now(), at))
             }
@@ -140,7 +142,7 @@
             let member = ask.and_then(|ask| all.iter().find(|it| it.host == ask.host));
             let gave = member.map(|it| self.pull(peers, it.peer));
             if let Some(gave) = gave {
-                selector.asked(gave);
+                selector.record(gave);
             }
             if gave != Some(true) {
                 self.rest(Instant::now() + self.settings.tick);
@@ -165,7 +167,7 @@
 fn as_peer(it: &Member, members: &dyn Members) -> Peer {
     Peer {
         host: it.host.clone(),
-        near: it.data_centre == members.own().data_centre,
+        local: it.data_centre == members.own().data_centre,
         offset: it.offset,
         digest: it.digest,
     }
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -214,12 +214,16 @@
         let settings = FleetSettings {
             reader: ReaderLimits {
                 readers: 1,
-                wait: ms(100),
-                backstop: ms(400),
-                pause: ms(10),
-                most: ms(100),
+                poll_wait: ms(100),
+                poll_interval: ms(400),
+                min_backoff: ms(10),
+                max_backoff: ms(100),
+            },
+            snapshots: SnapshotLimits {
+                max_records: 8,
+                max_age: Duration::from_hours(1),
+                retry_after: ms(50),
             },
-            snapshots: SnapshotLimits { records: 8, age: Duration::from_hours(1), pause: ms(50) },
             tick: ms(10),
             peer: ms(500),
         };
