--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -10,7 +10,7 @@
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Output, Stage, Stamp,
 };
-use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, Sink, run_with};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, TokenSink, run_with};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
     }
 }
 
-impl Sink for Listener {
+impl TokenSink for Listener {
     fn token(&mut self, _: Position, _: &str) -> Result<(), CallerLeft> {
         self.hear();
         Ok(())
@@ -223,16 +223,17 @@
             }
         };
         let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-        let mut rules = AnswerSettings::default();
+        let mut settings = AnswerSettings::default();
         if warm.is_some() {
-            rules.timeouts.prefill = Duration::from_secs(20);
+            settings.timeouts.prefill = Duration::from_secs(20);
         }
         let engine = Arc::new(EngineClient::new());
-        let parts = AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), rules };
+        let parts =
+            AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), settings };
         let leave = leave.map(|at| (at, router));
         let mut listener = Listener { leave, ..Listener::default() };
         let whole = run_with(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
-        assert_eq!(whole.expect("a whole answer").count, tokens);
+        assert_eq!(whole.expect("a whole answer").token_count, tokens);
         listener
     }
 
@@ -299,11 +300,11 @@
         router,
         engine: Arc::new(Flood),
         budgets: Arc::default(),
-        rules: AnswerSettings::default(),
+        settings: AnswerSettings::default(),
     };
     let mut listener = Listener::default();
     let whole = run_with(&parts, &ask(count), question(1, count), &mut listener);
-    assert_eq!(whole.expect("a whole answer").count, count);
+    assert_eq!(whole.expect("a whole answer").token_count, count);
     let times = &listener.times;
     times[times.len() - 1] - times[0]
 }
--- a/crates/roseshored/src/answer.rs
+++ b/crates/roseshored/src/answer.rs
@@ -1,10 +1,11 @@
-//! One answer of a model, from its admission to its last token.
+//! Generation of one answer by a model, from admission to the last token.
 //!
-//! The front gives the question and a [`Sink`]; what comes back is the whole answer or a refusal
-//! that says whether it may have run. The sink is told of tokens in order, each once.
+//! The caller passes the request and a [`TokenSink`], which receives each token once and in order. The
+//! result is the complete answer, or a refusal that says whether the request may have run.
 //!
-//! Decisions are [`roseshore_core::answer::Answer`]'s. Its driver runs in the caller's thread and
-//! never waits for a target: whatever may be held up by a frozen one runs in a bounded pool.
+//! All decisions are made by the state machine [`roseshore_core::answer::Answer`]. Its driver runs in
+//! the caller's thread and never blocks on a target: calls that a frozen target could block run in a
+//! bounded thread pool.
 
 mod calls;
 mod driver;
@@ -18,104 +19,104 @@
 use roseshore_ports::outside::Engine;
 use std::sync::Arc;
 
-/// What is asked of a model.
+/// A request to a model.
 #[derive(Clone, Debug)]
 pub struct AnswerRequest {
-    /// The model.
+    /// The model's id.
     pub model: ModelId,
-    /// The version that every stage must hold.
+    /// The version that every stage of the chain must hold.
     pub version: VersionId,
-    /// The number of layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// The adapter.
+    /// The adapter to apply; `None` for the base model.
     pub adapter: Option<AdapterId>,
     /// The prompt's tokens.
     pub prompt: Vec<String>,
-    /// How many tokens the answer may have.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
     /// The W3C `traceparent` of the caller's span.
     pub trace: Option<String>,
 }
 
-/// The caller closed its connection.
+/// Error of a [`TokenSink`] whose caller has closed its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLeft;
 
-/// Takes the tokens of one answer.
-pub trait Sink {
-    /// Asked right before the first byte goes to any target, and again before every re-route.
+/// Receives the tokens of one answer.
+pub trait TokenSink {
+    /// Called right before the first byte is sent to any target, and again before every re-route.
     ///
     /// # Errors
-    /// The answer must not be sent; the refusal is its end.
+    /// On a refusal nothing is sent, and the answer ends with it.
     fn dispatch(&mut self) -> Result<(), Refusal> {
         Ok(())
     }
 
-    /// Takes the next token; positions come in order without holes.
+    /// Receives the next token; positions start at 0 and have no gaps.
     ///
     /// # Errors
-    /// The caller is gone and the work is to be cancelled.
+    /// [`CallerLeft`] cancels the work on every stage.
     fn token(&mut self, position: Position, text: &str) -> Result<(), CallerLeft>;
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedAnswer {
-    /// The text: the tokens as they came, joined without anything between them.
+    /// The tokens, concatenated without separators.
     pub text: String,
-    /// Tokens in the answer.
-    pub count: u32,
-    /// `stop` or `length`.
-    pub reason: String,
-    /// Prompt tokens that a prefix cache saved from prefill.
-    pub cached: u32,
-    /// Re-routes it took.
-    pub resumed: u32,
+    /// Number of tokens in the answer.
+    pub token_count: u32,
+    /// `stop` or `length`, as the engine reports it.
+    pub finish_reason: String,
+    /// Prompt tokens that were found in a prefix cache and needed no prefill.
+    pub cached_tokens: u32,
+    /// How often the answer moved to another chain.
+    pub reroutes: u32,
 }
 
-/// Answers one question, over as many chains as it takes within the bounds of
-/// [`roseshore_core::answer::Rules`].
+/// Generates one answer, over several chains if stages fail, within the bounds of
+/// [`AnswerSettings`].
 ///
 /// # Errors
-/// [`Verdict::NotRun`] only when no target took the answer.
+/// The refusal's verdict is [`Verdict::NotRun`] only if no target accepted the request.
 pub fn run(
     app: &App,
-    ask: &RequestInfo,
-    prompt: AnswerRequest,
-    sink: &mut dyn Sink,
+    info: &RequestInfo,
+    request: AnswerRequest,
+    sink: &mut dyn TokenSink,
 ) -> Result<CompletedAnswer, Refusal> {
     let (router, engine) = (app.router.clone(), app.engine.clone());
-    let parts = AnswerDeps {
+    let deps = AnswerDeps {
         router,
         engine,
         budgets: app.budgets.clone(),
-        rules: AnswerSettings::default(),
+        settings: AnswerSettings::default(),
     };
-    run_with(&parts, ask, prompt, sink)
+    run_with(&deps, info, request, sink)
 }
 
-/// What an answer needs of the daemon.
+/// The daemon's components that an answer needs.
 #[derive(Clone)]
 pub struct AnswerDeps {
-    /// The choice of targets.
+    /// Chooses the targets.
     pub router: Arc<dyn Router>,
-    /// Model engines.
+    /// Client of the model engines.
     pub engine: Arc<dyn Engine>,
-    /// What services may spend on retries.
+    /// Retry budgets of the services.
     pub budgets: Arc<Budgets>,
-    /// Bounds.
-    pub rules: AnswerSettings,
+    /// Time-outs and limits.
+    pub settings: AnswerSettings,
 }
 
-/// [`run`] over given parts.
+/// Like [`run`], with explicit dependencies.
 ///
 /// # Errors
-/// As [`run`].
+/// See [`run`].
 pub fn run_with(
-    parts: &AnswerDeps,
-    ask: &RequestInfo,
-    prompt: AnswerRequest,
-    sink: &mut dyn Sink,
+    deps: &AnswerDeps,
+    info: &RequestInfo,
+    request: AnswerRequest,
+    sink: &mut dyn TokenSink,
 ) -> Result<CompletedAnswer, Refusal> {
-    driver::Driver::new(parts, ask, prompt, sink).run()
+    driver::Driver::new(deps, info, request, sink).run()
 }
--- a/crates/roseshored/src/answer/calls.rs
+++ b/crates/roseshored/src/answer/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to targets on behalf of an answer, none of which the answer waits for.
+//! Asynchronous calls to targets on behalf of an answer; results come back as reports.
 
 use super::pool::{Job, Pool};
 use parking_lot::Mutex;
@@ -10,86 +10,90 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, LazyLock};
 
-/// Streams being opened at once.
-const OPENS: usize = 1024;
-/// Cancels, probes and moves at once; beyond it cancels are left out, which costs the target work
-/// that nobody reads, and probes and moves count as failed.
-const CONTROLS: usize = 128;
-/// How long a cancel may take.
-const CANCEL_LIMIT: Duration = Duration::from_millis(500);
+/// Maximum number of streams being opened at the same time, per process.
+const MAX_OPENS: usize = 1024;
+/// Maximum number of cancels, probes and cache moves at the same time, per process. Beyond it cancels
+/// are skipped, so that a target goes on with work whose result is discarded; probes yield no result
+/// and cache moves fail.
+const MAX_CONTROLS: usize = 128;
+/// Time limit of a cancel.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Threads are the process's, and so is what its links were seen to take.
+/// Thread pools and measured cache transfer costs are shared by all answers of the process.
 static SHARED: LazyLock<Shared> = LazyLock::new(|| Shared {
-    opens: Pool::new("answer-open", OPENS),
-    controls: Pool::new("answer-control", CONTROLS),
-    rates: Mutex::new(MoveCostModel::default()),
+    opens: Pool::new("answer-open", MAX_OPENS),
+    controls: Pool::new("answer-control", MAX_CONTROLS),
+    move_cost: Mutex::new(MoveCostModel::default()),
 });
 
 struct Shared {
     opens: Pool,
     controls: Pool,
-    rates: Mutex<MoveCostModel>,
+    move_cost: Mutex<MoveCostModel>,
 }
 
-/// What a call reports to the answer's driver.
+/// The result of a call, sent to the answer's driver.
 pub(super) enum Report {
-    /// An event for the machine.
+    /// An input of the state machine.
     Input(Input),
-    /// A stream's head has come.
+    /// A stream was opened: its response head has arrived.
     Opened(Epoch, flume::Receiver<StreamItem>),
 }
 
-/// Moves of KV caches for one new route.
-pub(super) struct Moves {
+/// Transfers of KV caches to the stages of a new route.
+pub(super) struct CacheMoves {
     pub(super) answer: RequestId,
     pub(super) epoch: Epoch,
-    pub(super) list: Vec<CacheMove>,
+    pub(super) caches: Vec<CacheMove>,
+    /// Time limit of each single call.
     pub(super) limit: Duration,
+    /// Tokens in the cache, for the cost model.
     pub(super) tokens: u32,
 }
 
-/// What moving KV caches was seen to take.
-pub(super) fn rates() -> MoveCostModel {
-    SHARED.rates.lock().clone()
+/// The cost of moving KV caches, as measured by this process so far.
+pub(super) fn move_cost() -> MoveCostModel {
+    SHARED.move_cost.lock().clone()
 }
 
-/// The calls of one answer.
+/// Starts the calls of one answer.
 pub(super) struct Calls {
     engine: Arc<dyn Engine>,
-    post: flume::Sender<Report>,
+    reports: flume::Sender<Report>,
 }
 
 impl Calls {
-    pub(super) fn new(engine: Arc<dyn Engine>, post: flume::Sender<Report>) -> Calls {
-        Calls { engine, post }
+    pub(super) fn new(engine: Arc<dyn Engine>, reports: flume::Sender<Report>) -> Calls {
+        Calls { engine, reports }
     }
 
-    /// Opens a stream.
-    pub(super) fn open(&self, addr: SocketAddr, ask: Generate, deadline: Instant) {
+    /// Opens a stream on the first stage; reports [`Report::Opened`] or [`Input::OpenFailed`].
+    pub(super) fn open(&self, addr: SocketAddr, request: Generate, deadline: Instant) {
         let engine = Arc::clone(&self.engine);
-        let post = self.post.clone();
-        let epoch = ask.epoch;
+        let reports = self.reports.clone();
+        let epoch = request.epoch;
         let job: Job = Box::new(move || {
-            let report = match engine.generate(addr, &ask, deadline) {
+            let report = match engine.generate(addr, &request, deadline) {
                 Ok(items) => Report::Opened(epoch, items),
                 Err(err) => Report::Input(Input::OpenFailed(epoch, failure(&err))),
             };
-            // A driver that has ended drops the stream, and with it the connection.
-            let _ = post.send(report);
+            // If the driver has ended, the stream is dropped here, which closes the connection.
+            let _ = reports.send(report);
         });
         if SHARED.opens.run(job).is_err() {
-            // This daemon is full, not the target: nothing was sent, and the target is not blamed.
+            // This daemon is overloaded, not the target: nothing was sent, and the target must not be
+            // marked as failed.
             let full = StreamFailure::Refused { status: 503, after: None };
             let input = Input::OpenFailed(epoch, full);
-            let _ = self.post.send(Report::Input(input));
+            let _ = self.reports.send(Report::Input(input));
         }
     }
 
-    /// Ends the work on a stage, best effort.
-    pub(super) fn cancel(&self, addr: SocketAddr, ask: Cancel) {
+    /// Cancels the work on a stage; failures are only counted.
+    pub(super) fn cancel(&self, addr: SocketAddr, request: Cancel) {
         let engine = Arc::clone(&self.engine);
         let job: Job = Box::new(move || {
-            if engine.cancel(addr, &ask, CANCEL_LIMIT).is_err() {
+            if engine.cancel(addr, &request, CANCEL_TIMEOUT).is_err() {
                 metrics::counter!("roseshore_answer_cancels_failed_total").increment(1);
             }
         });
@@ -98,56 +102,57 @@
         }
     }
 
-    /// Asks every stage whether it lives.
-    pub(super) fn probe(&self, epoch: Epoch, stages: &[Stage], limit: Duration) {
+    /// Checks whether each stage is alive; reports [`Input::Probed`] per stage.
+    pub(super) fn probe(&self, epoch: Epoch, stages: &[Stage], timeout: Duration) {
         for stage in stages {
             let engine = Arc::clone(&self.engine);
-            let post = self.post.clone();
+            let reports = self.reports.clone();
             let target = stage.target.clone();
             let addr = stage.addr;
             let job: Job = Box::new(move || {
-                let health = match engine.load(addr, limit) {
+                let health = match engine.load(addr, timeout) {
                     Ok(load) => ProbeResult::Alive(load.holding.incarnation),
                     Err(CallError::Unreached(_)) => ProbeResult::Dead,
                     Err(_) => ProbeResult::Silent,
                 };
-                let _ = post.send(Report::Input(Input::Probed(epoch, target, health)));
+                let _ = reports.send(Report::Input(Input::Probed(epoch, target, health)));
             });
-            // Without a thread there is no result, so no stage is blamed.
+            // Without a free thread there is no probe result, so no stage is marked as failed.
             let _ = SHARED.controls.run(job);
         }
     }
 
-    /// Brings KV caches over and reports once.
-    pub(super) fn bring(&self, moves: Moves) {
+    /// Moves KV caches and reports [`Input::Moved`] once for all of them.
+    pub(super) fn move_caches(&self, request: CacheMoves) {
         let engine = Arc::clone(&self.engine);
-        let post = self.post.clone();
-        let epoch = moves.epoch;
+        let reports = self.reports.clone();
+        let epoch = request.epoch;
         let job: Job = Box::new(move || {
-            let done = bring_all(engine.as_ref(), &moves).is_ok();
-            let _ = post.send(Report::Input(Input::Moved(epoch, done)));
+            let done = move_all(engine.as_ref(), &request).is_ok();
+            let _ = reports.send(Report::Input(Input::Moved(epoch, done)));
         });
         if SHARED.controls.run(job).is_err() {
-            let _ = self.post.send(Report::Input(Input::Moved(epoch, false)));
+            let _ = self.reports.send(Report::Input(Input::Moved(epoch, false)));
         }
     }
 }
 
-fn bring_all(engine: &dyn Engine, all: &Moves) -> CallResult<()> {
-    for one in &all.list {
-        let began = Instant::now();
-        let cancel = Cancel { answer: all.answer.clone(), epoch: all.epoch - 1, keep_kv: true };
-        engine.cancel(one.from.addr, &cancel, all.limit)?;
-        let export = KvExport { answer: all.answer.clone() };
-        let kv = engine.export(one.from.addr, &export, all.limit)?;
-        engine.import(one.to.addr, &kv, all.limit)?;
-        let layers = one.to.layers.1 - one.to.layers.0;
-        SHARED.rates.lock().observe(all.tokens, layers, began.elapsed());
+fn move_all(engine: &dyn Engine, request: &CacheMoves) -> CallResult<()> {
+    for cache in &request.caches {
+        let started = Instant::now();
+        let cancel =
+            Cancel { answer: request.answer.clone(), epoch: request.epoch - 1, keep_kv: true };
+        engine.cancel(cache.from.addr, &cancel, request.limit)?;
+        let export = KvExport { answer: request.answer.clone() };
+        let kv = engine.export(cache.from.addr, &export, request.limit)?;
+        engine.import(cache.to.addr, &kv, request.limit)?;
+        let layers = cache.to.layers.1 - cache.to.layers.0;
+        SHARED.move_cost.lock().observe(request.tokens, layers, started.elapsed());
     }
     Ok(())
 }
 
-/// What a failed call means to the machine.
+/// Translates a failed call into the state machine's terms.
 pub(super) fn failure(err: &CallError) -> StreamFailure {
     match err {
         CallError::Unreached(_) => StreamFailure::Unreachable,
--- a/crates/roseshored/src/answer/driver.rs
+++ b/crates/roseshored/src/answer/driver.rs
@@ -1,9 +1,8 @@
-//! The loop that turns streams and calls into events of the answer's machine, and its actions into
-//! calls.
+//! Event loop of one answer: feeds stream items and call results to the state machine, and executes
+//! its actions.
 
-use super::calls::{self, Calls, Moves, Report};
-
-use super::{AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, Sink};
+use super::calls::{self, CacheMoves, Calls, Report};
+use super::{AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, TokenSink};
 use crate::event;
 use flume::{Receiver, RecvError, Selector};
 use roseshore_core::answer::interval::IntervalMeter;
@@ -17,89 +16,91 @@
 use std::mem;
 use tracing::Span;
 
-/// Time between two looks at whether a stage is going away.
+/// Interval of the checks whether a stage's host is leaving.
 const LEAVE_CHECK: Duration = Duration::from_millis(250);
-/// A caller who holds up a token for longer delays the next one's silence bound.
-const HELD_UP: Duration = Duration::from_millis(1);
-/// Tokens from one hashed prefix of the prompt to the next.
+/// A delivery that blocks for longer than this restarts the time-out of the next token, because the
+/// delay is the caller's and not the chain's.
+const SLOW_DELIVERY: Duration = Duration::from_millis(1);
+/// Distance between two hashed prefixes of the prompt, in tokens.
 const PREFIX_STEP: usize = 16;
 
 /// One running answer.
 pub(super) struct Driver<'a> {
-    parts: &'a AnswerDeps,
-    ask: &'a RequestInfo,
-    prompt: AnswerRequest,
-    sink: &'a mut dyn Sink,
+    deps: &'a AnswerDeps,
+    info: &'a RequestInfo,
+    request: AnswerRequest,
+    sink: &'a mut dyn TokenSink,
     machine: Answer,
     actions: Vec<Action>,
-    spare: Vec<Action>,
+    spare_actions: Vec<Action>,
     calls: Calls,
     reports: Receiver<Report>,
     stream: Option<(Epoch, Receiver<StreamItem>)>,
     permit: Option<Permit>,
     prefixes: Vec<(u32, u64)>,
     meter: IntervalMeter,
-    look: Instant,
-    left: bool,
-    end: Option<Result<Finish, Refusal>>,
+    next_check: Instant,
+    caller_left: bool,
+    result: Option<Result<Finish, Refusal>>,
     span: Span,
-    step: Span,
+    /// The span of the current phase: open, prefill or decode.
+    phase: Span,
 }
 
-/// What the wait for the next event brought.
-enum Heard {
+/// The next event, or the end of the wait without one.
+enum Wakeup {
     Report(Report),
     Item(Epoch, StreamItem),
-    Nothing,
+    Timeout,
 }
 
 impl<'a> Driver<'a> {
     pub(super) fn new(
-        parts: &'a AnswerDeps,
-        ask: &'a RequestInfo,
-        prompt: AnswerRequest,
-        sink: &'a mut dyn Sink,
+        deps: &'a AnswerDeps,
+        info: &'a RequestInfo,
+        request: AnswerRequest,
+        sink: &'a mut dyn TokenSink,
     ) -> Driver<'a> {
         let now = Instant::now();
-        let (post, reports) = flume::unbounded();
+        let (sender, reports) = flume::unbounded();
         let mut actions = Vec::with_capacity(8);
-        let rules = AnswerSettings { move_cost: calls::rates(), ..parts.rules.clone() };
-        let machine = Answer::start(job(ask, &prompt), rules, now, &mut actions);
-        let span = tracing::info_span!("answer", request = %ask.request);
+        let settings = AnswerSettings { move_cost: calls::move_cost(), ..deps.settings.clone() };
+        let machine = Answer::start(job(info, &request), settings, now, &mut actions);
+        let span = tracing::info_span!("answer", request = %info.request);
         Driver {
-            parts,
-            ask,
+            deps,
+            info,
             sink,
             machine,
             actions,
-            spare: Vec::with_capacity(8),
-            calls: Calls::new(parts.engine.clone(), post),
+            spare_actions: Vec::with_capacity(8),
+            calls: Calls::new(deps.engine.clone(), sender),
             reports,
             stream: None,
             permit: None,
-            prefixes: prefixes(&prompt.prompt),
+            prefixes: prefix_hashes(&request.prompt),
             meter: IntervalMeter::default(),
-            prompt,
-            look: now + LEAVE_CHECK,
-            left: false,
-            end: None,
+            request,
+            next_check: now + LEAVE_CHECK,
+            caller_left: false,
+            result: None,
             span,
-            step: Span::none(),
+            phase: Span::none(),
         }
     }
 
-    /// Runs the answer to its end.
+    /// Runs the answer until it completes or is refused.
     pub(super) fn run(mut self) -> Result<CompletedAnswer, Refusal> {
-        self.act();
-        while self.end.is_none() {
-            let heard = self.hear();
-            self.take(heard);
-            self.look_for_leaving();
-            self.act();
+        self.run_actions();
+        while self.result.is_none() {
+            let wakeup = self.wait();
+            self.handle(wakeup);
+            self.check_leaving();
+            self.run_actions();
         }
-        self.count();
-        match self.end.take() {
-            Some(Ok(finish)) => Ok(self.whole(finish)),
+        self.export_counters();
+        match self.result.take() {
+            Some(Ok(finish)) => Ok(self.completed(finish)),
             Some(Err(refusal)) => Err(refusal),
             None => {
                 Err(Refusal::may_have_run(Code::Internal, "the answer ended without a verdict"))
@@ -111,46 +112,46 @@
         self.machine.handle(Instant::now(), input, &mut self.actions);
     }
 
-    fn hear(&self) -> Heard {
+    fn wait(&self) -> Wakeup {
         if let Ok(report) = self.reports.try_recv() {
-            return Heard::Report(report);
+            return Wakeup::Report(report);
         }
-        let until = self.machine.next_tick().min(self.look);
+        let deadline = self.machine.next_tick().min(self.next_check);
         let Some((epoch, items)) = &self.stream else {
-            let report = self.reports.recv_deadline(until);
-            return report.map_or(Heard::Nothing, Heard::Report);
+            let report = self.reports.recv_deadline(deadline);
+            return report.map_or(Wakeup::Timeout, Wakeup::Report);
         };
         if let Ok(item) = items.try_recv() {
-            return Heard::Item(*epoch, item);
+            return Wakeup::Item(*epoch, item);
         }
         let item = |got: Result<StreamItem, RecvError>| {
-            Heard::Item(*epoch, got.unwrap_or(StreamItem::Ended(Ok(()))))
+            Wakeup::Item(*epoch, got.unwrap_or(StreamItem::Ended(Ok(()))))
         };
-        let report = |got: Result<Report, RecvError>| got.map_or(Heard::Nothing, Heard::Report);
+        let report = |got: Result<Report, RecvError>| got.map_or(Wakeup::Timeout, Wakeup::Report);
         Selector::new()
             .recv(items, item)
             .recv(&self.reports, report)
-            .wait_deadline(until)
-            .unwrap_or(Heard::Nothing)
+            .wait_deadline(deadline)
+            .unwrap_or(Wakeup::Timeout)
     }
 
-    fn take(&mut self, heard: Heard) {
-        match heard {
-            Heard::Report(Report::Input(input)) => self.feed(input),
-            Heard::Report(Report::Opened(epoch, items)) => {
-                self.step = tracing::info_span!(parent: &self.span, "prefill", epoch);
+    fn handle(&mut self, wakeup: Wakeup) {
+        match wakeup {
+            Wakeup::Report(Report::Input(input)) => self.feed(input),
+            Wakeup::Report(Report::Opened(epoch, items)) => {
+                self.phase = tracing::info_span!(parent: &self.span, "prefill", epoch);
                 self.stream = Some((epoch, items));
                 self.feed(Input::Opened(epoch));
             }
-            Heard::Item(epoch, item) => self.take_item(epoch, item),
-            Heard::Nothing => {}
+            Wakeup::Item(epoch, item) => self.handle_item(epoch, item),
+            Wakeup::Timeout => {}
         }
         self.feed(Input::Tick);
     }
 
-    fn take_item(&mut self, epoch: Epoch, item: StreamItem) {
+    fn handle_item(&mut self, epoch: Epoch, item: StreamItem) {
         match item {
-            StreamItem::Output(output) => self.feed(input(output)),
+            StreamItem::Output(output) => self.feed(stream_input(output)),
             StreamItem::Ended(end) => {
                 self.stream = None;
                 let failure = end.err().map(|e| calls::failure(&e));
@@ -159,34 +160,34 @@
         }
     }
 
-    fn look_for_leaving(&mut self) {
+    fn check_leaving(&mut self) {
         let now = Instant::now();
-        if now < self.look {
+        if now < self.next_check {
             return;
         }
-        self.look = now + LEAVE_CHECK;
+        self.next_check = now + LEAVE_CHECK;
         let leaving =
-            self.machine.stages().iter().map(|s| &s.target).find(|t| self.parts.router.leaving(t));
+            self.machine.stages().iter().map(|s| &s.target).find(|t| self.deps.router.leaving(t));
         if let Some(target) = leaving.cloned() {
             self.feed(Input::Leaving(target));
         }
     }
 
-    /// Carries out actions until none is left; some bring new ones at once.
-    fn act(&mut self) {
+    /// Executes actions until none is left; an action may add new ones.
+    fn run_actions(&mut self) {
         while !self.actions.is_empty() {
-            let mut batch = mem::replace(&mut self.actions, mem::take(&mut self.spare));
+            let mut batch = mem::replace(&mut self.actions, mem::take(&mut self.spare_actions));
             for action in batch.drain(..) {
-                self.carry_out(action);
+                self.run_action(action);
             }
-            self.spare = batch;
+            self.spare_actions = batch;
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn run_action(&mut self, action: Action) {
         match action {
             Action::Route { charge_budget: true, .. }
-                if !self.parts.budgets.try_spend(&self.ask.service) =>
+                if !self.deps.budgets.try_spend(&self.info.service) =>
             {
                 let why = "the retry budget is spent; come back later";
                 self.feed(Input::RetryDenied(Refusal::not_run(Code::RetryBudget, why)));
@@ -201,27 +202,27 @@
             Action::Deliver(position) => self.deliver(position),
             Action::Cancel { stage, epoch, keep_cache } => {
                 let cancel =
-                    Cancel { answer: self.ask.request.clone(), epoch, keep_kv: keep_cache };
+                    Cancel { answer: self.info.request.clone(), epoch, keep_kv: keep_cache };
                 self.calls.cancel(stage.addr, cancel);
             }
             Action::Probe { epoch, limit } => {
                 self.calls.probe(epoch, self.machine.stages(), limit);
             }
             Action::Move { epoch, moves, limit } => {
-                let tokens = (self.prompt.prompt.len() + self.machine.tokens().len()) as u32;
-                let answer = self.ask.request.clone();
-                self.calls.bring(Moves { answer, epoch, list: moves, limit, tokens });
+                let tokens = (self.request.prompt.len() + self.machine.tokens().len()) as u32;
+                let answer = self.info.request.clone();
+                self.calls.move_caches(CacheMoves { answer, epoch, caches: moves, limit, tokens });
             }
-            Action::Failed(target) => self.parts.router.failed(&target),
-            Action::Log(what, text) => event!(what, "request={} {text}", self.ask.request),
+            Action::Failed(target) => self.deps.router.failed(&target),
+            Action::Log(what, text) => event!(what, "request={} {text}", self.info.request),
             Action::Finish(finish) => {
-                self.parts.budgets.record_success(&self.ask.service);
-                self.end = Some(Ok(finish));
+                self.deps.budgets.record_success(&self.info.service);
+                self.result = Some(Ok(finish));
             }
-            Action::Refuse(refusal) => self.end = Some(Err(refusal)),
+            Action::Refuse(refusal) => self.result = Some(Err(refusal)),
         }
-        if self.left {
-            self.end = self.end.take().map(|_| Err(left()));
+        if self.caller_left {
+            self.result = self.result.take().map(|_| Err(caller_left()));
         }
     }
 
@@ -231,9 +232,9 @@
         } else {
             tracing::info_span!(parent: &self.span, "route")
         };
-        let mut chain = span.in_scope(|| self.parts.router.chain(&self.need(avoid.clone())));
+        let mut chain = span.in_scope(|| self.deps.router.chain(&self.chain_needs(avoid.clone())));
         if chain.is_err() && self.change_version() {
-            chain = span.in_scope(|| self.parts.router.chain(&self.need(avoid)));
+            chain = span.in_scope(|| self.deps.router.chain(&self.chain_needs(avoid)));
         }
         let (chain, permit) = match chain {
             Ok(chosen) => chosen,
@@ -251,27 +252,27 @@
         self.feed(Input::Chosen(route));
     }
 
-    /// Goes over to the version that serves by now, if nothing of the answer has been delivered.
+    /// Switches to the version that is served now, unless a token has been delivered already.
     fn change_version(&mut self) -> bool {
-        let Some(version) = self.parts.router.version(&self.prompt.model) else { return false };
+        let Some(version) = self.deps.router.version(&self.request.model) else { return false };
         let changed =
-            version != self.prompt.version && self.machine.change_version(version.clone());
+            version != self.request.version && self.machine.change_version(version.clone());
         if changed {
-            self.prompt.version = version;
+            self.request.version = version;
         }
         changed
     }
 
-    fn need(&self, avoid: Vec<TargetId>) -> ChainNeeds {
+    fn chain_needs(&self, avoid: Vec<TargetId>) -> ChainNeeds {
         let done = self.machine.tokens().len() as u32;
         ChainNeeds {
-            model: self.prompt.model.clone(),
-            version: self.prompt.version.clone(),
-            layers: self.prompt.layers,
-            adapter: self.prompt.adapter.clone(),
+            model: self.request.model.clone(),
+            version: self.request.version.clone(),
+            layers: self.request.layers,
+            adapter: self.request.adapter.clone(),
             prefixes: self.prefixes.clone(),
-            prompt: self.prompt.prompt.len() as u32 + done,
-            expected: self.prompt.max_tokens.saturating_sub(done),
+            prompt: self.request.prompt.len() as u32 + done,
+            expected: self.request.max_tokens.saturating_sub(done),
             avoid,
         }
     }
@@ -280,90 +281,93 @@
         let route = self.machine.stages().to_vec();
         let names: Vec<&str> = route.iter().map(|s| s.target.as_str()).collect();
         let stages = names.join(">");
-        self.step = tracing::info_span!(parent: &self.span, "open", epoch, warm, stages);
+        self.phase = tracing::info_span!(parent: &self.span, "open", epoch, warm, stages);
         let addr = route[0].addr;
         self.meter.reset();
         let generate = Generate {
-            answer: self.ask.request.clone(),
+            answer: self.info.request.clone(),
             epoch,
             route,
-            model: self.prompt.model.clone(),
-            version: self.prompt.version.clone(),
-            adapter: self.prompt.adapter.clone(),
-            prompt: self.prompt.prompt.clone(),
+            model: self.request.model.clone(),
+            version: self.request.version.clone(),
+            adapter: self.request.adapter.clone(),
+            prompt: self.request.prompt.clone(),
             done: self.machine.tokens().to_vec(),
             warm,
-            max_tokens: self.prompt.max_tokens,
-            priority: self.ask.priority,
-            trace: self.prompt.trace.clone(),
+            max_tokens: self.request.max_tokens,
+            priority: self.info.priority,
+            trace: self.request.trace.clone(),
         };
-        self.calls.open(addr, generate, self.ask.deadline);
+        self.calls.open(addr, generate, self.info.deadline);
     }
 
     fn deliver(&mut self, position: Position) {
-        if self.left {
+        if self.caller_left {
             return;
         }
         if position == 0 {
-            self.step = tracing::info_span!(parent: &self.span, "decode");
+            self.phase = tracing::info_span!(parent: &self.span, "decode");
         }
-        let began = Instant::now();
+        let started = Instant::now();
         let text = &self.machine.tokens()[position as usize];
         if let Err(CallerLeft) = self.sink.token(position, text) {
-            self.left = true;
+            self.caller_left = true;
             return self.feed(Input::CallerLeft);
         }
         let now = Instant::now();
-        if now - began > HELD_UP {
-            // Tokens piled up behind the caller say nothing of the chain.
+        if now - started > SLOW_DELIVERY {
+            // Tokens buffered while the caller blocked say nothing about the chain's speed.
             self.machine.restart_timeout(now);
             self.meter.reset();
-        } else if let Some(pace) = self.meter.record_token(now) {
-            self.parts.router.record_step_time(self.machine.stages(), pace);
+        } else if let Some(interval) = self.meter.record_token(now) {
+            self.deps.router.record_step_time(self.machine.stages(), interval);
         }
     }
 
-    fn whole(&self, finish: Finish) -> CompletedAnswer {
+    fn completed(&self, finish: Finish) -> CompletedAnswer {
         let tokens = self.machine.tokens();
         CompletedAnswer {
             text: tokens.concat(),
-            count: tokens.len() as u32,
-            reason: finish.reason,
-            cached: finish.cached,
-            resumed: self.machine.counters().rerouted,
+            token_count: tokens.len() as u32,
+            finish_reason: finish.reason,
+            cached_tokens: finish.cached,
+            reroutes: self.machine.counters().rerouted,
         }
     }
 
-    fn count(&self) {
-        let tally = self.machine.counters();
-        let dropped =
-            [("stale", tally.stale), ("crossed", tally.misrouted), ("duplicate", tally.duplicates)];
+    fn export_counters(&self) {
+        let counters = self.machine.counters();
+        let dropped = [
+            ("stale", counters.stale),
+            ("crossed", counters.misrouted),
+            ("duplicate", counters.duplicates),
+        ];
         for (why, count) in dropped.into_iter().filter(|d| d.1 > 0) {
             metrics::counter!("roseshore_answer_dropped_total", "why" => why).increment(count);
         }
-        if tally.rerouted > 0 {
-            let resumed = u64::from(tally.rerouted);
-            metrics::counter!("roseshore_answer_resumed_total").increment(resumed);
+        if counters.rerouted > 0 {
+            let reroutes = u64::from(counters.rerouted);
+            metrics::counter!("roseshore_answer_resumed_total").increment(reroutes);
         }
     }
 }
 
-fn left() -> Refusal {
+fn caller_left() -> Refusal {
     Refusal::may_have_run(Code::TargetLost, "the caller left before the answer was whole")
 }
 
-fn job(ask: &RequestInfo, prompt: &AnswerRequest) -> Job {
+fn job(info: &RequestInfo, request: &AnswerRequest) -> Job {
     Job {
-        answer: ask.request.clone(),
-        layers: prompt.layers,
-        version: prompt.version.clone(),
-        prompt: prompt.prompt.len() as u32,
-        limit: prompt.max_tokens,
-        deadline: ask.deadline,
+        answer: info.request.clone(),
+        layers: request.layers,
+        version: request.version.clone(),
+        prompt: request.prompt.len() as u32,
+        limit: request.max_tokens,
+        deadline: info.deadline,
     }
 }
 
-fn input(output: Output) -> Input {
+fn stream_input(output: Output) -> Input {
     match output {
         Output::Token { answer, epoch, position, text, lineage } => {
             Input::Line(answer, epoch, StreamLine::Token { position, text, lineage })
@@ -377,17 +381,18 @@
     }
 }
 
-/// Hashes of growing prefixes, as the engines' cache events name them.
-fn prefixes(prompt: &[String]) -> Vec<(u32, u64)> {
+/// Hashes of the prompt's prefixes with their lengths in tokens, computed like the hashes in the
+/// engines' cache events.
+fn prefix_hashes(prompt: &[String]) -> Vec<(u32, u64)> {
     let mut hash = xxhash_rust::xxh3::Xxh3::new();
-    let mut all = Vec::with_capacity(prompt.len() / PREFIX_STEP + 1);
+    let mut prefixes = Vec::with_capacity(prompt.len() / PREFIX_STEP + 1);
     for (at, token) in prompt.iter().enumerate() {
         hash.update(token.as_bytes());
         hash.update(&[0]);
         let count = at + 1;
         if count % PREFIX_STEP == 0 || count == prompt.len() {
-            all.push((count as u32, hash.digest()));
+            prefixes.push((count as u32, hash.digest()));
         }
     }
-    all
+    prefixes
 }
--- a/crates/roseshored/src/answer/pool.rs
+++ b/crates/roseshored/src/answer/pool.rs
@@ -1,34 +1,34 @@
-//! Threads for calls that a frozen target may hold up.
+//! Thread pool for calls that a frozen target may block.
 //!
-//! A job goes to an idle thread, or to a new one while the bound allows. Beyond the bound a job is
-//! handed back, so that the caller decides what that means; nothing queues behind a frozen target.
+//! A job runs on an idle thread, or on a new one while the limit allows. Beyond the limit the job is
+//! handed back and the caller decides what to do; no job queues behind a frozen target.
 
 use flume::{Receiver, Sender, TrySendError};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A thread without work for this long ends.
-const IDLE: Duration = Duration::from_secs(10);
+/// A thread without work for this long exits.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Work for a pool.
+/// A unit of work.
 pub(super) type Job = Box<dyn FnOnce() + Send>;
 
 /// A bounded pool of threads.
 pub(super) struct Pool {
     name: &'static str,
-    bound: usize,
+    max_threads: usize,
     threads: Arc<AtomicUsize>,
     jobs: (Sender<Job>, Receiver<Job>),
 }
 
 impl Pool {
-    /// A pool of at most `bound` threads, none of them started yet.
-    pub(super) fn new(name: &'static str, bound: usize) -> Pool {
-        Pool { name, bound, threads: Arc::default(), jobs: flume::bounded(0) }
+    /// Creates a pool of at most `max_threads` threads; threads start on demand.
+    pub(super) fn new(name: &'static str, max_threads: usize) -> Pool {
+        Pool { name, max_threads, threads: Arc::default(), jobs: flume::bounded(0) }
     }
 
-    /// Runs a job; gives it back when every thread is busy.
+    /// Runs a job, or returns it if every thread is busy and no more may be started.
     pub(super) fn run(&self, job: Job) -> Result<(), Job> {
         match self.jobs.0.try_send(job) {
             Ok(()) => Ok(()),
@@ -38,32 +38,32 @@
 
     fn start(&self, job: Job) -> Result<(), Job> {
         let threads = Arc::clone(&self.threads);
-        if threads.fetch_add(1, Ordering::SeqCst) >= self.bound {
+        if threads.fetch_add(1, Ordering::SeqCst) >= self.max_threads {
             threads.fetch_sub(1, Ordering::SeqCst);
             return Err(job);
         }
-        let place = Place(threads);
+        let slot = ThreadSlot(threads);
         let jobs = self.jobs.1.clone();
-        // The job travels through a channel of its own, so that it can be handed back on failure.
-        let (give, take) = flume::bounded::<Job>(1);
+        // The job is passed through a channel so that it can be handed back if the spawn fails.
+        let (sender, receiver) = flume::bounded::<Job>(1);
         let work = move || {
-            let _place = place;
-            let first = take.recv_timeout(IDLE);
-            let rest = std::iter::from_fn(|| jobs.recv_timeout(IDLE).ok());
+            let _slot = slot;
+            let first = receiver.recv_timeout(IDLE_TIMEOUT);
+            let rest = std::iter::from_fn(|| jobs.recv_timeout(IDLE_TIMEOUT).ok());
             first.into_iter().chain(rest).for_each(|job| job());
         };
         let started = std::thread::Builder::new().name(self.name.to_owned()).spawn(work);
         match started {
-            Ok(_) => give.send(job).map_err(|e| e.0),
+            Ok(_) => sender.send(job).map_err(|e| e.0),
             Err(_) => Err(job),
         }
     }
 }
 
-/// One thread's place in the bound, given back when it ends, by a panic too.
-struct Place(Arc<AtomicUsize>);
+/// Counts one running thread; released when the thread ends, also by a panic.
+struct ThreadSlot(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for ThreadSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/roseshored/src/serve/models.rs
+++ b/crates/roseshored/src/serve/models.rs
@@ -5,7 +5,7 @@
 
 use super::record::{self, Recorded};
 use super::request_info::{self, RequestHeaders};
-use crate::answer::{self, AnswerRequest, CallerLeft, CompletedAnswer, Sink};
+use crate::answer::{self, AnswerRequest, CallerLeft, CompletedAnswer, TokenSink};
 use crate::claims::ClaimGuard;
 use crate::http::exchange::{Exchange, Finish};
 use crate::http::read::Request;
@@ -111,12 +111,12 @@
     }
     let whole = result?;
     finish(exchange, shape, &whole);
-    Ok(Finish { repeated: false, resumed: whole.resumed })
+    Ok(Finish { repeated: false, resumed: whole.reroutes })
 }
 
 fn finish(exchange: &mut Exchange<'_>, shape: &Shape, whole: &CompletedAnswer) {
     if !shape.stream {
-        let body = shape.whole(&whole.text, whole.count, &whole.reason);
+        let body = shape.whole(&whole.text, whole.token_count, &whole.finish_reason);
         send(exchange, &body, false);
         return;
     }
@@ -124,7 +124,7 @@
         let fields = fields(exchange, false);
         exchange.reply.open(&fields, &shape.first());
     }
-    exchange.reply.event(&shape.last(whole.count, &whole.reason));
+    exchange.reply.event(&shape.last(whole.token_count, &whole.finish_reason));
     exchange.reply.done();
 }
 
@@ -165,7 +165,7 @@
     won: Option<ClaimGuard<'c>>,
 }
 
-impl Sink for Live<'_, '_, '_> {
+impl TokenSink for Live<'_, '_, '_> {
     fn dispatch(&mut self) -> Result<(), Refusal> {
         if let Some(won) = &mut self.won
             && !won.dispatch()
--- a/crates/roseshored/src/serve/record.rs
+++ b/crates/roseshored/src/serve/record.rs
@@ -26,8 +26,8 @@
         Recorded {
             request: request.to_owned(),
             text: whole.text.clone(),
-            count: whole.count,
-            reason: whole.reason.clone(),
+            count: whole.token_count,
+            reason: whole.finish_reason.clone(),
         }
     }
 
--- a/crates/roseshored/tests/answer/bed.rs
+++ b/crates/roseshored/tests/answer/bed.rs
@@ -1,4 +1,4 @@
-//! Three stages with three stand-in engines each, a router, and a caller.
+//! Test bed of the answer tests: three stages with three fake engines each, a router, and a caller.
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
@@ -8,41 +8,43 @@
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
-use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, Sink, run_with};
+use roseshored::answer::{
+    AnswerDeps, AnswerRequest, CallerLeft, CompletedAnswer, TokenSink, run_with,
+};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-const RANGES: [(Layer, Layer); 3] = [(0, 4), (4, 8), (8, 12)];
+const LAYER_RANGES: [(Layer, Layer); 3] = [(0, 4), (4, 8), (8, 12)];
 pub(crate) const TOKENS: u32 = 12;
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A router that knows only the failures it was told of.
-pub(crate) struct FirstFree {
-    rows: Vec<Vec<Stage>>,
-    pub(crate) seen: Mutex<Seen>,
+/// A router that chooses the first target of each stage that has neither failed nor is leaving.
+pub(crate) struct FirstUsable {
+    stages: Vec<Vec<Stage>>,
+    pub(crate) state: Mutex<RouterState>,
 }
 
 #[derive(Default)]
-pub(crate) struct Seen {
+pub(crate) struct RouterState {
     pub(crate) failed: BTreeSet<TargetId>,
     pub(crate) leaving: BTreeSet<TargetId>,
     pub(crate) permits: Arc<Mutex<i32>>,
-    /// The chains whose pace was told, newest last.
-    pub(crate) paced: Vec<Vec<TargetId>>,
+    /// The chains whose step time was recorded, newest last.
+    pub(crate) timed: Vec<Vec<TargetId>>,
 }
 
-impl Router for FirstFree {
-    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
-        let seen = self.seen.lock();
-        let free = |s: &&Stage| {
-            let lists = [&seen.failed, &seen.leaving];
-            !need.avoid.contains(&s.target) && !lists.iter().any(|l| l.contains(&s.target))
+impl Router for FirstUsable {
+    fn chain(&self, needs: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
+        let state = self.state.lock();
+        let usable = |s: &&Stage| {
+            let lists = [&state.failed, &state.leaving];
+            !needs.avoid.contains(&s.target) && !lists.iter().any(|l| l.contains(&s.target))
         };
-        let pick = |row: &Vec<Stage>| row.iter().find(free).cloned();
-        let stages = self.rows.iter().map(pick).collect::<Option<Vec<_>>>();
+        let pick = |targets: &Vec<Stage>| targets.iter().find(usable).cloned();
+        let stages = self.stages.iter().map(pick).collect::<Option<Vec<_>>>();
         let stages = stages.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
-        let count = seen.permits.clone();
+        let count = state.permits.clone();
         *count.lock() += 1;
         let permit = Permit::new(move || *count.lock() -= 1);
         let first_token = Duration::from_millis(100);
@@ -54,87 +56,96 @@
     }
 
     fn failed(&self, target: &TargetId) {
-        self.seen.lock().failed.insert(target.clone());
+        self.state.lock().failed.insert(target.clone());
     }
 
     fn record_step_time(&self, stages: &[Stage], _: Duration) {
         let chain = stages.iter().map(|s| s.target.clone()).collect();
-        self.seen.lock().paced.push(chain);
+        self.state.lock().timed.push(chain);
     }
 
     fn record_latency(&self, _: &TargetId, _: Duration) {}
 
     fn leaving(&self, target: &TargetId) -> bool {
-        self.seen.lock().leaving.contains(target)
+        self.state.lock().leaving.contains(target)
     }
 }
 
-pub(crate) struct Bed {
+pub(crate) struct TestBed {
     pub(crate) engines: Vec<Vec<EngineFake>>,
-    pub(crate) router: Arc<FirstFree>,
-    parts: AnswerDeps,
-    /// Engines take an answer's id once for each epoch, so every answer has its own.
-    asked: AtomicU32,
-    /// One for each bed, for retry budgets are kept by service.
+    pub(crate) router: Arc<FirstUsable>,
+    deps: AnswerDeps,
+    /// The next answer's id. Engines accept each id only once per epoch, so every answer needs its own.
+    next_id: AtomicU32,
+    /// A separate service per test bed, because retry budgets are kept by service.
     service: ServiceId,
 }
 
-impl Bed {
-    pub(crate) fn new(step: Duration) -> Bed {
-        let start = |row: usize, at: usize| {
-            let name = format!("e{row}{at}");
-            let mut settings = EngineSettings::holding(&name, "m", "v1", RANGES[row]);
+impl TestBed {
+    pub(crate) fn new(step: Duration) -> TestBed {
+        let start = |stage: usize, replica: usize| {
+            let name = format!("e{stage}{replica}");
+            let mut settings = EngineSettings::holding(&name, "m", "v1", LAYER_RANGES[stage]);
             settings.step = step;
             EngineFake::start(settings).expect("a free port")
         };
         let engines: Vec<Vec<_>> =
-            (0..3).map(|row| (0..3).map(|at| start(row, at)).collect()).collect();
-        let rows = engines.iter().map(|r| r.iter().map(EngineFake::stage).collect()).collect();
-        let router = Arc::new(FirstFree { rows, seen: Mutex::default() });
+            (0..3).map(|stage| (0..3).map(|at| start(stage, at)).collect()).collect();
+        let stages = engines.iter().map(|r| r.iter().map(EngineFake::stage).collect()).collect();
+        let router = Arc::new(FirstUsable { stages, state: Mutex::default() });
         let timeouts =
             TimeoutSettings { open: Duration::from_millis(800), ..TimeoutSettings::default() };
-        let rules = AnswerSettings { timeouts, max_attempts: 6, ..AnswerSettings::default() };
+        let settings = AnswerSettings { timeouts, max_attempts: 6, ..AnswerSettings::default() };
         let engine = Arc::new(EngineClient::new());
-        let parts = AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), rules };
+        let deps = AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), settings };
         let service = engines[0][0].addr().to_string();
-        Bed { service, engines, router, parts, asked: AtomicU32::new(1) }
+        TestBed { service, engines, router, deps, next_id: AtomicU32::new(1) }
     }
 
-    pub(crate) fn fault(&self, row: usize, at: usize, change: impl FnOnce(&mut EngineFaults)) {
-        self.engines[row][at].faults().change(change);
+    pub(crate) fn fault(
+        &self,
+        stage: usize,
+        replica: usize,
+        change: impl FnOnce(&mut EngineFaults),
+    ) {
+        self.engines[stage][replica].faults().change(change);
     }
 
     pub(crate) fn run(&self, caller: &mut Caller) -> Result<CompletedAnswer, Refusal> {
         let now = Instant::now();
-        let ask = RequestInfo {
-            request: format!("r{}", self.asked.fetch_add(1, Ordering::Relaxed)),
+        let info = RequestInfo {
+            request: format!("r{}", self.next_id.fetch_add(1, Ordering::Relaxed)),
             organisation: "o".to_owned(),
             service: self.service.clone(),
-            deadline: now + caller.patience,
+            deadline: now + caller.time_limit,
             arrived: now,
             priority: 4,
             cost: TOKENS,
         };
-        let got = run_with(&self.parts, &ask, question(), caller);
-        assert_eq!(*self.router.seen.lock().permits.lock(), 0, "every place is given back");
-        got
+        let result = run_with(&self.deps, &info, request(), caller);
+        assert_eq!(*self.router.state.lock().permits.lock(), 0, "every permit must be released");
+        result
     }
 
-    /// Runs an answer that must be whole; the re-routes it took.
-    pub(crate) fn run_whole(&self, case: &str, caller: &mut Caller) -> u32 {
-        let whole = self.run(caller).unwrap_or_else(|refusal| panic!("{case}: {refusal:?}"));
+    /// Runs an answer that must complete; returns the number of re-routes.
+    pub(crate) fn run_to_completion(&self, case: &str, caller: &mut Caller) -> u32 {
+        let answer = self.run(caller).unwrap_or_else(|refusal| panic!("{case}: {refusal:?}"));
         assert_eq!(caller.tokens, expected(), "{case}");
-        assert_eq!(whole.text, expected().concat(), "{case}");
-        assert_eq!((whole.count, whole.reason.as_str()), (TOKENS, "length"), "{case}");
-        whole.resumed
+        assert_eq!(answer.text, expected().concat(), "{case}");
+        assert_eq!(
+            (answer.token_count, answer.finish_reason.as_str()),
+            (TOKENS, "length"),
+            "{case}"
+        );
+        answer.reroutes
     }
 
-    pub(crate) fn cancels(&self, at: usize) -> Vec<u64> {
-        self.engines.iter().map(|row| row[at].stats().cancels).collect()
+    pub(crate) fn cancels(&self, replica: usize) -> Vec<u64> {
+        self.engines.iter().map(|stage| stage[replica].stats().cancels).collect()
     }
 }
 
-fn question() -> AnswerRequest {
+fn request() -> AnswerRequest {
     AnswerRequest {
         model: "m".to_owned(),
         version: "v1".to_owned(),
@@ -147,18 +158,18 @@
 }
 
 pub(crate) fn expected() -> Vec<String> {
-    text::expected("m", "v1", None, &question().prompt, TOKENS)
+    text::expected("m", "v1", None, &request().prompt, TOKENS)
 }
 
 type Hook = Box<dyn FnMut(Position) -> Result<(), CallerLeft>>;
 
-/// A caller that writes down what it gets.
+/// A caller that records the tokens it receives.
 pub(crate) struct Caller {
     pub(crate) tokens: Vec<String>,
-    pub(crate) patience: Duration,
-    /// Called before each token is taken.
+    pub(crate) time_limit: Duration,
+    /// Called before each token is recorded.
     pub(crate) hook: Hook,
-    /// The dispatch that is denied, counted from 0.
+    /// The dispatch to refuse, counted from 0.
     pub(crate) deny: Option<u32>,
     pub(crate) dispatched: u32,
 }
@@ -170,7 +181,7 @@
 
     pub(crate) fn with(hook: impl FnMut(Position) -> Result<(), CallerLeft> + 'static) -> Caller {
         let hook = Box::new(hook);
-        Caller { tokens: Vec::new(), patience: PATIENCE, hook, deny: None, dispatched: 0 }
+        Caller { tokens: Vec::new(), time_limit: TEST_TIMEOUT, hook, deny: None, dispatched: 0 }
     }
 
     pub(crate) fn leaving_at(at: Position) -> Caller {
@@ -178,7 +189,7 @@
     }
 }
 
-impl Sink for Caller {
+impl TokenSink for Caller {
     fn dispatch(&mut self) -> Result<(), Refusal> {
         if self.deny == Some(self.dispatched) {
             return Err(Refusal::not_run(Code::KeyInProgress, "denied"));
@@ -188,7 +199,7 @@
     }
 
     fn token(&mut self, position: Position, text: &str) -> Result<(), CallerLeft> {
-        assert_eq!(position as usize, self.tokens.len(), "in order, each once");
+        assert_eq!(position as usize, self.tokens.len(), "tokens must come in order, each once");
         (self.hook)(position)?;
         self.tokens.push(text.to_owned());
         Ok(())
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -7,7 +7,7 @@
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
-use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, Sink, run_with};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, TokenSink, run_with};
 use std::sync::Arc;
 
 const TOKENS: u32 = 12;
@@ -43,7 +43,7 @@
 #[derive(Default)]
 struct Tokens(Vec<String>);
 
-impl Sink for Tokens {
+impl TokenSink for Tokens {
     fn token(&mut self, _: Position, text: &str) -> Result<(), CallerLeft> {
         self.0.push(text.to_owned());
         Ok(())
@@ -105,7 +105,7 @@
             router: Arc::new(router),
             engine,
             budgets: Arc::default(),
-            rules: AnswerSettings::default(),
+            settings: AnswerSettings::default(),
         };
         let prompt = vec!["review".to_owned(), "plate".to_owned()];
         let work = AnswerRequest {
