--- a/crates/roseshored/examples/lookup_paths.rs
+++ b/crates/roseshored/examples/lookup_paths.rs
@@ -13,7 +13,7 @@
     ActiveConfig, Chain, ChainNeeds, ConfigSource, Permit, Replica, RequestInfo, Router,
 };
 use roseshore_ports::outside::{CallContext, Services};
-use roseshored::lookups::{Lookups, Parts};
+use roseshored::lookups::{LookupDeps, Lookups};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread;
@@ -92,7 +92,7 @@
     };
     let services = [("cards".to_owned(), service)].into();
     let fleet = Arc::new(Fleet { services, ..Fleet::default() });
-    let parts = Parts {
+    let parts = LookupDeps {
         fleets: Arc::new(OneFleet(ActiveConfig { fleet, offset: 1, digest: 1 })),
         router: Arc::new(OneReplica(Replica { target: "t".to_owned(), addr })),
         services: Arc::new(HttpServices::default()),
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -11,7 +11,7 @@
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::frame::{self, MAX_DATAGRAM, MAX_FRAME};
 use roseshore_wire::peer::{Datagram, Digest, PeerRequest, Summary, TargetLoad};
-use roseshored::loads::notes::{Packer, Unpacker};
+use roseshored::loads::notes::{DeltaDecoder, DeltaEncoder};
 use std::hint::black_box;
 use std::net::{SocketAddr, UdpSocket};
 
@@ -168,12 +168,12 @@
 }
 
 fn note_bytes(size: &Size, short: bool) -> usize {
-    let mut packer = Packer::default();
+    let mut encoder = DeltaEncoder::default();
     let now = Instant::now();
     let id = target(size.targets);
-    let mut content = packer.pack(&id, &load(1), now);
+    let mut content = encoder.encode(&id, &load(1), now);
     if short {
-        content = packer.pack(&id, &load(200), now);
+        content = encoder.encode(&id, &load(200), now);
     }
     frame::encode(&TargetLoad { age_ms: 200, content }, MAX_DATAGRAM).expect("short").len() - 1
 }
@@ -233,12 +233,12 @@
             }
         }
     });
-    let (mut packer, mut unpacker) = (Packer::default(), Unpacker::default());
+    let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
     let id = target(1);
-    unpacker.unpack(packer.pack(&id, &load(0), now));
-    let pack = time(|round| drop(packer.pack(&id, &load(round as u32), now)));
-    let note = packer.pack(&id, &load(7), now);
-    let unpack = time(|_| drop(black_box(unpacker.unpack(note.clone()))));
+    decoder.decode(encoder.encode(&id, &load(0), now));
+    let pack = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
+    let note = encoder.encode(&id, &load(7), now);
+    let unpack = time(|_| drop(black_box(decoder.decode(note.clone()))));
     Costs { heard, receive, send, tick, poll, unpack, pack }
 }
 
@@ -246,10 +246,10 @@
 fn sockets(size: &Size) -> (f64, f64) {
     let (a, b) = (socket(), socket());
     let to = b.local_addr().expect("its address");
-    let mut packer = Packer::default();
+    let mut encoder = DeltaEncoder::default();
     let now = Instant::now();
-    packer.pack(&target(0), &load(0), now);
-    let note = || TargetLoad { age_ms: 200, content: packer.pack(&target(0), &load(1), now) };
+    encoder.encode(&target(0), &load(0), now);
+    let note = || TargetLoad { age_ms: 200, content: encoder.encode(&target(0), &load(1), now) };
     let mut make = note;
     let notes = (0..size.targets.div_ceil(size.daemons)).map(|_| make()).collect();
     let datagram = Datagram::Beat { heartbeat: heartbeat(1, 1), notes };
--- a/crates/roseshored/src/context.rs
+++ b/crates/roseshored/src/context.rs
@@ -1,7 +1,7 @@
 //! The daemon's parts as the front and the paths behind it see them.
 
 use crate::app::App;
-use crate::operators::Console;
+use crate::operators::AdminApi;
 use crate::spans::Store;
 use metrics_exporter_prometheus::PrometheusHandle;
 
@@ -11,7 +11,7 @@
     /// The parts.
     pub app: App,
     /// What operators' calls touch; without it there are none.
-    pub console: Option<Console>,
+    pub admin_api: Option<AdminApi>,
     /// The spans of the last requests.
     pub spans: &'static Store,
     /// The metrics.
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -8,7 +8,7 @@
 use crate::context::ServerContext;
 use crate::event;
 use crate::http::HttpServer;
-use crate::operators::Console;
+use crate::operators::AdminApi;
 use crate::serve::Paths;
 use crate::settings::Settings;
 use crate::spans;
@@ -38,14 +38,18 @@
     limit: Duration,
 }
 
-/// Serves callers with the given parts, and operators where there is a console.
+/// Starts the HTTP server for callers and, with `admin_api`, for operators.
 ///
 /// # Errors
 /// When the address cannot be listened on.
-pub fn start(settings: &Settings, app: App, console: Option<Console>) -> io::Result<Running> {
+pub fn start(settings: &Settings, app: App, admin_api: Option<AdminApi>) -> io::Result<Running> {
     let drain = app.drain.clone();
-    let context =
-        ServerContext { app, console, spans: spans::install(settings.traces), metrics: recorder() };
+    let context = ServerContext {
+        app,
+        admin_api,
+        spans: spans::install(settings.traces),
+        metrics: recorder(),
+    };
     let server = HttpServer::start(settings, context, &Paths)?;
     let addr = server.addr();
     event!(
@@ -54,7 +58,7 @@
         settings.host,
         settings.data_centre
     );
-    Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_limit })
+    Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_timeout })
 }
 
 /// The metrics of this process, once.
--- a/crates/roseshored/src/entry.rs
+++ b/crates/roseshored/src/entry.rs
@@ -18,7 +18,7 @@
 use std::sync::atomic::AtomicBool;
 
 /// The first word that chooses this mode.
-pub const WORD: &str = "entry";
+pub const SUBCOMMAND: &str = "entry";
 
 /// Where the platform lays the settings when no variable says.
 const USUAL_PATH: &str = "/etc/roseshore/boot.toml";
@@ -77,7 +77,7 @@
         )
 }
 
-/// Runs the mode with the words after [`WORD`].
+/// Runs the mode with the words after [`SUBCOMMAND`].
 pub fn main(words: impl Iterator<Item = String>) -> ExitCode {
     let name = std::iter::once("roseshored entry".to_owned());
     let matches = command().get_matches_from(name.chain(words));
--- a/crates/roseshored/src/fleets/submit.rs
+++ b/crates/roseshored/src/fleets/submit.rs
@@ -70,7 +70,7 @@
     }
 
     /// Waits until a command is in force everywhere, or `until`.
-    pub fn settle_everywhere(
+    pub fn wait_confirmed(
         &self,
         members: &dyn Members,
         version: Offset,
--- a/crates/roseshored/src/http.rs
+++ b/crates/roseshored/src/http.rs
@@ -74,14 +74,14 @@
         let addr = listener.local_addr()?;
         let bounds = Bounds {
             body: settings.body_bytes,
-            caller: settings.caller_limit,
-            idle: settings.idle_limit,
+            caller: settings.read_timeout,
+            idle: settings.idle_timeout,
         };
         let shared = Arc::new(Shared {
             context,
             behind,
             bounds,
-            write: settings.write_limit,
+            write: settings.write_timeout,
             work: Work::new(settings.requests),
             closing: AtomicBool::new(false),
             next: AtomicU64::new(0),
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Keeps the record of requests and answers operators' questions about them.
 //!
 //! [`LedgerDriver`] implements the `Ledger` port and answers peers' queries about this daemon;
-//! [`Asker`] asks every daemon and puts the rows together; [`account`] writes this daemon's parts
+//! [`QueryFanout`] asks every daemon and merges the rows; [`account`] writes this daemon's parts
 //! of the weekly account to the log and reads the whole of it.
 
 pub mod account;
@@ -96,22 +96,22 @@
 }
 
 /// Asks every daemon of the system.
-pub struct Asker {
+pub struct QueryFanout {
     ledger: Arc<LedgerDriver>,
     account: Arc<Account>,
     members: Arc<dyn Members>,
     peers: Arc<dyn Peers>,
 }
 
-impl Asker {
+impl QueryFanout {
     /// An asker over the members that this daemon knows.
     pub fn new(
         ledger: Arc<LedgerDriver>,
         account: Arc<Account>,
         members: Arc<dyn Members>,
         peers: Arc<dyn Peers>,
-    ) -> Asker {
-        Asker { ledger, account, members, peers }
+    ) -> QueryFanout {
+        QueryFanout { ledger, account, members, peers }
     }
 
     /// The other daemons that may have rows.
@@ -151,7 +151,7 @@
     }
 }
 
-impl QueryHandler for Asker {
+impl QueryHandler for QueryFanout {
     fn ask(&self, query: &Query) -> Reply {
         if query.topic == Topic::Account {
             return self.account.reply(query);
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -14,9 +14,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// The stream of parts.
-pub const PARTS: &str = "account";
+pub const DELTA_STREAM: &str = "account";
 /// The stream of summaries.
-pub const SUMMARIES: &str = "account-summaries";
+pub const SUMMARY_STREAM: &str = "account-summaries";
 /// Parts after which the account is written down anew.
 const SUMMARY_EVERY: u64 = 512;
 /// How often a part is written, if there is anything to say.
@@ -59,8 +59,12 @@
         let mut kept = Instant::now();
         while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(FLUSH_EVERY) {
             let flushed = self.flush();
-            let first = members.ranked(PARTS).first().is_some_and(|m| m.host == self.host);
-            if first && flushed.is_ok() && kept.elapsed() >= KEEP_EVERY && self.keep().is_ok() {
+            let first = members.ranked(DELTA_STREAM).first().is_some_and(|m| m.host == self.host);
+            if first
+                && flushed.is_ok()
+                && kept.elapsed() >= KEEP_EVERY
+                && self.write_summary().is_ok()
+            {
                 kept = Instant::now();
             }
         }
@@ -77,7 +81,7 @@
     pub fn flush(&self) -> CallResult<()> {
         let Some(part) = self.counter.lock().next_delta() else { return Ok(()) };
         let Ok(line) = serde_json::to_string(&part) else { return Ok(()) };
-        match self.log.append(PARTS, &[line]) {
+        match self.log.append(DELTA_STREAM, &[line]) {
             Ok(offset) => {
                 self.counter.lock().appended();
                 self.delayed.store(false, Ordering::Relaxed);
@@ -106,18 +110,18 @@
         if !(offset + 1).is_multiple_of(SUMMARY_EVERY) {
             return Ok(());
         }
-        self.keep()
+        self.write_summary()
     }
 
     /// Writes the account down, so that it outlives the log's retention of the parts.
     ///
     /// # Errors
     /// When the log does not answer.
-    pub fn keep(&self) -> CallResult<()> {
+    pub fn write_summary(&self) -> CallResult<()> {
         self.read()?;
         let summary = self.fold.lock().summary();
         let Ok(line) = serde_json::to_string(&summary) else { return Ok(()) };
-        self.log.append(SUMMARIES, &[line]).map(drop)
+        self.log.append(SUMMARY_STREAM, &[line]).map(drop)
     }
 
     /// Reads on to the end of the log.
@@ -129,7 +133,7 @@
             self.resume()?;
         }
         let from = self.fold.lock().next();
-        read_to_end(&*self.log, PARTS, from, |met| {
+        read_to_end(&*self.log, DELTA_STREAM, from, |met| {
             match met {
                 Batch::Records(records) => self.take(records),
                 Batch::Trimmed(oldest) => {
@@ -160,7 +164,7 @@
     /// Goes on from the newest summary that is kept.
     fn resume(&self) -> CallResult<()> {
         let mut next = 0;
-        read_to_end(&*self.log, SUMMARIES, next, |met| {
+        read_to_end(&*self.log, SUMMARY_STREAM, next, |met| {
             match met {
                 Batch::Records(records) => {
                     for record in records {
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -8,8 +8,8 @@
 pub mod notes;
 
 use crate::event;
-use crate::members::{Fresh, MemberDriver, Told};
-use notes::{Packer, Unpacker};
+use crate::members::{LocalReport, MemberDriver, PeerReports};
+use notes::{DeltaDecoder, DeltaEncoder};
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::polling::{Action, Polling, Settings};
 use roseshore_core::prelude::*;
@@ -29,7 +29,7 @@
 const WORKERS: usize = 8;
 
 /// What the driver needs.
-pub struct Parts {
+pub struct LoadConfig {
     /// The daemons.
     pub members: Arc<MemberDriver>,
     /// The configuration in force; its targets of the own data centre are polled.
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: Parts) -> io::Result<LoadDriver> {
+    pub fn start(parts: LoadConfig) -> io::Result<LoadDriver> {
         let stopped = Arc::new(AtomicBool::new(false));
         let (ask, jobs) = flume::bounded(parts.settings.max_polls);
         let (tell, polled) = flume::bounded(parts.settings.max_polls);
@@ -68,7 +68,7 @@
             let name = format!("loads-{n}");
             thread::Builder::new().name(name).spawn(move || worker.run())?;
         }
-        let told = parts.members.told();
+        let told = parts.members.peer_reports();
         let (period, full) = (parts.settings.period, parts.settings.full_limit);
         let driver = Driver {
             polling: Polling::new(parts.settings),
@@ -79,8 +79,8 @@
             full,
             offset: None,
             targets: BTreeMap::new(),
-            packer: Packer::default(),
-            unpacker: Unpacker::default(),
+            encoder: DeltaEncoder::default(),
+            decoder: DeltaDecoder::default(),
             ask,
         };
         let stop = stopped.clone();
@@ -147,8 +147,8 @@
     full: usize,
     offset: Option<Offset>,
     targets: BTreeMap<TargetId, Job>,
-    packer: Packer,
-    unpacker: Unpacker,
+    encoder: DeltaEncoder,
+    decoder: DeltaDecoder,
     ask: flume::Sender<Job>,
 }
 
@@ -156,7 +156,7 @@
     fn run(
         mut self,
         polled: &flume::Receiver<Polled>,
-        told: &flume::Receiver<Told>,
+        told: &flume::Receiver<PeerReports>,
         stop: &AtomicBool,
     ) {
         while !stop.load(Ordering::SeqCst) {
@@ -174,7 +174,7 @@
     fn follow(&mut self) {
         self.polling.set_period(self.period.max(self.members.period()));
         if self.members.take_joined() {
-            self.packer.reset();
+            self.encoder.reset();
         }
         let Some(force) = self.fleets.current() else { return };
         if self.offset == Some(force.offset) {
@@ -188,8 +188,8 @@
             |id: &TargetId, t: &Target| Job { target: id.clone(), kind: t.kind, addr: t.addr };
         self.targets = polled.map(|(id, t)| (id.clone(), job(id, t))).collect();
         self.polling.set_targets(self.targets.keys().cloned(), Instant::now());
-        self.packer.retain(|t| self.targets.contains_key(t));
-        self.unpacker.retain(|t| self.targets.contains_key(t));
+        self.encoder.retain(|t| self.targets.contains_key(t));
+        self.decoder.retain(|t| self.targets.contains_key(t));
     }
 
     fn tick(&mut self) {
@@ -241,20 +241,20 @@
 
     fn publish(&mut self, target: TargetId, content: ReportContent, seen: Instant) {
         let urgent = content == ReportContent::Silent;
-        let note = self.packer.pack(&target, &content, Instant::now());
-        self.members.share(Fresh { seen, content: note, urgent });
+        let note = self.encoder.encode(&target, &content, Instant::now());
+        self.members.queue_report(LocalReport { seen, content: note, urgent });
         self.reports.store(Report { target, seen, content });
     }
 
-    fn take_told(&mut self, told: Told) {
+    fn take_told(&mut self, told: PeerReports) {
         for note in told.notes {
             let age = Duration::from_millis(u64::from(note.age_ms));
-            let seen = told.at.checked_sub(age).unwrap_or(told.at);
-            let Some(unpacked) = self.unpacker.unpack(note.content) else {
+            let seen = told.received_at.checked_sub(age).unwrap_or(told.received_at);
+            let Some(unpacked) = self.decoder.decode(note.content) else {
                 metrics::counter!("roseshore_notes_incomplete_total").increment(1);
                 continue;
             };
-            let notes::Unpacked { target, content } = unpacked;
+            let notes::DecodedReport { target, content } = unpacked;
             let silent = content == ReportContent::Silent;
             let actions = self.polling.on_peer_report(&target, silent, seen);
             self.act_all(actions);
--- a/crates/roseshored/src/loads/notes.rs
+++ b/crates/roseshored/src/loads/notes.rs
@@ -17,7 +17,7 @@
 
 /// Shortens reports.
 #[derive(Default)]
-pub struct Packer {
+pub struct DeltaEncoder {
     sent: FxHashMap<TargetId, Sent>,
 }
 
@@ -26,9 +26,14 @@
     at: Instant,
 }
 
-impl Packer {
+impl DeltaEncoder {
     /// What to send of a report.
-    pub fn pack(&mut self, target: &TargetId, content: &ReportContent, now: Instant) -> LoadReport {
+    pub fn encode(
+        &mut self,
+        target: &TargetId,
+        content: &ReportContent,
+        now: Instant,
+    ) -> LoadReport {
         let Some(key) = key(target, content) else {
             return LoadReport::Silent { target: target.clone() };
         };
@@ -53,7 +58,7 @@
 
 /// Completes shortened reports.
 #[derive(Default)]
-pub struct Unpacker {
+pub struct DeltaDecoder {
     whole: FxHashMap<LoadReportKey, Whole>,
     keys: FxHashMap<TargetId, LoadReportKey>,
 }
@@ -65,16 +70,16 @@
 
 /// A completed report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unpacked {
+pub struct DecodedReport {
     /// The target.
     pub target: TargetId,
     /// What it said.
     pub content: ReportContent,
 }
 
-impl Unpacker {
+impl DeltaDecoder {
     /// The whole report, or `None` when the part that did not change is not known here.
-    pub fn unpack(&mut self, note: LoadReport) -> Option<Unpacked> {
+    pub fn decode(&mut self, note: LoadReport) -> Option<DecodedReport> {
         match note {
             LoadReport::Engine { target, load } => {
                 Some(self.learn(target, ReportContent::Engine(load)))
@@ -83,7 +88,7 @@
                 Some(self.learn(target, ReportContent::Service(load)))
             }
             LoadReport::Silent { target } => {
-                Some(Unpacked { target, content: ReportContent::Silent })
+                Some(DecodedReport { target, content: ReportContent::Silent })
             }
             LoadReport::Brief { key, queue, running, step_us, kv_used } => {
                 let known = self.whole.get(&key)?;
@@ -98,7 +103,7 @@
                     }
                     ReportContent::Silent => {}
                 }
-                Some(Unpacked { target: known.target.clone(), content })
+                Some(DecodedReport { target: known.target.clone(), content })
             }
         }
     }
@@ -109,7 +114,7 @@
         self.whole.retain(|_, whole| keep(&whole.target));
     }
 
-    fn learn(&mut self, target: TargetId, content: ReportContent) -> Unpacked {
+    fn learn(&mut self, target: TargetId, content: ReportContent) -> DecodedReport {
         if let Some(key) = key(&target, &content) {
             if let Some(old) = self.keys.insert(target.clone(), key)
                 && old != key
@@ -119,7 +124,7 @@
             let whole = Whole { target: target.clone(), content: content.clone() };
             self.whole.insert(key, whole);
         }
-        Unpacked { target, content }
+        DecodedReport { target, content }
     }
 }
 
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -10,7 +10,7 @@
 mod said;
 mod shared;
 
-pub use said::said;
+pub use said::read_reply;
 
 use crate::app::App;
 use crate::event;
@@ -28,7 +28,7 @@
 /// Threads that wait for replicas at once.
 const THREADS: usize = 256;
 /// The part of lookups over several sources that ask all of them, to find contradictions.
-const COMPARED: f64 = 1.0 / 64.0;
+const COMPARE_RATIO: f64 = 1.0 / 64.0;
 
 static LOOKUPS: LazyLock<Lookups> = LazyLock::new(|| Lookups::new(THREADS));
 
@@ -46,7 +46,7 @@
     name: &str,
     trace: Option<&str>,
 ) -> Result<ServiceReply, Refusal> {
-    let parts = Parts {
+    let parts = LookupDeps {
         fleets: app.fleets.clone(),
         router: app.router.clone(),
         services: app.services.clone(),
@@ -56,7 +56,7 @@
 
 /// What lookups need of the daemon.
 #[derive(Clone)]
-pub struct Parts {
+pub struct LookupDeps {
     /// The configuration in force.
     pub fleets: Arc<dyn ConfigSource>,
     /// The choice of replicas.
@@ -69,20 +69,20 @@
 pub struct Lookups {
     pool: Arc<Pool>,
     shared: Shared,
-    compared: f64,
+    compare_ratio: f64,
 }
 
 impl Lookups {
     /// Lookups over so many threads at most.
     pub fn new(threads: usize) -> Lookups {
         let pool = Arc::new(Pool::new(threads));
-        Lookups { pool, shared: Shared::default(), compared: COMPARED }
+        Lookups { pool, shared: Shared::default(), compare_ratio: COMPARE_RATIO }
     }
 
     /// Sets the part of lookups over several sources that ask all of them.
     #[must_use]
-    pub fn comparing(mut self, part: f64) -> Lookups {
-        self.compared = part;
+    pub fn with_compare_ratio(mut self, ratio: f64) -> Lookups {
+        self.compare_ratio = ratio;
         self
     }
 
@@ -92,7 +92,7 @@
     /// Those of [`run`].
     pub fn run(
         &self,
-        parts: &Parts,
+        parts: &LookupDeps,
         ask: &RequestInfo,
         name: &str,
         trace: Option<&str>,
@@ -100,7 +100,7 @@
         check(ask, name)?;
         let sources = sources(parts, &ask.service)?;
         let service = self.shared.service(&ask.service, &sources);
-        let policy = policy(&service, self.compared);
+        let policy = policy(&service, self.compare_ratio);
         let retry_after = policy.retry_after;
         let asked = Asked::new(parts, &self.pool, &service, ask, name, trace);
         let outcome = self.drive(asked, policy, ask.deadline);
@@ -181,7 +181,7 @@
 }
 
 /// A lookup service without declared sources is its own only source.
-fn sources(parts: &Parts, service: &str) -> Result<Vec<String>, Refusal> {
+fn sources(parts: &LookupDeps, service: &str) -> Result<Vec<String>, Refusal> {
     let Some(known) = parts.fleets.current() else {
         let text = "this host has no configuration yet; ask another one or come back";
         let refusal = Refusal::not_run(Code::NoConfiguration, text);
@@ -196,10 +196,10 @@
     Ok(declared.sources.clone())
 }
 
-fn policy(service: &Service, compared: f64) -> Policy {
+fn policy(service: &Service, compare_ratio: f64) -> Policy {
     let fixed = Policy::default();
     let unit_random: f64 = rand::random();
-    let compare = service.sources.len() > 1 && rand::random::<f64>() < compared;
+    let compare = service.sources.len() > 1 && rand::random::<f64>() < compare_ratio;
     Policy {
         hedge_after: service.hedge_after(),
         // Callers that were refused together do not come back together.
--- a/crates/roseshored/src/lookups/ask.rs
+++ b/crates/roseshored/src/lookups/ask.rs
@@ -2,7 +2,7 @@
 
 use super::pool::Pool;
 use super::shared::Service;
-use super::{Found, Parts, said};
+use super::{Found, LookupDeps, read_reply};
 use crate::event;
 use metrics::counter;
 use roseshore_core::lookup::{Policy, Reason, SourceIndex, SourceReply};
@@ -22,7 +22,7 @@
 pub(super) struct Asked {
     pub(super) service: Arc<Service>,
     pub(super) heard: flume::Receiver<Heard>,
-    parts: Parts,
+    parts: LookupDeps,
     pool: Arc<Pool>,
     tell: flume::Sender<Heard>,
     request: RequestId,
@@ -34,7 +34,7 @@
 
 impl Asked {
     pub(super) fn new(
-        parts: &Parts,
+        parts: &LookupDeps,
         pool: &Arc<Pool>,
         service: &Arc<Service>,
         ask: &RequestInfo,
@@ -131,7 +131,7 @@
 
 /// One attempt at one replica.
 struct Call {
-    parts: Parts,
+    parts: LookupDeps,
     replica: Replica,
     source: String,
     name: String,
@@ -143,7 +143,7 @@
         let services = &self.parts.services;
         let reply = services.lookup(self.replica.addr, &self.source, &self.name, &self.hop);
         self.report(began, &reply);
-        said(reply, &self.source, &self.name)
+        read_reply(reply, &self.source, &self.name)
     }
 
     /// Tells the router how the target did. Running into a caller's short deadline proves nothing
--- a/crates/roseshored/src/lookups/said.rs
+++ b/crates/roseshored/src/lookups/said.rs
@@ -15,7 +15,11 @@
 ///
 /// A `404` counts only with the body that names both; one of a web server on the way, or for
 /// another source, is no reply of the source.
-pub fn said(called: CallResult<ServiceReply>, source: &str, name: &str) -> SourceReply<Found> {
+pub fn read_reply(
+    called: CallResult<ServiceReply>,
+    source: &str,
+    name: &str,
+) -> SourceReply<Found> {
     let reply = match called {
         Ok(reply) => reply,
         Err(error) => return SourceReply::Failed(error.verdict()),
--- a/crates/roseshored/src/main.rs
+++ b/crates/roseshored/src/main.rs
@@ -1,7 +1,7 @@
-//! The daemon's process: settings, logging, parts, signals.
+//! Entry point of the daemon: reads the settings, sets up logging, starts the components and waits for a signal.
 
 use roseshore_core::prelude::*;
-use roseshored::parts::Parts;
+use roseshored::parts::Daemon;
 use roseshored::settings::{Settings, SettingsError};
 use roseshored::{drain, entry, event};
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
@@ -11,7 +11,7 @@
 const WRONG: u8 = 2;
 
 fn main() -> ExitCode {
-    if std::env::args().nth(1).is_some_and(|word| word == entry::WORD) {
+    if std::env::args().nth(1).is_some_and(|word| word == entry::SUBCOMMAND) {
         return entry::main(std::env::args().skip(2));
     }
     let settings = match Settings::read(std::env::args()) {
@@ -40,11 +40,11 @@
 
 fn run(settings: &Settings) -> Result<usize, Box<dyn std::error::Error>> {
     let stop = drain::watch_signals()?;
-    let parts = Parts::start(settings)?;
-    let running = roseshored::start(settings, parts.app.clone(), Some(parts.console.clone()))?;
+    let daemon = Daemon::start(settings)?;
+    let running = roseshored::start(settings, daemon.app.clone(), Some(daemon.admin_api.clone()))?;
     let _ = stop.recv();
     let cut = running.finish();
-    parts.stop();
+    daemon.stop();
     Ok(cut)
 }
 
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -28,7 +28,7 @@
 const BEAT_BYTES: usize = 200;
 
 /// What the driver needs.
-pub struct Parts {
+pub struct MemberConfig {
     /// This daemon; its offset, digest and sequence are filled in.
     pub own: Heartbeat,
     /// Where it hears peers.
@@ -38,7 +38,7 @@
     /// The bounds.
     pub settings: Settings,
     /// Between readings of the host list.
-    pub list_period: Duration,
+    pub list_interval: Duration,
     /// The socket at `peer`.
     pub socket: Arc<dyn Datagrams>,
     /// The platform's host list.
@@ -51,16 +51,16 @@
 
 /// Reports that came from a peer.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// When they came.
-    pub at: Instant,
+pub struct PeerReports {
+    /// When the heartbeat that carried them arrived.
+    pub received_at: Instant,
     /// The reports.
     pub notes: Vec<TargetLoad>,
 }
 
 /// A report for the peers.
 #[derive(Clone, Debug)]
-pub struct Fresh {
+pub struct LocalReport {
     /// When the target was polled; its age is worked out when it is sent.
     pub seen: Instant,
     /// What it said.
@@ -76,8 +76,8 @@
     list: Arc<dyn HostList>,
     fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
-    outbox: flume::Sender<Fresh>,
-    inbox: flume::Receiver<Told>,
+    outbox: flume::Sender<LocalReport>,
+    inbox: flume::Receiver<PeerReports>,
     joined: AtomicBool,
     stopped: AtomicBool,
 }
@@ -87,8 +87,9 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: Parts) -> io::Result<Arc<MemberDriver>> {
-        let Parts { own, peer, seeds, settings, list_period, socket, list, fleets, drain } = parts;
+    pub fn start(parts: MemberConfig) -> io::Result<Arc<MemberDriver>> {
+        let MemberConfig { own, peer, seeds, settings, list_interval, socket, list, fleets, drain } =
+            parts;
         let view = Mutex::new(Membership::new(own, peer, seeds, settings, Instant::now()));
         let (outbox, notes) = flume::bounded(MAX_NOTES);
         let (tell, inbox) = flume::bounded(MAX_NOTES);
@@ -106,7 +107,7 @@
         let (a, b, c) = (driver.clone(), driver.clone(), driver.clone());
         spawn("members-hear", move || a.hear(&tell))?;
         spawn("members-beat", move || b.send(&notes))?;
-        spawn("members-list", move || c.read_list(list_period))?;
+        spawn("members-list", move || c.read_list(list_interval))?;
         Ok(driver)
     }
 
@@ -116,14 +117,14 @@
     }
 
     /// Sends a report with the next heartbeat; it is dropped if too many wait.
-    pub fn share(&self, fresh: Fresh) {
+    pub fn queue_report(&self, fresh: LocalReport) {
         if self.outbox.try_send(fresh).is_err() {
             metrics::counter!("roseshore_notes_dropped_total").increment(1);
         }
     }
 
     /// Reports told by peers.
-    pub fn told(&self) -> flume::Receiver<Told> {
+    pub fn peer_reports(&self) -> flume::Receiver<PeerReports> {
         self.inbox.clone()
     }
 
@@ -148,7 +149,7 @@
     }
 
     /// The daemons of other data centres that are listed or not gone.
-    pub fn far(&self) -> Vec<Member> {
+    pub fn remote_members(&self) -> Vec<Member> {
         self.view.lock().far()
     }
 
@@ -167,7 +168,7 @@
         !self.stopped.load(Ordering::SeqCst)
     }
 
-    fn hear(&self, tell: &flume::Sender<Told>) {
+    fn hear(&self, tell: &flume::Sender<PeerReports>) {
         while self.running() {
             if let Some(received) = self.socket.receive(LOOK) {
                 self.take(received, tell);
@@ -175,14 +176,14 @@
         }
     }
 
-    fn take(&self, received: ReceivedDatagram, tell: &flume::Sender<Told>) {
-        let at = Instant::now();
+    fn take(&self, received: ReceivedDatagram, tell: &flume::Sender<PeerReports>) {
+        let received_at = Instant::now();
         let Datagram::Beat { heartbeat, notes } = received.datagram;
-        let heard = self.view.lock().on_heartbeat(received.from, heartbeat, at);
+        let heard = self.view.lock().on_heartbeat(received.from, heartbeat, received_at);
         match heard {
             Ok(changes) => {
                 self.report(&changes);
-                if !notes.is_empty() && tell.try_send(Told { at, notes }).is_err() {
+                if !notes.is_empty() && tell.try_send(PeerReports { received_at, notes }).is_err() {
                     metrics::counter!("roseshore_notes_dropped_total").increment(1);
                 }
             }
@@ -194,7 +195,7 @@
         }
     }
 
-    fn send(&self, outbox: &flume::Receiver<Fresh>) {
+    fn send(&self, outbox: &flume::Receiver<LocalReport>) {
         let mut next = Instant::now();
         let mut draining = false;
         let mut waiting = Vec::new();
@@ -220,7 +221,7 @@
         }
     }
 
-    fn beat(&self, fresh: Vec<Fresh>) {
+    fn beat(&self, fresh: Vec<LocalReport>) {
         let now = Instant::now();
         let audience = self.view.lock().heartbeat_addrs();
         for notes in split(fresh.into_iter().map(|f| f.note(now))) {
@@ -309,7 +310,7 @@
     thread::Builder::new().name(name.into()).spawn(body).map(drop)
 }
 
-impl Fresh {
+impl LocalReport {
     fn note(self, now: Instant) -> TargetLoad {
         let age_ms = now.saturating_duration_since(self.seen).as_millis() as u32;
         TargetLoad { age_ms, content: self.content }
--- a/crates/roseshored/src/operators.rs
+++ b/crates/roseshored/src/operators.rs
@@ -22,7 +22,7 @@
 
 /// The parts that operators' calls touch.
 #[derive(Clone)]
-pub struct Console {
+pub struct AdminApi {
     /// The configuration.
     pub fleets: Arc<FleetDriver>,
     /// The daemons.
@@ -56,25 +56,25 @@
 }
 
 /// Answers one request; may take as long as its `wait_ms` says, 30 s at most.
-pub fn handle(console: &Console, call: &Call<'_>) -> Answer {
+pub fn handle(admin_api: &AdminApi, call: &Call<'_>) -> Answer {
     let (path, query) = call.path.split_once('?').unwrap_or((call.path, ""));
     let path = path.strip_prefix(PREFIX).unwrap_or_default();
     match (call.method, path) {
-        ("GET", "config") => console.config(),
-        ("GET", "status") => console.status(),
-        ("POST", "commands") => console.command(call.body, wait(query)),
-        ("POST", "query") => console.query(call.body),
-        ("POST", "drain") => console.drain(),
-        ("GET", "keys") => keys::show(&*console.keys, query),
-        ("POST", "keys/settle") => keys::settle(&*console.keys, call.body),
+        ("GET", "config") => admin_api.config(),
+        ("GET", "status") => admin_api.status(),
+        ("POST", "commands") => admin_api.command(call.body, wait(query)),
+        ("POST", "query") => admin_api.query(call.body),
+        ("POST", "drain") => admin_api.drain(),
+        ("GET", "keys") => keys::show(&*admin_api.keys, query),
+        ("POST", "keys/settle") => keys::settle(&*admin_api.keys, call.body),
         ("GET", other) if other.starts_with("commands/") => {
-            console.report(&other["commands/".len()..])
+            admin_api.report(&other["commands/".len()..])
         }
         _ => problem(Code::UnknownPath, format!("no `{} {}` here", call.method, call.path)),
     }
 }
 
-impl Console {
+impl AdminApi {
     fn config(&self) -> Answer {
         let config = self.fleets.inspect(|state| Config {
             offset: state.offset(),
@@ -155,7 +155,7 @@
     fn outcome(&self, settled: Settled, until: Instant) -> Outcome {
         match settled {
             Settled::Accepted(version) => {
-                let confirmation = self.fleets.settle_everywhere(&*self.members, version, until);
+                let confirmation = self.fleets.wait_confirmed(&*self.members, version, until);
                 let (in_force, unconfirmed) = (confirmation.in_force, confirmation.unconfirmed);
                 Outcome::Accepted { version, in_force, unconfirmed }
             }
--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -27,12 +27,12 @@
 
 /// How long a round waits before the next one.
 const ROUND: Duration = Duration::from_millis(250);
-/// Orders that are sent at once.
+/// Threads that send orders concurrently.
 const SENDERS: usize = 4;
 
 /// The times of giving orders.
 #[derive(Clone, Copy, Debug)]
-pub struct OrderTimes {
+pub struct OrderSettings {
     /// Those of the lease.
     pub lease: LeaseTimes,
     /// Those of the choice of orders.
@@ -40,26 +40,26 @@
     /// Those of the placement of spare engines.
     pub placement: PlacementBounds,
     /// A report older than this says nothing about what a target holds.
-    pub fresh: Duration,
+    pub max_age: Duration,
     /// How long a target has to answer an order; the lease's margin covers it.
-    pub flight: Duration,
+    pub timeout: Duration,
 }
 
-impl Default for OrderTimes {
-    fn default() -> OrderTimes {
-        OrderTimes {
+impl Default for OrderSettings {
+    fn default() -> OrderSettings {
+        OrderSettings {
             lease: LeaseTimes::default(),
             reconciler: ReconcilerLimits::default(),
             placement: PlacementBounds::default(),
-            fresh: Duration::from_secs(3),
-            flight: Duration::from_secs(1),
+            max_age: Duration::from_secs(3),
+            timeout: Duration::from_secs(1),
         }
     }
 }
 
 /// What giving orders needs.
 #[derive(Clone)]
-pub struct OrderParts {
+pub struct OrderDeps {
     /// Keeps the leases.
     pub log: Arc<dyn Log>,
     /// Takes the orders.
@@ -77,33 +77,33 @@
 }
 
 /// The orders of one daemon.
-pub struct Orders {
-    parts: OrderParts,
+pub struct OrderDriver {
+    parts: OrderDeps,
     stream: String,
     data_centre: DataCentreId,
     lease_client: Arc<Mutex<LeaseClient>>,
     reconciler: Reconciler,
     bounds: PlacementBounds,
     placement: Placement,
-    fresh: Duration,
+    max_age: Duration,
     holding: bool,
     sender: Sender,
 }
 
-impl Orders {
-    /// Orders of a daemon that holds no lease yet; starts the threads that send.
-    pub fn new(parts: OrderParts, times: OrderTimes) -> Orders {
+impl OrderDriver {
+    /// A driver that holds no lease yet; starts the threads that send.
+    pub fn new(parts: OrderDeps, times: OrderSettings) -> OrderDriver {
         let own = parts.members.own();
         let lease_client = LeaseClient::new(own.host, own.incarnation, times.lease);
         let lease_client = Arc::new(Mutex::new(lease_client));
-        let sender = Sender::start(parts.engine.clone(), lease_client.clone(), times.flight);
-        Orders {
+        let sender = Sender::start(parts.engine.clone(), lease_client.clone(), times.timeout);
+        OrderDriver {
             stream: format!("orders-{}", own.data_centre),
             data_centre: own.data_centre,
             reconciler: Reconciler::new(times.reconciler),
             bounds: times.placement,
             placement: Placement::new(times.placement),
-            fresh: times.fresh,
+            max_age: times.max_age,
             holding: false,
             parts,
             lease_client,
@@ -201,7 +201,7 @@
     fn give(&mut self) {
         let Some(fleet) = self.parts.fleets.current() else { return };
         let mut wants = desired(&fleet.fleet, &self.data_centre);
-        let seen = seen(&self.parts.reports.newest(), Instant::now(), self.fresh);
+        let seen = seen(&self.parts.reports.newest(), Instant::now(), self.max_age);
         let spares = spares(&fleet.fleet, &self.data_centre);
         let placed = self.placement.place(Instant::now(), &wants, &spares, &seen);
         wants.extend(placed);
--- a/crates/roseshored/src/parts.rs
+++ b/crates/roseshored/src/parts.rs
@@ -12,12 +12,12 @@
 use crate::event;
 use crate::fleets::{FleetDriver, FleetSettings};
 use crate::ledger::account::Account;
-use crate::ledger::{Asker, LedgerDriver};
+use crate::ledger::{LedgerDriver, QueryFanout};
 use crate::loads::caches::CacheReader;
 use crate::loads::{self, LoadDriver};
 use crate::members::MemberDriver;
-use crate::operators::Console;
-use crate::orders::{OrderParts, OrderTimes, Orders};
+use crate::operators::AdminApi;
+use crate::orders::{OrderDeps, OrderDriver, OrderSettings};
 use crate::peers::{self, PeerDriver};
 use crate::routing::Routing;
 use crate::settings::Settings;
@@ -36,11 +36,11 @@
 const FLUSH_LIMIT: Duration = Duration::from_secs(10);
 
 /// The parts of one daemon.
-pub struct Parts {
+pub struct Daemon {
     /// What serving a request needs.
     pub app: App,
     /// What operators' calls touch.
-    pub console: Console,
+    pub admin_api: AdminApi,
     /// Unrepeatable work, as [`App::claims`] and for peers' questions.
     pub claims: Arc<ClaimsDriver>,
     members: Arc<MemberDriver>,
@@ -64,7 +64,7 @@
 struct Books {
     account: Arc<Account>,
     ledger: Arc<LedgerDriver>,
-    asker: Arc<Asker>,
+    queries: Arc<QueryFanout>,
 }
 
 impl Ground {
@@ -92,14 +92,14 @@
         let account = Arc::new(Account::new(self.outside.log.clone(), &own));
         let ledger = Arc::new(LedgerDriver::new(&own, account.clone()));
         let (members, peers) = (self.members.clone(), self.outside.peers.clone());
-        let asker = Arc::new(Asker::new(ledger.clone(), account.clone(), members, peers));
-        Books { account, ledger, asker }
+        let queries = Arc::new(QueryFanout::new(ledger.clone(), account.clone(), members, peers));
+        Books { account, ledger, queries }
     }
 
     /// Polls the targets of the own data centre and shares what they say.
     fn loads(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<LoadDriver> {
         let period = settings.poll;
-        LoadDriver::start(loads::Parts {
+        LoadDriver::start(loads::LoadConfig {
             members: self.joined.clone(),
             fleets: self.fleets.clone(),
             engine: self.outside.engine.clone(),
@@ -111,7 +111,7 @@
 
     /// Speaks to the other data centres.
     fn speaker(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<Arc<PeerDriver>> {
-        PeerDriver::start(peers::Parts {
+        PeerDriver::start(peers::PeerConfig {
             members: self.joined.clone(),
             peers: self.outside.peers.clone(),
             reports: routing.clone(),
@@ -126,7 +126,7 @@
             reports: routing.clone(),
             caches: routing.clone(),
         };
-        let orders = OrderParts {
+        let orders = OrderDeps {
             log: self.outside.log.clone(),
             engine: self.outside.engine.clone(),
             weights: self.outside.weights.clone(),
@@ -139,19 +139,19 @@
         Ok(vec![
             Worker::start("caches", move |stop| caches.run(stop))?,
             Worker::start("orders", move |stop| {
-                Orders::new(orders, OrderTimes::default()).run(stop);
+                OrderDriver::new(orders, OrderSettings::default()).run(stop);
             })?,
             Worker::start("account", move |stop| account.run(&*members, stop))?,
         ])
     }
 }
 
-impl Parts {
+impl Daemon {
     /// Starts every part.
     ///
     /// # Errors
     /// When the system gives no thread or socket.
-    pub fn start(settings: &Settings) -> io::Result<Parts> {
+    pub fn start(settings: &Settings) -> io::Result<Daemon> {
         let (ground, listener) = Ground::start(settings)?;
         let claims = ground.claims()?;
         let books = ground.books();
@@ -166,10 +166,10 @@
             speaker.clone(),
         ];
         let peer = serve(listener, answers)?;
-        let console = Console {
+        let admin_api = AdminApi {
             fleets: ground.configuration,
             members: ground.members.clone(),
-            queries: Some(books.asker),
+            queries: Some(books.queries),
             keys: claims.clone(),
             drain: ground.drain.clone(),
         };
@@ -190,9 +190,9 @@
             budgets: Arc::default(),
             drain: ground.drain,
         };
-        Ok(Parts {
+        Ok(Daemon {
             app,
-            console,
+            admin_api,
             claims,
             members: ground.joined,
             speaker,
@@ -217,7 +217,7 @@
         }
         drop(self.loads.lock().take());
         self.speaker.stop();
-        self.console.fleets.stop();
+        self.admin_api.fleets.stop();
         self.members.stop();
     }
 }
--- a/crates/roseshored/src/parts/outside.rs
+++ b/crates/roseshored/src/parts/outside.rs
@@ -70,7 +70,7 @@
     socket: UdpSocket,
     fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
-) -> io::Result<members::Parts> {
+) -> io::Result<members::MemberConfig> {
     let own = Heartbeat {
         host: settings.host.clone(),
         data_centre: settings.data_centre.clone(),
@@ -80,12 +80,12 @@
         offset: 0,
         digest: 0,
     };
-    Ok(members::Parts {
+    Ok(members::MemberConfig {
         own,
         peer: socket.addr()?,
         seeds: settings.seeds.clone(),
         settings: times(settings),
-        list_period: settings.list_period,
+        list_interval: settings.list_interval,
         socket: Arc::new(socket),
         list: outside.list.clone(),
         fleets,
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -28,7 +28,7 @@
 const MAX_WAITING: usize = 64;
 
 /// What the driver needs.
-pub struct Parts {
+pub struct PeerConfig {
     /// The daemons.
     pub members: Arc<MemberDriver>,
     /// The links.
@@ -41,12 +41,12 @@
 
 /// The load of another data centre, as last told.
 #[derive(Clone, Debug)]
-pub struct FarLoad {
+pub struct RemoteLoad {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// When it was told.
-    pub told: Instant,
-    /// By model; ages count from `told`.
+    pub received_at: Instant,
+    /// By model; ages count from `received_at`.
     pub summaries: Vec<Summary>,
 }
 
@@ -56,7 +56,7 @@
     peers: Arc<dyn Peers>,
     reports: Arc<dyn ReportStore>,
     schedule: Mutex<DigestSchedule>,
-    far: Mutex<BTreeMap<DataCentreId, FarLoad>>,
+    far: Mutex<BTreeMap<DataCentreId, RemoteLoad>>,
     learn: flume::Sender<Learned>,
     stopped: AtomicBool,
 }
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: Parts) -> io::Result<Arc<PeerDriver>> {
+    pub fn start(parts: PeerConfig) -> io::Result<Arc<PeerDriver>> {
         let own = parts.members.own().data_centre;
         let (learn, learned) = flume::bounded(MAX_WAITING);
         let driver = Arc::new(PeerDriver {
@@ -96,7 +96,7 @@
     }
 
     /// The loads of the other data centres.
-    pub fn far(&self) -> Vec<FarLoad> {
+    pub fn remote_loads(&self) -> Vec<RemoteLoad> {
         self.far.lock().values().cloned().collect()
     }
 
@@ -110,7 +110,7 @@
             if self.members.stale() {
                 continue;
             }
-            let far = self.members.far();
+            let far = self.members.remote_members();
             let place = |subject: &str| self.members.place(subject);
             let calls = self.schedule.lock().tick(far, place, Instant::now());
             for call in calls {
@@ -138,13 +138,13 @@
         }
     }
 
-    fn take(&self, digests: &[Digest], told: Instant) {
+    fn take(&self, digests: &[Digest], received_at: Instant) {
         for digest in digests {
             let data_centre = digest.data_centre.clone();
             self.members.take_digest(digest.members.clone());
-            self.schedule.lock().heard(&data_centre, told);
+            self.schedule.lock().heard(&data_centre, received_at);
             let summaries = digest.summaries.clone();
-            let load = FarLoad { data_centre: data_centre.clone(), told, summaries };
+            let load = RemoteLoad { data_centre: data_centre.clone(), received_at, summaries };
             self.far.lock().insert(data_centre, load);
         }
     }
--- a/crates/roseshored/src/serve/status.rs
+++ b/crates/roseshored/src/serve/status.rs
@@ -4,7 +4,7 @@
 use crate::http::exchange::{Exchange, Finish};
 use crate::http::read::Request;
 use crate::http::reply::Response;
-use crate::operators::{self, Call, Console};
+use crate::operators::{self, AdminApi, Call};
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::ledger::history::{EndedRequest, RequestState};
 use roseshore_core::prelude::*;
@@ -16,10 +16,10 @@
 
 /// Serves the paths that start no work.
 pub(super) fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
-    if let Some(console) = &exchange.context.console
+    if let Some(admin_api) = &exchange.context.admin_api
         && request.path.starts_with(operators::PREFIX)
     {
-        let response = operate(console, request);
+        let response = operate(admin_api, request);
         exchange.reply.send(&response);
         return Ok(Finish::default());
     }
@@ -43,10 +43,10 @@
     Ok(Finish::default())
 }
 
-fn operate(console: &Console, request: &Request) -> Response {
+fn operate(admin_api: &AdminApi, request: &Request) -> Response {
     let path = format!("{}?{}", request.path, request.query);
     let method = request.method.as_str();
-    let answer = operators::handle(console, &Call { method, path: &path, body: &request.body });
+    let answer = operators::handle(admin_api, &Call { method, path: &path, body: &request.body });
     Response::new(answer.status, "application/json", answer.body)
 }
 
--- a/crates/roseshored/src/settings.rs
+++ b/crates/roseshored/src/settings.rs
@@ -96,7 +96,7 @@
     #[derive(Debug)]
     pub enum SettingsError {
         /// One or more settings are wrong.
-        Wrong(all: Vec<WrongSetting>) {
+        Invalid(all: Vec<InvalidSetting>) {
             display("{}", list(all))
         }
         /// Help, the version, or a flag that does not exist.
@@ -108,7 +108,7 @@
 
 /// A setting that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WrongSetting {
+pub struct InvalidSetting {
     /// The flag, without dashes.
     pub flag: &'static str,
     /// What was given, `None` for nothing.
@@ -117,7 +117,7 @@
     pub allowed: String,
 }
 
-fn list(all: &[WrongSetting]) -> String {
+fn list(all: &[InvalidSetting]) -> String {
     let mut text = format!("{} of the settings cannot be used:", all.len());
     for wrong in all {
         let given = wrong.given.as_ref().map_or("nothing".to_owned(), |it| format!("`{it}`"));
@@ -157,19 +157,19 @@
     /// Longest body of a request, bytes.
     pub body_bytes: usize,
     /// Time to send one whole request.
-    pub caller_limit: Duration,
+    pub read_timeout: Duration,
     /// Time a kept connection may lie idle.
-    pub idle_limit: Duration,
+    pub idle_timeout: Duration,
     /// Time a caller may block one write.
-    pub write_limit: Duration,
+    pub write_timeout: Duration,
     /// Longest wait for work in flight when leaving.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
     /// Shortest time in which refusals are given when leaving.
     pub grace: Duration,
     /// Between heartbeats.
     pub heartbeat: Duration,
     /// Between readings of the host list.
-    pub list_period: Duration,
+    pub list_interval: Duration,
     /// Between polls of a target.
     pub poll: Duration,
     /// Requests whose spans are kept.
@@ -191,7 +191,7 @@
         let matches = command().try_get_matches_from(args).map_err(SettingsError::Usage)?;
         let wrong = check(&matches);
         if !wrong.is_empty() {
-            return Err(SettingsError::Wrong(wrong));
+            return Err(SettingsError::Invalid(wrong));
         }
         Ok(Settings::collect(&Values { matches }))
     }
@@ -210,13 +210,13 @@
             connections: values.count("connections") as usize,
             requests: values.count("requests") as usize,
             body_bytes: values.count("body-bytes") as usize,
-            caller_limit: values.millis("caller-ms"),
-            idle_limit: values.millis("idle-ms"),
-            write_limit: values.millis("write-ms"),
-            drain_limit: values.millis("drain-ms"),
+            read_timeout: values.millis("caller-ms"),
+            idle_timeout: values.millis("idle-ms"),
+            write_timeout: values.millis("write-ms"),
+            drain_timeout: values.millis("drain-ms"),
             grace: values.millis("grace-ms"),
             heartbeat: values.millis("heartbeat-ms"),
-            list_period: values.millis("host-list-ms"),
+            list_interval: values.millis("host-list-ms"),
             poll: values.millis("poll-ms"),
             traces: values.count("traces") as usize,
             log_level: values.text("log-level").parse().unwrap_or(log::LevelFilter::Info),
@@ -302,7 +302,7 @@
     }
 }
 
-fn check(matches: &ArgMatches) -> Vec<WrongSetting> {
+fn check(matches: &ArgMatches) -> Vec<InvalidSetting> {
     let mut wrong = Vec::new();
     for setting in TABLE {
         let given = matches.get_one::<String>(setting.flag);
@@ -312,7 +312,7 @@
         };
         if !fits {
             let allowed = allowed(&setting.kind);
-            wrong.push(WrongSetting { flag: setting.flag, given: given.cloned(), allowed });
+            wrong.push(InvalidSetting { flag: setting.flag, given: given.cloned(), allowed });
         }
     }
     wrong
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -14,7 +14,7 @@
 use roseshore_wire::platform::{Host, HostState, Hosts};
 use roseshore_wire::service::ServiceLoad;
 use roseshored::app::Drain;
-use roseshored::members::{MemberDriver, Parts};
+use roseshored::members::{MemberConfig, MemberDriver};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -114,7 +114,7 @@
         let peer = socket.addr().expect("its address");
         let cable = Arc::new(Cable { socket, deaf: false.into(), mute: false.into() });
         let drain = Arc::new(Drain::default());
-        let parts = Parts {
+        let parts = MemberConfig {
             own: Heartbeat {
                 host: format!("h{n}"),
                 data_centre: centre(n),
@@ -127,7 +127,7 @@
             peer,
             seeds: Vec::new(),
             settings: settings(),
-            list_period: Duration::from_millis(500),
+            list_interval: Duration::from_millis(500),
             socket: cable.clone(),
             list: list.clone(),
             fleets: Arc::new(Folded),
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -283,7 +283,7 @@
     assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), Settled::Accepted(0));
     eventually("every daemon has it", || nodes.iter().all(|it| rate(it) == Some(5.0)));
     let view = &cluster.views[&nodes[4].host];
-    let confirmation = nodes[4].driver.settle_everywhere(&**view, 0, Instant::now() + BOUND);
+    let confirmation = nodes[4].driver.wait_confirmed(&**view, 0, Instant::now() + BOUND);
     assert_eq!((confirmation.in_force.len(), confirmation.unconfirmed.len()), (3, 0));
     let digests: BTreeSet<u64> = nodes.iter().map(|it| it.driver.inspect(State::digest)).collect();
     assert_eq!(digests.len(), 1);
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -17,7 +17,7 @@
 use roseshore_wire::engine::{CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order};
 use roseshore_wire::peer::{LoadReport, Summary};
 use roseshore_wire::service::ServiceLoad;
-use roseshored::loads::notes::{Packer, Unpacker};
+use roseshored::loads::notes::{DeltaDecoder, DeltaEncoder};
 use roseshored::loads::{self, LoadDriver};
 use roseshored::peers::summarise;
 use std::net::SocketAddr;
@@ -134,7 +134,7 @@
 /// Polls a fleet of at most `full_limit` targets in full.
 fn poll_full(daemon: &Daemon, site: &Arc<Site>, full_limit: usize) -> (LoadDriver, Arc<Taken>) {
     let taken = Arc::new(Taken::default());
-    let parts = loads::Parts {
+    let parts = loads::LoadConfig {
         members: daemon.driver.clone(),
         fleets: Arc::new(Declared),
         engine: Arc::new(Targets(site.clone())),
@@ -264,19 +264,19 @@
         },
     ];
     for case in cases {
-        let (mut packer, mut unpacker) = (Packer::default(), Unpacker::default());
+        let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
         let mut now = Instant::now();
         for (i, step) in case.steps.into_iter().enumerate() {
             let Say(after, content, whole, arrives) = step else {
-                packer.reset();
+                encoder.reset();
                 continue;
             };
             now += Duration::from_millis(after);
-            let note = packer.pack(&"t".to_owned(), &content, now);
+            let note = encoder.encode(&"t".to_owned(), &content, now);
             let short = matches!(note, LoadReport::Brief { .. });
             assert_eq!(short, !whole, "{}, step {i}", case.name);
             if arrives || short {
-                let got = unpacker.unpack(note).map(|u| u.content);
+                let got = decoder.decode(note).map(|u| u.content);
                 assert_eq!(got, arrives.then_some(content), "{}, step {i}", case.name);
             }
         }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -14,7 +14,7 @@
     ActiveConfig, Chain, ChainNeeds, ConfigSource, Permit, Replica, RequestInfo, Router,
 };
 use roseshore_ports::outside::{CallError, CallResult, ServiceReply};
-use roseshored::lookups::{Lookups, Parts, said};
+use roseshored::lookups::{LookupDeps, Lookups, read_reply};
 use std::sync::Arc;
 use std::thread;
 
@@ -85,7 +85,7 @@
 struct Site {
     fakes: Vec<ServiceFake>,
     router: Arc<FixedRouter>,
-    parts: Parts,
+    parts: LookupDeps,
 }
 
 /// A replica of the source of this index that holds this record of `pkg`, if any.
@@ -118,7 +118,7 @@
         fakes.push(fake);
     }
     let router = Arc::new(router);
-    let parts = Parts {
+    let parts = LookupDeps {
         fleets: fleet(ServiceKind::Lookup, sources),
         router: router.clone(),
         services: Arc::new(HttpServices::default()),
@@ -163,10 +163,10 @@
 }
 
 /// Looks `pkg` up; fails when the outcome is held back as long as the deadline.
-fn look_up(parts: &Parts, compared: f64) -> Told {
+fn look_up(parts: &LookupDeps, compare_ratio: f64) -> Told {
     let (tell, heard) = flume::bounded(1);
     let parts = parts.clone();
-    let lookups = Lookups::new(16).comparing(compared);
+    let lookups = Lookups::new(16).with_compare_ratio(compare_ratio);
     thread::spawn(move || {
         let _ = tell.send(told(lookups.run(&parts, &ask(DEADLINE), "pkg", None)));
     });
@@ -297,7 +297,7 @@
     log::set_logger(&Lines).unwrap();
     log::set_max_level(log::LevelFilter::Trace);
     let site = site(&SOURCES, vec![is(0, Some("a")), is(1, None), is(2, Some("c"))]);
-    let lookups = Lookups::new(16).comparing(1.0);
+    let lookups = Lookups::new(16).with_compare_ratio(1.0);
     let told = told(lookups.run(&site.parts, &ask(DEADLINE), "pkg", None));
     assert_eq!(told, Told::Record("a".to_owned()));
     let wanted = "E802 first=packages/first other=packages/third name=pkg";
@@ -311,7 +311,8 @@
     let replica = Replica { target: "t0".to_owned(), addr: closed.addr() };
     router.replicas.push((format!("packages/{}", SOURCES[0]), replica));
     let site = site(&SOURCES[..1], Vec::new());
-    let site = Site { parts: Parts { router: Arc::new(router), ..site.parts.clone() }, ..site };
+    let site =
+        Site { parts: LookupDeps { router: Arc::new(router), ..site.parts.clone() }, ..site };
     assert_eq!(look_up(&site.parts, 0.0), Told::Silent(Verdict::NotRun));
 }
 
@@ -364,7 +365,7 @@
     ];
     let site = site(&SOURCES, vec![is(0, Some("a"))]);
     for case in cases {
-        let parts = Parts { fleets: case.fleets, ..site.parts.clone() };
+        let parts = LookupDeps { fleets: case.fleets, ..site.parts.clone() };
         let refusal = Lookups::new(4).run(&parts, &ask(case.limit), case.looked, None).unwrap_err();
         assert_eq!((refusal.code, refusal.verdict), (case.code, Verdict::NotRun), "{}", case.name);
     }
@@ -426,7 +427,7 @@
         ),
     ];
     for case in cases {
-        let plain = match said(case.called, "s", "n") {
+        let plain = match read_reply(case.called, "s", "n") {
             SourceReply::Found(_) => SourceReply::Found(()),
             SourceReply::Missing => SourceReply::Missing,
             SourceReply::Failed(verdict) => SourceReply::Failed(verdict),
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -13,7 +13,7 @@
 use roseshore_wire::engine::Load;
 use roseshore_wire::peer::{LoadReport, PeerReply, PeerRequest};
 use roseshore_wire::platform::HostState;
-use roseshored::members::Fresh;
+use roseshored::members::LocalReport;
 use roseshored::peers::{self, PeerDriver};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -112,10 +112,14 @@
     let name = |n| format!("a target with quite a long name {n}");
     for n in 0..100 {
         let content = LoadReport::Silent { target: name(n) };
-        daemons[0].driver.share(Fresh { seen: Instant::now(), content, urgent: n == 99 });
+        daemons[0].driver.queue_report(LocalReport {
+            seen: Instant::now(),
+            content,
+            urgent: n == 99,
+        });
     }
     for other in &daemons[1..] {
-        let inbox = other.driver.told();
+        let inbox = other.driver.peer_reports();
         let mut got = Vec::new();
         while got.len() < 100 {
             let told = inbox.recv_timeout(BOUND).expect("notes");
@@ -160,7 +164,7 @@
     let reports = Arc::new(Taken::default());
     let content = ReportContent::Engine(Load { queue: n as u32, ..load() });
     reports.store(Report { target: "t".into(), seen: Instant::now(), content });
-    let parts = peers::Parts {
+    let parts = peers::PeerConfig {
         members: daemon.driver.clone(),
         peers: Arc::new(Wire { peers: TcpPeers::new(Limits::default()), cut: cut.clone() }),
         reports,
@@ -188,7 +192,7 @@
         numbers.iter().zip(&all).all(both)
     };
     let queues = |s: &Speaking| -> Vec<(DataCentreId, u32)> {
-        let far = s.driver.far();
+        let far = s.driver.remote_loads();
         far.iter().map(|f| (f.data_centre.clone(), f.summaries[0].queue)).collect()
     };
     wait("all alive to all", || sees(Some(MemberState::Alive)));
--- a/crates/roseshored/tests/orders.rs
+++ b/crates/roseshored/tests/orders.rs
@@ -9,15 +9,15 @@
 use roseshore_fakes::engine::EngineFaults;
 use roseshore_fakes::platform::PlatformFaults;
 use roseshore_ports::outside::{CallError, Engine, StreamItem};
-use roseshored::orders::OrderTimes;
+use roseshored::orders::OrderSettings;
 
 /// A lease short enough for tests to wait for its end.
-fn short() -> OrderTimes {
+fn short() -> OrderSettings {
     times(Duration::from_secs(1))
 }
 
 /// A lease that does not end by itself in a test.
-fn long() -> OrderTimes {
+fn long() -> OrderSettings {
     times(Duration::from_mins(10))
 }
 
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/bed.rs
@@ -19,7 +19,7 @@
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Role, Stage,
 };
 use roseshored::app::Drain;
-use roseshored::orders::{OrderParts, OrderTimes, Orders};
+use roseshored::orders::{OrderDeps, OrderDriver, OrderSettings};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -30,13 +30,13 @@
 const CHAINS: usize = 2;
 const SPARE: &str = "spare";
 
-pub(crate) fn times(ttl: Duration) -> OrderTimes {
+pub(crate) fn times(ttl: Duration) -> OrderSettings {
     let lease = LeaseTimes { ttl, renew: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
     let soon = Duration::from_millis(100);
     let reconciler =
         ReconcilerLimits { retry_after: soon, propagation: soon, ..ReconcilerLimits::default() };
     let placement = PlacementBounds { min_duration: soon, ..PlacementBounds::default() };
-    OrderTimes { lease, reconciler, placement, ..OrderTimes::default() }
+    OrderSettings { lease, reconciler, placement, ..OrderSettings::default() }
 }
 
 /// One daemon's view of the configuration.
@@ -165,7 +165,7 @@
 
 /// The orders of one daemon.
 pub(crate) struct Daemon {
-    pub(crate) orders: Orders,
+    pub(crate) orders: OrderDriver,
     pub(crate) gate: Arc<Gate>,
     pub(crate) drain: Arc<Drain>,
     view: Arc<View>,
@@ -249,7 +249,7 @@
     }
 
     /// A daemon that sees version `v1` in force and itself first.
-    pub(crate) fn daemon(&self, host: &str, times: OrderTimes) -> Daemon {
+    pub(crate) fn daemon(&self, host: &str, times: OrderSettings) -> Daemon {
         let platform = || Arc::new(HttpPlatform::new(self.platform.addr(), Duration::from_secs(1)));
         let gate = Arc::new(Gate::default());
         let drain = Arc::new(Drain::default());
@@ -258,7 +258,7 @@
         let ranks = Arc::new(Ranks { own: host.into(), order });
         let addrs = self.engines.iter().enumerate().map(|(at, e)| (name(at), e.addr()));
         let addrs = addrs.chain([(SPARE.to_owned(), self.spare.addr())]);
-        let parts = OrderParts {
+        let parts = OrderDeps {
             log: platform(),
             engine: gate.clone(),
             weights: platform(),
@@ -267,7 +267,7 @@
             members: ranks.clone(),
             drain: drain.clone(),
         };
-        Daemon { orders: Orders::new(parts, times), gate, drain, view, ranks }
+        Daemon { orders: OrderDriver::new(parts, times), gate, drain, view, ranks }
     }
 
     /// Whether every engine serves a version.
--- a/crates/roseshored/tests/path.rs
+++ b/crates/roseshored/tests/path.rs
@@ -15,7 +15,7 @@
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
 use roseshore_fakes::wait::wait_until;
 use roseshored::Running;
-use roseshored::parts::Parts;
+use roseshored::parts::Daemon;
 use std::net::SocketAddr;
 use std::thread;
 
@@ -41,7 +41,7 @@
 struct Path {
     platform: PlatformFake,
     stages: Vec<EngineFake>,
-    parts: Parts,
+    parts: Daemon,
     running: Running,
 }
 
@@ -50,9 +50,9 @@
         let platform = PlatformFake::start(PlatformSettings::default()).expect("platform");
         let log = format!("--log={}", platform.addr());
         let settings = fakes::settings(&[&log, "--poll-ms=20"]);
-        let parts = Parts::start(&settings).expect("parts");
-        let console = Some(parts.console.clone());
-        let running = roseshored::start(&settings, parts.app.clone(), console).expect("start");
+        let parts = Daemon::start(&settings).expect("parts");
+        let admin_api = Some(parts.admin_api.clone());
+        let running = roseshored::start(&settings, parts.app.clone(), admin_api).expect("start");
         let holding = [(0, 2), (2, 4)].map(|layers| {
             let name = format!("e{}", layers.0);
             EngineFake::start(EngineSettings::holding(&name, "m", "v1", layers)).expect("engine")
