--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -11,7 +11,7 @@
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::frame::{self, MAX_DATAGRAM, MAX_FRAME};
 use roseshore_wire::peer::{Datagram, Digest, PeerRequest, Summary, TargetLoad};
-use roseshored::loads::notes::{DeltaDecoder, DeltaEncoder};
+use roseshored::loads::delta::{DeltaDecoder, DeltaEncoder};
 use std::hint::black_box;
 use std::net::{SocketAddr, UdpSocket};
 
--- a/crates/roseshored/src/context.rs
+++ b/crates/roseshored/src/context.rs
@@ -1,7 +1,7 @@
 //! The daemon's parts as the front and the paths behind it see them.
 
+use crate::admin::AdminApi;
 use crate::app::App;
-use crate::operators::AdminApi;
 use crate::spans::Store;
 use metrics_exporter_prometheus::PrometheusHandle;
 
--- a/crates/roseshored/src/parts.rs
+++ b/crates/roseshored/src/daemon.rs
@@ -3,9 +3,10 @@
 //! First what everything stands on ([`Ground`]: configuration and members), then one function for
 //! each subsystem.
 
-mod outside;
+mod external;
 mod worker;
 
+use crate::admin::AdminApi;
 use crate::admission::AdmissionDriver;
 use crate::app::{App, Drain};
 use crate::claims::{ClaimsConfig, ClaimsDriver};
@@ -16,12 +17,11 @@
 use crate::loads::caches::CacheReader;
 use crate::loads::{self, LoadDriver};
 use crate::members::MemberDriver;
-use crate::operators::AdminApi;
 use crate::orders::{OrderDeps, OrderDriver, OrderSettings};
 use crate::peers::{self, PeerDriver};
 use crate::routing::Routing;
 use crate::settings::Settings;
-use outside::{Outside, join, listen, times};
+use external::{External, join, listen, times};
 use parking_lot::Mutex;
 use roseshore_adapters::peer::{Server, serve};
 use roseshore_core::polling;
@@ -52,7 +52,7 @@
 
 /// What the other parts stand on.
 struct Ground {
-    outside: Outside,
+    external: External,
     drain: Arc<Drain>,
     configuration: Arc<FleetDriver>,
     fleets: Arc<dyn ConfigSource>,
@@ -70,28 +70,28 @@
 impl Ground {
     /// Follows the configuration and joins the other daemons.
     fn start(settings: &Settings) -> io::Result<(Ground, TcpListener)> {
-        let outside = Outside::new(settings);
+        let external = External::new(settings);
         let drain = Arc::new(Drain::default());
-        let configuration = FleetDriver::new(outside.log.clone(), FleetSettings::default());
+        let configuration = FleetDriver::new(external.log.clone(), FleetSettings::default());
         let (socket, listener) = listen(settings.peer)?;
-        let part = join(settings, &outside, socket, configuration.clone(), drain.clone())?;
+        let part = join(settings, &external, socket, configuration.clone(), drain.clone())?;
         let joined = MemberDriver::start(part)?;
-        configuration.start(joined.clone(), outside.peers.clone())?;
+        configuration.start(joined.clone(), external.peers.clone())?;
         let (fleets, members) = (configuration.clone(), joined.clone());
-        Ok((Ground { outside, drain, configuration, fleets, joined, members }, listener))
+        Ok((Ground { external, drain, configuration, fleets, joined, members }, listener))
     }
 
     fn claims(&self) -> io::Result<Arc<ClaimsDriver>> {
-        let (log, peers) = (self.outside.log.clone(), self.outside.peers.clone());
+        let (log, peers) = (self.external.log.clone(), self.external.peers.clone());
         let members = self.members.clone();
         ClaimsDriver::start(ClaimsConfig::default(), log, peers, members).map(Arc::new)
     }
 
     fn books(&self) -> Books {
         let own = self.members.own();
-        let account = Arc::new(Account::new(self.outside.log.clone(), &own));
+        let account = Arc::new(Account::new(self.external.log.clone(), &own));
         let ledger = Arc::new(LedgerDriver::new(&own, account.clone()));
-        let (members, peers) = (self.members.clone(), self.outside.peers.clone());
+        let (members, peers) = (self.members.clone(), self.external.peers.clone());
         let queries = Arc::new(QueryFanout::new(ledger.clone(), account.clone(), members, peers));
         Books { account, ledger, queries }
     }
@@ -102,8 +102,8 @@
         LoadDriver::start(loads::LoadConfig {
             members: self.joined.clone(),
             fleets: self.fleets.clone(),
-            engine: self.outside.engine.clone(),
-            services: self.outside.services.clone(),
+            engine: self.external.engine.clone(),
+            services: self.external.services.clone(),
             reports: routing.clone(),
             settings: polling::Settings { period, ..polling::Settings::default() },
         })
@@ -113,7 +113,7 @@
     fn speaker(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<Arc<PeerDriver>> {
         PeerDriver::start(peers::PeerConfig {
             members: self.joined.clone(),
-            peers: self.outside.peers.clone(),
+            peers: self.external.peers.clone(),
             reports: routing.clone(),
             settings: times(settings),
         })
@@ -122,14 +122,14 @@
     fn workers(&self, routing: &Arc<Routing>, account: Arc<Account>) -> io::Result<Vec<Worker>> {
         let caches = CacheReader {
             fleets: self.fleets.clone(),
-            engine: self.outside.engine.clone(),
+            engine: self.external.engine.clone(),
             reports: routing.clone(),
             caches: routing.clone(),
         };
         let orders = OrderDeps {
-            log: self.outside.log.clone(),
-            engine: self.outside.engine.clone(),
-            weights: self.outside.weights.clone(),
+            log: self.external.log.clone(),
+            engine: self.external.engine.clone(),
+            weights: self.external.weights.clone(),
             fleets: self.fleets.clone(),
             reports: routing.clone(),
             members: self.members.clone(),
@@ -185,8 +185,8 @@
             claims: claims.clone(),
             ledger: books.ledger,
             members,
-            engine: ground.outside.engine,
-            services: ground.outside.services,
+            engine: ground.external.engine,
+            services: ground.external.services,
             budgets: Arc::default(),
             drain: ground.drain,
         };
--- a/crates/roseshored/src/parts/outside.rs
+++ b/crates/roseshored/src/daemon/external.rs
@@ -22,7 +22,7 @@
 const PORT_TRIES: usize = 16;
 
 /// The systems outside.
-pub(super) struct Outside {
+pub(super) struct External {
     pub(super) log: Arc<dyn Log>,
     pub(super) list: Arc<dyn HostList>,
     pub(super) weights: Arc<dyn WeightStore>,
@@ -31,10 +31,10 @@
     pub(super) peers: Arc<dyn Peers>,
 }
 
-impl Outside {
-    pub(super) fn new(settings: &Settings) -> Outside {
+impl External {
+    pub(super) fn new(settings: &Settings) -> External {
         let platform = |addr| Arc::new(HttpPlatform::new(addr, PLATFORM_LIMIT));
-        Outside {
+        External {
             log: platform(settings.log),
             list: platform(settings.host_list),
             weights: platform(settings.weight_store),
@@ -66,7 +66,7 @@
 /// What the members need.
 pub(super) fn join(
     settings: &Settings,
-    outside: &Outside,
+    external: &External,
     socket: UdpSocket,
     fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
@@ -87,7 +87,7 @@
         settings: times(settings),
         list_interval: settings.list_interval,
         socket: Arc::new(socket),
-        list: outside.list.clone(),
+        list: external.list.clone(),
         fleets,
         drain,
     })
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -4,11 +4,11 @@
 //! answering for a short time even when nothing is in flight, so that the balancer sees readiness
 //! go before connections are refused.
 
+use crate::admin::AdminApi;
 use crate::app::{App, Drain};
 use crate::context::ServerContext;
 use crate::event;
 use crate::http::HttpServer;
-use crate::operators::AdminApi;
 use crate::serve::Paths;
 use crate::settings::Settings;
 use crate::spans;
--- a/crates/roseshored/src/lib.rs
+++ b/crates/roseshored/src/lib.rs
@@ -4,6 +4,7 @@
 //! sockets. Each part is a module with a driver; parts know each other by the traits of
 //! `roseshore_ports` only, and [`app::App`] holds them together.
 
+pub mod admin;
 pub mod admission;
 pub mod answer;
 pub mod app;
@@ -11,6 +12,7 @@
 pub mod calls;
 pub mod claims;
 pub mod context;
+pub mod daemon;
 pub mod drain;
 pub mod entry;
 pub mod events;
@@ -21,9 +23,7 @@
 mod log_reader;
 pub mod lookups;
 pub mod members;
-pub mod operators;
 pub mod orders;
-pub mod parts;
 pub mod peers;
 pub mod routing;
 pub mod serve;
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -5,11 +5,11 @@
 //! the next heartbeat, to the other daemons of the data centre.
 
 pub mod caches;
-pub mod notes;
+pub mod delta;
 
 use crate::event;
 use crate::members::{LocalReport, MemberDriver, PeerReports};
-use notes::{DeltaDecoder, DeltaEncoder};
+use delta::{DeltaDecoder, DeltaEncoder};
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::polling::{Action, Polling, Settings};
 use roseshore_core::prelude::*;
@@ -254,7 +254,7 @@
                 metrics::counter!("roseshore_notes_incomplete_total").increment(1);
                 continue;
             };
-            let notes::DecodedReport { target, content } = unpacked;
+            let delta::DecodedReport { target, content } = unpacked;
             let silent = content == ReportContent::Silent;
             let actions = self.polling.on_peer_report(&target, silent, seen);
             self.act_all(actions);
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -5,16 +5,16 @@
 //! keeps what lookups of one service share: budgets for extra attempts, and the pace of each
 //! source. A daemon is one process, so [`run`] uses one [`Lookups`] for all.
 
-mod ask;
+mod attempts;
 mod pool;
-mod said;
+mod reply;
 mod shared;
 
-pub use said::read_reply;
+pub use reply::read_reply;
 
 use crate::app::App;
 use crate::event;
-use ask::{Asked, Heard};
+use attempts::{Asked, Heard};
 use metrics::counter;
 use pool::Pool;
 use roseshore_core::fleet::ServiceKind;
--- a/crates/roseshored/src/main.rs
+++ b/crates/roseshored/src/main.rs
@@ -1,7 +1,7 @@
 //! Entry point of the daemon: reads the settings, sets up logging, starts the components and waits for a signal.
 
 use roseshore_core::prelude::*;
-use roseshored::parts::Daemon;
+use roseshored::daemon::Daemon;
 use roseshored::settings::{Settings, SettingsError};
 use roseshored::{drain, entry, event};
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
--- a/crates/roseshored/src/serve/status.rs
+++ b/crates/roseshored/src/serve/status.rs
@@ -1,10 +1,10 @@
 //! What the balancer, operators and scrapers ask of this daemon.
 
 use super::request_info;
+use crate::admin::{self, AdminApi, Call};
 use crate::http::exchange::{Exchange, Finish};
 use crate::http::read::Request;
 use crate::http::reply::Response;
-use crate::operators::{self, AdminApi, Call};
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::ledger::history::{EndedRequest, RequestState};
 use roseshore_core::prelude::*;
@@ -17,7 +17,7 @@
 /// Serves the paths that start no work.
 pub(super) fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
     if let Some(admin_api) = &exchange.context.admin_api
-        && request.path.starts_with(operators::PREFIX)
+        && request.path.starts_with(admin::PREFIX)
     {
         let response = operate(admin_api, request);
         exchange.reply.send(&response);
@@ -46,7 +46,7 @@
 fn operate(admin_api: &AdminApi, request: &Request) -> Response {
     let path = format!("{}?{}", request.path, request.query);
     let method = request.method.as_str();
-    let answer = operators::handle(admin_api, &Call { method, path: &path, body: &request.body });
+    let answer = admin::handle(admin_api, &Call { method, path: &path, body: &request.body });
     Response::new(answer.status, "application/json", answer.body)
 }
 
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -17,7 +17,7 @@
 use roseshore_wire::engine::{CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order};
 use roseshore_wire::peer::{LoadReport, Summary};
 use roseshore_wire::service::ServiceLoad;
-use roseshored::loads::notes::{DeltaDecoder, DeltaEncoder};
+use roseshored::loads::delta::{DeltaDecoder, DeltaEncoder};
 use roseshored::loads::{self, LoadDriver};
 use roseshored::peers::summarise;
 use std::net::SocketAddr;
--- a/crates/roseshored/tests/path.rs
+++ b/crates/roseshored/tests/path.rs
@@ -15,7 +15,7 @@
 use roseshore_fakes::platform::{PlatformFake, PlatformSettings};
 use roseshore_fakes::wait::wait_until;
 use roseshored::Running;
-use roseshored::parts::Daemon;
+use roseshored::daemon::Daemon;
 use std::net::SocketAddr;
 use std::thread;
 
