--- a/crates/roseshored/src/parts.rs
+++ b/crates/roseshored/src/daemon.rs
@@ -3,25 +3,25 @@
 //! First what everything stands on ([`Ground`]: configuration and members), then one function for
 //! each subsystem.
 
-mod outside;
+mod external;
 mod worker;
 
+use crate::admin::AdminApi;
 use crate::admission::AdmissionDriver;
 use crate::app::{App, Drain};
 use crate::claims::{ClaimsConfig, ClaimsDriver};
 use crate::event;
 use crate::fleets::{FleetDriver, FleetSettings};
 use crate::ledger::account::Account;
-use crate::ledger::{Asker, LedgerDriver};
+use crate::ledger::{LedgerDriver, QueryFanout};
 use crate::loads::caches::CacheReader;
 use crate::loads::{self, LoadDriver};
 use crate::members::MemberDriver;
-use crate::operators::Console;
-use crate::orders::{OrderParts, OrderTimes, Orders};
+use crate::orders::{OrderDeps, OrderDriver, OrderSettings};
 use crate::peers::{self, PeerDriver};
 use crate::routing::Routing;
 use crate::settings::Settings;
-use outside::{Outside, join, listen, times};
+use external::{External, join, listen, times};
 use parking_lot::Mutex;
 use roseshore_adapters::peer::{Server, serve};
 use roseshore_core::polling;
@@ -36,11 +36,11 @@
 const FLUSH_LIMIT: Duration = Duration::from_secs(10);
 
 /// The parts of one daemon.
-pub struct Parts {
+pub struct Daemon {
     /// What serving a request needs.
     pub app: App,
     /// What operators' calls touch.
-    pub console: Console,
+    pub admin_api: AdminApi,
     /// Unrepeatable work, as [`App::claims`] and for peers' questions.
     pub claims: Arc<ClaimsDriver>,
     members: Arc<MemberDriver>,
@@ -52,7 +52,7 @@
 
 /// What the other parts stand on.
 struct Ground {
-    outside: Outside,
+    external: External,
     drain: Arc<Drain>,
     configuration: Arc<FleetDriver>,
     fleets: Arc<dyn ConfigSource>,
@@ -64,46 +64,46 @@
 struct Books {
     account: Arc<Account>,
     ledger: Arc<LedgerDriver>,
-    asker: Arc<Asker>,
+    queries: Arc<QueryFanout>,
 }
 
 impl Ground {
     /// Follows the configuration and joins the other daemons.
     fn start(settings: &Settings) -> io::Result<(Ground, TcpListener)> {
-        let outside = Outside::new(settings);
+        let external = External::new(settings);
         let drain = Arc::new(Drain::default());
-        let configuration = FleetDriver::new(outside.log.clone(), FleetSettings::default());
+        let configuration = FleetDriver::new(external.log.clone(), FleetSettings::default());
         let (socket, listener) = listen(settings.peer)?;
-        let part = join(settings, &outside, socket, configuration.clone(), drain.clone())?;
+        let part = join(settings, &external, socket, configuration.clone(), drain.clone())?;
         let joined = MemberDriver::start(part)?;
-        configuration.start(joined.clone(), outside.peers.clone())?;
+        configuration.start(joined.clone(), external.peers.clone())?;
         let (fleets, members) = (configuration.clone(), joined.clone());
-        Ok((Ground { outside, drain, configuration, fleets, joined, members }, listener))
+        Ok((Ground { external, drain, configuration, fleets, joined, members }, listener))
     }
 
     fn claims(&self) -> io::Result<Arc<ClaimsDriver>> {
-        let (log, peers) = (self.outside.log.clone(), self.outside.peers.clone());
+        let (log, peers) = (self.external.log.clone(), self.external.peers.clone());
         let members = self.members.clone();
         ClaimsDriver::start(ClaimsConfig::default(), log, peers, members).map(Arc::new)
     }
 
     fn books(&self) -> Books {
         let own = self.members.own();
-        let account = Arc::new(Account::new(self.outside.log.clone(), &own));
+        let account = Arc::new(Account::new(self.external.log.clone(), &own));
         let ledger = Arc::new(LedgerDriver::new(&own, account.clone()));
-        let (members, peers) = (self.members.clone(), self.outside.peers.clone());
-        let asker = Arc::new(Asker::new(ledger.clone(), account.clone(), members, peers));
-        Books { account, ledger, asker }
+        let (members, peers) = (self.members.clone(), self.external.peers.clone());
+        let queries = Arc::new(QueryFanout::new(ledger.clone(), account.clone(), members, peers));
+        Books { account, ledger, queries }
     }
 
     /// Polls the targets of the own data centre and shares what they say.
     fn loads(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<LoadDriver> {
         let period = settings.poll;
-        LoadDriver::start(loads::Parts {
+        LoadDriver::start(loads::LoadConfig {
             members: self.joined.clone(),
             fleets: self.fleets.clone(),
-            engine: self.outside.engine.clone(),
-            services: self.outside.services.clone(),
+            engine: self.external.engine.clone(),
+            services: self.external.services.clone(),
             reports: routing.clone(),
             settings: polling::Settings { period, ..polling::Settings::default() },
         })
@@ -111,9 +111,9 @@
 
     /// Speaks to the other data centres.
     fn speaker(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<Arc<PeerDriver>> {
-        PeerDriver::start(peers::Parts {
+        PeerDriver::start(peers::PeerConfig {
             members: self.joined.clone(),
-            peers: self.outside.peers.clone(),
+            peers: self.external.peers.clone(),
             reports: routing.clone(),
             settings: times(settings),
         })
@@ -122,14 +122,14 @@
     fn workers(&self, routing: &Arc<Routing>, account: Arc<Account>) -> io::Result<Vec<Worker>> {
         let caches = CacheReader {
             fleets: self.fleets.clone(),
-            engine: self.outside.engine.clone(),
+            engine: self.external.engine.clone(),
             reports: routing.clone(),
             caches: routing.clone(),
         };
-        let orders = OrderParts {
-            log: self.outside.log.clone(),
-            engine: self.outside.engine.clone(),
-            weights: self.outside.weights.clone(),
+        let orders = OrderDeps {
+            log: self.external.log.clone(),
+            engine: self.external.engine.clone(),
+            weights: self.external.weights.clone(),
             fleets: self.fleets.clone(),
             reports: routing.clone(),
             members: self.members.clone(),
@@ -139,19 +139,19 @@
         Ok(vec![
             Worker::start("caches", move |stop| caches.run(stop))?,
             Worker::start("orders", move |stop| {
-                Orders::new(orders, OrderTimes::default()).run(stop);
+                OrderDriver::new(orders, OrderSettings::default()).run(stop);
             })?,
             Worker::start("account", move |stop| account.run(&*members, stop))?,
         ])
     }
 }
 
-impl Parts {
+impl Daemon {
     /// Starts every part.
     ///
     /// # Errors
     /// When the system gives no thread or socket.
-    pub fn start(settings: &Settings) -> io::Result<Parts> {
+    pub fn start(settings: &Settings) -> io::Result<Daemon> {
         let (ground, listener) = Ground::start(settings)?;
         let claims = ground.claims()?;
         let books = ground.books();
@@ -166,10 +166,10 @@
             speaker.clone(),
         ];
         let peer = serve(listener, answers)?;
-        let console = Console {
+        let admin_api = AdminApi {
             fleets: ground.configuration,
             members: ground.members.clone(),
-            queries: Some(books.asker),
+            queries: Some(books.queries),
             keys: claims.clone(),
             drain: ground.drain.clone(),
         };
@@ -185,14 +185,14 @@
             claims: claims.clone(),
             ledger: books.ledger,
             members,
-            engine: ground.outside.engine,
-            services: ground.outside.services,
+            engine: ground.external.engine,
+            services: ground.external.services,
             budgets: Arc::default(),
             drain: ground.drain,
         };
-        Ok(Parts {
+        Ok(Daemon {
             app,
-            console,
+            admin_api,
             claims,
             members: ground.joined,
             speaker,
@@ -217,7 +217,7 @@
         }
         drop(self.loads.lock().take());
         self.speaker.stop();
-        self.console.fleets.stop();
+        self.admin_api.fleets.stop();
         self.members.stop();
     }
 }
