--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -2,15 +2,15 @@
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_core::answer::Rules;
+use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings};
-use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
-use roseshore_ports::outside::{CallError, Called, Engine, StreamItem};
+use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
+use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
 use roseshore_wire::engine::{
     CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order, Output, Stage, Stamp,
 };
-use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, run_over};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, TokenSink, run_with};
 use std::collections::BTreeSet;
 use std::fmt;
 use std::net::SocketAddr;
@@ -107,7 +107,7 @@
     }
 }
 
-impl Sink for Listener {
+impl TokenSink for Listener {
     fn token(&mut self, _: Position, _: &str) -> Result<(), CallerLeft> {
         self.hear();
         Ok(())
@@ -128,7 +128,7 @@
 }
 
 impl Router for FirstFree {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let seen = self.seen.lock();
         let out = |t: &TargetId| {
             need.avoid.contains(t) || seen.failed.contains(t) || seen.leaving.contains(t)
@@ -136,8 +136,8 @@
         let pick = |row: &Vec<Stage>| row.iter().find(|s| !out(&s.target)).cloned();
         let stages = self.rows.iter().map(pick).collect::<Option<Vec<_>>>();
         let stages = stages.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
-        let between = Duration::from_millis(6);
-        Ok((Chain { stages, first: self.first, between }, Permit::new(|| ())))
+        let token_interval = Duration::from_millis(6);
+        Ok((Chain { stages, first_token: self.first, token_interval }, Permit::new(|| ())))
     }
 
     fn replica(&self, _: &str, _: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
@@ -148,7 +148,7 @@
         self.seen.lock().failed.insert(target.clone());
     }
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 
     fn leaving(&self, target: &TargetId) -> bool {
         self.seen.lock().leaving.contains(target)
@@ -223,16 +223,17 @@
             }
         };
         let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-        let mut rules = Rules::default();
+        let mut settings = AnswerSettings::default();
         if warm.is_some() {
-            rules.pace.prefill = Duration::from_secs(20);
+            settings.timeouts.prefill = Duration::from_secs(20);
         }
         let engine = Arc::new(EngineClient::new());
-        let parts = Parts { router: router.clone(), engine, budgets: Arc::default(), rules };
+        let parts =
+            AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), settings };
         let leave = leave.map(|at| (at, router));
         let mut listener = Listener { leave, ..Listener::default() };
-        let whole = run_over(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
-        assert_eq!(whole.expect("a whole answer").count, tokens);
+        let whole = run_with(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
+        assert_eq!(whole.expect("a whole answer").token_count, tokens);
         listener
     }
 
@@ -256,9 +257,9 @@
     }
 }
 
-fn ask(tokens: u32) -> Ask {
+fn ask(tokens: u32) -> RequestInfo {
     let now = Instant::now();
-    Ask {
+    RequestInfo {
         request: format!("r{}", rand::random::<u64>()),
         organisation: "o".to_owned(),
         service: "s".to_owned(),
@@ -269,8 +270,8 @@
     }
 }
 
-fn question(prompt: u32, tokens: u32) -> AnswerAsk {
-    AnswerAsk {
+fn question(prompt: u32, tokens: u32) -> AnswerRequest {
+    AnswerRequest {
         model: "m".to_owned(),
         version: "v1".to_owned(),
         layers: 12,
@@ -295,11 +296,15 @@
     let rows = RANGES.into_iter().enumerate().map(|s| vec![stage(s)]).collect();
     let first = Duration::from_secs(1);
     let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
-    let parts =
-        Parts { router, engine: Arc::new(Flood), budgets: Arc::default(), rules: Rules::default() };
+    let parts = AnswerDeps {
+        router,
+        engine: Arc::new(Flood),
+        budgets: Arc::default(),
+        settings: AnswerSettings::default(),
+    };
     let mut listener = Listener::default();
-    let whole = run_over(&parts, &ask(count), question(1, count), &mut listener);
-    assert_eq!(whole.expect("a whole answer").count, count);
+    let whole = run_with(&parts, &ask(count), question(1, count), &mut listener);
+    assert_eq!(whole.expect("a whole answer").token_count, count);
     let times = &listener.times;
     times[times.len() - 1] - times[0]
 }
@@ -313,7 +318,7 @@
         _: SocketAddr,
         ask: &Generate,
         _: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         let (sender, items) = flume::unbounded();
         let stamp = |stage: &Stage| Stamp {
             target: stage.target.clone(),
@@ -335,27 +340,27 @@
         Ok(items)
     }
 
-    fn load(&self, _: SocketAddr, _: Duration) -> Called<Load> {
+    fn load(&self, _: SocketAddr, _: Duration) -> CallResult<Load> {
         Err(none())
     }
 
-    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> Called<()> {
+    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
         Err(none())
     }
 
-    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> Called<Kv> {
+    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
         Err(none())
     }
 
-    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> Called<()> {
+    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
         Err(none())
     }
 
-    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> Called<CacheEvents> {
+    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
         Err(none())
     }
 
-    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> Called<Holding> {
+    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
         Err(none())
     }
 }
--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -7,19 +7,19 @@
 use super::{ACCELERATORS, CENTRES, DAEMONS, ORGANISATIONS, REPLICAS, Series, usage};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use roseshore_core::admit::{Admission, Arrival, Capacity, Entry};
+use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity};
 use roseshore_core::config::{
-    Change, Command, FORMAT, Judged, Object, ObjectKey, Outcome as Folding, State,
+    Change, Command, Decision, FORMAT, Object, ObjectKey, Outcome as Folding, State,
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
-use roseshore_core::ledger::account::{Counts, Fold, Part, Row, RowKey};
-use roseshore_core::ledger::book::{Book, Ended, Whose};
-use roseshore_core::load::{Content, EngineState, Index};
-use roseshore_core::membership::{Heartbeat, Listed, Membership, Settings};
+use roseshore_core::ledger::account::{AccountDelta, Counts, Fold, Row, RowKey};
+use roseshore_core::ledger::history::{EndedRequest, RequestHistory, RequestMeta};
+use roseshore_core::load::{EngineState, PollResult, TargetIndex};
+use roseshore_core::membership::{Heartbeat, ListedHost, Membership, Settings};
 use roseshore_core::once::keys::Keys;
 use roseshore_core::once::record::{Act, Owner, Record};
 use roseshore_core::prelude::*;
-use roseshore_core::route::{ChainNeed, Router, Tuning};
+use roseshore_core::route::{ChainRequest, Router, SampleSizes};
 use roseshore_ports::inside::Outcome;
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -146,7 +146,7 @@
     let mut state = State::default();
     for record in records {
         let folded = state.fold(state.offset(), record).expect("in order");
-        assert_eq!(folded.outcome, Folding::Judged(Judged::Accepted));
+        assert_eq!(folded.outcome, Folding::Decided(Decision::Accepted));
     }
     state
 }
@@ -233,9 +233,9 @@
         version: Some("2028-11".into()),
         layers: (piece * 20, piece * 20 + 20),
         adapters: ["notes".to_owned(), "review".to_owned()].into(),
-        whole: true,
+        both_phases: true,
         loading: false,
-        leaving: false,
+        draining: false,
         queue: 0,
         running: (n % 7) as u32,
         slots: 8,
@@ -246,10 +246,10 @@
 }
 
 fn router(fleet: &Fleet, now: Instant) -> Router {
-    let mut router = Router::new("z0", Tuning::default(), SmallRng::seed_from_u64(1));
-    router.declare(fleet);
+    let mut router = Router::new("z0", SampleSizes::default(), SmallRng::seed_from_u64(1));
+    router.apply_fleet(fleet);
     for (n, id) in fleet.targets.keys().enumerate() {
-        router.report(id, now, Content::Engine(engine(n)));
+        router.report(id, now, PollResult::Engine(engine(n)));
     }
     router
 }
@@ -272,7 +272,7 @@
         let mut router = router(&fleet(n), now);
         let models: Vec<String> = (0..MODELS).map(|m| format!("m{m}")).collect();
         micros(|round| {
-            let need = ChainNeed {
+            let need = ChainRequest {
                 model: &models[round % MODELS],
                 version: "2028-11",
                 layers: 60,
@@ -282,8 +282,8 @@
                 expected: 100,
                 avoid: &[],
             };
-            let choice = router.chain(&need, now).expect("a chain");
-            let rows: Vec<Index> = choice.stages.iter().map(|stage| stage.row).collect();
+            let choice = router.choose_chain(&need, now).expect("a chain");
+            let rows: Vec<TargetIndex> = choice.stages.iter().map(|stage| stage.row).collect();
             let ticket = router.begin(&rows, now);
             router.end(&ticket, now);
         })
@@ -293,7 +293,7 @@
         let ids: Vec<TargetId> = (0..n).map(|i| target(i).0).collect();
         micros(|round| {
             let seen = now + Duration::from_micros(1 + round as u64);
-            router.report(&ids[round % n], seen, Content::Engine(engine(round % n)));
+            router.report(&ids[round % n], seen, PollResult::Engine(engine(round % n)));
         })
     });
     let goals = vec![REPLICAS, ACCELERATORS];
@@ -323,13 +323,13 @@
 fn members(count: usize, now: Instant) -> Membership {
     let addr = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8], 8081));
     let mut view = Membership::new(heartbeat(0, 0), addr(0), vec![], Settings::default(), now);
-    let listed = |n: usize| Listed {
+    let listed = |n: usize| ListedHost {
         host: format!("entry-{n:04}"),
         data_centre: format!("z{}", n / 18),
         peer: Some(addr(n)),
         leaving: false,
     };
-    view.listed(1, (0..count).map(listed).collect(), now);
+    view.on_host_list(1, (0..count).map(listed).collect(), now);
     view
 }
 
@@ -344,7 +344,9 @@
     let heard = points(SIZES, |n| {
         let mut view = members(n, now);
         let from = SocketAddr::from(([10, 0, 0, 1], 8081));
-        micros(|round| drop(black_box(view.heard(from, heartbeat(1, round as u64 + 1), now))))
+        micros(|round| {
+            drop(black_box(view.on_heartbeat(from, heartbeat(1, round as u64 + 1), now)));
+        })
     });
     let series = |cost, points| {
         let (role, size) = ("membership", "daemons");
@@ -375,7 +377,7 @@
     let fold = |lines: &[String]| {
         let mut keys = Keys::new(usize::MAX);
         for (offset, line) in (0..).zip(lines) {
-            keys.take(offset, offset, line);
+            keys.apply(offset, offset, line);
         }
         keys
     };
@@ -399,21 +401,21 @@
     ]
 }
 
-fn ended(n: usize) -> Ended {
-    let whose = Whose {
+fn ended(n: usize) -> EndedRequest {
+    let meta = RequestMeta {
         request: format!("r-{n:08}~0123456789abcdef"),
         service: "indus-notes".into(),
         organisation: format!("organisation-{:05}", n % 33_000),
     };
-    Ended {
-        whose,
-        at: SystemTime::UNIX_EPOCH,
-        late: Duration::from_millis(1),
+    EndedRequest {
+        meta,
+        ended_at: SystemTime::UNIX_EPOCH,
+        late_by: Duration::from_millis(1),
         verdict: Verdict::Answered,
         code: None,
         repeated: false,
-        left: false,
-        resumed: 0,
+        caller_left: false,
+        reroutes: 0,
         missed: false,
     }
 }
@@ -421,8 +423,8 @@
 fn ledger() -> Series {
     let points = points([1024, 2048, 3072, 4096], |n| {
         bytes(n * 250, || {
-            let mut book = Book::default();
-            (0..n).for_each(|row| book.ended(ended(row)));
+            let mut book = RequestHistory::default();
+            (0..n).for_each(|row| book.end(ended(row)));
             book
         })
     });
@@ -433,7 +435,7 @@
 
 fn account() -> Vec<Series> {
     const SIZES: [usize; 4] = [250, 500, 1_000, 2_000];
-    let part = |n: usize| Part {
+    let part = |n: usize| AccountDelta {
         host: "entry-1".into(),
         incarnation: 1,
         sequence: 1,
@@ -452,7 +454,7 @@
         let part = part(n);
         bytes(n * 200, || {
             let mut fold = Fold::default();
-            fold.take(0, Some(&part));
+            fold.apply(0, Some(&part));
             fold
         })
     });
@@ -471,7 +473,7 @@
     }
     let door = |n: usize| {
         let mut door = Admission::default();
-        door.fit("chat", Capacity { slots: 1e6, busy: 0.0 });
+        door.update_limit("chat", Capacity { slots: 1e6, busy: 0.0 });
         for id in &ids[..n] {
             arrive(&mut door, &fleet, id, now);
         }
@@ -509,7 +511,7 @@
         priority: 4,
         cost: 1,
     };
-    if let Entry::In(pass) = door.arrive(fleet, &who, now, 0.5) {
-        door.leave(pass, now, 0.5);
+    if let AdmitResult::Admitted(pass) = door.arrive(fleet, &who, now, 0.5) {
+        door.release(pass, now, 0.5);
     }
 }
--- a/crates/roseshore_core/src/admit.rs
+++ b/crates/roseshore_core/src/admit.rs
@@ -1,98 +1,99 @@
-//! Who is let in, when, and who is told to come back.
+//! Admission control: which requests are admitted, which wait, and which are refused.
 //!
-//! An arrival passes three checks: its organisation's rate, whether it can make its deadline, and
-//! whether there is a free place. Without a queue it is let in at once. Otherwise it waits in its
-//! service's line, where organisations take turns by their shares. What cannot be served in time is
-//! refused on arrival, so that an overload costs the refused little and the admitted nothing.
-//! State is kept only for organisations that are active now.
+//! A request passes three checks: its organisation's rate limit, whether it can meet its deadline,
+//! and whether the service has a free slot. If no request is queued and a slot is free, it is
+//! admitted at once. Otherwise it waits in its service's queue, where organisations are served in
+//! proportion to their shares. A request that cannot be served in time is refused on arrival, so
+//! that an overload costs refused callers little and admitted ones nothing. State is kept only for
+//! organisations that are currently active.
 
 pub mod bucket;
 pub mod fair;
 pub mod limit;
-pub mod line;
+pub mod queue;
 pub mod share;
 
 use crate::prelude::*;
 use bucket::Bucket;
-use line::{Joined, Line};
+use queue::{JoinResult, ServiceQueue};
 use rustc_hash::FxHashMap;
 use share::{Demand, DemandMeter, Demands, PeerDemand};
 
-/// The place of an active organisation.
+/// Index of an active organisation.
 pub type OrgIndex = u32;
-/// A waiting request.
-pub type Waiter = u64;
-
-/// The least time after which a refused caller is asked to come back.
-const SOONEST: Duration = Duration::from_secs(1);
-/// The least stretch over which refused callers are spread.
-const SPREAD: Duration = Duration::from_secs(2);
-/// The longest time that is told, before spreading.
-const LATEST: Duration = Duration::from_secs(30);
-/// Organisations in a summary for other daemons.
-const TOP: usize = 32;
+/// Id of a waiting request.
+pub type WaiterId = u64;
+
+/// Minimum `Retry-After` of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Minimum interval over which the retries of refused callers are spread.
+const MIN_SPREAD: Duration = Duration::from_secs(2);
+/// Maximum `Retry-After` of a refusal, before spreading.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Maximum number of organisations in the summary sent to other daemons.
+const MAX_DEMANDS: usize = 32;
 
 /// A request that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// The customer.
+    /// The organisation that sent the request.
     pub organisation: &'a str,
-    /// The service.
+    /// The service it asks for.
     pub service: &'a str,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
-    /// Larger goes first within its organisation, 0 to 9.
+    /// Priority from 0 to 9; a larger one goes first within the same organisation.
     pub priority: u8,
-    /// Its expected work.
+    /// Expected work, in the same unit for all requests of a service.
     pub cost: u32,
 }
 
-/// A place inside, to be given back once.
+/// A concurrency slot held by an admitted request; returned once with [`Admission::release`].
 #[derive(Debug, PartialEq)]
-pub struct Pass {
+pub struct Slot {
     service: ServiceId,
     org: OrgIndex,
     cost: f64,
     begun: Instant,
 }
 
-/// What becomes of an arrival.
+/// Outcome of a request for admission.
 #[derive(Debug, PartialEq)]
-pub enum Entry {
-    /// It is in.
-    In(Pass),
-    /// It waits until this time at most.
-    Wait(Waits),
-    /// It is refused.
-    Out(Refusal),
+pub enum AdmitResult {
+    /// The request is admitted.
+    Admitted(Slot),
+    /// The request waits in the queue.
+    Queued(QueuedRequest),
+    /// The request is refused.
+    Refused(Refusal),
 }
 
-/// A place in a line.
+/// A request that waits in a service's queue.
 #[derive(Debug, PartialEq)]
-pub struct Waits {
-    /// Who waits.
-    pub waiter: Waiter,
-    /// When to give up at the latest.
+pub struct QueuedRequest {
+    /// Id of the waiting request.
+    pub waiter: WaiterId,
+    /// Latest time until which it waits.
     pub until: Instant,
-    /// Another that was displaced by it.
-    pub displaced: Option<Decision>,
+    /// A queued request that this one displaced, with its refusal.
+    pub displaced: Option<WaitOutcome>,
 }
 
 /// The end of a wait.
 #[derive(Debug, PartialEq)]
-pub struct Decision {
-    /// Who waited.
-    pub waiter: Waiter,
-    /// Its place, or why it gets none.
-    pub end: Result<Pass, Refusal>,
+pub struct WaitOutcome {
+    /// Id of the request that waited.
+    pub waiter: WaiterId,
+    /// Its slot, or the refusal.
+    pub result: Result<Slot, Refusal>,
 }
 
-/// The capacity of a service, as the targets report it.
+/// Capacity of a service, as its targets report it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Requests that all its targets serve at once.
+    /// Number of requests that all targets together serve at once.
     pub slots: f64,
-    /// Requests there now, of all daemons.
+    /// Number of requests at the targets now, from all daemons.
     pub busy: f64,
 }
 
@@ -102,244 +103,258 @@
     limits: Organisation,
     bucket: Bucket,
     meter: DemandMeter,
-    part: f64,
-    inside: u32,
+    limit_part: f64,
+    open_requests: u32,
 }
 
-/// Admission at one daemon.
+/// Admission control of one daemon.
 #[derive(Debug)]
 pub struct Admission {
-    names: FxHashMap<OrganisationId, OrgIndex>,
+    indices: FxHashMap<OrganisationId, OrgIndex>,
     orgs: Vec<Option<Org>>,
-    free: Vec<OrgIndex>,
-    lines: FxHashMap<ServiceId, Line>,
-    waiting: FxHashMap<Waiter, ServiceId>,
-    heard: share::PeerDemands,
+    free_indices: Vec<OrgIndex>,
+    queues: FxHashMap<ServiceId, ServiceQueue>,
+    waiting: FxHashMap<WaiterId, ServiceId>,
+    peer_demands: share::PeerDemands,
     daemons: usize,
-    next: Waiter,
+    next_waiter: WaiterId,
 }
 
 impl Default for Admission {
     fn default() -> Admission {
         Admission {
-            names: FxHashMap::default(),
+            indices: FxHashMap::default(),
             orgs: Vec::new(),
-            free: Vec::new(),
-            lines: FxHashMap::default(),
+            free_indices: Vec::new(),
+            queues: FxHashMap::default(),
             waiting: FxHashMap::default(),
-            heard: share::PeerDemands::default(),
+            peer_demands: share::PeerDemands::default(),
             daemons: 1,
-            next: 0,
+            next_waiter: 0,
         }
     }
 }
 
 impl Admission {
-    /// Takes over a configuration: limits of active organisations change at once.
-    pub fn declare(&mut self, fleet: &Fleet) {
+    /// Applies a configuration; new limits take effect at once for active organisations.
+    pub fn apply_fleet(&mut self, fleet: &Fleet) {
         for org in self.orgs.iter_mut().flatten() {
             if let Some(limits) = fleet.organisations.get(&org.id) {
                 org.limits = limits.clone();
             }
         }
-        self.lines.retain(|id, line| fleet.services.contains_key(id) || !line.idle());
+        self.queues.retain(|id, queue| fleet.services.contains_key(id) || !queue.idle());
     }
 
-    /// Decides on an arrival; `spread` in `0..1` is random and spreads out the refused.
-    pub fn arrive(&mut self, fleet: &Fleet, who: &Arrival<'_>, now: Instant, spread: f64) -> Entry {
-        let Some(index) = self.org(fleet, who.organisation, now) else {
-            return Entry::Out(unknown_organisation(who.organisation));
+    /// Decides on a request. `spread` is a random number in `0..1` that spreads the retries of
+    /// refused callers.
+    pub fn arrive(
+        &mut self,
+        fleet: &Fleet,
+        arrival: &Arrival<'_>,
+        now: Instant,
+        spread: f64,
+    ) -> AdmitResult {
+        let Some(index) = self.org_index(fleet, arrival.organisation, now) else {
+            return AdmitResult::Refused(unknown_organisation(arrival.organisation));
         };
-        if !fleet.services.contains_key(who.service) {
-            return Entry::Out(unknown_service(who.service));
+        if !fleet.services.contains_key(arrival.service) {
+            return AdmitResult::Refused(unknown_service(arrival.service));
         }
         let Some(org) = self.orgs[index as usize].as_mut() else {
-            return Entry::Out(unknown_organisation(who.organisation));
+            return AdmitResult::Refused(unknown_organisation(arrival.organisation));
         };
         org.meter.count(now);
-        let rate = org.limits.rate * org.part;
-        let burst = org.limits.burst * org.part;
+        let rate = org.limits.rate * org.limit_part;
+        let burst = org.limits.burst * org.limit_part;
         if let Err(wait) = org.bucket.peek(now, rate, burst) {
-            return Entry::Out(rate_limited(&org.id, wait, spread));
+            return AdmitResult::Refused(rate_limited(&org.id, wait, spread));
         }
         let share = org.limits.share;
-        let line = match self.lines.get_mut(who.service) {
-            Some(line) => line,
-            None => self.lines.entry(who.service.to_owned()).or_default(),
+        let queue = match self.queues.get_mut(arrival.service) {
+            Some(queue) => queue,
+            None => self.queues.entry(arrival.service.to_owned()).or_default(),
         };
         let item = fair::Item {
-            waiter: self.next,
+            waiter: self.next_waiter,
             org: index,
             share,
-            cost: f64::from(who.cost.max(1)),
-            priority: who.priority,
-            latest: who.deadline,
+            cost: f64::from(arrival.cost.max(1)),
+            priority: arrival.priority,
+            latest: arrival.deadline,
         };
-        let joined = line.join(item, now);
+        let joined = queue.join(item, now);
         let refusal = match joined {
-            Joined::In | Joined::Waits(..) => None,
-            Joined::Late(wait) => Some(too_late(who.service, wait, spread)),
-            Joined::Full(wait) => Some(queue_full(who.service, wait, spread)),
+            JoinResult::Admitted | JoinResult::Queued(..) => None,
+            JoinResult::TooLate(wait) => Some(too_late(arrival.service, wait, spread)),
+            JoinResult::Full(wait) => Some(queue_full(arrival.service, wait, spread)),
         };
         if let Some(refusal) = refusal {
-            return Entry::Out(refusal);
+            return AdmitResult::Refused(refusal);
         }
         org.bucket.take();
-        org.inside += 1;
-        let Joined::Waits(until, displaced) = joined else {
-            let service = who.service.to_owned();
-            return Entry::In(Pass { service, org: index, cost: item.cost, begun: now });
+        org.open_requests += 1;
+        let JoinResult::Queued(until, displaced) = joined else {
+            let service = arrival.service.to_owned();
+            return AdmitResult::Admitted(Slot {
+                service,
+                org: index,
+                cost: item.cost,
+                begun: now,
+            });
         };
-        self.waiting.insert(item.waiter, who.service.to_owned());
-        self.next += 1;
-        let displaced = displaced.map(|other| self.displace(who.service, &other, spread));
-        Entry::Wait(Waits { waiter: item.waiter, until, displaced })
+        self.waiting.insert(item.waiter, arrival.service.to_owned());
+        self.next_waiter += 1;
+        let displaced = displaced.map(|other| self.displace(arrival.service, &other, spread));
+        AdmitResult::Queued(QueuedRequest { waiter: item.waiter, until, displaced })
     }
 
-    fn displace(&mut self, service: &str, item: &fair::Item, spread: f64) -> Decision {
+    fn displace(&mut self, service: &str, item: &fair::Item, spread: f64) -> WaitOutcome {
         self.waiting.remove(&item.waiter);
-        self.outside(item.org);
-        let line = self.lines.get(service);
-        let wait = line.map_or(Duration::ZERO, |l| l.wait(item));
-        Decision { waiter: item.waiter, end: Err(queue_full(service, wait, spread)) }
+        self.close_request(item.org);
+        let queue = self.queues.get(service);
+        let wait = queue.map_or(Duration::ZERO, |queue| queue.predicted_wait(item));
+        WaitOutcome { waiter: item.waiter, result: Err(queue_full(service, wait, spread)) }
     }
 
-    /// Takes a place back and says who may come in now.
-    pub fn leave(&mut self, pass: Pass, now: Instant, spread: f64) -> Vec<Decision> {
-        self.outside(pass.org);
-        if let Some(line) = self.lines.get_mut(&pass.service) {
-            line.left(pass.org, pass.cost, now.saturating_duration_since(pass.begun));
+    /// Returns a slot; the result lists the waiting requests that are now admitted or refused.
+    pub fn release(&mut self, slot: Slot, now: Instant, spread: f64) -> Vec<WaitOutcome> {
+        self.close_request(slot.org);
+        if let Some(queue) = self.queues.get_mut(&slot.service) {
+            queue.release(slot.org, slot.cost, now.saturating_duration_since(slot.begun));
         }
-        self.advance(&pass.service, now, spread)
+        self.admit_waiting(&slot.service, now, spread)
     }
 
-    /// A waiting request's time is up; `None` when its turn has come already.
-    pub fn give_up(&mut self, waiter: Waiter, spread: f64) -> Option<Refusal> {
+    /// Ends a wait whose time is up; `None` if the request has already left the queue.
+    pub fn give_up(&mut self, waiter: WaiterId, spread: f64) -> Option<Refusal> {
         let service = self.waiting.remove(&waiter)?;
-        let line = self.lines.get_mut(&service)?;
-        let item = line.remove(waiter)?;
-        let wait = line.wait(&item);
-        self.outside(item.org);
+        let queue = self.queues.get_mut(&service)?;
+        let item = queue.remove(waiter)?;
+        let wait = queue.predicted_wait(&item);
+        self.close_request(item.org);
         Some(too_late(&service, wait, spread))
     }
 
-    /// Lets in whom the limit of a service allows.
-    pub fn advance(&mut self, service: &str, now: Instant, spread: f64) -> Vec<Decision> {
-        let mut turns = Vec::new();
-        while let Some(item) = self.lines.get_mut(service).and_then(Line::call_next) {
+    /// Admits waiting requests while the service's limit allows.
+    pub fn admit_waiting(&mut self, service: &str, now: Instant, spread: f64) -> Vec<WaitOutcome> {
+        let mut outcomes = Vec::new();
+        while let Some(item) = self.queues.get_mut(service).and_then(ServiceQueue::dequeue) {
             self.waiting.remove(&item.waiter);
-            let end = self.seat(service, &item, now, spread);
-            turns.push(Decision { waiter: item.waiter, end });
+            let result = self.admit_waiter(service, &item, now, spread);
+            outcomes.push(WaitOutcome { waiter: item.waiter, result });
         }
-        turns
+        outcomes
     }
 
-    fn seat(
+    fn admit_waiter(
         &mut self,
         service: &str,
         item: &fair::Item,
         now: Instant,
         spread: f64,
-    ) -> Result<Pass, Refusal> {
+    ) -> Result<Slot, Refusal> {
         if now <= item.latest {
             let service = service.to_owned();
-            return Ok(Pass { service, org: item.org, cost: item.cost, begun: now });
+            return Ok(Slot { service, org: item.org, cost: item.cost, begun: now });
         }
-        self.outside(item.org);
-        let line = self.lines.get_mut(service);
-        let wait = line.map_or(Duration::ZERO, |line| {
-            line.cancelled(item.org);
-            line.wait(item)
+        self.close_request(item.org);
+        let queue = self.queues.get_mut(service);
+        let wait = queue.map_or(Duration::ZERO, |queue| {
+            queue.cancel(item.org);
+            queue.predicted_wait(item)
         });
         Err(too_late(service, wait, spread))
     }
 
-    /// The services that have a line now.
+    /// Services that have a queue.
     pub fn services(&self) -> impl Iterator<Item = &ServiceId> {
-        self.lines.keys()
+        self.queues.keys()
     }
 
-    /// Fits a service's limit to the capacity that its targets report.
-    pub fn fit(&mut self, service: &str, capacity: Capacity) {
+    /// Adjusts a service's concurrency limit to the capacity that its targets report.
+    pub fn update_limit(&mut self, service: &str, capacity: Capacity) {
         let daemons = self.daemons as f64;
-        if let Some(line) = self.lines.get_mut(service) {
-            line.fit(capacity, daemons);
+        if let Some(queue) = self.queues.get_mut(service) {
+            queue.update_limit(capacity, daemons);
         }
     }
 
-    /// Renews the parts of the limits and forgets organisations that are no longer active.
+    /// Recomputes this daemon's part of each limit and removes organisations that are no longer
+    /// active.
     pub fn tick(&mut self, daemons: usize, now: Instant) {
         self.daemons = daemons.max(1);
-        self.heard.retain(|_, heard| heard.fresh(now));
+        self.peer_demands.retain(|_, demand| demand.is_fresh(now));
         for index in 0..self.orgs.len() {
             let Some(org) = self.orgs[index].as_mut() else { continue };
             let own = org.meter.rate(now);
-            org.part = share::part(own, &org.id, &self.heard, self.daemons);
-            let rate = org.limits.rate * org.part;
-            let burst = org.limits.burst * org.part;
-            let idle = org.inside == 0 && org.meter.idle(now);
-            if idle && org.bucket.full(now, rate, burst) {
-                self.names.remove(&org.id);
+            org.limit_part = share::limit_part(own, &org.id, &self.peer_demands, self.daemons);
+            let rate = org.limits.rate * org.limit_part;
+            let burst = org.limits.burst * org.limit_part;
+            let idle = org.open_requests == 0 && org.meter.idle(now);
+            if idle && org.bucket.is_full(now, rate, burst) {
+                self.indices.remove(&org.id);
                 self.orgs[index] = None;
-                self.free.push(index as OrgIndex);
+                self.free_indices.push(index as OrgIndex);
             }
         }
     }
 
-    /// What this daemon tells the others about its demand, the largest first.
+    /// This daemon's demand as reported to the others, the largest first.
     pub fn demands(&self, now: Instant) -> Demands {
         let demand =
             |org: &Org| Demand { organisation: org.id.clone(), rate: org.meter.rate(now) as f32 };
         let mut all: Vec<Demand> = self.orgs.iter().flatten().map(demand).collect();
         all.sort_by(|a, b| b.rate.total_cmp(&a.rate));
-        all.truncate(TOP);
+        all.truncate(MAX_DEMANDS);
         Demands { organisations: all }
     }
 
-    /// Takes another daemon's demand.
-    pub fn heard(&mut self, host: &HostId, demands: &Demands, now: Instant) {
-        self.heard.insert(host.clone(), PeerDemand::new(demands, now));
+    /// Records the demand that another daemon reported.
+    pub fn record_peer_demand(&mut self, host: &HostId, demands: &Demands, now: Instant) {
+        self.peer_demands.insert(host.clone(), PeerDemand::new(demands, now));
     }
 
-    /// Organisations that state is kept for.
+    /// Number of organisations for which state is kept.
     pub fn active(&self) -> usize {
-        self.names.len()
+        self.indices.len()
     }
 
-    /// Requests of a service inside and waiting.
+    /// Number of a service's requests in flight and waiting.
     pub fn counts(&self, service: &str) -> (usize, usize) {
-        self.lines.get(service).map_or((0, 0), Line::counts)
+        self.queues.get(service).map_or((0, 0), ServiceQueue::counts)
     }
 
-    fn org(&mut self, fleet: &Fleet, id: &str, now: Instant) -> Option<OrgIndex> {
-        if let Some(&index) = self.names.get(id) {
+    fn org_index(&mut self, fleet: &Fleet, id: &str, now: Instant) -> Option<OrgIndex> {
+        if let Some(&index) = self.indices.get(id) {
             return Some(index);
         }
         let limits = fleet.organisations.get(id)?.clone();
-        let part = share::part(0.0, id, &self.heard, self.daemons);
-        let bucket = Bucket::full_of(limits.burst * part, now);
+        let limit_part = share::limit_part(0.0, id, &self.peer_demands, self.daemons);
+        let bucket = Bucket::full_of(limits.burst * limit_part, now);
         let meter = DemandMeter::new(now);
-        let org = Org { id: id.to_owned(), limits, bucket, meter, part, inside: 0 };
-        let index = self.free.pop().unwrap_or(self.orgs.len() as OrgIndex);
+        let org = Org { id: id.to_owned(), limits, bucket, meter, limit_part, open_requests: 0 };
+        let index = self.free_indices.pop().unwrap_or(self.orgs.len() as OrgIndex);
         if index as usize == self.orgs.len() {
             self.orgs.push(None);
         }
         self.orgs[index as usize] = Some(org);
-        self.names.insert(id.to_owned(), index);
+        self.indices.insert(id.to_owned(), index);
         Some(index)
     }
 
-    fn outside(&mut self, org: OrgIndex) {
+    fn close_request(&mut self, org: OrgIndex) {
         if let Some(org) = self.orgs[org as usize].as_mut() {
-            org.inside -= 1;
+            org.open_requests -= 1;
         }
     }
 }
 
-/// When a refused caller should come back: not before `wait`, and not all together.
-fn come_back(wait: Duration, spread: f64) -> Duration {
-    let base = wait.clamp(SOONEST, LATEST);
-    base + base.max(SPREAD).mul_f64(spread.clamp(0.0, 1.0))
+/// `Retry-After` of a refusal: at least `wait`, and spread so that refused callers do not all
+/// return together.
+fn retry_after(wait: Duration, spread: f64) -> Duration {
+    let base = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+    base + base.max(MIN_SPREAD).mul_f64(spread.clamp(0.0, 1.0))
 }
 
 fn unknown_organisation(id: &str) -> Refusal {
@@ -356,17 +371,17 @@
     let text = format!(
         "organisation `{id}` is over its rate; come back later, or raise its `rate` and `burst`"
     );
-    Refusal::not_run(Code::RateLimited, text).after(come_back(wait, spread))
+    Refusal::not_run(Code::RateLimited, text).after(retry_after(wait, spread))
 }
 
 fn too_late(service: &str, wait: Duration, spread: f64) -> Refusal {
     let text = format!(
         "service `{service}` cannot answer by the deadline; come back later, or allow more time"
     );
-    Refusal::not_run(Code::TooLate, text).after(come_back(wait, spread))
+    Refusal::not_run(Code::TooLate, text).after(retry_after(wait, spread))
 }
 
 fn queue_full(service: &str, wait: Duration, spread: f64) -> Refusal {
     let text = format!("the queue of service `{service}` is full; come back later");
-    Refusal::not_run(Code::QueueFull, text).after(come_back(wait, spread))
+    Refusal::not_run(Code::QueueFull, text).after(retry_after(wait, spread))
 }
--- a/crates/roseshore_core/src/answer/avoid.rs
+++ b/crates/roseshore_core/src/answer/avoid.rs
@@ -1,32 +1,32 @@
-//! What an answer's next chain should do without.
+//! Targets that an answer's next chain should exclude.
 //!
-//! A target that is known to have failed is avoided; when it is not known which stage failed, all
-//! stages of the chain are suspects. When the router finds no chain, suspects are forgiven first,
-//! then, once per answer, the failed ones too: a target refused for an old incarnation or a full
-//! queue may well serve now, and the alternative is to give the answer up.
+//! A target that is known to have failed is avoided. When it is not known which stage failed, all
+//! stages of the chain are suspects. When the router finds no chain, the suspects are allowed again
+//! first and then, once per answer, the failed targets too: a target that refused because of an old
+//! incarnation or a full queue may accept now, and the alternative is to give the answer up.
 
 use crate::ids::*;
 
-/// Targets to avoid.
+/// Targets that an answer avoids.
 #[derive(Clone, Debug, Default)]
-pub struct Avoid {
+pub struct AvoidList {
     failed: Vec<TargetId>,
     suspects: Vec<TargetId>,
-    forgiven: bool,
+    relaxed: bool,
 }
 
-impl Avoid {
-    /// A target failed.
-    pub fn fail(&mut self, target: &TargetId) {
+impl AvoidList {
+    /// Adds a target that is known to have failed.
+    pub fn add_failed(&mut self, target: &TargetId) {
         add(&mut self.failed, target);
     }
 
-    /// A target may have failed.
-    pub fn suspect(&mut self, target: &TargetId) {
+    /// Adds a target that may have failed.
+    pub fn add_suspect(&mut self, target: &TargetId) {
         add(&mut self.suspects, target);
     }
 
-    /// All of them.
+    /// All targets to avoid, failed and suspected.
     pub fn list(&self) -> Vec<TargetId> {
         let mut all = self.failed.clone();
         for target in &self.suspects {
@@ -35,22 +35,23 @@
         all
     }
 
-    /// Removes all targets. Unlike [`Avoid::forgive`], this is not limited to once per answer.
+    /// Removes all targets. Unlike [`AvoidList::relax`], this is not limited to once per answer.
     pub fn clear(&mut self) {
         self.failed.clear();
         self.suspects.clear();
     }
 
-    /// Forgives some; false when there is nothing left to forgive.
-    pub fn forgive(&mut self) -> bool {
+    /// Allows the suspects again or, if there are none, the failed targets once per answer; `false`
+    /// when nothing changed.
+    pub fn relax(&mut self) -> bool {
         if !self.suspects.is_empty() {
             self.suspects.clear();
             return true;
         }
-        if self.forgiven || self.failed.is_empty() {
+        if self.relaxed || self.failed.is_empty() {
             return false;
         }
-        self.forgiven = true;
+        self.relaxed = true;
         self.failed.clear();
         true
     }
--- a/crates/roseshore_core/src/answer/machine/route.rs
+++ b/crates/roseshore_core/src/answer/machine/route.rs
@@ -1,6 +1,9 @@
-//! Taking a route, leaving one that still works for another, and asking for the next.
+//! Adopting a route, handing over from one that still works, and requesting the next.
 
-use super::{Answer, CHAIN_RETRY_INTERVAL, HANDOVER_PAUSE, MOVE_FACTOR, MOVE_FLOOR, Phase};
+use super::{
+    Answer, CHAIN_RETRY_INTERVAL, HANDOVER_RETRY_INTERVAL, MIN_MOVE_TIMEOUT, MOVE_TIMEOUT_FACTOR,
+    Phase,
+};
 use crate::answer::lineage;
 use crate::answer::message::{Action, Route};
 use crate::cost::{self, Plan};
@@ -8,11 +11,11 @@
 
 impl Answer {
     pub(super) fn chosen(&mut self, now: Instant, route: Route, out: &mut Vec<Action>) {
-        if lineage::tiles(route.stages.iter().map(|s| s.layers), self.job.layers).is_err() {
+        if lineage::check_tiling(route.stages.iter().map(|s| s.layers), self.job.layers).is_err() {
             let why = "the chosen chain does not cover every layer once";
             return self.no_chain(now, Refusal::not_run(Code::NoRoute, why), out);
         }
-        match self.handing.take() {
+        match self.handover.take() {
             Some(target) if route.stages.iter().any(|s| s.target == target) => return,
             Some(_) if self.streaming() => self.hand_over(out),
             Some(_) => return,
@@ -22,20 +25,26 @@
         self.adopt(now, route, out);
     }
 
-    /// Leaves a route that still works; its KV caches are all there.
+    /// Leaves a route that still works; all of its KV caches are available.
     pub(super) fn hand_over(&mut self, out: &mut Vec<Action>) {
         let usable = self.phase == Phase::Decode;
-        self.tally.resumed += 1;
+        self.counters.rerouted += 1;
         self.retire(usable, out);
     }
 
     pub(super) fn adopt(&mut self, now: Instant, route: Route, out: &mut Vec<Action>) {
-        let held = self.job.prompt + self.window.next();
-        let plan = cost::plan(&self.old, &route.stages, held, route.first, &self.rules.rates);
+        let tokens = self.job.prompt + self.window.next();
+        let plan = cost::plan(
+            &self.cached,
+            &route.stages,
+            tokens,
+            route.first_token,
+            &self.settings.move_cost,
+        );
         let targets = route.stages.iter().map(|s| s.target.as_str()).collect::<Vec<_>>();
-        out.push(Action::Note(Event::RouteChosen, targets.join(" > ")));
-        self.pace.predict(route.first, route.between);
-        // An answer waits for a chain once between two tokens.
+        out.push(Action::Log(Event::RouteChosen, targets.join(" > ")));
+        self.timeout.set_prediction(route.first_token, route.token_interval);
+        // An answer waits for a chain only once between two tokens.
         self.chain_deadline = self.chain_deadline.map(|_| now);
         self.stages = route.stages;
         self.silent = vec![None; self.stages.len()];
@@ -43,9 +52,9 @@
             Plan::Cold => self.open(now, false, out),
             Plan::Warm(moves, _) if moves.is_empty() => self.open(now, true, out),
             Plan::Warm(moves, time) => {
-                let limit = (time * MOVE_FACTOR).max(MOVE_FLOOR);
+                let limit = (time * MOVE_TIMEOUT_FACTOR).max(MIN_MOVE_TIMEOUT);
                 self.phase = Phase::Moving;
-                self.quiet = now + limit * 2;
+                self.timeout_at = now + limit * 2;
                 out.push(Action::Move { epoch: self.epoch, moves, limit });
             }
         }
@@ -56,73 +65,75 @@
         self.phase = Phase::Opening;
         self.warm = warm;
         self.attempts += 1;
-        self.tally.routes += 1;
-        let open = self.pace.open();
-        // A stage that keeps a cache has just been heard of; if it died since, that shows soon.
-        let bound = if warm { open.min(self.pace.decode()) } else { open };
-        self.quiet = now + bound;
+        self.counters.routes += 1;
+        let open = self.timeout.open();
+        // A stage that keeps a cache was heard from recently, so if it has died since, a short
+        // timeout is enough to notice.
+        let bound = if warm { open.min(self.timeout.decode()) } else { open };
+        self.timeout_at = now + bound;
         out.push(Action::Open { epoch: self.epoch, warm });
     }
 
-    /// Ends the work of the route before; with `warm`, stages that go on keep their KV cache.
+    /// Cancels the work of the previous route; with `warm`, stages of the new route keep their KV
+    /// cache.
     pub(super) fn release(&mut self, warm: bool, out: &mut Vec<Action>) {
         let epoch = self.epoch - 1;
-        for held in std::mem::take(&mut self.old) {
+        for held in std::mem::take(&mut self.cached) {
             let stays = self.stages.iter().any(|s| s.target == held.stage.target);
-            out.push(Action::Cancel { stage: held.stage, epoch, keep: warm && stays });
+            out.push(Action::Cancel { stage: held.stage, epoch, keep_cache: warm && stays });
         }
     }
 
     pub(super) fn no_chain(&mut self, now: Instant, refusal: Refusal, out: &mut Vec<Action>) {
-        if self.handing.take().is_some() {
-            self.handed = Some(now);
+        if self.handover.take().is_some() {
+            self.handover_failed = Some(now);
             return;
         }
         if self.phase != Phase::Routing {
             return;
         }
-        if self.avoid.forgive() {
-            self.ask_route(false, out);
+        if self.avoid.relax() {
+            self.request_route(false, out);
             return;
         }
-        let deadline = *self.chain_deadline.get_or_insert(now + self.rules.chain_wait);
+        let deadline = *self.chain_deadline.get_or_insert(now + self.settings.chain_wait);
         // An answer that has not begun is refused at once, since the caller can retry it safely.
         if self.began && now < deadline {
-            self.quiet = now + CHAIN_RETRY_INTERVAL;
+            self.timeout_at = now + CHAIN_RETRY_INTERVAL;
             return;
         }
         self.refuse(refusal, out);
     }
 
-    /// Begins anew with another version of the weights; `false` once a token was delivered or a
-    /// route is open, for an answer is of one version.
+    /// Restarts with another version of the weights. Returns `false` once a token was delivered or
+    /// a route is open, because all tokens of an answer come from one version.
     pub fn change_version(&mut self, version: VersionId) -> bool {
         if self.phase != Phase::Routing || !self.tokens.is_empty() {
             return false;
         }
         self.job.version = version;
-        for held in &mut self.old {
+        for held in &mut self.cached {
             held.usable = false;
         }
         true
     }
 
-    pub(super) fn ask_route(&mut self, paid: bool, out: &mut Vec<Action>) {
+    pub(super) fn request_route(&mut self, charge_budget: bool, out: &mut Vec<Action>) {
         self.phase = Phase::Routing;
-        self.quiet = self.job.deadline;
-        out.push(Action::Route { avoid: self.avoid.list(), retry: true, paid });
+        self.timeout_at = self.job.deadline;
+        out.push(Action::Route { avoid: self.avoid.list(), retry: true, charge_budget });
     }
 
     pub(super) fn leaving(&mut self, now: Instant, target: TargetId, out: &mut Vec<Action>) {
-        let paused = self.handed.is_some_and(|at| now < at + HANDOVER_PAUSE);
-        let ours = self.stages.iter().any(|s| s.target == target);
-        if !ours || paused || !self.streaming() || self.handing.is_some() {
+        let paused = self.handover_failed.is_some_and(|at| now < at + HANDOVER_RETRY_INTERVAL);
+        let on_route = self.stages.iter().any(|s| s.target == target);
+        if !on_route || paused || !self.streaming() || self.handover.is_some() {
             return;
         }
         let mut avoid = self.avoid.list();
         avoid.push(target.clone());
-        self.handing = Some(target);
-        out.push(Action::Route { avoid, retry: false, paid: false });
+        self.handover = Some(target);
+        out.push(Action::Route { avoid, retry: false, charge_budget: false });
     }
 
     pub(super) fn moved(&mut self, now: Instant, done: bool, out: &mut Vec<Action>) {
--- a/crates/roseshore_core/src/answer/message.rs
+++ b/crates/roseshore_core/src/answer/message.rs
@@ -1,6 +1,6 @@
-//! What goes into an answer's machine and what comes out.
+//! Inputs and actions of an answer's state machine.
 
-use crate::answer::lineage::{Broken, Stage, Stamp};
+use crate::answer::lineage::{LineageError, Stage, Stamp};
 use crate::code::Code;
 use crate::event::Event;
 use crate::ids::*;
@@ -8,237 +8,238 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// What is to be answered.
+/// What an answer is to compute, and its limits.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The answer's id.
+    /// Id of the request that is answered.
     pub answer: RequestId,
-    /// The number of layers of the model.
+    /// Number of layers of the model.
     pub layers: Layer,
-    /// The version of the weights.
+    /// Version of the weights.
     pub version: VersionId,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt: u32,
-    /// How many tokens the whole answer may have.
+    /// Upper bound on the number of tokens in the answer.
     pub limit: u32,
-    /// When the answer must be whole.
+    /// Time by which the answer must be complete.
     pub deadline: Instant,
 }
 
-/// A chain that the router chose, with its predictions.
+/// A chain chosen by the router, with its predicted times.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// In order of layers.
+    /// Stages, in order of layers.
     pub stages: Vec<Stage>,
-    /// Predicted time to the next token, by a new prefill.
-    pub first: Duration,
-    /// Predicted time between tokens.
-    pub between: Duration,
+    /// Predicted time to the next token if the chain prefills from scratch.
+    pub first_token: Duration,
+    /// Predicted time between two tokens.
+    pub token_interval: Duration,
 }
 
-/// Why opening or reading a stream failed.
+/// Why a stream could not be opened or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// Nothing was sent.
-    Unreached,
-    /// It was sent, and no whole reply came.
+pub enum StreamFailure {
+    /// The connection failed; no request was sent.
+    Unreachable,
+    /// The request was sent, but no complete reply came back.
     Lost,
-    /// The engine said that nothing ran.
+    /// The engine replied that it ran nothing.
     Refused {
-        /// The HTTP status.
+        /// HTTP status of the reply.
         status: u16,
-        /// When the engine wants to be asked again.
+        /// Wait that the engine asks for before the next attempt.
         after: Option<Duration>,
     },
-    /// The reply broke the protocol.
-    Garbled,
+    /// The reply violated the protocol.
+    Malformed,
 }
 
-/// What a probe of a target showed.
+/// Result of a liveness probe of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Health {
-    /// It answered, in this life.
+pub enum ProbeResult {
+    /// It answered, and reported this incarnation.
     Alive(Incarnation),
     /// It refused the connection.
     Dead,
-    /// It did not answer in time.
+    /// It did not answer within the limit.
     Silent,
 }
 
-/// One line of a stream.
+/// One line of an engine's stream.
 #[derive(Clone, Debug)]
-pub enum Line {
+pub enum StreamLine {
     /// One token.
     Token {
-        /// Which place.
+        /// Index of the token in the answer.
         position: Position,
-        /// The text.
+        /// The token's text.
         text: String,
-        /// What ran, in order.
+        /// Stamps of the stages that ran, in order of layers.
         lineage: Vec<Stamp>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Done {
-        /// Tokens in the whole answer.
+        /// Number of tokens in the complete answer.
         count: u32,
         /// `stop` or `length`.
         reason: String,
-        /// Prompt tokens that a prefix cache saved.
+        /// Number of prompt tokens found in a prefix cache.
         cached: u32,
     },
-    /// The answer cannot go on over this route.
+    /// The answer cannot continue on this route.
     Lost {
         /// The stage that failed, if known.
         stage: Option<TargetId>,
     },
 }
 
-/// What happened.
+/// An event for the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// The router chose a chain.
     Chosen(Route),
-    /// The router has no chain.
+    /// The router found no chain.
     NoChain(Refusal),
-    /// No further attempt is allowed, whatever the router has.
-    Denied(Refusal),
-    /// A stream's head has come.
+    /// No further attempt is allowed, whether or not a chain exists.
+    RetryDenied(Refusal),
+    /// The head of a stream arrived.
     Opened(Epoch),
     /// A stream could not be opened.
-    Unopened(Epoch, Failure),
-    /// A line came, with the answer and epoch that it names.
-    Line(RequestId, Epoch, Line),
-    /// A stream ended; without a failure, the engine closed it in order.
-    Ended(Epoch, Option<Failure>),
-    /// A probe of a stage came back.
-    Probed(Epoch, TargetId, Health),
-    /// A move of KV cache ended.
+    OpenFailed(Epoch, StreamFailure),
+    /// A stream line arrived, with the answer and the epoch that it names.
+    Line(RequestId, Epoch, StreamLine),
+    /// A stream ended; `None` when the engine closed it cleanly.
+    Ended(Epoch, Option<StreamFailure>),
+    /// The probe of a stage returned.
+    Probed(Epoch, TargetId, ProbeResult),
+    /// A transfer of KV caches ended; `true` when all of them arrived.
     Moved(Epoch, bool),
-    /// A target is being taken away.
+    /// A target is being withdrawn from service.
     Leaving(TargetId),
-    /// The caller has left.
+    /// The caller disconnected.
     CallerLeft,
-    /// Time has passed.
+    /// The time that [`crate::answer::Answer::next_tick`] gave has come.
     Tick,
 }
 
-/// One stage's KV cache to bring to another target.
+/// One stage's KV cache to copy to another target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Move {
-    /// Where it is.
+pub struct CacheMove {
+    /// The stage that has the cache.
     pub from: Stage,
-    /// Where it is to go.
+    /// The stage that needs it.
     pub to: Stage,
 }
 
-/// The end of a whole answer.
+/// How a complete answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finish {
     /// `stop` or `length`.
     pub reason: String,
-    /// Prompt tokens that a prefix cache saved.
+    /// Number of prompt tokens found in a prefix cache.
     pub cached: u32,
 }
 
-/// What is to be done.
+/// An action for the driver to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Ask the router for a chain without these targets.
+    /// Ask the router for a chain that excludes these targets.
     Route {
-        /// Targets that failed this answer.
+        /// Targets that failed, or may have failed, for this answer.
         avoid: Vec<TargetId>,
-        /// Whether work of an earlier attempt is done again.
+        /// Whether work of an earlier attempt is repeated.
         retry: bool,
-        /// Whether the retry must be paid for from the service's retry budget: nothing was proved
-        /// to have failed, so that going on elsewhere may only add load to what is slow.
-        paid: bool,
+        /// Whether the retry is charged to the service's retry budget. It is when no target was
+        /// proved to have failed: continuing elsewhere may then only add load to targets that are
+        /// slow.
+        charge_budget: bool,
     },
-    /// Open a stream over [`crate::answer::Answer::stages`].
+    /// Open a stream over the stages in [`crate::answer::Answer::stages`].
     Open {
-        /// The number of the route.
+        /// Epoch of the route.
         epoch: Epoch,
-        /// Whether all stages hold the KV cache.
+        /// Whether every stage already holds the KV cache.
         warm: bool,
     },
     /// Stop reading the stream of this epoch.
     Close(Epoch),
-    /// Give the caller the token at this position of [`crate::answer::Answer::tokens`].
+    /// Send the caller the token at this index of [`crate::answer::Answer::tokens`].
     Deliver(Position),
-    /// End the work on a stage, best effort.
+    /// Cancel the work on a stage, best effort.
     Cancel {
-        /// Where.
+        /// The stage on which the work runs.
         stage: Stage,
-        /// This epoch and older ones.
+        /// Cancels the work of this epoch and of older ones.
         epoch: Epoch,
-        /// Whether the KV cache is still wanted.
-        keep: bool,
+        /// Whether the stage keeps its KV cache for the next route.
+        keep_cache: bool,
     },
-    /// Ask the stages of the route whether they live.
+    /// Probe the stages of the route for liveness.
     Probe {
-        /// The number of the route.
+        /// Epoch of the route.
         epoch: Epoch,
-        /// How long to wait for each.
+        /// Time limit of each probe.
         limit: Duration,
     },
-    /// Stop the old work, bring KV caches over, and report once with [`Input::Moved`].
+    /// Stop the work of the old route, transfer KV caches, and report once with [`Input::Moved`].
     Move {
-        /// The number of the new route.
+        /// Epoch of the new route.
         epoch: Epoch,
-        /// The caches.
-        moves: Vec<Move>,
-        /// How long all may take.
+        /// The caches to transfer.
+        moves: Vec<CacheMove>,
+        /// Time limit for all transfers together.
         limit: Duration,
     },
     /// Tell the router that a target failed.
     Failed(TargetId),
-    /// Log a line of the catalogue.
-    Note(Event, String),
-    /// The answer is whole.
+    /// Log an event of the catalogue with this text.
+    Log(Event, String),
+    /// Finish the complete answer.
     Finish(Finish),
-    /// The answer is given up.
+    /// Give the answer up with this refusal.
     Refuse(Refusal),
 }
 
-/// Why a route was given up.
+/// Why a route was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The first stage was not reached.
-    Unreached,
-    /// The first stage refused.
+    /// The first stage could not be connected to.
+    Unreachable,
+    /// The first stage refused the request.
     Refused,
-    /// A stage holds something else than the route says.
+    /// A stage holds another version, adapter or layer range than the route requires.
     Mismatch,
-    /// The first stage is full.
+    /// The queue of the first stage is full.
     Busy,
-    /// The stream ended before the answer.
+    /// The stream ended before the answer was complete.
     Cut,
-    /// Nothing came for too long.
+    /// Nothing arrived within the timeout.
     Silent,
-    /// A probe found a stage dead.
+    /// A probe was refused the connection to a stage.
     Dead,
-    /// A probe found a stage in another life.
+    /// A probe found another incarnation on a stage.
     Restarted,
-    /// The engine lost a stage.
-    Lost,
-    /// A token did not pass every layer once and in order.
-    Lineage(Broken),
-    /// Tokens came further ahead than the window reaches.
+    /// The engine reported that it lost a stage.
+    StageLost,
+    /// A token did not pass through every layer once and in order.
+    Lineage(LineageError),
+    /// A token was further ahead than the reorder buffer holds.
     Overflow,
-    /// The stream's lines contradict each other or the protocol.
-    Garbled,
-    /// A target is being taken away.
+    /// The stream's lines contradict each other or violate the protocol.
+    Malformed,
+    /// A target is being withdrawn from service.
     Leaving,
 }
 
 impl Cause {
-    /// The code of a refusal for this cause, when nothing ran.
+    /// Code of the refusal that this cause leads to if nothing ran.
     pub fn code(self) -> Code {
         match self {
-            Cause::Unreached => Code::TargetUnreachable,
+            Cause::Unreachable => Code::TargetUnreachable,
             Cause::Refused => Code::TargetRefused,
             Cause::Mismatch => Code::TargetMismatch,
             Cause::Busy => Code::QueueFull,
-            Cause::Lineage(_) | Cause::Overflow | Cause::Garbled => Code::TargetGarbled,
+            Cause::Lineage(_) | Cause::Overflow | Cause::Malformed => Code::TargetGarbled,
             _ => Code::TargetLost,
         }
     }
@@ -247,7 +248,7 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::Unreached => f.write_str("not reached"),
+            Cause::Unreachable => f.write_str("not reached"),
             Cause::Refused => f.write_str("refused"),
             Cause::Mismatch => f.write_str("holds another version, adapter or layer range"),
             Cause::Busy => f.write_str("full"),
@@ -255,10 +256,10 @@
             Cause::Silent => f.write_str("silent"),
             Cause::Dead => f.write_str("dead"),
             Cause::Restarted => f.write_str("restarted"),
-            Cause::Lost => f.write_str("lost by the engine"),
+            Cause::StageLost => f.write_str("lost by the engine"),
             Cause::Lineage(broken) => write!(f, "lineage: {broken}"),
             Cause::Overflow => f.write_str("tokens too far ahead"),
-            Cause::Garbled => f.write_str("broke the protocol"),
+            Cause::Malformed => f.write_str("broke the protocol"),
             Cause::Leaving => f.write_str("leaving"),
         }
     }
--- a/crates/roseshore_core/src/gateway/fatal.rs
+++ b/crates/roseshore_core/src/gateway/fatal.rs
@@ -1,401 +1,433 @@
-//! Requests that end each target which begins to run them.
+//! Requests that crash the targets which run them.
 //!
-//! Such a request (a "query of death") comes again under a new id, at any host, and each run costs a
-//! target and all that ran there beside it. So hosts remember by its [`Fingerprint`] under which requests
-//! targets ended, tell each other, and refuse a request under which too many did.
+//! Such a request (a "query of death") is repeated under a new id at any host, and each run costs a
+//! target and all that ran beside it. So hosts remember, by its [`Fingerprint`], under which
+//! requests targets crashed, inform each other, and refuse a request under which too many did.
 //!
-//! Whatever else ran on a target when it ended looks the same at first. What tells them apart: the one
-//! at fault never gets far, and never ends whole. An end counts in full only if the request had hardly begun to
-//! run there, and a whole answer clears a request of all ends before it, on all hosts.
+//! Whatever else ran on a target when it crashed looks the same at first. The request at fault is
+//! recognised by two facts: it never gets far, and it never completes. A crash has full weight only
+//! if the request had hardly begun to run there, and a complete response clears a request of all
+//! earlier crashes, on all hosts.
 //!
-//! What is told is a set of ends, by target and life, which hosts join: none is counted twice, in whatever
-//! order words come, and a word that brings nothing new is not passed on.
+//! Hosts exchange a set of crashes, identified by target and incarnation, which they merge. None is
+//! counted twice, in whatever order reports arrive, and a report that adds nothing is not
+//! forwarded.
 
 mod record;
 
 use super::fingerprint::Fingerprint;
-use super::peers::TargetMark;
+use super::peers::TargetHash;
 use crate::prelude::*;
-pub use record::{FatalRecord, Upkeep};
+pub use record::{FatalRecord, RecordDiff};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
 
-/// How many targets may end under a request before it is blocked.
+/// Number of targets that may crash under a request before it is blocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
-    /// Of those where it had hardly begun to run.
+pub struct CrashLimits {
+    /// Crashes where the request had hardly begun to run.
     pub early: usize,
-    /// Of all.
+    /// All crashes.
     pub all: usize,
 }
 
-impl Limits {
-    /// Three early ones are what the operators bear. Played with three requests that end engines, each coming
-    /// once a second for two minutes at twelve engines, beside a rack of four that falls every ten
-    /// seconds: each ends 3.7 engines, and 14 in 10,000 other requests are refused with them. With two it is
-    /// 2.9 and 63, with four 4.9 and 16, with no bound 93 and none.
-    /// Five of all leave two runs after the third end to a request that ends its targets late, where the operators bear
-    /// three; in 40 s of the same load they refuse no other than six do, and four refuse 2 in 10,000 more.
-    pub const USUAL: Limits = Limits { early: 3, all: 5 };
+impl CrashLimits {
+    /// Operators tolerate three early crashes. In a simulation, three requests that crash engines
+    /// each came once a second for two minutes at twelve engines, beside a rack of four engines
+    /// that failed every ten seconds. Each of the requests crashed 3.7 engines, and 14 in 10,000
+    /// other requests were refused as well. With a limit of two this was 2.9 and 63, with four 4.9
+    /// and 16, and without a limit 93 and none.
+    ///
+    /// A total of five leaves a request that crashes its targets late two runs after the third
+    /// crash, where operators tolerate three. In 40 s of the same load it refuses no more other
+    /// requests than a total of six, and a total of four refuses 2 in 10,000 more.
+    pub const DEFAULT: CrashLimits = CrashLimits { early: 3, all: 5 };
 }
 
-/// A run of a stream that brought its first event so long ago is past its beginning. Requests that end
-/// their targets did so 30 to 120 ms after they began to run.
+/// A run is no longer early once its first event was this long ago. Requests that crash their
+/// targets did so 30 to 120 ms after they began to run.
 pub const EARLY: Duration = Duration::from_millis(500);
-/// An end is remembered for so long, and a request blocked for so long after the last one: by then
-/// operators have seen the line, and another version of the model may be in force.
-const KEPT: Duration = Duration::from_mins(10);
-/// A whole answer is remembered for so long, to answer other hosts' late words of ends before it.
-const WELL_KEPT: Duration = Duration::from_secs(10);
-/// Whole answers that are remembered: some seconds of a busy host's.
-const WELL_MOST: usize = 1024;
-/// Requests that are remembered for ends; far more than are blocked at any time; some 200 B each by
-/// their fields.
-const MOST: usize = 512;
-/// What is new is told with each heartbeat for so long: three steps of 0.2 s between hosts that hear only
-/// speakers, each lost once.
-const NEWS: Duration = Duration::from_millis(1500);
-/// Blocked requests are told again in turns of so long, so many in each: every hearer gets a heartbeat in
-/// each turn.
-const TURN: Duration = Duration::from_millis(600);
-const TOLD_AGAIN: usize = 4;
-/// Turns until the first one again, at least; hosts that began, or were cut off, then know after 3 s.
-const TURNS: usize = 5;
-/// Between heartbeats that are close; the next ones tell of others where there is more than fits.
-const STEP: Duration = URGENT_EVERY;
-/// Ends of one target that lie less than this apart are one: it takes longer to start again, and words
-/// between hosts are younger.
-const SAME_END: Duration = Duration::from_secs(2);
-/// Ends of one request that a heartbeat tells of.
-const MOST_ENDS: usize = 6;
-/// Bytes in which one heartbeat tells of such requests; more do not fit a datagram.
-pub const TOLD_BYTES: usize = 396;
-/// Bytes of a request in a heartbeat at most, and of each of its ends.
-const NOTE_BYTES: usize = 22;
-const END_BYTES: usize = 9;
-/// News of a request that had hardly begun does not wait for the next heartbeats, but comes no closer after other
-/// such news: each heartbeat tells of several.
-pub const URGENT_EVERY: Duration = Duration::from_millis(50);
-
-/// The end of a target's life under a request, as a heartbeat tells it.
+/// How long a crash is remembered, and a request blocked after its last one. By then operators have
+/// seen the log line, and another version of the model may be in use.
+const CRASH_RETENTION: Duration = Duration::from_mins(10);
+/// How long a complete response is remembered, to answer late reports from other hosts about
+/// crashes before it.
+const SUCCESS_RETENTION: Duration = Duration::from_secs(10);
+/// Number of complete responses remembered: some seconds' worth on a busy host.
+const MAX_SUCCESSES: usize = 1024;
+/// Number of requests remembered for their crashes, at some 200 B each by their fields; far more
+/// than are blocked at any time.
+const MAX_REQUESTS: usize = 512;
+/// How long an update is part of every heartbeat: three hops of 0.2 s between hosts that hear only
+/// speakers, with the first attempt lost at each.
+const FRESH_FOR: Duration = Duration::from_millis(1500);
+/// Blocked requests are repeated in turns of this length, with this many requests per turn; every
+/// receiver gets a heartbeat in each turn.
+const REPEAT_TURN: Duration = Duration::from_millis(600);
+const REPEATED_PER_TURN: usize = 4;
+/// Smallest number of turns in a cycle, so that a host that started or was cut off knows all
+/// blocked requests after 3 s.
+const MIN_TURNS: usize = 5;
+/// Period after which heartbeats report the next requests if there are more than fit; the shortest
+/// gap between heartbeats.
+const ROTATION_STEP: Duration = MIN_URGENT_GAP;
+/// Crashes of one target that are less than this apart are the same one: a restart takes longer,
+/// and reports between hosts are younger.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(2);
+/// Most crashes of one request that a heartbeat reports.
+const MAX_CRASHES_REPORTED: usize = 6;
+/// Most bytes that these reports take of one heartbeat; more do not fit a datagram.
+pub const REPORT_BYTES: usize = 396;
+/// Largest encoded size of a request's report without its crashes, and of each crash, in bytes.
+const REQUEST_BYTES: usize = 22;
+const CRASH_BYTES: usize = 9;
+/// Shortest gap between heartbeats sent at once because of an early crash, instead of with the next
+/// regular ones; each heartbeat carries several reports.
+pub const MIN_URGENT_GAP: Duration = Duration::from_millis(50);
+
+/// The crash of a target under a request, as reported in heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndNote {
-    /// The target in the life that ended.
-    pub target: TargetMark,
+pub struct CrashReport {
+    /// Hash of the target's incarnation that crashed.
+    pub target: TargetHash,
     /// Whether the request had hardly begun to run there.
     pub early: bool,
-    /// How long ago, ms; rounded up, so that no word grows younger on its way.
+    /// Time since the crash in milliseconds, rounded up so that a report does not grow younger when
+    /// it is forwarded.
     pub age: u32,
 }
 
-/// What a heartbeat tells of a request.
+/// Report about a request in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FatalNote {
+pub struct FatalReport {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Targets that ended under it, since it last ended whole.
-    pub ends: Vec<EndNote>,
-    /// How long ago it ended whole, ms.
+    /// Crashes since the request last completed.
+    pub ends: Vec<CrashReport>,
+    /// Time since the request last completed in milliseconds; `None` if that is not known.
     pub well: Option<u32>,
 }
 
-/// What a word changed.
+/// Effect of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// Nothing that matters.
+pub enum FatalChange {
+    /// No relevant change.
     None,
-    /// Another target has ended under the request.
-    Ended,
-    /// The same, and the request had hardly begun to run there.
-    EndedEarly,
-    /// It is blocked from now on.
+    /// Another target has crashed under the request.
+    Crashed,
+    /// Another target has crashed, and the request had hardly begun to run there.
+    CrashedEarly,
+    /// The request is blocked from now on.
     Blocked,
-    /// It was blocked, and is no longer held to end targets.
+    /// The request was blocked, and is no longer taken to crash targets.
     Cleared,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct End {
-    target: TargetMark,
+struct Crash {
+    target: TargetHash,
     early: bool,
     at: Instant,
 }
 
-impl FatalNote {
-    /// Bytes that it takes in a heartbeat at most.
-    pub fn bytes(&self) -> usize {
-        NOTE_BYTES + END_BYTES * self.ends.len()
+impl FatalReport {
+    /// Largest encoded size in bytes.
+    pub fn max_bytes(&self) -> usize {
+        REQUEST_BYTES + CRASH_BYTES * self.ends.len()
     }
 }
 
-/// Adds notes of cases that are not among them while all take no more than so many bytes, beginning with others in
-/// each turn.
-fn fill(
-    notes: &mut Vec<FatalNote>,
-    cases: &[(&Fingerprint, &Case)],
+/// Appends reports of further requests until the total size would exceed `most` bytes, starting at
+/// a different request with each turn.
+fn fill_reports(
+    reports: &mut Vec<FatalReport>,
+    histories: &[(&Fingerprint, &RequestHistory)],
     turn: usize,
     most: usize,
     now: Instant,
 ) {
-    let mut taken: usize = notes.iter().map(FatalNote::bytes).sum();
-    let each = TOLD_BYTES / (NOTE_BYTES + END_BYTES);
-    let first = (turn * each).checked_rem(cases.len()).unwrap_or(0);
-    for (fingerprint, case) in cases[first..].iter().chain(&cases[..first]) {
-        if notes.iter().any(|note| note.fingerprint == **fingerprint) {
+    let mut taken: usize = reports.iter().map(FatalReport::max_bytes).sum();
+    let each = REPORT_BYTES / (REQUEST_BYTES + CRASH_BYTES);
+    let first = (turn * each).checked_rem(histories.len()).unwrap_or(0);
+    for (fingerprint, history) in histories[first..].iter().chain(&histories[..first]) {
+        if reports.iter().any(|report| report.fingerprint == **fingerprint) {
             continue;
         }
-        let note = case.note(**fingerprint, now);
-        taken += note.bytes();
+        let report = history.report(**fingerprint, now);
+        taken += report.max_bytes();
         if taken > most {
             return;
         }
-        notes.push(note);
+        reports.push(report);
     }
 }
 
-/// What is known of one request.
+/// Crashes and completion of one request.
 #[derive(Clone, Debug)]
-struct Case {
-    ends: Vec<End>,
-    well: Option<Instant>,
+struct RequestHistory {
+    crashes: Vec<Crash>,
+    last_success: Option<Instant>,
     /// When something new was last learned.
     changed: Instant,
 }
 
-impl Case {
-    fn new(now: Instant) -> Case {
-        Case { ends: Vec::new(), well: None, changed: now }
+impl RequestHistory {
+    fn new(now: Instant) -> RequestHistory {
+        RequestHistory { crashes: Vec::new(), last_success: None, changed: now }
     }
 
-    fn early(&self) -> usize {
-        self.ends.iter().filter(|end| end.early).count()
+    fn early_crashes(&self) -> usize {
+        self.crashes.iter().filter(|crash| crash.early).count()
     }
 
-    fn blocked(&self, limits: Limits) -> bool {
-        self.early() >= limits.early || self.ends.len() >= limits.all
+    fn blocked(&self, limits: CrashLimits) -> bool {
+        self.early_crashes() >= limits.early || self.crashes.len() >= limits.all
     }
 
-    /// Takes an end; returns whether it brought anything new. Of two runs on one target, the one that had
-    /// hardly begun counts.
-    fn take(&mut self, end: End) -> bool {
-        if self.well.is_some_and(|well| end.at <= well) {
+    /// Adds a crash. Returns whether it is new. Of two runs on the same target, the early one
+    /// counts.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        if self.last_success.is_some_and(|completed| crash.at <= completed) {
             return false;
         }
-        let gap = |at: Instant| at.max(end.at).saturating_duration_since(at.min(end.at));
-        let same = |e: &&mut End| e.target == end.target && gap(e.at) < SAME_END;
-        let Some(known) = self.ends.iter_mut().find(same) else {
-            self.ends.push(end);
+        let gap = |at: Instant| at.max(crash.at).saturating_duration_since(at.min(crash.at));
+        let same = |e: &&mut Crash| e.target == crash.target && gap(e.at) < SAME_CRASH_WINDOW;
+        let Some(known) = self.crashes.iter_mut().find(same) else {
+            self.crashes.push(crash);
             return true;
         };
-        let news = end.early && !known.early;
-        known.early |= end.early;
-        news
+        let new = crash.early && !known.early;
+        known.early |= crash.early;
+        new
     }
 
-    /// Drops what was before a whole answer; returns whether that was anything.
-    fn clear(&mut self, well: Instant) -> bool {
-        let before = self.ends.len();
-        self.ends.retain(|end| end.at > well);
-        self.well = self.well.max(Some(well));
-        self.ends.len() < before
+    /// Drops crashes up to a completion. Returns whether there were any.
+    fn clear_before(&mut self, completed: Instant) -> bool {
+        let before = self.crashes.len();
+        self.crashes.retain(|crash| crash.at > completed);
+        self.last_success = self.last_success.max(Some(completed));
+        self.crashes.len() < before
     }
 
-    /// The last moment that it is about.
+    /// Time of the latest crash or completion.
     fn latest(&self) -> Instant {
-        let ends = self.ends.iter().map(|end| end.at);
-        ends.chain(self.well).max().unwrap_or(self.changed)
+        let crashes = self.crashes.iter().map(|crash| crash.at);
+        crashes.chain(self.last_success).max().unwrap_or(self.changed)
     }
 
-    fn note(&self, fingerprint: Fingerprint, now: Instant) -> FatalNote {
+    fn report(&self, fingerprint: Fingerprint, now: Instant) -> FatalReport {
         let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u32 + 1;
-        let mut ends = self.ends.clone();
-        ends.sort_unstable_by_key(|end| (!end.early, Reverse(end.at)));
-        ends.truncate(MOST_ENDS);
-        let end = |end: &End| EndNote { target: end.target, early: end.early, age: age(end.at) };
-        FatalNote { fingerprint, ends: ends.iter().map(end).collect(), well: self.well.map(age) }
+        let mut crashes = self.crashes.clone();
+        crashes.sort_unstable_by_key(|crash| (!crash.early, Reverse(crash.at)));
+        crashes.truncate(MAX_CRASHES_REPORTED);
+        let crash = |crash: &Crash| CrashReport {
+            target: crash.target,
+            early: crash.early,
+            age: age(crash.at),
+        };
+        FatalReport {
+            fingerprint,
+            ends: crashes.iter().map(crash).collect(),
+            well: self.last_success.map(age),
+        }
     }
 }
 
-/// What a host knows of requests that end targets.
+/// Requests that crash targets, as known to this host.
 #[derive(Clone, Debug)]
-pub struct Fatal {
-    limits: Limits,
-    begun: Instant,
-    cases: HashMap<Fingerprint, Case>,
-    /// Requests that ended whole of late.
-    well: VecDeque<(Instant, Fingerprint)>,
+pub struct FatalRequests {
+    limits: CrashLimits,
+    started: Instant,
+    requests: HashMap<Fingerprint, RequestHistory>,
+    /// Requests that recently completed at this host, oldest first.
+    successes: VecDeque<(Instant, Fingerprint)>,
 }
 
-impl Fatal {
-    /// Knows of none.
-    pub fn new(now: Instant) -> Fatal {
-        Fatal::with_limits(now, Limits::USUAL)
+impl FatalRequests {
+    /// Creates an empty set with the default limits.
+    pub fn new(now: Instant) -> FatalRequests {
+        FatalRequests::with_limits(now, CrashLimits::DEFAULT)
     }
 
-    /// Knows of none, and blocks after so many ends.
-    pub fn with_limits(now: Instant, limits: Limits) -> Fatal {
-        Fatal { limits, begun: now, cases: HashMap::new(), well: VecDeque::new() }
+    /// Creates an empty set with other limits.
+    pub fn with_limits(now: Instant, limits: CrashLimits) -> FatalRequests {
+        FatalRequests { limits, started: now, requests: HashMap::new(), successes: VecDeque::new() }
     }
 
-    /// A target ended while it ran a request of this host.
-    pub fn ended(
+    /// Records that a target crashed while it ran a request of this host.
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
-        target: TargetMark,
+        target: TargetHash,
         early: bool,
         now: Instant,
-    ) -> Change {
-        self.learn(fingerprint, &[End { target, early, at: now }], None, now)
+    ) -> FatalChange {
+        self.update(fingerprint, &[Crash { target, early, at: now }], None, now)
     }
 
-    /// A request of this host ended whole.
-    pub fn worked(&mut self, fingerprint: Fingerprint, now: Instant) -> Change {
-        if self.well.len() >= WELL_MOST {
-            self.well.pop_front();
+    /// Records that a request of this host completed.
+    pub fn record_success(&mut self, fingerprint: Fingerprint, now: Instant) -> FatalChange {
+        if self.successes.len() >= MAX_SUCCESSES {
+            self.successes.pop_front();
         }
-        self.well.push_back((now, fingerprint));
-        if !self.cases.contains_key(&fingerprint) {
-            return Change::None;
+        self.successes.push_back((now, fingerprint));
+        if !self.requests.contains_key(&fingerprint) {
+            return FatalChange::None;
         }
-        self.learn(fingerprint, &[], Some(now), now)
+        self.update(fingerprint, &[], Some(now), now)
     }
 
-    /// Another host's word.
-    pub fn hear(&mut self, note: &FatalNote, now: Instant) -> Change {
+    /// Merges a report from another host.
+    pub fn receive(&mut self, report: &FatalReport, now: Instant) -> FatalChange {
         let placed = |age: u32| now.checked_sub(Duration::from_millis(u64::from(age)));
-        let recent = |at: &Instant| now.saturating_duration_since(*at) < KEPT;
-        let end = |end: &EndNote| {
-            let at = placed(end.age).filter(recent)?;
-            Some(End { target: end.target, early: end.early, at })
+        let recent = |at: &Instant| now.saturating_duration_since(*at) < CRASH_RETENTION;
+        let crash = |crash: &CrashReport| {
+            let at = placed(crash.age).filter(recent)?;
+            Some(Crash { target: crash.target, early: crash.early, at })
         };
-        let ends: Vec<End> = note.ends.iter().filter_map(end).collect();
-        let well = note.well.and_then(placed).max(self.well_of(note.fingerprint));
-        if ends.is_empty() && !self.cases.contains_key(&note.fingerprint) {
-            return Change::None;
+        let crashes: Vec<Crash> = report.ends.iter().filter_map(crash).collect();
+        let completed = report.well.and_then(placed).max(self.last_success(report.fingerprint));
+        if crashes.is_empty() && !self.requests.contains_key(&report.fingerprint) {
+            return FatalChange::None;
         }
-        self.learn(note.fingerprint, &ends, well, now)
+        self.update(report.fingerprint, &crashes, completed, now)
     }
 
-    /// When a request last ended whole at this host, if that was of late.
-    fn well_of(&self, fingerprint: Fingerprint) -> Option<Instant> {
-        let same = self.well.iter().rev().find(|(_, known)| *known == fingerprint);
+    /// When the request last completed at this host, if that was recent.
+    fn last_success(&self, fingerprint: Fingerprint) -> Option<Instant> {
+        let same = self.successes.iter().rev().find(|(_, known)| *known == fingerprint);
         same.map(|(at, _)| *at)
     }
 
-    fn learn(
+    fn update(
         &mut self,
         fingerprint: Fingerprint,
-        ends: &[End],
-        well: Option<Instant>,
+        crashes: &[Crash],
+        completed: Option<Instant>,
         now: Instant,
-    ) -> Change {
+    ) -> FatalChange {
         self.make_room(fingerprint);
-        let case = self.cases.entry(fingerprint).or_insert_with(|| Case::new(now));
-        let before = case.blocked(self.limits);
-        let known = case.early();
-        let outdated = well.is_some_and(|well| ends.iter().any(|end| end.at <= well));
-        let cleared = well.is_some_and(|well| case.clear(well));
-        let added = ends.iter().filter(|end| case.take(**end)).count();
+        let history = self.requests.entry(fingerprint).or_insert_with(|| RequestHistory::new(now));
+        let before = history.blocked(self.limits);
+        let known = history.early_crashes();
+        let outdated =
+            completed.is_some_and(|completed| crashes.iter().any(|crash| crash.at <= completed));
+        let cleared = completed.is_some_and(|completed| history.clear_before(completed));
+        let added = crashes.iter().filter(|crash| history.add_crash(**crash)).count();
         if added > 0 || cleared || outdated {
-            case.changed = now;
+            history.changed = now;
         }
-        let early = case.early();
-        match (before, case.blocked(self.limits)) {
-            (false, true) => Change::Blocked,
-            (true, false) => Change::Cleared,
-            _ if early > known => Change::EndedEarly,
-            _ if added > 0 => Change::Ended,
-            _ => Change::None,
+        let early = history.early_crashes();
+        match (before, history.blocked(self.limits)) {
+            (false, true) => FatalChange::Blocked,
+            (true, false) => FatalChange::Cleared,
+            _ if early > known => FatalChange::CrashedEarly,
+            _ if added > 0 => FatalChange::Crashed,
+            _ => FatalChange::None,
         }
     }
 
-    /// Forgets the request that matters least when there are too many.
+    /// Drops the least relevant request if there are too many.
     fn make_room(&mut self, fingerprint: Fingerprint) {
-        if self.cases.len() < MOST || self.cases.contains_key(&fingerprint) {
+        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&fingerprint) {
             return;
         }
-        let least = self.cases.iter().min_by_key(|(f, case)| (case.early(), case.latest(), **f));
+        let least = self
+            .requests
+            .iter()
+            .min_by_key(|(f, history)| (history.early_crashes(), history.latest(), **f));
         let least = least.map(|(fingerprint, _)| *fingerprint);
         if let Some(least) = least {
-            self.cases.remove(&least);
+            self.requests.remove(&least);
         }
     }
 
     /// How long a request is still refused; `None` for one that may run.
     pub fn blocked(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
-        let case = self.cases.get(&fingerprint).filter(|case| case.blocked(self.limits))?;
-        let left = (case.latest() + KEPT).saturating_duration_since(now);
+        let history =
+            self.requests.get(&fingerprint).filter(|history| history.blocked(self.limits))?;
+        let left = (history.latest() + CRASH_RETENTION).saturating_duration_since(now);
         Some(left).filter(|left| !left.is_zero())
     }
 
-    /// Targets that are known to have ended under a request since it last ended whole.
-    pub fn ends(&self, fingerprint: Fingerprint) -> usize {
-        self.cases.get(&fingerprint).map_or(0, |case| case.ends.len())
+    /// Number of targets known to have crashed under a request since it last completed.
+    pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
+        self.requests.get(&fingerprint).map_or(0, |history| history.crashes.len())
     }
 
-    /// Whether a request would be blocked with one end more than the known ones and so many that are being
-    /// looked into.
-    pub fn suspect(&self, fingerprint: Fingerprint, open: usize) -> bool {
-        let Limits { early, all } = self.limits;
-        let case = self.cases.get(&fingerprint);
-        let known = case.map_or((0, 0), |case| (case.early(), case.ends.len()));
+    /// Whether a request would be blocked by one crash beyond the known ones and `open` further
+    /// ones that are still being investigated.
+    pub fn near_limit(&self, fingerprint: Fingerprint, open: usize) -> bool {
+        let CrashLimits { early, all } = self.limits;
+        let history = self.requests.get(&fingerprint);
+        let known =
+            history.map_or((0, 0), |history| (history.early_crashes(), history.crashes.len()));
         known.0 + open + 1 >= early || known.1 + open + 1 >= all
     }
 
-    /// How many requests are refused.
-    pub fn count(&self) -> usize {
-        self.cases.values().filter(|case| case.blocked(self.limits)).count()
+    /// Number of requests that are refused.
+    pub fn blocked_count(&self) -> usize {
+        self.requests.values().filter(|history| history.blocked(self.limits)).count()
     }
 
     /// Drops what is too old to matter.
-    pub fn forget(&mut self, now: Instant) {
+    pub fn expire(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.well.retain(|(at, _)| age(*at) < WELL_KEPT);
-        self.cases.retain(|_, case| {
-            let kept = if case.ends.is_empty() { WELL_KEPT } else { KEPT };
-            age(case.latest()) < kept
+        self.successes.retain(|(at, _)| age(*at) < SUCCESS_RETENTION);
+        self.requests.retain(|_, history| {
+            let kept = if history.crashes.is_empty() { SUCCESS_RETENTION } else { CRASH_RETENTION };
+            age(history.latest()) < kept
         });
     }
 
-    /// Blocked requests are told like news, for a host that has joined.
-    pub fn tell_again(&mut self, now: Instant) {
+    /// Reports blocked requests like updates again, for a host that has joined.
+    pub fn repeat_blocked(&mut self, now: Instant) {
         let limits = self.limits;
-        for case in self.cases.values_mut().filter(|case| case.blocked(limits)) {
-            case.changed = now;
+        for history in self.requests.values_mut().filter(|history| history.blocked(limits)) {
+            history.changed = now;
         }
     }
 
-    /// What heartbeats tell now: what is new, and blocked requests in turn. Where there is more than fits, half
-    /// of it are those with several early ends, and a quarter those with one: a target that falls is the end of some
-    /// seventy requests at once, and most were past their beginning.
-    pub fn notes(&self, now: Instant) -> Vec<FatalNote> {
-        let since = now.saturating_duration_since(self.begun);
+    /// Reports for the next heartbeats: updates, and blocked requests in turn. Where there are more
+    /// than fit, half of the space is for requests with several early crashes and a quarter for
+    /// those with one: a target that crashes ends some seventy requests at once, and most of these
+    /// were past their beginning.
+    pub fn reports(&self, now: Instant) -> Vec<FatalReport> {
+        let since = now.saturating_duration_since(self.started);
         let due = self.due(since, now);
-        let (several, others) = due.split_at(due.partition_point(|(_, case)| case.early() > 1));
-        let (one, none) = others.split_at(others.partition_point(|(_, case)| case.early() > 0));
-        let turn = since.div_duration_f64(STEP) as usize;
-        let mut notes = Vec::new();
-        for (cases, left) in [(several, 0.5), (one, 0.25), (none, 0.0), (one, 0.0), (several, 0.0)]
+        let (several, others) =
+            due.split_at(due.partition_point(|(_, history)| history.early_crashes() > 1));
+        let (one, none) =
+            others.split_at(others.partition_point(|(_, history)| history.early_crashes() > 0));
+        let turn = since.div_duration_f64(ROTATION_STEP) as usize;
+        let mut reports = Vec::new();
+        for (histories, left) in
+            [(several, 0.5), (one, 0.25), (none, 0.0), (one, 0.0), (several, 0.0)]
         {
-            let most = (TOLD_BYTES as f64 * (1.0 - left)) as usize;
-            fill(&mut notes, cases, turn, most, now);
+            let most = (REPORT_BYTES as f64 * (1.0 - left)) as usize;
+            fill_reports(&mut reports, histories, turn, most, now);
         }
-        notes
+        reports
     }
 
-    /// What is to be told, those with the most ends first.
-    fn due(&self, since: Duration, now: Instant) -> Vec<(&Fingerprint, &Case)> {
-        let new = |case: &Case| now.saturating_duration_since(case.changed) < NEWS;
-        let mut old: Vec<_> = self.cases.iter().filter(|(_, case)| !new(case)).collect();
-        old.retain(|(_, case)| case.blocked(self.limits));
+    /// Requests to be reported, those with the most early crashes first.
+    fn due(&self, since: Duration, now: Instant) -> Vec<(&Fingerprint, &RequestHistory)> {
+        let new =
+            |history: &RequestHistory| now.saturating_duration_since(history.changed) < FRESH_FOR;
+        let mut old: Vec<_> = self.requests.iter().filter(|(_, history)| !new(history)).collect();
+        old.retain(|(_, history)| history.blocked(self.limits));
         old.sort_unstable_by_key(|(f, _)| **f);
-        let turns = old.len().div_ceil(TOLD_AGAIN).max(TURNS);
-        let turn = since.div_duration_f64(TURN) as usize % turns;
-        let news = self.cases.iter().filter(|(_, case)| new(case));
-        let mut due: Vec<_> =
-            old.into_iter().skip(turn * TOLD_AGAIN).take(TOLD_AGAIN).chain(news).collect();
-        due.sort_unstable_by_key(|(f, case)| (Reverse(case.early()), **f));
+        let turns = old.len().div_ceil(REPEATED_PER_TURN).max(MIN_TURNS);
+        let turn = since.div_duration_f64(REPEAT_TURN) as usize % turns;
+        let updates = self.requests.iter().filter(|(_, history)| new(history));
+        let mut due: Vec<_> = old
+            .into_iter()
+            .skip(turn * REPEATED_PER_TURN)
+            .take(REPEATED_PER_TURN)
+            .chain(updates)
+            .collect();
+        due.sort_unstable_by_key(|(f, history)| (Reverse(history.early_crashes()), **f));
         due
     }
 }
--- a/crates/roseshore_core/src/gateway/paces.rs
+++ b/crates/roseshore_core/src/gateway/paces.rs
@@ -1,74 +1,77 @@
-//! How fast engines really run.
+//! Actual speed of engines.
 //!
-//! An engine that runs slower than published makes every path through it slow, and nothing that passes
-//! through a path says which of its engines it is. Each reports its own pace, so the first host of a data
-//! centre asks the engines of its own in turn and tells the others.
+//! An engine that runs slower than published slows down every path through it, and the data that
+//! passes through a path does not tell which of its engines is at fault. Each engine reports its
+//! own pace, so the first host of a data centre polls its engines in turn and informs the other
+//! hosts.
 
-use super::peers::TargetMark;
+use super::peers::TargetHash;
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Each engine is asked once in this time.
-pub const ASK_EVERY: Duration = Duration::from_secs(1);
-/// Engines that are asked in one turn at most, so that 1,000 of them do not take the whole host.
-pub const MOST_ASKED: usize = 24;
-/// What was reported is believed for so long: three questions, of which two may be lost.
-const BELIEVED: Duration = Duration::from_secs(3);
-/// Bounds of what is believed.
-const BOUNDS: (f64, f64) = (0.5, 64.0);
-/// A pace that differs from what is published by less than this is not worth a word.
-const WORTH_TELLING: f64 = 0.15;
+/// Period in which each engine is polled.
+pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Most engines polled in one turn, so that 1,000 of them do not use up the host.
+pub const MAX_POLLED: usize = 24;
+/// How long a reported pace is valid: three polls, of which two may be lost.
+const VALIDITY: Duration = Duration::from_secs(3);
+/// Smallest and largest factor that is accepted; others are clamped.
+const FACTOR_BOUNDS: (f64, f64) = (0.5, 64.0);
+/// Smallest difference from the published pace that is reported to other hosts.
+const MIN_DIFFERENCE: f64 = 0.15;
 
-/// What an engine reported, for other hosts.
+/// Pace that an engine reported, for other hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PaceNote {
-    /// The engine.
-    pub target: TargetMark,
-    /// How many times slower it runs than published, hundredths.
+pub struct PaceReport {
+    /// Hash of the engine.
+    pub target: TargetHash,
+    /// Factor on the published times, in hundredths.
     pub pace: u16,
-    /// How long ago it reported that, ms.
+    /// Time since the engine reported it, in milliseconds.
     pub age: u16,
 }
 
-/// How many times slower an engine runs than published, and when it said so.
+/// Factor by which an engine is slower than published, and when it reported that.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct EnginePace {
     factor: f64,
-    told: Instant,
+    reported_at: Instant,
 }
 
-impl Pace {
-    /// What an engine reported at a moment.
-    pub fn reported(factor: f64, told: Instant) -> Pace {
-        let factor = if factor.is_finite() { factor.clamp(BOUNDS.0, BOUNDS.1) } else { 1.0 };
-        Pace { factor, told }
+impl EnginePace {
+    /// A pace that an engine reported; a factor that is not finite counts as 1.
+    pub fn reported(factor: f64, reported_at: Instant) -> EnginePace {
+        let factor =
+            if factor.is_finite() { factor.clamp(FACTOR_BOUNDS.0, FACTOR_BOUNDS.1) } else { 1.0 };
+        EnginePace { factor, reported_at }
     }
 
-    /// What another host told; `None` when it is too old.
-    pub fn heard(note: &PaceNote, now: Instant) -> Option<Pace> {
-        let told = now.checked_sub(Duration::from_millis(u64::from(note.age)))?;
-        Some(Pace::reported(f64::from(note.pace) / 100.0, told)).filter(|pace| pace.fresh(now))
+    /// A pace reported by another host; `None` if it is too old.
+    pub fn from_report(report: &PaceReport, now: Instant) -> Option<EnginePace> {
+        let reported_at = now.checked_sub(Duration::from_millis(u64::from(report.age)))?;
+        Some(EnginePace::reported(f64::from(report.pace) / 100.0, reported_at))
+            .filter(|pace| pace.is_fresh(now))
     }
 
-    /// Whether it was reported later than another.
-    pub fn newer(&self, other: Option<Pace>) -> bool {
-        other.is_none_or(|other| self.told > other.told)
+    /// Whether it was reported later than another one.
+    pub fn is_newer(&self, other: Option<EnginePace>) -> bool {
+        other.is_none_or(|other| self.reported_at > other.reported_at)
     }
 
-    /// The factor on an engine's published times; 1 when nothing was said of late.
+    /// Factor on the engine's published times; 1 without a recent report.
     pub fn factor(&self, now: Instant) -> f64 {
-        if self.fresh(now) { self.factor } else { 1.0 }
+        if self.is_fresh(now) { self.factor } else { 1.0 }
     }
 
-    /// The word for other hosts; `None` for one that is not worth it.
-    pub fn note(&self, target: TargetMark, now: Instant) -> Option<PaceNote> {
-        let differs = (self.factor - 1.0).abs() >= WORTH_TELLING;
-        let age = now.saturating_duration_since(self.told).as_millis() as u16;
+    /// Report for other hosts; `None` if it is too old, or differs too little.
+    pub fn report(&self, target: TargetHash, now: Instant) -> Option<PaceReport> {
+        let differs = (self.factor - 1.0).abs() >= MIN_DIFFERENCE;
+        let age = now.saturating_duration_since(self.reported_at).as_millis() as u16;
         let pace = (self.factor * 100.0).round() as u16;
-        (differs && self.fresh(now)).then_some(PaceNote { target, pace, age })
+        (differs && self.is_fresh(now)).then_some(PaceReport { target, pace, age })
     }
 
-    fn fresh(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.told) < BELIEVED
+    fn is_fresh(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.reported_at) < VALIDITY
     }
 }
--- a/crates/roseshore_core/src/gateway/peers.rs
+++ b/crates/roseshore_core/src/gateway/peers.rs
@@ -1,92 +1,95 @@
-//! What entry hosts tell each other.
+//! Membership and state exchange among entry hosts.
 //!
-//! Each host tells others several times a second what it has in flight at each target, which
-//! targets failed it, and how much of the store it has read. So a choice sees the load of all
-//! hosts, and one host's reads of the store serve its neighbours.
+//! Several times a second each host sends heartbeats with its load at each target, the targets that
+//! fail its liveness checks, and how much of the store it has read. So a scheduling decision takes
+//! the load of all hosts into account, and one host's reads of the store serve its neighbours.
 //!
-//! [`audience`] says to whom a host tells how often, `telling` what, `order` which hosts speak, read
-//! the store and give orders, `view` what the others have. This module keeps who is there.
+//! [`relation`] decides which hosts get heartbeats and how often, `sending` builds them, `ranking`
+//! determines which hosts act as speakers, read the store and issue orders, and `view` combines
+//! what the others have reported. This module keeps the list of peers.
 //!
-//! Nothing here has to arrive. A heartbeat that is late must not pass for a fresh one, so a proof
-//! of freshness is counted on the hearer's own clock: the sender names the last heartbeat that it
-//! heard from the hearer, and how long after that its proof was made. A proof that comes through
-//! a speaker is placed on the speaker's clock first, and grows older with each step.
+//! The protocol tolerates the loss of any message. A delayed heartbeat must not be taken for a
+//! fresh one, so the time of a freshness proof is expressed on the receiver's own clock: the sender
+//! names the last heartbeat that it received from the receiver, and how long after it the proof was
+//! made. A proof relayed by a speaker is first expressed on the speaker's clock, and grows older
+//! with each hop.
 
-pub mod audience;
 mod message;
-mod order;
 mod peer;
+mod ranking;
+pub mod relation;
+mod sending;
 mod sums;
-mod telling;
 mod view;
 
-use super::fatal::FatalNote;
-use super::paces::PaceNote;
+use super::fatal::FatalReport;
+use super::paces::PaceReport;
 use crate::prelude::*;
 pub use message::{
-    AskNote, Beat, CentreMark, CountNote, Datagram, Echo, GrantNote, HoldNote, LimitNote, ListMark,
-    LoadNote, Named, Scope, TargetMark, mark, target_mark,
+    CentreHash, Datagram, Echo, Heartbeat, HoldingReport, KnownHost, LimitReport, ListVersion,
+    PermitGrant, PermitRequest, Scope, ServiceCounts, TargetHash, TargetLoad, name_hash,
+    target_hash,
 };
 use peer::Peer;
+use sending::Urgency;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use telling::Hurry;
 pub use view::View;
 
-/// What a heartbeat brought.
+/// What a received heartbeat tells the caller.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
-    /// The sender was not known, or had been silent.
+pub struct HeartbeatEffect {
+    /// Whether the sender was unknown, restarted, or silent before.
     pub joined: bool,
-    /// When the sender's configuration was proven, on the own clock.
-    pub proven: Option<Instant>,
-    /// The same of its list of targets.
-    pub listed: Option<Instant>,
-    /// Whether the sender is of the own data centre.
+    /// When the sender's configuration was proven to be the newest, on this host's clock.
+    pub config_proven: Option<Instant>,
+    /// When the sender's target list was proven to be complete, on this host's clock.
+    pub list_proven: Option<Instant>,
+    /// Whether the sender is in the own data centre.
     pub near: bool,
 }
 
-/// What a host tells of itself.
+/// State that a host reports about itself.
 #[derive(Clone, Debug)]
-pub struct Own {
-    /// Whether it takes no new work.
+pub struct LocalState {
+    /// Whether it accepts no new work.
     pub leaving: bool,
     /// Whether the store answers it.
     pub reading: bool,
-    /// The version of its configuration.
+    /// Version of its configuration; 0 for none.
     pub config: u64,
-    /// When that was last proven to be the newest.
-    pub proven: Option<Instant>,
-    /// How far it has read the list of targets.
-    pub list: ListMark,
-    /// When that was last proven to be all there is.
-    pub listed: Option<Instant>,
-    /// What it has in flight.
-    pub loads: Vec<LoadNote>,
-    /// What it has counted.
-    pub counts: Vec<CountNote>,
-    /// What it has ordered, and learned, of targets' layers.
-    pub holds: Vec<HoldNote>,
-    /// What engines reported of their pace.
-    pub paces: Vec<PaceNote>,
-    /// Requests that end targets.
-    pub fatal: Vec<FatalNote>,
-    /// Limits that targets named.
-    pub limits: Vec<LimitNote>,
+    /// When the configuration was last proven to be the newest.
+    pub config_proven: Option<Instant>,
+    /// How far it has read the target list.
+    pub list: ListVersion,
+    /// When the list was last proven to be complete.
+    pub list_proven: Option<Instant>,
+    /// Its load at each target.
+    pub loads: Vec<TargetLoad>,
+    /// Requests and retries that it has counted, by service.
+    pub counts: Vec<ServiceCounts>,
+    /// Layers that it has ordered targets to hold, or found them to hold.
+    pub holdings: Vec<HoldingReport>,
+    /// Paces that engines reported.
+    pub paces: Vec<PaceReport>,
+    /// Requests under which targets crashed.
+    pub fatal: Vec<FatalReport>,
+    /// Limits that targets advertised.
+    pub limits: Vec<LimitReport>,
 }
 
-impl Default for Own {
-    fn default() -> Own {
-        Own {
+impl Default for LocalState {
+    fn default() -> LocalState {
+        LocalState {
             leaving: false,
             reading: true,
             config: 0,
-            proven: None,
-            list: ListMark::default(),
-            listed: None,
+            config_proven: None,
+            list: ListVersion::default(),
+            list_proven: None,
             loads: Vec::new(),
             counts: Vec::new(),
-            holds: Vec::new(),
+            holdings: Vec::new(),
             paces: Vec::new(),
             fatal: Vec::new(),
             limits: Vec::new(),
@@ -98,22 +101,22 @@
 #[derive(Clone, Debug)]
 pub struct Peers {
     addr: SocketAddr,
-    centre: CentreMark,
+    centre: CentreHash,
     capacity: u16,
     life: u64,
-    begun: Instant,
+    started: Instant,
     sequence: u64,
     leaving: bool,
     reading: bool,
-    /// Whether it spoke for its data centre when it last told others.
+    /// Whether this host was a speaker for its data centre at its last round of heartbeats.
     speaking: bool,
-    hurry: Hurry,
+    urgency: Urgency,
     all: BTreeMap<SocketAddr, Peer>,
     next_named: usize,
 }
 
 impl Peers {
-    /// Knows only seeds.
+    /// Creates the peer list with only the seeds known; `life` identifies this process.
     pub fn new(
         addr: SocketAddr,
         data_centre: &str,
@@ -124,75 +127,80 @@
         let seed = |addr: &SocketAddr| (*addr, Peer::seed(*addr, now));
         Peers {
             addr,
-            centre: mark(data_centre),
+            centre: name_hash(data_centre),
             capacity: 0,
             life,
-            begun: now,
+            started: now,
             sequence: 0,
             leaving: false,
             reading: true,
             speaking: true,
-            hurry: Hurry::No,
+            urgency: Urgency::Normal,
             all: seeds.iter().filter(|seed| **seed != addr).map(seed).collect(),
             next_named: 0,
         }
     }
 
-    /// The same host with a processor share, thousandths of a core.
+    /// Sets the host's CPU share, in thousandths of a core.
     #[must_use]
     pub fn with_capacity(self, capacity: u16) -> Peers {
         Peers { capacity, ..self }
     }
 
-    /// Where this host hears the others.
+    /// Address at which this host receives heartbeats.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes a heartbeat; `None` for one that is no news.
-    pub fn hear(&mut self, from: SocketAddr, beat: Beat, now: Instant) -> Option<Heard> {
-        for named in &beat.named {
-            self.learn(named, now);
+    /// Processes a heartbeat; returns `None` if it is outdated, a duplicate or the host's own.
+    pub fn receive(
+        &mut self,
+        from: SocketAddr,
+        heartbeat: Heartbeat,
+        now: Instant,
+    ) -> Option<HeartbeatEffect> {
+        for named in &heartbeat.named {
+            self.learn_host(named, now);
         }
         if from == self.addr {
             return None;
         }
-        let near = beat.centre == self.centre;
-        let spoken = beat.speaks || (near && self.speaking);
+        let near = heartbeat.centre == self.centre;
+        let regular = heartbeat.speaks || (near && self.speaking);
         let peer = self.all.entry(from).or_insert_with(|| Peer::unknown(from, now));
-        if beat.life == peer.life && beat.sequence <= peer.sequence {
+        if heartbeat.life == peer.life && heartbeat.sequence <= peer.sequence {
             return None;
         }
-        let back = spoken && !peer.alive(near, now);
-        let joined = peer.heard.is_none() || beat.life != peer.life || back;
-        let echo = beat.echo;
-        peer.take(beat, now);
-        let proven = echo.and_then(|echo| self.placed(echo, echo.config?, now));
-        let listed = echo.and_then(|echo| self.placed(echo, echo.list?, now));
-        Some(Heard { joined, proven, listed, near })
+        let back = regular && !peer.alive(near, now);
+        let joined = peer.last_heard.is_none() || heartbeat.life != peer.life || back;
+        let echo = heartbeat.echo;
+        peer.update(heartbeat, now);
+        let config_proven = echo.and_then(|echo| self.proof_time(echo, echo.config?, now));
+        let list_proven = echo.and_then(|echo| self.proof_time(echo, echo.list?, now));
+        Some(HeartbeatEffect { joined, config_proven, list_proven, near })
     }
 
-    /// Whether a host is of the own data centre.
+    /// Whether a peer is in the own data centre.
     fn is_near(&self, peer: &Peer) -> bool {
         peer.centre == Some(self.centre)
     }
 
-    /// Whether it is known to be of another one.
+    /// Whether a peer is known to be in another data centre.
     fn is_far(&self, peer: &Peer) -> bool {
         peer.centre.is_some_and(|centre| centre != self.centre)
     }
 
-    fn learn(&mut self, named: &Named, now: Instant) {
+    fn learn_host(&mut self, named: &KnownHost, now: Instant) {
         if named.addr == self.addr {
             return;
         }
         let unknown = || Peer::unknown(named.addr, now);
-        self.all.entry(named.addr).or_insert_with(unknown).name(named, now);
+        self.all.entry(named.addr).or_insert_with(unknown).note_named(named, now);
     }
 
-    /// A proof's time on the own clock; none is newer than its telling.
-    fn placed(&self, echo: Echo, since: i64, now: Instant) -> Option<Instant> {
-        let sent = self.begun.checked_add(Duration::from_millis(echo.sent))?;
+    /// Time of a proof on this host's clock, at most `now`.
+    fn proof_time(&self, echo: Echo, since: i64, now: Instant) -> Option<Instant> {
+        let sent = self.started.checked_add(Duration::from_millis(echo.sent))?;
         let since_then = Duration::from_millis(since.unsigned_abs());
         let proven = match since {
             ..0 => sent.checked_sub(since_then)?,
--- /dev/null
+++ b/crates/roseshore_core/src/gateway/poll_timing.rs
@@ -0,0 +1,40 @@
+//! When something arrived that a busy or suspended event loop polled late.
+//!
+//! The time of a request runs from its arrival, not from the moment at which a host with little
+//! processor time polled it. Otherwise a host that was suspended for two seconds forwards requests
+//! whose callers have already waited for their whole time, and grants each the whole time again.
+
+use crate::prelude::*;
+
+/// A poll that returns faster than this found what had arrived before it began.
+const IMMEDIATE: Duration = Duration::from_millis(1);
+/// A poll that returns this much after its timeout was held up: the process or its machine was
+/// suspended. Timers fire up to about ten milliseconds late on a busy host.
+const HELD_UP: Duration = Duration::from_millis(50);
+
+/// The times of one poll of the sockets.
+#[derive(Clone, Copy, Debug)]
+pub struct PollTiming {
+    /// When the poll before this one ended.
+    pub previous_end: Instant,
+    /// When this one began to wait.
+    pub began: Instant,
+    /// The longest time that it was to wait.
+    pub timeout: Duration,
+    /// When it ended.
+    pub ended: Instant,
+}
+
+impl PollTiming {
+    /// The earliest moment at which what the poll found may have arrived.
+    pub fn earliest_arrival(&self) -> Instant {
+        let waited = self.ended.saturating_duration_since(self.began);
+        if waited < IMMEDIATE {
+            self.previous_end
+        } else if waited >= self.timeout + HELD_UP {
+            self.began
+        } else {
+            self.ended
+        }
+    }
+}
--- a/crates/roseshore_core/src/load.rs
+++ b/crates/roseshore_core/src/load.rs
@@ -1,316 +1,331 @@
-//! What this daemon knows of each target.
+//! Load of each target, as known to this daemon.
 //!
-//! A target's report is late and shared by every daemon of the data centre. It is corrected by what
-//! this daemon alone knows for certain: how many of its own requests are in flight there, and how
-//! long steps really took. [`Loads`] keeps one row per target and hands out [`Ticket`]s that count
-//! as in flight until they are given back.
-
-pub mod health;
-pub mod history;
-pub mod pace;
+//! A target's report is outdated by the time it is used, and every daemon of the data centre sees
+//! the same one. It is corrected by what this daemon knows for certain: how many of its own
+//! requests are in flight there, and how long steps took. [`LoadTable`] has one row per target and
+//! hands out a [`Ticket`] for requests, which count as in flight until it is returned.
+
+pub mod breaker;
+pub mod in_flight;
 mod report;
+pub mod slowdown;
 
-pub use report::{Change, Content, EngineState, Figures, ServiceState};
+pub use report::{EngineState, LoadFigures, PollResult, ReportChange, ServiceState};
 
 use crate::fleet::TargetKind;
 use crate::prelude::*;
-use health::Health;
-use history::History;
-use pace::Pace;
-use report::{take_engine, take_service};
+use breaker::CircuitBreaker;
+use in_flight::InFlightHistory;
+use report::{apply_engine, apply_service};
 use rustc_hash::FxHashMap;
+use slowdown::Slowdown;
 use std::net::SocketAddr;
 
-/// The place of a target's row.
-pub type Index = u32;
-/// The place of a data centre in a small table.
-pub type Zone = u16;
+/// Index of a target's row.
+pub type TargetIndex = u32;
+/// Index of a data centre in the load table.
+pub type DataCentreIndex = u16;
 
-/// How far a target's report is assumed to lag behind the moment at which it was polled.
+/// Age that a target's report is assumed to have when it is polled.
 const REPORT_LAG: Duration = Duration::from_millis(500);
-/// A report of this age says nothing about queues any more.
-const STALE: Duration = Duration::from_secs(10);
-
-/// Part of a new report that is believed at once: late reports that are followed at once make all
-/// daemons run to and fro together.
-const SMOOTH: f64 = 0.3;
-/// Without progress of any own request, a target counts as one time slower for each such span.
-const SILENCE: Duration = Duration::from_millis(250);
-/// Standard deviation of a step's time, as a part of it; steps of one answer are much alike, so
-/// that this stands for several of them.
-const NOISE: f64 = 1.0;
-
-/// How much is learned from a step that took longer than expected, against one that was faster.
-const RISE: f64 = 0.1;
-
-/// One target.
+/// Age from which on a report says nothing about the queue.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
+
+/// Weight of a new report in the running mean. Following outdated reports at once makes all daemons
+/// move between the same targets together.
+const REPORT_GAIN: f64 = 0.3;
+/// With own requests in flight but no progress, a target's slowdown is at least the time since its
+/// last progress divided by this.
+const SILENCE_UNIT: Duration = Duration::from_millis(250);
+/// Standard deviation of a step's time, relative to it. Steps of one answer are correlated, so the
+/// value is larger than the deviation of a single step.
+const RELATIVE_NOISE: f64 = 1.0;
+
+/// Weight of a step that took longer than expected, relative to one that was faster.
+const SLOW_STEP_WEIGHT: f64 = 0.1;
+
+/// State of one target.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// The target.
+    /// Id of the target.
     pub id: TargetId,
-    /// Its machine.
+    /// The host that it runs on.
     pub host: HostId,
-    /// Where it listens.
+    /// Address on which the target listens.
     pub addr: SocketAddr,
     /// Its data centre.
-    pub zone: Zone,
-    /// What it is.
+    pub data_centre: DataCentreIndex,
+    /// Whether it is an engine or a service replica.
     pub kind: TargetKind,
-    /// The service source it serves.
+    /// The service source that it serves.
     pub serves: Option<String>,
-    /// What it holds, for engines that reported.
+    /// Model and layers that it holds; `None` until an engine has reported.
     pub engine: Option<EngineState>,
-    /// Its life; 0 before the first report.
+    /// Its incarnation; 0 before the first report.
     pub incarnation: Incarnation,
-    /// The load figures reported last.
-    pub figures: Figures,
-    /// Whether its own report says that it is leaving.
-    pub closing: bool,
-    /// Whether its host is being taken away.
-    pub leaving: bool,
-    /// Whether its failures keep it out of use.
-    pub health: Health,
-    /// How its real times compare with its reports.
-    pub pace: Pace,
-    own: History,
-    progress: Option<Instant>,
-    seen: Option<Instant>,
-    others: f64,
-    life: u32,
+    /// Load figures of the latest report.
+    pub figures: LoadFigures,
+    /// Whether its report says that it takes no new work.
+    pub draining: bool,
+    /// Whether its host is being withdrawn.
+    pub host_leaving: bool,
+    /// Keeps the target out of use after failures.
+    pub breaker: CircuitBreaker,
+    /// Ratio of its observed times to its reported ones.
+    pub slowdown: Slowdown,
+    own_requests: InFlightHistory,
+    last_progress: Option<Instant>,
+    reported_at: Option<Instant>,
+    other_requests: f64,
+    generation: u32,
     declared: bool,
 }
 
 impl Row {
-    /// Whether new work may go there now.
+    /// Whether new work may be sent to the target now.
     pub fn usable(&self, now: Instant) -> bool {
-        self.declared && !self.leaving && !self.closing && self.health.usable(now, self.own.level())
+        self.declared
+            && !self.host_leaving
+            && !self.draining
+            && self.breaker.usable(now, self.own_requests.current())
     }
 
     /// Whether it has ever reported.
     pub fn reported(&self) -> bool {
-        self.seen.is_some()
+        self.reported_at.is_some()
     }
 
-    /// Own requests in flight there.
-    pub fn own(&self) -> u32 {
-        self.own.level()
+    /// Number of this daemon's requests in flight at the target.
+    pub fn own_requests(&self) -> u32 {
+        self.own_requests.current()
     }
 
-    /// Requests there, a late report corrected by the own ones begun and ended since.
+    /// Number of requests at the target: the latest report, corrected by this daemon's requests
+    /// begun and ended since.
     pub fn depth(&self, now: Instant) -> f64 {
-        let own = f64::from(self.own.level());
-        match self.seen {
-            Some(seen) if now.saturating_duration_since(seen) < STALE => own + self.others,
+        let own = f64::from(self.own_requests.current());
+        match self.reported_at {
+            Some(seen) if now.saturating_duration_since(seen) < MAX_REPORT_AGE => {
+                own + self.other_requests
+            }
             _ => own,
         }
     }
 
-    /// How many times longer it takes than it reports, by own observation. Own requests in flight
-    /// without any progress say so before the first of them has ended.
-    pub fn factor(&self, now: Instant) -> f64 {
-        let silence = match self.progress {
-            Some(last) if self.own.level() > 0 => now.saturating_duration_since(last),
+    /// Ratio of observed to reported times. If own requests are in flight without progress, the
+    /// target counts as slower before the first of them has ended.
+    pub fn slowdown(&self, now: Instant) -> f64 {
+        let silence = match self.last_progress {
+            Some(last) if self.own_requests.current() > 0 => now.saturating_duration_since(last),
             _ => Duration::ZERO,
         };
-        self.pace.factor(now).max(silence.as_secs_f64() / SILENCE.as_secs_f64())
+        self.slowdown.factor(now).max(silence.as_secs_f64() / SILENCE_UNIT.as_secs_f64())
     }
 
-    /// Seconds of one step or call, by report and own observation, without queueing.
+    /// Seconds of one step or call, from report and observation, without queueing.
     pub fn step(&self, now: Instant) -> f64 {
-        self.figures.step * self.factor(now)
+        self.figures.step * self.slowdown(now)
     }
 }
 
-/// Work in flight at some targets.
+/// Requests in flight at some targets; returned with [`LoadTable::end`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ticket {
-    /// Rows with the life of each.
-    rows: Vec<(Index, u32)>,
+    /// Rows, each with its generation.
+    rows: Vec<(TargetIndex, u32)>,
 }
 
-/// Every target.
+/// Load of every target.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct LoadTable {
     rows: Vec<Row>,
-    free: Vec<Index>,
-    names: FxHashMap<TargetId, Index>,
-    zones: Vec<DataCentreId>,
+    free_indices: Vec<TargetIndex>,
+    indices: FxHashMap<TargetId, TargetIndex>,
+    data_centres: Vec<DataCentreId>,
 }
 
-impl Loads {
-    /// Takes over the declared targets; what is known of those that stay is kept.
-    pub fn declare(&mut self, fleet: &Fleet) {
-        let gone = self.names.keys().filter(|id| !fleet.targets.contains_key(*id)).cloned();
+impl LoadTable {
+    /// Applies the declared targets; the state of those that remain is kept.
+    pub fn apply_fleet(&mut self, fleet: &Fleet) {
+        let gone = self.indices.keys().filter(|id| !fleet.targets.contains_key(*id)).cloned();
         for id in gone.collect::<Vec<_>>() {
-            self.forget(&id);
+            self.remove(&id);
         }
         for (id, target) in &fleet.targets {
-            self.put(id, target);
+            self.upsert(id, target);
         }
     }
 
-    /// The row of a target.
-    pub fn find(&self, id: &str) -> Option<Index> {
-        self.names.get(id).copied()
+    /// Index of a target's row.
+    pub fn find(&self, id: &str) -> Option<TargetIndex> {
+        self.indices.get(id).copied()
     }
 
-    /// A row by its place.
-    pub fn row(&self, index: Index) -> &Row {
+    /// The row with this index.
+    pub fn row(&self, index: TargetIndex) -> &Row {
         &self.rows[index as usize]
     }
 
-    /// Every declared target's place.
-    pub fn declared(&self) -> impl Iterator<Item = Index> + '_ {
-        self.names.values().copied()
+    /// Indices of all declared targets.
+    pub fn declared(&self) -> impl Iterator<Item = TargetIndex> + '_ {
+        self.indices.values().copied()
     }
 
-    /// The place of a data centre, given one if it is new.
-    pub fn zone(&mut self, id: &str) -> Zone {
-        if let Some(zone) = self.zones.iter().position(|z| z == id) {
-            return zone as Zone;
+    /// Index of a data centre; a new one gets the next free index.
+    pub fn data_centre_index(&mut self, id: &str) -> DataCentreIndex {
+        if let Some(index) = self.data_centres.iter().position(|known| known == id) {
+            return index as DataCentreIndex;
         }
-        self.zones.push(id.to_owned());
-        (self.zones.len() - 1) as Zone
+        self.data_centres.push(id.to_owned());
+        (self.data_centres.len() - 1) as DataCentreIndex
     }
 
-    /// The data centres, by place.
-    pub fn zones(&self) -> &[DataCentreId] {
-        &self.zones
+    /// Ids of the data centres, by index.
+    pub fn data_centres(&self) -> &[DataCentreId] {
+        &self.data_centres
     }
 
-    /// Takes a report polled at `seen`; an older one than known is ignored.
-    pub fn report(&mut self, id: &str, seen: Instant, content: Content) -> Change {
-        let Some(index) = self.find(id) else { return Change::Ignored };
+    /// Applies a report polled at `seen`; a report older than the latest one is ignored.
+    pub fn report(&mut self, id: &str, seen: Instant, result: PollResult) -> ReportChange {
+        let Some(index) = self.find(id) else { return ReportChange::Ignored };
         let row = &mut self.rows[index as usize];
-        if row.seen.is_some_and(|known| seen <= known) {
-            return Change::Ignored;
+        if row.reported_at.is_some_and(|known| seen <= known) {
+            return ReportChange::Ignored;
         }
-        if content == Content::Silent {
-            row.health.failed(seen);
-            return Change::Figures;
+        if result == PollResult::Silent {
+            row.breaker.record_failure(seen);
+            return ReportChange::LoadOnly;
         }
-        let first = row.seen.is_none();
-        row.seen = Some(seen);
-        let change = match content {
-            Content::Engine(state) => take_engine(row, seen, state),
-            Content::Service(state) => take_service(row, seen, state),
-            Content::Silent => Change::Figures,
+        let first = row.reported_at.is_none();
+        row.reported_at = Some(seen);
+        let change = match result {
+            PollResult::Engine(state) => apply_engine(row, seen, state),
+            PollResult::Service(state) => apply_service(row, seen, state),
+            PollResult::Silent => ReportChange::LoadOnly,
         };
-        let own = row.own.at(seen.checked_sub(REPORT_LAG).unwrap_or(seen));
+        let own = row.own_requests.at_time(seen.checked_sub(REPORT_LAG).unwrap_or(seen));
         let others = (row.figures.depth - f64::from(own)).max(0.0);
-        let part = if first { 1.0 } else { SMOOTH };
-        row.others += part * (others - row.others);
+        let weight = if first { 1.0 } else { REPORT_GAIN };
+        row.other_requests += weight * (others - row.other_requests);
         change
     }
 
     /// Counts one more request in flight at each of `chosen`.
-    pub fn begin(&mut self, chosen: &[Index], now: Instant) -> Ticket {
+    pub fn begin(&mut self, chosen: &[TargetIndex], now: Instant) -> Ticket {
         let rows = chosen.iter().map(|&index| {
             let row = &mut self.rows[index as usize];
-            if row.own.level() == 0 {
-                row.progress = Some(now);
+            if row.own_requests.current() == 0 {
+                row.last_progress = Some(now);
             }
-            row.own.change(now, 1);
-            (index, row.life)
+            row.own_requests.change(now, 1);
+            (index, row.generation)
         });
         Ticket { rows: rows.collect() }
     }
 
-    /// Gives a ticket back; rows that were taken over by other targets are left alone.
+    /// Returns a ticket; rows that have been reused for other targets are left alone.
     pub fn end(&mut self, ticket: &Ticket, now: Instant) {
-        for &(index, life) in &ticket.rows {
+        for &(index, generation) in &ticket.rows {
             let row = &mut self.rows[index as usize];
-            if row.life == life {
-                row.own.change(now, -1);
+            if row.generation == generation {
+                row.own_requests.change(now, -1);
             }
         }
     }
 
-    /// Puts a target out of use for a time that grows with every failure in a row.
-    pub fn failed(&mut self, id: &str, now: Instant) {
+    /// Takes a target out of use for a time that grows with each consecutive failure.
+    pub fn record_failure(&mut self, id: &str, now: Instant) {
         if let Some(index) = self.find(id) {
-            self.rows[index as usize].health.failed(now);
+            self.rows[index as usize].breaker.record_failure(now);
         }
     }
 
-    /// Learns from the time that one step or call of one target took.
-    pub fn observed(&mut self, id: &str, took: Duration, now: Instant) {
+    /// Updates the slowdown with the time of one step or call of a single target.
+    pub fn record_step(&mut self, id: &str, took: Duration, now: Instant) {
         let Some(index) = self.find(id) else { return };
-        self.paced(&[index], 0.0, took, now);
+        self.record_chain_step(&[index], 0.0, took, now);
     }
 
-    /// Learns from the time that one step over several targets took, of which `links` seconds are
-    /// not theirs.
-    pub fn paced(&mut self, chain: &[Index], links: f64, took: Duration, now: Instant) {
-        let idle: f64 = links + chain.iter().map(|&i| self.known(i, now)).sum::<f64>();
-        let expect = |&index: &Index| {
+    /// Updates the slowdowns with the time of one step over several targets, of which `links`
+    /// seconds were spent on the network.
+    pub fn record_chain_step(
+        &mut self,
+        chain: &[TargetIndex],
+        links: f64,
+        took: Duration,
+        now: Instant,
+    ) {
+        let idle: f64 = links + chain.iter().map(|&i| self.learned_step(i, now)).sum::<f64>();
+        let expect = |&index: &TargetIndex| {
             let row = self.row(index);
-            let load = row.depth(now) * self.known(index, now) / idle;
-            row.figures.step * crowd(load, row.figures.slots)
+            let load = row.depth(now) * self.learned_step(index, now) / idle;
+            row.figures.step * queueing_factor(load, row.figures.slots)
         };
         let steps: Vec<f64> = chain.iter().map(expect).collect();
-        let guess = |(&i, &s): (&Index, &f64)| s * self.row(i).pace.factor(now);
-        let total = chain.iter().zip(&steps).map(guess).sum::<f64>();
+        let predict = |(&i, &s): (&TargetIndex, &f64)| s * self.row(i).slowdown.factor(now);
+        let total = chain.iter().zip(&steps).map(predict).sum::<f64>();
         let error = took.as_secs_f64() - links - total;
-        // Queueing makes steps longer and never shorter, and is accounted for elsewhere.
-        let trust = if error > 0.0 { RISE } else { 1.0 };
-        let spread = |(&i, &s): (&Index, &f64)| s * s * self.row(i).pace.variance(now);
-        let noise = (NOISE * total).powi(2) / trust;
-        let square = noise + chain.iter().zip(&steps).map(spread).sum::<f64>();
+        // Queueing can only lengthen a step and is accounted for separately, so a long step is weak
+        // evidence of a slow target.
+        let weight = if error > 0.0 { SLOW_STEP_WEIGHT } else { 1.0 };
+        let step_variance =
+            |(&i, &s): (&TargetIndex, &f64)| s * s * self.row(i).slowdown.variance(now);
+        let noise = (RELATIVE_NOISE * total).powi(2) / weight;
+        let total_variance = noise + chain.iter().zip(&steps).map(step_variance).sum::<f64>();
         for (&index, &step) in chain.iter().zip(&steps) {
             let row = &mut self.rows[index as usize];
-            let gain = row.pace.variance(now) * step / square;
-            row.pace.learn(now, error, gain, step);
-            row.progress = Some(now);
-            row.health.worked(now);
+            let gain = row.slowdown.variance(now) * step / total_variance;
+            row.slowdown.learn(now, error, gain, step);
+            row.last_progress = Some(now);
+            row.breaker.record_success(now);
         }
     }
 
-    /// Notes whether a target's host is being taken away.
-    pub fn set_leaving(&mut self, index: Index, leaving: bool) {
-        self.rows[index as usize].leaving = leaving;
+    /// Sets whether a target's host is being withdrawn.
+    pub fn set_host_leaving(&mut self, index: TargetIndex, leaving: bool) {
+        self.rows[index as usize].host_leaving = leaving;
     }
 
-    /// Seconds of one step by what was learned from steps alone.
-    fn known(&self, index: Index, now: Instant) -> f64 {
+    /// Seconds of one step from the learned slowdown alone, without regard to silence.
+    fn learned_step(&self, index: TargetIndex, now: Instant) -> f64 {
         let row = self.row(index);
-        row.figures.step * row.pace.factor(now)
+        row.figures.step * row.slowdown.factor(now)
     }
 
-    fn put(&mut self, id: &TargetId, target: &Target) {
-        let zone = self.zone(&target.data_centre);
+    fn upsert(&mut self, id: &TargetId, target: &Target) {
+        let data_centre = self.data_centre_index(&target.data_centre);
         if let Some(index) = self.find(id) {
             let row = &mut self.rows[index as usize];
             let same = row.addr == target.addr && row.kind == target.kind;
             if same {
                 row.host.clone_from(&target.host);
-                row.zone = zone;
+                row.data_centre = data_centre;
                 row.serves.clone_from(&target.serves);
                 return;
             }
-            self.forget(id);
+            self.remove(id);
         }
-        let index = self.free.pop().unwrap_or(self.rows.len() as Index);
-        let life = self.rows.get(index as usize).map_or(0, |row| row.life + 1);
+        let index = self.free_indices.pop().unwrap_or(self.rows.len() as TargetIndex);
+        let generation = self.rows.get(index as usize).map_or(0, |row| row.generation + 1);
         let row = Row {
             id: id.clone(),
             host: target.host.clone(),
             addr: target.addr,
-            zone,
+            data_centre,
             kind: target.kind,
             serves: target.serves.clone(),
             engine: None,
             incarnation: 0,
-            figures: Figures::UNKNOWN,
-            closing: false,
-            leaving: false,
-            health: Health::default(),
-            pace: Pace::default(),
-            own: History::default(),
-            progress: None,
-            seen: None,
-            others: 0.0,
-            life,
+            figures: LoadFigures::UNKNOWN,
+            draining: false,
+            host_leaving: false,
+            breaker: CircuitBreaker::default(),
+            slowdown: Slowdown::default(),
+            own_requests: InFlightHistory::default(),
+            last_progress: None,
+            reported_at: None,
+            other_requests: 0.0,
+            generation,
             declared: true,
         };
         if index as usize == self.rows.len() {
@@ -318,20 +333,20 @@
         } else {
             self.rows[index as usize] = row;
         }
-        self.names.insert(id.clone(), index);
+        self.indices.insert(id.clone(), index);
     }
 
-    fn forget(&mut self, id: &str) {
-        if let Some(index) = self.names.remove(id) {
+    fn remove(&mut self, id: &str) {
+        if let Some(index) = self.indices.remove(id) {
             let row = &mut self.rows[index as usize];
             row.declared = false;
             row.engine = None;
-            self.free.push(index);
+            self.free_indices.push(index);
         }
     }
 }
 
-/// How many times longer a unit takes with `depth` units on `slots` places.
-pub fn crowd(depth: f64, slots: f64) -> f64 {
+/// Factor by which queueing lengthens a step when `depth` requests share `slots` slots.
+pub fn queueing_factor(depth: f64, slots: f64) -> f64 {
     (depth / slots).max(1.0)
 }
--- a/crates/roseshore_core/src/load/report.rs
+++ b/crates/roseshore_core/src/load/report.rs
@@ -1,108 +1,114 @@
-//! What a target reports, and how a report changes what is known of it.
+//! Reports of targets, and how they update the load table.
 
 use super::Row;
-use super::health::Health;
-use super::pace::Pace;
+use super::breaker::CircuitBreaker;
+use super::slowdown::Slowdown;
 use crate::prelude::*;
 use std::collections::BTreeSet;
 
-/// What an engine said last.
+/// Latest report of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
-    /// The number of its life.
+    /// Incarnation of the engine's process.
     pub incarnation: Incarnation,
     /// The model loaded, if any.
     pub model: Option<ModelId>,
     /// The version loaded, if any.
     pub version: Option<VersionId>,
-    /// First layer held and one past the last.
+    /// Layers held, as `first..end`.
     pub layers: (Layer, Layer),
     /// The adapters loaded.
     pub adapters: BTreeSet<AdapterId>,
-    /// Whether it runs prefill and decode alike.
-    pub whole: bool,
-    /// Whether a load is under way.
+    /// Whether it runs both prefill and decode.
+    pub both_phases: bool,
+    /// Whether it is loading a model.
     pub loading: bool,
     /// Whether it asks for no new work.
-    pub leaving: bool,
-    /// Requests waiting.
+    pub draining: bool,
+    /// Number of requests waiting.
     pub queue: u32,
-    /// Answers being worked on.
+    /// Number of answers in progress.
     pub running: u32,
-    /// Steps that run at once.
+    /// Number of steps that run at once.
     pub slots: u32,
     /// Time of one step.
     pub step: Duration,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate in tokens a second.
     pub prefill: f64,
-    /// KV cache not in use, tokens.
+    /// Free KV cache in tokens.
     pub kv_free: u64,
 }
 
-/// What a replica of a service said last.
+/// Latest report of a service replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceState {
-    /// The number of its life.
+    /// Incarnation of the replica's process.
     pub incarnation: Incarnation,
-    /// Calls waiting.
+    /// Number of calls waiting.
     pub queue: u32,
-    /// Calls being worked on.
+    /// Number of calls in progress.
     pub running: u32,
-    /// Calls that run at once.
+    /// Number of calls that run at once.
     pub slots: u32,
     /// Time of one call.
     pub call: Duration,
     /// Whether it asks for no new work.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
-/// What a poll of a target gave.
+/// Result of polling a target.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Content {
-    /// An engine's report.
+pub enum PollResult {
+    /// Report of an engine.
     Engine(EngineState),
-    /// A service replica's report.
+    /// Report of a service replica.
     Service(ServiceState),
-    /// No answer.
+    /// No reply.
     Silent,
 }
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
-    /// The report was older than the known one, or of an unknown target.
+pub enum ReportChange {
+    /// Nothing: the report was older than the latest one, or its target is unknown.
     Ignored,
-    /// Only load figures.
-    Figures,
-    /// What the target holds, its life or whether it takes work.
-    Holding,
+    /// Only the load figures.
+    LoadOnly,
+    /// What the target holds, its incarnation, or whether it takes work.
+    Capabilities,
 }
 
-/// What a target is asked to do in a unit of work, and how fast.
+/// Load figures common to engines and service replicas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
-    /// Requests waiting or running there, as reported.
+pub struct LoadFigures {
+    /// Number of requests waiting or running, as reported.
     pub depth: f64,
-    /// Requests waiting there, as reported.
+    /// Number of requests waiting, as reported.
     pub queue: f64,
-    /// Units that run at once.
+    /// Number of steps or calls that run at once.
     pub slots: f64,
     /// Seconds of one step or call.
     pub step: f64,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate in tokens a second.
     pub prefill: f64,
-    /// KV cache not in use, tokens.
+    /// Free KV cache in tokens.
     pub kv_free: f64,
 }
 
-impl Figures {
-    /// What is assumed before the first report.
-    pub(super) const UNKNOWN: Figures =
-        Figures { depth: 0.0, queue: 0.0, slots: 1.0, step: 0.001, prefill: 1000.0, kv_free: 1e9 };
+impl LoadFigures {
+    /// Assumed before the first report.
+    pub(super) const UNKNOWN: LoadFigures = LoadFigures {
+        depth: 0.0,
+        queue: 0.0,
+        slots: 1.0,
+        step: 0.001,
+        prefill: 1000.0,
+        kv_free: 1e9,
+    };
 }
 
-pub(super) fn take_engine(row: &mut Row, seen: Instant, state: EngineState) -> Change {
-    let figures = Figures {
+pub(super) fn apply_engine(row: &mut Row, seen: Instant, state: EngineState) -> ReportChange {
+    let figures = LoadFigures {
         depth: f64::from(state.queue + state.running),
         queue: f64::from(state.queue),
         slots: f64::from(state.slots.max(1)),
@@ -110,50 +116,50 @@
         prefill: state.prefill.max(1.0),
         kv_free: state.kv_free as f64,
     };
-    take_figures(row, figures);
+    apply_figures(row, figures);
     let renewed = state.incarnation != row.incarnation;
-    take_life(row, seen, state.incarnation);
+    apply_incarnation(row, seen, state.incarnation);
     let same = row.engine.as_ref().is_some_and(|old| {
         old.model == state.model
             && old.version == state.version
             && old.layers == state.layers
             && old.adapters == state.adapters
-            && old.whole == state.whole
+            && old.both_phases == state.both_phases
             && old.loading == state.loading
     });
-    let same = same && !renewed && row.closing == state.leaving;
-    row.closing = state.leaving;
+    let same = same && !renewed && row.draining == state.draining;
+    row.draining = state.draining;
     row.engine = Some(state);
-    if same { Change::Figures } else { Change::Holding }
+    if same { ReportChange::LoadOnly } else { ReportChange::Capabilities }
 }
 
-pub(super) fn take_service(row: &mut Row, seen: Instant, state: ServiceState) -> Change {
-    let figures = Figures {
+pub(super) fn apply_service(row: &mut Row, seen: Instant, state: ServiceState) -> ReportChange {
+    let figures = LoadFigures {
         depth: f64::from(state.queue + state.running),
         queue: f64::from(state.queue),
         slots: f64::from(state.slots.max(1)),
         step: state.call.as_secs_f64().max(1e-6),
-        ..Figures::UNKNOWN
+        ..LoadFigures::UNKNOWN
     };
-    take_figures(row, figures);
-    take_life(row, seen, state.incarnation);
-    let same = row.closing == state.leaving;
-    row.closing = state.leaving;
-    if same { Change::Figures } else { Change::Holding }
+    apply_figures(row, figures);
+    apply_incarnation(row, seen, state.incarnation);
+    let same = row.draining == state.draining;
+    row.draining = state.draining;
+    if same { ReportChange::LoadOnly } else { ReportChange::Capabilities }
 }
 
-fn take_figures(row: &mut Row, figures: Figures) {
+fn apply_figures(row: &mut Row, figures: LoadFigures) {
     if row.incarnation != 0 {
-        row.pace.rescale(row.figures.step / figures.step);
+        row.slowdown.rescale(row.figures.step / figures.step);
     }
     row.figures = figures;
 }
 
-fn take_life(row: &mut Row, seen: Instant, incarnation: Incarnation) {
+fn apply_incarnation(row: &mut Row, seen: Instant, incarnation: Incarnation) {
     if row.incarnation != 0 && row.incarnation != incarnation {
-        row.health = Health::default();
-        row.pace = Pace::default();
+        row.breaker = CircuitBreaker::default();
+        row.slowdown = Slowdown::default();
     }
     row.incarnation = incarnation;
-    row.health.reported(seen);
+    row.breaker.record_report(seen);
 }
--- a/crates/roseshore_core/tests/answer/faults.rs
+++ b/crates/roseshore_core/tests/answer/faults.rs
@@ -1,8 +1,8 @@
-//! What can go wrong with an answer, and when.
+//! Faults that an answer may meet, and the steps at which they are injected.
 
 use crate::world::{State, TOTAL, World};
 use roseshore_core::answer::lineage::Stamp;
-use roseshore_core::answer::{Input, Line, Rules};
+use roseshore_core::answer::{AnswerSettings, Input, StreamLine};
 use roseshore_core::prelude::*;
 
 pub(crate) type Change = fn(&mut World);
@@ -28,13 +28,13 @@
 
 pub(crate) fn restart(world: &mut World, range: usize) {
     let name = current(world, range);
-    world.engine_mut(&name).life += 1;
+    world.engine_mut(&name).incarnation += 1;
 }
 
-/// A token of the current route, changed.
+/// Queues a token of the current route whose stamps were changed.
 pub(crate) fn forge(world: &mut World, change: fn(&mut Vec<Stamp>)) {
     let position = world.delivered.len() as u32;
-    let Line::Token { mut lineage, .. } = world.token(world.epoch, position) else {
+    let StreamLine::Token { mut lineage, .. } = world.token(world.epoch, position) else {
         return;
     };
     if lineage.is_empty() {
@@ -42,15 +42,15 @@
     }
     change(&mut lineage);
     let text = "forged".to_owned();
-    world.push_line(world.epoch, Line::Token { position, text, lineage });
+    world.push_line(world.epoch, StreamLine::Token { position, text, lineage });
 }
 
-pub(crate) fn line(world: &mut World, answer: &str, epoch: Epoch, line: Line) {
+pub(crate) fn push_line(world: &mut World, answer: &str, epoch: Epoch, line: StreamLine) {
     world.queue.push_back(Input::Line(answer.to_owned(), epoch, line));
 }
 
-pub(crate) fn done(count: u32) -> Line {
-    Line::Done { count, reason: "stop".to_owned(), cached: 0 }
+pub(crate) fn done(count: u32) -> StreamLine {
+    StreamLine::Done { count, reason: "stop".to_owned(), cached: 0 }
 }
 
 pub(crate) const FAULTS: &[Fault] = &[
@@ -61,13 +61,13 @@
     Fault { name: "middle stage freezes", apply: |w| set(w, 1, State::Frozen) },
     Fault { name: "last stage freezes", apply: |w| set(w, 2, State::Frozen) },
     Fault { name: "first stage full", apply: |w| set(w, 0, State::Busy) },
-    Fault { name: "first stage holds another version", apply: |w| set(w, 0, State::Other) },
+    Fault { name: "first stage holds another version", apply: |w| set(w, 0, State::OtherVersion) },
     Fault { name: "first stage restarts", apply: |w| restart(w, 0) },
     Fault { name: "middle stage restarts", apply: |w| restart(w, 1) },
     Fault { name: "stream cut", apply: World::cut },
     Fault {
         name: "lost, stage unknown",
-        apply: |w| w.push_line(w.epoch, Line::Lost { stage: None }),
+        apply: |w| w.push_line(w.epoch, StreamLine::Lost { stage: None }),
     },
     Fault { name: "layer skipped", apply: |w| forge(w, |l| drop(l.pop())) },
     Fault { name: "layer run twice", apply: |w| forge(w, |l| l[1].layers.0 -= 1) },
@@ -81,17 +81,17 @@
         apply: |w| forge_line(w, "own", w.epoch.wrapping_sub(1)),
     },
     Fault { name: "token of another answer", apply: |w| forge_line(w, "other", w.epoch) },
-    Fault { name: "end of another answer", apply: |w| line(w, "other", w.epoch, done(0)) },
+    Fault { name: "end of another answer", apply: |w| push_line(w, "other", w.epoch, done(0)) },
     Fault {
         name: "end of an old epoch",
-        apply: |w| line(w, "own", w.epoch.wrapping_sub(1), done(0)),
+        apply: |w| push_line(w, "own", w.epoch.wrapping_sub(1), done(0)),
     },
-    Fault { name: "end with a hole", apply: |w| line(w, "own", w.epoch, done(TOTAL + 5)) },
+    Fault { name: "end with a hole", apply: |w| push_line(w, "own", w.epoch, done(TOTAL + 5)) },
     Fault {
         name: "end before what was delivered",
         apply: |w| {
             if let Some(count) = w.delivered.len().checked_sub(1) {
-                line(w, "own", w.epoch, done(count as u32));
+                push_line(w, "own", w.epoch, done(count as u32));
             }
         },
     },
@@ -104,7 +104,7 @@
         apply: |w| {
             if let Some(position) = w.delivered.len().checked_sub(1) {
                 let mut token = w.token(w.epoch, position as u32);
-                if let Line::Token { text, .. } = &mut token {
+                if let StreamLine::Token { text, .. } = &mut token {
                     "again".clone_into(text);
                 }
                 w.push_line(w.epoch, token);
@@ -123,10 +123,10 @@
 pub(crate) fn forge_line(world: &mut World, answer: &str, epoch: Epoch) {
     let position = world.delivered.len() as u32;
     let mut token = world.token(world.epoch, position);
-    if let Line::Token { text, .. } = &mut token {
+    if let StreamLine::Token { text, .. } = &mut token {
         "forged".clone_into(text);
     }
-    line(world, answer, epoch, token);
+    push_line(world, answer, epoch, token);
 }
 
 pub(crate) const STEPS: &[Step] = &[
@@ -138,8 +138,8 @@
     Step { name: "last token", reached: |w| w.delivered.len() == TOTAL as usize },
 ];
 
-/// When a second fault comes: once the answer has taken to another route.
-pub(crate) const AGAIN: &[Step] = &[
+/// When the second fault is injected: after the answer has changed to another route.
+pub(crate) const SECOND_FAULT_STEPS: &[Step] = &[
     Step { name: "at the next open", reached: |w| w.epoch >= 2 },
     Step { name: "in the next prefill", reached: |w| w.epoch >= 2 && w.queue.is_empty() },
     Step {
@@ -148,11 +148,11 @@
     },
 ];
 
-pub(crate) fn rules() -> Rules {
-    Rules { window: 16, attempts: 6, ..Rules::default() }
+pub(crate) fn settings() -> AnswerSettings {
+    AnswerSettings { window: 16, max_attempts: 6, ..AnswerSettings::default() }
 }
 
-/// Runs until a step is reached; false when the answer ended before.
+/// Runs until a step is reached; `false` if the answer ended before.
 pub(crate) fn run_until(world: &mut World, step: &Step) -> bool {
     while world.end.is_none() {
         if (step.reached)(world) {
--- a/crates/roseshore_core/tests/answer/world.rs
+++ b/crates/roseshore_core/tests/answer/world.rs
@@ -1,9 +1,10 @@
-//! A model of router, engines and links in which an answer's machine runs, and what must hold at
-//! every step whatever happens in it.
+//! Simulated router, engines and links for an answer's state machine, with the invariants that must
+//! hold at every step.
 
 use roseshore_core::answer::lineage::{Stage, Stamp};
 use roseshore_core::answer::{
-    Action, Answer, Failure, Finish, Health, Input, Job, Line, Route, Rules,
+    Action, Answer, AnswerSettings, Finish, Input, Job, ProbeResult, Route, StreamFailure,
+    StreamLine,
 };
 use roseshore_core::prelude::*;
 use std::collections::{BTreeSet, VecDeque};
@@ -19,15 +20,15 @@
     Dead,
     Frozen,
     Busy,
-    /// Holds another version; refuses at open.
-    Other,
+    /// Holds another version, so it refuses the stream.
+    OtherVersion,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub(crate) name: String,
     pub(crate) state: State,
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,8 +49,8 @@
     pub(crate) began: bool,
     pub(crate) warm: Vec<bool>,
     pub(crate) end: Option<Result<Finish, Refusal>>,
-    /// Whether an attempt had to be paid for from the retry budget.
-    pub(crate) paid: bool,
+    /// Whether an attempt was charged to the retry budget.
+    pub(crate) charged: bool,
     /// Whether further attempts are denied.
     pub(crate) deny: bool,
     stream: Option<Stream>,
@@ -59,7 +60,7 @@
 }
 
 impl World {
-    pub(crate) fn new(rules: Rules) -> World {
+    pub(crate) fn new(settings: AnswerSettings) -> World {
         let now = Instant::now();
         let job = Job {
             answer: "own".to_owned(),
@@ -72,13 +73,13 @@
         let engine = |range: usize, at: usize| Engine {
             name: format!("e{range}{at}"),
             state: State::Live,
-            life: 1,
+            incarnation: 1,
         };
         let row = |range| (0..REPLICAS).map(|at| engine(range, at)).collect();
         let mut actions = Vec::new();
         World {
             now,
-            answer: Answer::start(job, rules, now, &mut actions),
+            answer: Answer::start(job, settings, now, &mut actions),
             engines: (0..RANGES.len()).map(row).collect(),
             queue: VecDeque::new(),
             delivered: Vec::new(),
@@ -87,7 +88,7 @@
             began: false,
             warm: Vec::new(),
             end: None,
-            paid: false,
+            charged: false,
             deny: false,
             stream: None,
             failed: BTreeSet::new(),
@@ -95,14 +96,14 @@
         }
     }
 
-    /// Feeds one event and carries out what comes of it.
+    /// Handles one event and carries out the resulting actions.
     pub(crate) fn feed(&mut self, input: Input) {
-        self.answer.on(self.now, input, &mut self.actions);
-        self.act();
+        self.answer.handle(self.now, input, &mut self.actions);
+        self.run_actions();
     }
 
-    /// Begins: asks the router for the first time.
-    pub(crate) fn act(&mut self) {
+    /// Carries out the pending actions, starting with the first request for a route.
+    pub(crate) fn run_actions(&mut self) {
         while !self.actions.is_empty() {
             for action in std::mem::take(&mut self.actions) {
                 self.carry_out(action);
@@ -110,14 +111,14 @@
         }
     }
 
-    /// The next event in order, or the passing of time when there is none.
+    /// Handles the next queued event, or lets time pass when there is none.
     pub(crate) fn step(&mut self) {
         self.now += Duration::from_millis(1);
         if self.queue.is_empty() {
-            self.pump();
+            self.pump_stream();
         }
         let input = self.queue.pop_front().unwrap_or_else(|| {
-            self.now = self.now.max(self.answer.wake());
+            self.now = self.now.max(self.answer.next_tick());
             Input::Tick
         });
         self.feed(input);
@@ -133,22 +134,22 @@
         panic!("the answer never ended");
     }
 
-    /// Lets the open stream give its next line, as the state of its stages allows.
-    pub(crate) fn pump(&mut self) {
+    /// Queues the next line of the open stream, as the state of its stages allows.
+    pub(crate) fn pump_stream(&mut self) {
         let Some(mut stream) = self.stream.filter(|s| !s.ended) else {
             return;
         };
-        let states = self.route.iter().map(|s| self.look(s)).collect::<Vec<_>>();
-        let reborn = |at: usize| self.engine(&self.route[at].target).life;
-        if states[0] == State::Dead || reborn(0) != self.route[0].incarnation {
+        let states = self.route.iter().map(|s| self.state(s)).collect::<Vec<_>>();
+        let incarnation = |at: usize| self.engine(&self.route[at].target).incarnation;
+        if states[0] == State::Dead || incarnation(0) != self.route[0].incarnation {
             stream.ended = true;
-            self.queue.push_back(Input::Ended(stream.epoch, Some(Failure::Lost)));
+            self.queue.push_back(Input::Ended(stream.epoch, Some(StreamFailure::Lost)));
         } else if let Some(at) = states.iter().position(|s| *s == State::Dead) {
             stream.ended = true;
             let stage = Some(self.route[at].target.clone());
-            self.push_line(stream.epoch, Line::Lost { stage });
+            self.push_line(stream.epoch, StreamLine::Lost { stage });
         } else if states.contains(&State::Frozen)
-            || (0..states.len()).any(|at| reborn(at) != self.route[at].incarnation)
+            || (0..states.len()).any(|at| incarnation(at) != self.route[at].incarnation)
         {
             return;
         } else if stream.next < TOTAL {
@@ -157,30 +158,30 @@
             stream.next += 1;
         } else {
             stream.ended = true;
-            let done = Line::Done { count: TOTAL, reason: "stop".to_owned(), cached: 0 };
+            let done = StreamLine::Done { count: TOTAL, reason: "stop".to_owned(), cached: 0 };
             self.push_line(stream.epoch, done);
             self.queue.push_back(Input::Ended(stream.epoch, None));
         }
         self.stream = Some(stream);
     }
 
-    /// The stream breaks without a word.
+    /// Ends the stream without a final line.
     pub(crate) fn cut(&mut self) {
         if let Some(stream) = self.stream.as_mut().filter(|s| !s.ended) {
             stream.ended = true;
-            self.queue.push_back(Input::Ended(stream.epoch, Some(Failure::Lost)));
+            self.queue.push_back(Input::Ended(stream.epoch, Some(StreamFailure::Lost)));
         }
     }
 
-    /// The stream stays open and says no more, though every stage lives.
+    /// Keeps the stream open but silent, although every stage is alive.
     pub(crate) fn mute(&mut self) {
         if let Some(stream) = self.stream.as_mut() {
             stream.ended = true;
         }
     }
 
-    /// A right token of the current route.
-    pub(crate) fn token(&self, epoch: Epoch, position: Position) -> Line {
+    /// A valid token of the current route.
+    pub(crate) fn token(&self, epoch: Epoch, position: Position) -> StreamLine {
         let stamp = |s: &Stage| Stamp {
             target: s.target.clone(),
             incarnation: s.incarnation,
@@ -189,10 +190,10 @@
             version: VERSION.to_owned(),
         };
         let lineage = self.route.iter().map(stamp).collect();
-        Line::Token { position, text: format!("t{position}/{epoch}"), lineage }
+        StreamLine::Token { position, text: format!("t{position}/{epoch}"), lineage }
     }
 
-    pub(crate) fn push_line(&mut self, epoch: Epoch, line: Line) {
+    pub(crate) fn push_line(&mut self, epoch: Epoch, line: StreamLine) {
         self.queue.push_back(Input::Line("own".to_owned(), epoch, line));
     }
 
@@ -204,7 +205,7 @@
         self.engines.iter_mut().flatten().find(|e| e.name == name).expect("engine")
     }
 
-    fn look(&self, stage: &Stage) -> State {
+    fn state(&self, stage: &Stage) -> State {
         self.engine(&stage.target).state
     }
 
@@ -213,10 +214,10 @@
         match action {
             Action::Route { retry: true, .. } if self.deny => {
                 let refusal = Refusal::not_run(Code::RetryBudget, "spent");
-                self.answer.on(self.now, Input::Denied(refusal), &mut self.actions);
+                self.answer.handle(self.now, Input::RetryDenied(refusal), &mut self.actions);
             }
-            Action::Route { avoid, paid, .. } => {
-                self.paid |= paid;
+            Action::Route { avoid, charge_budget, .. } => {
+                self.charged |= charge_budget;
                 self.choose(&avoid);
             }
             Action::Open { epoch, warm } => self.open(epoch, warm),
@@ -225,13 +226,13 @@
             }
             Action::Deliver(position) => self.deliver(position),
             Action::Probe { epoch, limit } => {
-                let bound = self.answer.wake();
-                assert!(self.now + limit < bound, "a probe says in time who is silent");
+                let bound = self.answer.next_tick();
+                assert!(self.now + limit < bound, "a probe ends before the timeout");
                 self.probe(epoch);
             }
             Action::Move { epoch, moves, .. } => {
-                let fine = |s: &Stage| self.look(s) == State::Live;
-                let done = moves.iter().all(|m| fine(&m.from) && fine(&m.to));
+                let is_live = |s: &Stage| self.state(s) == State::Live;
+                let done = moves.iter().all(|m| is_live(&m.from) && is_live(&m.to));
                 self.queue.push_back(Input::Moved(epoch, done));
             }
             Action::Failed(target) => {
@@ -239,29 +240,29 @@
             }
             Action::Finish(finish) => self.finish(finish),
             Action::Refuse(refusal) => self.refuse(refusal),
-            Action::Cancel { .. } | Action::Note(..) => {}
+            Action::Cancel { .. } | Action::Log(..) => {}
         }
     }
 
-    /// A router whose view is old: it knows of failures only what it was told.
+    /// Chooses a chain with outdated knowledge: only failures that were reported are known.
     fn choose(&mut self, avoid: &[TargetId]) {
         let mut stages = Vec::new();
         for (row, layers) in self.engines.iter().zip(RANGES) {
             let free = |e: &&Engine| !avoid.contains(&e.name) && !self.failed.contains(&e.name);
             let Some(engine) = row.iter().find(free) else {
                 let refusal = Refusal::not_run(Code::NoRoute, "no chain");
-                return self.answer.on(self.now, Input::NoChain(refusal), &mut self.actions);
+                return self.answer.handle(self.now, Input::NoChain(refusal), &mut self.actions);
             };
             stages.push(Stage {
                 target: engine.name.clone(),
                 addr: ([127, 0, 0, 1], 1).into(),
                 layers,
-                incarnation: engine.life,
+                incarnation: engine.incarnation,
             });
         }
-        let first = Duration::from_millis(200);
-        let route = Route { stages, first, between: Duration::from_millis(5) };
-        self.answer.on(self.now, Input::Chosen(route), &mut self.actions);
+        let first_token = Duration::from_millis(200);
+        let route = Route { stages, first_token, token_interval: Duration::from_millis(5) };
+        self.answer.handle(self.now, Input::Chosen(route), &mut self.actions);
     }
 
     fn open(&mut self, epoch: Epoch, warm: bool) {
@@ -269,11 +270,11 @@
         self.epoch = epoch;
         self.route = self.answer.stages().to_vec();
         self.warm.push(warm);
-        let refused = |status| Failure::Refused { status, after: None };
-        let failure = match self.look(&self.route[0]) {
-            State::Dead => Some(Failure::Unreached),
+        let refused = |status| StreamFailure::Refused { status, after: None };
+        let failure = match self.state(&self.route[0]) {
+            State::Dead => Some(StreamFailure::Unreachable),
             State::Busy => Some(refused(503)),
-            State::Other => Some(refused(409)),
+            State::OtherVersion => Some(refused(409)),
             State::Frozen => {
                 self.began = true;
                 return;
@@ -281,7 +282,7 @@
             State::Live => None,
         };
         if let Some(failure) = failure {
-            return self.queue.push_back(Input::Unopened(epoch, failure));
+            return self.queue.push_back(Input::OpenFailed(epoch, failure));
         }
         self.began = true;
         let next = self.delivered.len() as u32;
@@ -292,12 +293,12 @@
     fn probe(&mut self, epoch: Epoch) {
         for stage in self.answer.stages() {
             let engine = self.engine(&stage.target);
-            let health = match engine.state {
-                State::Dead => Health::Dead,
-                State::Frozen => Health::Silent,
-                _ => Health::Alive(engine.life),
+            let result = match engine.state {
+                State::Dead => ProbeResult::Dead,
+                State::Frozen => ProbeResult::Silent,
+                _ => ProbeResult::Alive(engine.incarnation),
             };
-            self.queue.push_back(Input::Probed(epoch, stage.target.clone(), health));
+            self.queue.push_back(Input::Probed(epoch, stage.target.clone(), result));
         }
     }
 
@@ -309,7 +310,7 @@
     }
 
     fn finish(&mut self, finish: Finish) {
-        assert_eq!(self.delivered.len() as u32, TOTAL, "a whole answer has every token");
+        assert_eq!(self.delivered.len() as u32, TOTAL, "a complete answer has every token");
         self.end = Some(Ok(finish));
     }
 
@@ -317,10 +318,10 @@
         match refusal.verdict {
             Verdict::NotRun => {
                 assert!(!self.began, "not run, but a target began: {refusal:?}");
-                assert!(refusal.retry_after.is_some(), "not run says when to come back");
+                assert!(refusal.retry_after.is_some(), "a not-run refusal has a retry time");
             }
             Verdict::MayHaveRun => {}
-            Verdict::Answered => panic!("a refusal is no answer"),
+            Verdict::Answered => panic!("a refusal cannot have the verdict answered"),
         }
         self.end = Some(Err(refusal));
     }
--- a/crates/roseshore_core/tests/gateway/targets.rs
+++ b/crates/roseshore_core/tests/gateway/targets.rs
@@ -1,8 +1,10 @@
-//! What is known of the targets.
+//! State of the targets and the choice among them.
 
 use proptest::prelude::*;
-use roseshore_core::gateway::peers::{LoadNote, mark, target_mark};
-use roseshore_core::gateway::targets::{Absence, Claim, Death, News, Target, Word};
+use roseshore_core::gateway::peers::{TargetLoad, name_hash, target_hash};
+use roseshore_core::gateway::targets::{
+    Absence, Claim, LayersReport, LivenessFailure, RecordChange, Target,
+};
 use roseshore_core::gateway::{Holding, Position, TargetRecord, Targets};
 use roseshore_core::prelude::*;
 use std::collections::HashMap;
@@ -27,20 +29,20 @@
 
 fn two() -> Targets {
     let mut targets = Targets::default();
-    targets.put(record("a", "north"));
-    targets.put(record("b", "south"));
+    targets.upsert(record("a", "north"));
+    targets.upsert(record("b", "south"));
     targets
 }
 
-fn claim(target: &str, held: f64) -> Claim {
-    Claim { target: target.to_owned(), held }
+fn claim(target: &str, kv_used: f64) -> Claim {
+    Claim { target: target.to_owned(), kv_used }
 }
 
 fn chosen(targets: &Targets, near: &str, avoid: &[TargetId], now: Instant) -> Option<String> {
-    targets.plain("plain", near, avoid, now).map(|t| t.record.id.clone())
+    targets.choose_plain("plain", near, avoid, now).map(|t| t.record.id.clone())
 }
 
-/// Something that happens to target `a`, and who is chosen then.
+/// An event at target `a`, and the target chosen afterwards.
 struct Case {
     name: &'static str,
     happens: fn(&mut Targets, Instant),
@@ -48,57 +50,74 @@
 }
 
 #[test]
-fn what_is_known_of_a_target_decides_whether_it_gets_work() {
+fn the_state_of_a_target_decides_whether_it_gets_work() {
     let cases = [
         Case { name: "nothing", happens: |_, _| (), chosen: "a" },
         Case {
             name: "it drains",
             happens: |t, _| {
-                t.put(TargetRecord { draining: true, ..record("a", "north") });
+                t.upsert(TargetRecord { draining: true, ..record("a", "north") });
             },
             chosen: "b",
         },
-        Case { name: "it left", happens: |t, _| assert!(t.drop("a", Absence::Left)), chosen: "b" },
+        Case {
+            name: "it left",
+            happens: |t, _| assert!(t.remove("a", Absence::Left)),
+            chosen: "b",
+        },
         Case {
             name: "its entry lapsed",
-            happens: |t, now| assert!(t.drop("a", Absence::Lapsed(now))),
+            happens: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
             chosen: "a",
         },
-        Case { name: "another has its address", happens: |t, _| t.replaced("a"), chosen: "b" },
-        Case { name: "it failed", happens: |t, now| assert!(t.failed("a", now)), chosen: "b" },
-        Case { name: "it is dead", happens: |t, _| assert!(t.died("a", Death::Dark)), chosen: "b" },
         Case {
-            name: "it answers again",
+            name: "another target has its address",
+            happens: |t, _| t.mark_replaced("a"),
+            chosen: "b",
+        },
+        Case {
+            name: "a request failed",
+            happens: |t, now| assert!(t.record_failure("a", now)),
+            chosen: "b",
+        },
+        Case {
+            name: "it fails its liveness check",
+            happens: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
+            chosen: "b",
+        },
+        Case {
+            name: "it passes its liveness check again",
             happens: |t, _| {
-                t.died("a", Death::Reset);
-                t.answered("a");
+                t.liveness_failed("a", LivenessFailure::Reset);
+                t.liveness_passed("a");
             },
             chosen: "a",
         },
         Case {
-            name: "it is dead for a neighbour",
+            name: "it fails the liveness check of another host",
             happens: |t, _| {
-                let note = LoadNote { target: mark("a"), down: true, ..LoadNote::default() };
-                t.others(&HashMap::from([(mark("a"), note)]));
+                let load =
+                    TargetLoad { target: name_hash("a"), down: true, ..TargetLoad::default() };
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), load)]));
             },
             chosen: "b",
         },
         Case {
             name: "it is busy",
-            happens: |t, _| (0..4).for_each(|_| t.begin(&claim("a", 0.0))),
+            happens: |t, _| (0..4).for_each(|_| t.reserve(&claim("a", 0.0))),
             chosen: "b",
         },
         Case {
-            name: "others keep it busy",
+            name: "other hosts keep it busy",
             happens: |t, _| {
-                let note = LoadNote { target: mark("a"), own: 4, ..LoadNote::default() };
-                t.others(&HashMap::from([(mark("a"), note)]));
+                let load = TargetLoad { target: name_hash("a"), own: 4, ..TargetLoad::default() };
+                t.set_remote_loads(&HashMap::from([(name_hash("a"), load)]));
             },
             chosen: "b",
         },
         Case {
-            name: "it says that it is busy",
-            happens: |t, now| t.loaded("a", 6, 2, now),
+            name: "it reports that it is busy",
+            happens: |t, now| t.record_load("a", 6, 2, now),
             chosen: "b",
         },
     ];
@@ -115,45 +134,45 @@
 fn when_all_have_failed_the_least_loaded_still_gets_work() {
     let now = Instant::now();
     let mut targets = two();
-    targets.failed("a", now);
-    targets.failed("b", now);
+    targets.record_failure("a", now);
+    targets.record_failure("b", now);
     assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"));
     assert_eq!(chosen(&targets, "north", &["a".to_owned()], now).as_deref(), Some("b"));
     assert_eq!(chosen(&targets, "north", &["a".to_owned(), "b".to_owned()], now), None);
 }
 
-/// How both targets failed their checks, and whether one of them is tried all the same.
-struct Dead {
-    a: Death,
-    b: Death,
+/// How both targets failed their liveness checks, and which of them is tried nevertheless.
+struct DeadCase {
+    a: LivenessFailure,
+    b: LivenessFailure,
     tried: Option<&'static str>,
 }
 
 #[test]
-fn nothing_is_sent_into_the_dark() {
+fn nothing_is_sent_to_silent_targets() {
     let cases = [
-        Dead { a: Death::Reset, b: Death::Reset, tried: Some("a") },
-        Dead { a: Death::Dark, b: Death::Reset, tried: Some("b") },
-        Dead { a: Death::Dark, b: Death::Dark, tried: None },
+        DeadCase { a: LivenessFailure::Reset, b: LivenessFailure::Reset, tried: Some("a") },
+        DeadCase { a: LivenessFailure::Silent, b: LivenessFailure::Reset, tried: Some("b") },
+        DeadCase { a: LivenessFailure::Silent, b: LivenessFailure::Silent, tried: None },
     ];
     for case in cases {
         let now = Instant::now();
         let mut targets = two();
-        assert!(targets.died("a", case.a) && targets.died("b", case.b));
+        assert!(targets.liveness_failed("a", case.a) && targets.liveness_failed("b", case.b));
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), case.tried, "{:?}", case.a);
-        targets.answered("b");
+        targets.liveness_passed("b");
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("b"));
     }
 }
 
 #[test]
-fn a_lapsed_entry_that_does_not_come_back_is_gone() {
+fn a_lapsed_entry_that_does_not_come_back_is_removed() {
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
-    targets.drop("a", Absence::Lapsed(at(1900)));
-    targets.drop("b", Absence::Lapsed(at(1900)));
-    targets.put(record("b", "south"));
+    targets.remove("a", Absence::Lapsed(at(1900)));
+    targets.remove("b", Absence::Lapsed(at(1900)));
+    targets.upsert(record("b", "south"));
     assert!(targets.tick(at(1800)).is_empty());
     assert_eq!(targets.tick(at(1950)), ["a".to_owned()]);
     assert_eq!(chosen(&targets, "north", &[], at(1950)).as_deref(), Some("b"));
@@ -163,40 +182,40 @@
 fn a_digest_tells_lists_apart() {
     let now = Instant::now();
     let (mut left, mut right) = (two(), Targets::default());
-    right.put(record("b", "south"));
-    right.put(record("a", "north"));
-    assert_eq!(left.list_mark(at(5)).digest, right.list_mark(at(9)).digest);
-    left.put(TargetRecord { draining: true, ..record("a", "north") });
-    assert_ne!(left.list_mark(at(5)).digest, right.list_mark(at(9)).digest);
-    right.replaced("a");
-    right.failed("b", now);
+    right.upsert(record("b", "south"));
+    right.upsert(record("a", "north"));
+    assert_eq!(left.list_version(at(5)).digest, right.list_version(at(9)).digest);
+    left.upsert(TargetRecord { draining: true, ..record("a", "north") });
+    assert_ne!(left.list_version(at(5)).digest, right.list_version(at(9)).digest);
+    right.mark_replaced("a");
+    right.record_failure("b", now);
     let mut same = two();
-    same.put(record("a", "north"));
+    same.upsert(record("a", "north"));
     assert_eq!(
-        same.list_mark(at(0)).digest,
-        right.list_mark(at(0)).digest,
-        "own experience is no list"
+        same.list_version(at(0)).digest,
+        right.list_version(at(0)).digest,
+        "this host's view is not part of the digest"
     );
 }
 
-/// One change to the list of targets.
+/// One change to the target list.
 #[derive(Clone, Debug)]
-enum Change {
-    Put(u8, bool, Option<(Layer, Layer)>),
-    Drop(u8, bool),
-    Whole(Vec<u8>, bool),
-    Time(u64),
+enum ListChange {
+    Upsert(u8, bool, Option<(Layer, Layer)>),
+    Remove(u8, bool),
+    Replace(Vec<u8>, bool),
+    Elapse(u64),
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn change() -> impl Strategy<Value = ListChange> {
     let range = (0..40u16, 1..40u16).prop_map(|(from, width)| (from, from + width));
     prop_oneof![
         (0..9u8, any::<bool>(), proptest::option::of(range))
-            .prop_map(|(id, draining, range)| Change::Put(id, draining, range)),
-        (0..9u8, any::<bool>()).prop_map(|(id, left)| Change::Drop(id, left)),
+            .prop_map(|(id, draining, range)| ListChange::Upsert(id, draining, range)),
+        (0..9u8, any::<bool>()).prop_map(|(id, left)| ListChange::Remove(id, left)),
         (proptest::collection::vec(0..9u8, 0..9), any::<bool>())
-            .prop_map(|(ids, left)| Change::Whole(ids, left)),
-        (1..3000u64).prop_map(Change::Time),
+            .prop_map(|(ids, left)| ListChange::Replace(ids, left)),
+        (1..3000u64).prop_map(ListChange::Elapse),
     ]
 }
 
@@ -205,173 +224,194 @@
 }
 
 proptest! {
-    /// What is kept up with each change is what the list at hand would give anew, so hosts that read
-    /// the same in other orders find their lists the same.
+    /// The incrementally updated digest and index equal those computed from scratch, so hosts that
+    /// read the same entries in different orders agree on their lists.
     #[test]
-    fn digest_and_marks_follow_every_change(changes in proptest::collection::vec(change(), 1..60)) {
+    fn digest_and_index_follow_every_change(changes in proptest::collection::vec(change(), 1..60)) {
         let mut now = Instant::now();
         let mut targets = Targets::default();
         for change in changes {
             let until = now + Duration::from_millis(1900);
             let absence = |left| if left { Absence::Left } else { Absence::Lapsed(until) };
             match change {
-                Change::Put(id, draining, layers) => {
+                ListChange::Upsert(id, draining, layers) => {
                     let holding = layers.map(|layers| Holding { layers });
-                    targets.put(TargetRecord { draining, holding, ..numbered(id) });
+                    targets.upsert(TargetRecord { draining, holding, ..numbered(id) });
                 }
-                Change::Drop(id, left) => {
-                    targets.drop(&format!("t-{id}"), absence(left));
+                ListChange::Remove(id, left) => {
+                    targets.remove(&format!("t-{id}"), absence(left));
                 }
-                Change::Whole(ids, left) => {
-                    targets.replace(ids.into_iter().map(numbered).collect(), absence(left));
+                ListChange::Replace(ids, left) => {
+                    targets.replace_list(ids.into_iter().map(numbered).collect(), absence(left));
                 }
-                Change::Time(ms) => {
+                ListChange::Elapse(ms) => {
                     now += Duration::from_millis(ms);
                     targets.tick(now);
                 }
             }
-            let mut anew = Targets::default();
-            for record in targets.listed() {
-                anew.put(record);
+            let mut rebuilt = Targets::default();
+            for record in targets.listed_records() {
+                rebuilt.upsert(record);
             }
-            prop_assert_eq!(targets.list_mark(at(0)), anew.list_mark(at(0)));
+            prop_assert_eq!(targets.list_version(at(0)), rebuilt.list_version(at(0)));
             for id in (0..9).map(|id| numbered(id).id) {
                 let known = targets.get(&id).map(|t| &t.record.id);
-                prop_assert_eq!(targets.marked(mark(&id)), known);
+                prop_assert_eq!(targets.id_of(name_hash(&id)), known);
             }
         }
     }
 }
 
-/// Something known of target `a` in its first life.
-struct LifeCase {
+/// State of target `a` in its first incarnation.
+struct IncarnationCase {
     name: &'static str,
     known: fn(&mut Targets, Instant),
 }
 
 #[test]
-fn what_is_known_of_a_target_ends_with_its_life() {
+fn state_of_a_target_ends_with_its_incarnation() {
     let holds = |targets: &Targets| targets.get("a").and_then(Target::holding);
-    let living = |life: u64| TargetRecord { life, ..record("a", "north") };
-    let first = target_mark("a", 100);
+    let with_life = |life: u64| TargetRecord { life, ..record("a", "north") };
+    let first = target_hash("a", 100);
     let cases = [
-        LifeCase { name: "it failed", known: |t, now| assert!(t.failed("a", now)) },
-        LifeCase { name: "it is dead", known: |t, _| assert!(t.died("a", Death::Dark)) },
-        LifeCase { name: "another has its address", known: |t, _| t.replaced("a") },
-        LifeCase { name: "it told its load", known: |t, now| t.loaded("a", 6, 9, now) },
-        LifeCase {
+        IncarnationCase {
+            name: "a request failed",
+            known: |t, now| assert!(t.record_failure("a", now)),
+        },
+        IncarnationCase {
+            name: "it fails its liveness check",
+            known: |t, _| assert!(t.liveness_failed("a", LivenessFailure::Silent)),
+        },
+        IncarnationCase {
+            name: "another target has its address",
+            known: |t, _| t.mark_replaced("a"),
+        },
+        IncarnationCase {
+            name: "it reported its load",
+            known: |t, now| t.record_load("a", 6, 9, now),
+        },
+        IncarnationCase {
             name: "it reported layers",
             known: |t, now| {
-                let word = Word { number: 1, layers: (3, 9), listed: (0, 0) };
-                t.learned(target_mark("a", 100), word, now + Duration::from_secs(4));
+                let report = LayersReport { number: 1, layers: (3, 9), listed: (0, 0) };
+                t.apply_report(target_hash("a", 100), report, now + Duration::from_secs(4));
             },
         },
-        LifeCase {
-            name: "others told of it",
+        IncarnationCase {
+            name: "other hosts reported their load",
             known: |t, _| {
-                let target = target_mark("a", 100);
-                let note = LoadNote { target, own: 4, held: 7, down: true };
-                t.others(&HashMap::from([(target, note)]));
+                let target = target_hash("a", 100);
+                let load = TargetLoad { target, own: 4, held: 7, down: true };
+                t.set_remote_loads(&HashMap::from([(target, load)]));
             },
         },
-        LifeCase {
+        IncarnationCase {
             name: "its entry lapsed",
-            known: |t, now| assert!(t.drop("a", Absence::Lapsed(now))),
+            known: |t, now| assert!(t.remove("a", Absence::Lapsed(now))),
         },
     ];
-    // The second life's clock may be ahead, or behind: the list is in order.
+    // The clock of the second incarnation may be ahead or behind: the list's order decides.
     for (case, second) in cases.iter().flat_map(|case| [(case, 170), (case, 30)]) {
         let now = Instant::now();
         let mut targets = two();
-        targets.put(living(100));
+        targets.upsert(with_life(100));
         (case.known)(&mut targets, now);
-        assert_eq!(targets.put(living(second)), News::Restarted, "{}", case.name);
+        assert_eq!(targets.upsert(with_life(second)), RecordChange::Restarted, "{}", case.name);
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
         assert_eq!(holds(&targets), None, "{}", case.name);
         assert!(targets.tick(now + Duration::from_secs(9)).is_empty(), "{}", case.name);
-        assert_eq!(targets.put(living(second)), News::Same, "the same life twice");
-        // The word of the former life comes late.
-        let note = LoadNote { target: first, own: 9, held: 9, down: true };
-        targets.others(&HashMap::from([(first, note)]));
-        let word = Word { number: 9, layers: (3, 9), listed: (0, 0) };
-        assert!(!targets.learned(first, word, now + Duration::from_secs(4)), "{}", case.name);
+        assert_eq!(
+            targets.upsert(with_life(second)),
+            RecordChange::Unchanged,
+            "the same incarnation twice"
+        );
+        // A report about the former incarnation arrives late.
+        let load = TargetLoad { target: first, own: 9, held: 9, down: true };
+        targets.set_remote_loads(&HashMap::from([(first, load)]));
+        let report = LayersReport { number: 9, layers: (3, 9), listed: (0, 0) };
+        assert!(
+            !targets.apply_report(first, report, now + Duration::from_secs(4)),
+            "{}",
+            case.name
+        );
         assert_eq!(chosen(&targets, "north", &[], now).as_deref(), Some("a"), "{}", case.name);
-        assert_eq!(targets.marked(first), None, "{}", case.name);
+        assert_eq!(targets.id_of(first), None, "{}", case.name);
     }
 }
 
 #[test]
-fn what_was_sent_to_a_former_life_still_ends() {
+fn requests_to_a_former_incarnation_are_still_released() {
     let mut targets = two();
     let claim = claim("a", 500.0);
-    targets.begin(&claim);
-    targets.put(TargetRecord { life: 7, ..record("a", "north") });
-    let own = |targets: &Targets| targets.get("a").map(|t| (t.own, t.held));
-    assert_eq!(own(&targets), Some((1, 500.0)));
-    targets.end(&claim);
-    assert_eq!(own(&targets), Some((0, 0.0)));
+    targets.reserve(&claim);
+    targets.upsert(TargetRecord { life: 7, ..record("a", "north") });
+    let own_load = |targets: &Targets| targets.get("a").map(|t| (t.in_flight, t.kv_used));
+    assert_eq!(own_load(&targets), Some((1, 500.0)));
+    targets.release(&claim);
+    assert_eq!(own_load(&targets), Some((0, 0.0)));
 }
 
-/// Hosts that have found out different things at the same moment, and tell each other whatever is news.
+/// Hosts that find out different things at the same moment, and forward every report that is new.
+/// Without an order among reports, they would forward them forever.
 #[test]
-fn words_that_contradict_each_other_come_to_rest() {
+fn contradicting_reports_converge() {
     const HOSTS: usize = 5;
     let now = Instant::now();
     let until = now + Duration::from_secs(4);
-    let target = mark("a");
+    let target = name_hash("a");
     let listed = TargetRecord { holding: Some(Holding { layers: (0, 9) }), ..record("a", "north") };
     let mut hosts: Vec<Targets> = (0..HOSTS).map(|_| Targets::default()).collect();
-    let mut told = std::collections::VecDeque::new();
+    let mut queue = std::collections::VecDeque::new();
     for (n, host) in hosts.iter_mut().enumerate() {
-        host.put(listed.clone());
-        // Nothing, one range or another.
-        let word = host.next_word(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
-        assert!(host.learned(target, word, until));
-        told.push_back((n, word));
+        host.upsert(listed.clone());
+        // No layers, or one of two ranges.
+        let report = host.next_report(target, [(0, 0), (0, 5), (3, 9)][n % 3]);
+        assert!(host.apply_report(target, report, until));
+        queue.push_back((n, report));
     }
-    let mut passed_on = 0;
-    while let Some((from, word)) = told.pop_front() {
+    let mut forwarded = 0;
+    while let Some((from, report)) = queue.pop_front() {
         for to in (0..HOSTS).filter(|to| *to != from) {
-            if hosts[to].learned(target, word, until) {
-                passed_on += 1;
-                told.push_back((to, word));
+            if hosts[to].apply_report(target, report, until) {
+                forwarded += 1;
+                queue.push_back((to, report));
             }
         }
-        assert!(passed_on <= HOSTS * 3, "they tell each other for ever");
+        assert!(forwarded <= HOSTS * 3, "reports are forwarded forever");
     }
     let holds = |host: &Targets| host.get("a").and_then(Target::holding);
-    assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all believe the same");
-    // A list that is newer ends it, and the old word does not come back.
-    hosts[0].put(TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..listed });
-    let old = Word { number: 1, layers: (3, 9), listed: (0, 9) };
-    assert!(!hosts[0].learned(target, old, until));
+    assert!(hosts.iter().all(|host| holds(host) == holds(&hosts[0])), "all hosts agree");
+    // A newer list record ends the report, and the old report does not come back.
+    hosts[0].upsert(TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..listed });
+    let old = LayersReport { number: 1, layers: (3, 9), listed: (0, 9) };
+    assert!(!hosts[0].apply_report(target, old, until));
     assert_eq!(holds(&hosts[0]), Some(Holding { layers: (1, 7) }));
-    // Who has read the list only once takes the next word like who has read every change of it.
-    let word = hosts[0].next_word(target, (1, 4));
+    // A host that read the list only once accepts the next report like one that read every change.
+    let report = hosts[0].next_report(target, (1, 4));
     let listed = TargetRecord { holding: Some(Holding { layers: (1, 7) }), ..record("a", "north") };
     let mut late = Targets::default();
-    late.put(listed);
-    assert!(late.learned(target, word, until));
+    late.upsert(listed);
+    assert!(late.apply_report(target, report, until));
 }
 
 #[test]
-fn lists_of_two_lives_differ() {
+fn lists_with_different_incarnations_differ() {
     let (mut left, right) = (two(), two());
-    left.put(TargetRecord { life: 7, ..record("a", "north") });
-    assert_ne!(left.list_mark(at(5)).digest, right.list_mark(at(5)).digest);
+    left.upsert(TargetRecord { life: 7, ..record("a", "north") });
+    assert_ne!(left.list_version(at(5)).digest, right.list_version(at(5)).digest);
 }
 
 #[test]
-fn a_silent_path_points_at_those_that_brought_nothing() {
+fn a_stalled_path_suspects_targets_without_progress() {
     let now = Instant::now();
     let at = |ms: u64| now + Duration::from_millis(ms);
     let mut targets = two();
-    targets.put(record("c", "north"));
+    targets.upsert(record("c", "north"));
     let ids: Vec<TargetId> = ["a", "b", "c"].map(str::to_owned).to_vec();
-    targets.progressed(ids.iter(), at(100));
-    targets.progressed([ids[1].clone()].iter(), at(300));
+    targets.record_progress(ids.iter(), at(100));
+    targets.record_progress([ids[1].clone()].iter(), at(300));
     assert_eq!(targets.suspects(&ids, at(100)), ["a".to_owned(), "c".to_owned()]);
-    targets.died("a", Death::Dark);
-    targets.progressed([ids[0].clone()].iter(), at(320));
-    assert!(targets.dead().is_empty(), "what brings something is alive");
+    targets.liveness_failed("a", LivenessFailure::Silent);
+    targets.record_progress([ids[0].clone()].iter(), at(320));
+    assert!(targets.dead().is_empty(), "a target that makes progress is alive");
 }
--- /dev/null
+++ b/crates/roseshore_relay/src/entry/in_flight.rs
@@ -0,0 +1,67 @@
+//! A send, one attempt to have a target run a request, and the progress of its response.
+
+use crate::http::{BodyDecoder, ResponseHead};
+use crate::slab::Key;
+use roseshore_core::gateway::Hop;
+use roseshore_core::gateway::peers::TargetHash;
+use roseshore_core::gateway::targets::Claim;
+use roseshore_core::prelude::*;
+use std::net::SocketAddr;
+
+/// A send in flight.
+pub(super) struct InFlightSend {
+    pub(super) socket: Key,
+    pub(super) target: TargetId,
+    pub(super) addr: SocketAddr,
+    /// The engines of the chain that runs the request, in order; empty for a plain service.
+    pub(super) path: Vec<(TargetId, SocketAddr, Hop)>,
+    /// The load that is counted for each target.
+    pub(super) claims: Vec<Claim>,
+    pub(super) sent_at: Instant,
+    /// All targets involved, with their incarnations when it was sent.
+    pub(super) incarnations: Vec<(TargetId, TargetHash)>,
+    /// When the response last made progress: an event of a stream, or the head of another response.
+    /// The send time before that.
+    pub(super) latest_at: Instant,
+    /// When the first event arrived.
+    pub(super) first_event: Option<Instant>,
+    pub(super) phase: Phase,
+    /// The received part of the body that has not been forwarded.
+    pub(super) body: Vec<u8>,
+    /// Predicted time between tokens in milliseconds.
+    pub(super) token_ms: f64,
+    /// Whether it uses an idle connection rather than a new one.
+    pub(super) reused: bool,
+    /// The status of the response; 0 before it arrives.
+    pub(super) status: u16,
+    /// The pause that the target asked for in the response.
+    pub(super) pause: Option<Duration>,
+    /// Whether the response stated that the target is shutting down.
+    pub(super) leaving: bool,
+}
+
+/// Progress of a response.
+pub(super) enum Phase {
+    /// Waiting for the head.
+    Head,
+    /// Reading the response to another request, which is discarded.
+    Stale(BodyDecoder),
+    /// Reading the body.
+    Body(ResponseHead, BodyDecoder),
+}
+
+impl InFlightSend {
+    /// The target of the path at an address, and the layers that it was to run.
+    pub(super) fn at(&self, addr: SocketAddr) -> Option<(&TargetId, (Layer, Layer))> {
+        let (id, _, hop) = self.path.iter().find(|(_, at, _)| *at == addr)?;
+        Some((id, hop.layers))
+    }
+
+    /// All targets involved.
+    pub(super) fn targets(&self) -> Vec<TargetId> {
+        if self.path.is_empty() {
+            return vec![self.target.clone()];
+        }
+        self.path.iter().map(|(id, ..)| id.clone()).collect()
+    }
+}
