--- /dev/null
+++ b/crates/roseshore_relay/src/entry/responses.rs
@@ -0,0 +1,364 @@
+//! Reads responses of targets and forwards them to callers.
+//!
+//! A response that is not a stream is forwarded once it is complete, so that a caller never gets a
+//! part of one. A stream is forwarded by complete events as they arrive; if its target dies,
+//! another target resumes it after the last event.
+
+use super::in_flight::Phase;
+use super::probes::millis;
+use super::target_feedback::MISDIRECTED;
+use super::{EntryHost, Timer, ended_orderly, log_event};
+use crate::http::{self, BodyDecoder, BodyFraming, LAST_CHUNK, ResponseHead};
+use crate::slab::Key;
+use crate::sse;
+use roseshore_core::gateway::Fault;
+use roseshore_core::prelude::*;
+use roseshore_ports::entry::ResponseFields;
+
+/// Maximum bytes of a response head.
+const MAX_HEAD: usize = 32 << 10;
+/// Maximum buffered bytes of a response body; for a stream, of its incomplete event.
+const MAX_BODY: usize = 16 << 20;
+
+/// What to do after a step of reading a response.
+enum Step {
+    /// More bytes are needed.
+    NeedMore,
+    /// The phase changed: go on with the buffered bytes.
+    Continue,
+    /// The exchange ended, or the request was sent to another target.
+    Finished,
+}
+
+impl EntryHost {
+    /// Handles input of a target's connection, or its end.
+    pub(super) fn handle_target(&mut self, key: Key) {
+        loop {
+            let Some(exchange) = self.exchanges.get_mut(key) else { return };
+            let Some(send) = exchange.send.as_mut() else { return };
+            let step = match send.phase {
+                Phase::Head => self.read_head(key),
+                Phase::Stale(_) => self.skip_stale(key),
+                Phase::Body(..) if exchange.delivery.started || exchange.route.kind.is_stream() => {
+                    self.read_events(key)
+                }
+                Phase::Body(..) => self.read_body(key),
+            };
+            match step {
+                Step::Continue => {}
+                Step::NeedMore | Step::Finished => return,
+            }
+        }
+    }
+
+    /// Reads the response head and decides whether the response is used.
+    fn read_head(&mut self, key: Key) -> Step {
+        let now = self.now;
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        let Some(socket) = self.net.get(send.socket) else { return Step::Finished };
+        let head = match http::parse_response(&mut socket.input, MAX_HEAD) {
+            Ok(Some(head)) => head,
+            Ok(None) if socket.ended.is_none() => return Step::NeedMore,
+            Ok(None) => {
+                let fault = if socket.connected { Fault::Lost } else { Fault::NotSent };
+                self.send_failed(key, fault, None);
+                return Step::Finished;
+            }
+            Err(_) => {
+                self.send_failed(key, Fault::Garbled, None);
+                return Step::Finished;
+            }
+        };
+        let feedback = self.platform.read_response(&head.fields);
+        send.status = head.status;
+        (send.pause, send.leaving) = (feedback.retry_after, feedback.leaving);
+        if let Some((running, waiting, _)) = feedback.load {
+            self.targets.record_load(&send.target, running, waiting, now);
+        }
+        self.apply_feedback(key, head.status, &feedback);
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        if feedback.attempt.as_ref().is_some_and(|a| *a != exchange.request_fields.attempt) {
+            send.phase = Phase::Stale(BodyDecoder::new(head.framing));
+            return Step::Continue;
+        }
+        if head.status == MISDIRECTED || (feedback.not_run && head.status >= 400) {
+            self.refused_by_target(key, &head, &feedback);
+            return Step::Finished;
+        }
+        let success = (200..300).contains(&head.status);
+        if success && (feedback.attempt.is_none() || !feedback.sealed) {
+            self.send_failed(key, Fault::Garbled, None);
+            return Step::Finished;
+        }
+        if exchange.delivery.started && !success {
+            self.send_failed(key, Fault::Failed, None);
+            return Step::Finished;
+        }
+        if success && exchange.route.kind.is_stream() {
+            self.begin_stream(key, &head);
+        }
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        if !exchange.route.kind.is_stream() || !success {
+            send.latest_at = now;
+        }
+        let decoder = BodyDecoder::new(head.framing);
+        send.phase = Phase::Body(head, decoder);
+        Step::Continue
+    }
+
+    /// Handles a response by which a target states that it did not run the request.
+    fn refused_by_target(&mut self, key: Key, head: &ResponseHead, feedback: &ResponseFields) {
+        let Some(send) = self.exchanges.get(key).and_then(|e| e.send.as_ref()) else { return };
+        if head.status == MISDIRECTED {
+            let named = feedback.faulty_target.and_then(|addr| send.at(addr));
+            if let Some((id, layers)) = named.map(|(id, layers)| (id.clone(), layers)) {
+                self.record_not_held(&id, layers);
+            } else if feedback.faulty_target.is_none() {
+                let target = send.target.clone();
+                self.targets.mark_replaced(&target);
+                log_event!(self, TargetLeft, "target={target} state=replaced");
+            }
+        }
+        self.send_failed(key, Fault::Refused, feedback.faulty_target);
+    }
+
+    /// Discards the response to another request, which precedes the expected one.
+    fn skip_stale(&mut self, key: Key) -> Step {
+        let Some(send) = self.exchanges.get_mut(key).and_then(|e| e.send.as_mut()) else {
+            return Step::Finished;
+        };
+        let Some(socket) = self.net.get(send.socket) else { return Step::Finished };
+        let Phase::Stale(decoder) = &mut send.phase else { return Step::Continue };
+        let mut discarded = Vec::new();
+        let taken = decoder.decode(&mut socket.input, &mut discarded);
+        if decoder.done() {
+            send.phase = Phase::Head;
+            return Step::Continue;
+        }
+        if taken.is_err() || socket.ended.is_some() {
+            self.send_failed(key, Fault::Lost, None);
+            return Step::Finished;
+        }
+        Step::NeedMore
+    }
+
+    /// Decodes received bytes into the body. Returns whether the body is complete, or the fault if
+    /// it is broken.
+    fn read_bytes(&mut self, key: Key) -> Option<Result<bool, Fault>> {
+        let send = self.exchanges.get_mut(key)?.send.as_mut()?;
+        let socket = self.net.get(send.socket)?;
+        let Phase::Body(_, decoder) = &mut send.phase else { return None };
+        let taken = decoder.decode(&mut socket.input, &mut send.body);
+        let ends = decoder.ends_with_connection();
+        let whole = decoder.done() || (ends && ended_orderly(socket.ended));
+        if taken.is_err() || send.body.len() > MAX_BODY {
+            return Some(Err(Fault::Garbled));
+        }
+        if !whole && socket.ended.is_some() {
+            return Some(Err(Fault::Cut));
+        }
+        Some(Ok(whole))
+    }
+
+    /// Reads a response that is forwarded once it is complete.
+    fn read_body(&mut self, key: Key) -> Step {
+        match self.read_bytes(key) {
+            None => return Step::Finished,
+            Some(Err(fault)) => {
+                self.send_failed(key, fault, None);
+                return Step::Finished;
+            }
+            Some(Ok(false)) => return Step::NeedMore,
+            Some(Ok(true)) => {}
+        }
+        let now = self.now;
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        let Phase::Body(head, _) = &send.phase else { return Step::Finished };
+        let head = head.clone();
+        if head.status >= 500 && exchange.may_move(now) && self.has_alternative(key) {
+            self.send_failed(key, Fault::Failed, None);
+            return Step::Finished;
+        }
+        self.forward_response(key, &head);
+        Step::Finished
+    }
+
+    /// Whether the request could be sent to another target within the route's limit on targets.
+    fn has_alternative(&self, key: Key) -> bool {
+        let Some(exchange) = self.exchanges.get(key) else { return false };
+        let Some(send) = &exchange.send else { return false };
+        if exchange.at_bound() {
+            return false;
+        }
+        let mut avoid = exchange.avoided.list(self.now);
+        avoid.push(send.target.clone());
+        let local = &self.settings.data_centre;
+        let service = &exchange.service;
+        service.engine.is_some()
+            || self.targets.choose_plain(&service.name, local, &avoid, self.now).is_some()
+    }
+
+    /// Forwards a complete response to the caller.
+    fn forward_response(&mut self, key: Key, head: &ResponseHead) {
+        let Some(exchange) = self.exchanges.get_mut(key) else { return };
+        let Some(send) = exchange.send.as_mut() else { return };
+        let body = std::mem::take(&mut send.body);
+        let target = send.target.clone();
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
+        exchange.verdict = Verdict::Answered;
+        exchange.delivery.first_at.get_or_insert(self.now);
+        let fields = self.platform.caller_headers(&head.fields);
+        let mut out = Vec::with_capacity(512 + body.len());
+        let close = !keep || self.stopping_since.is_some();
+        http::write_response(
+            &mut out,
+            head.status,
+            &head.reason,
+            &fields,
+            BodyFraming::Length(body.len()),
+            close,
+        );
+        if exchange.head.method != "HEAD" {
+            out.extend_from_slice(&body);
+        }
+        self.net.send(caller, &out);
+        let fingerprint = exchange.fingerprint;
+        self.record_success(&target, key);
+        self.record_completed(fingerprint);
+        self.finish_exchange(key, head.keep_alive, head.status, "whole");
+    }
+
+    /// Records that a target gave a complete response to the exchange `key`.
+    fn record_success(&mut self, target: &str, key: Key) {
+        if !self.targets.record_success(target, self.now) {
+            return;
+        }
+        let Some(exchange) = self.exchanges.get(key) else { return };
+        let sent =
+            exchange.send.as_ref().map(|send| self.now.saturating_duration_since(send.sent_at));
+        let (attempt, age) = (&exchange.request_fields.attempt, millis(sent));
+        let text = format!("target={target} by=answer request={attempt} sent_ms_ago={age}");
+        log_event!(self, TargetBack, "{text}");
+    }
+
+    /// Ends an exchange whose response has been forwarded.
+    fn finish_exchange(&mut self, key: Key, keep_target: bool, status: u16, why: &str) {
+        let Some(exchange) = self.exchanges.get(key) else { return };
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
+        self.drop_send(key, keep_target);
+        self.close_exchange(key, status, why);
+        self.response_sent(caller, keep);
+        self.handle_caller(caller);
+    }
+
+    /// Sends the response head of a stream to the caller, unless the stream is being resumed.
+    fn begin_stream(&mut self, key: Key, head: &ResponseHead) {
+        let Some(exchange) = self.exchanges.get_mut(key) else { return };
+        if exchange.delivery.started {
+            let attempt = exchange.request_fields.attempt.clone();
+            let after = exchange.delivery.last_id.unwrap_or(0);
+            log_event!(self, AnswerResumed, "request={attempt} after={after}");
+            return;
+        }
+        exchange.delivery.started = true;
+        let (caller, keep) = (exchange.caller, exchange.head.keep_alive);
+        let fields = self.platform.caller_headers(&head.fields);
+        let mut out = Vec::with_capacity(512);
+        let close = !keep || self.stopping_since.is_some();
+        http::write_response(
+            &mut out,
+            head.status,
+            &head.reason,
+            &fields,
+            BodyFraming::Chunked,
+            close,
+        );
+        self.net.send(caller, &out);
+    }
+
+    /// Reads a stream and forwards its complete events.
+    fn read_events(&mut self, key: Key) -> Step {
+        let Some(received) = self.read_bytes(key) else { return Step::Finished };
+        let now = self.now;
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        let Phase::Body(head, _) = &send.phase else { return Step::Finished };
+        if !exchange.delivery.started {
+            // An error response on a stream route is forwarded once it is complete.
+            return self.read_error(key, received);
+        }
+        let (keep, caller) = (head.keep_alive, exchange.caller);
+        let taken = sse::take_events(&mut send.body, exchange.delivery.last_id);
+        if taken.gap {
+            self.send_failed(key, Fault::Garbled, None);
+            return Step::Finished;
+        }
+        if taken.count > 0 {
+            exchange.delivery.last_id = taken.last;
+            exchange.delivery.events += taken.count;
+            if let Some(before) = exchange.delivery.latest_at {
+                let pause = now.saturating_duration_since(before);
+                exchange.delivery.max_pause = exchange.delivery.max_pause.max(pause);
+            }
+            send.first_event.get_or_insert(now);
+            let first = exchange.delivery.first_at.is_none();
+            exchange.delivery.first_at.get_or_insert(now);
+            exchange.delivery.latest_at = Some(now);
+            send.latest_at = now;
+            self.targets.record_progress(send.path.iter().map(|(id, ..)| id), now);
+            let mut out = Vec::with_capacity(taken.bytes.len() + 16);
+            http::write_chunk(&mut out, &taken.bytes);
+            self.net.send(caller, &out);
+            // Time from the readiness event to the write to the caller's socket.
+            let latency = self.clock.now().saturating_duration_since(now);
+            metrics::histogram!("roseshore_pass_on_seconds").record(latency.as_secs_f64());
+            if first {
+                self.set_timer(now, Timer::Exchange(key));
+            }
+        }
+        match received {
+            Ok(false) => Step::NeedMore,
+            Ok(true) => self.end_stream(key, keep),
+            Err(fault) => {
+                self.send_failed(key, fault, None);
+                Step::Finished
+            }
+        }
+    }
+
+    /// Reads an error response on a stream route.
+    fn read_error(&mut self, key: Key, received: Result<bool, Fault>) -> Step {
+        match received {
+            Ok(false) => Step::NeedMore,
+            Ok(true) => self.read_body(key),
+            Err(fault) => {
+                self.send_failed(key, fault, None);
+                Step::Finished
+            }
+        }
+    }
+
+    /// Ends a complete stream; a stream that ends within an event is a fault.
+    fn end_stream(&mut self, key: Key, keep: bool) -> Step {
+        let Some(exchange) = self.exchanges.get_mut(key) else { return Step::Finished };
+        let Some(send) = exchange.send.as_mut() else { return Step::Finished };
+        if !send.body.is_empty() {
+            self.send_failed(key, Fault::Cut, None);
+            return Step::Finished;
+        }
+        exchange.verdict = Verdict::Answered;
+        let (caller, fingerprint) = (exchange.caller, exchange.fingerprint);
+        let targets = send.targets();
+        self.net.send(caller, LAST_CHUNK);
+        for target in &targets {
+            self.record_success(target, key);
+        }
+        self.record_completed(fingerprint);
+        self.finish_exchange(key, keep, 200, "whole");
+        Step::Finished
+    }
+}
--- a/crates/roseshored/src/parts/outside.rs
+++ b/crates/roseshored/src/daemon/external.rs
@@ -10,7 +10,7 @@
 use roseshore_core::membership::{self, Heartbeat};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
-use roseshore_ports::inside::Fleets;
+use roseshore_ports::inside::ConfigSource;
 use roseshore_ports::outside::{Engine, HostList, Log, Peers, Services, WeightStore};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,7 +22,7 @@
 const PORT_TRIES: usize = 16;
 
 /// The systems outside.
-pub(super) struct Outside {
+pub(super) struct External {
     pub(super) log: Arc<dyn Log>,
     pub(super) list: Arc<dyn HostList>,
     pub(super) weights: Arc<dyn WeightStore>,
@@ -31,10 +31,10 @@
     pub(super) peers: Arc<dyn Peers>,
 }
 
-impl Outside {
-    pub(super) fn new(settings: &Settings) -> Outside {
+impl External {
+    pub(super) fn new(settings: &Settings) -> External {
         let platform = |addr| Arc::new(HttpPlatform::new(addr, PLATFORM_LIMIT));
-        Outside {
+        External {
             log: platform(settings.log),
             list: platform(settings.host_list),
             weights: platform(settings.weight_store),
@@ -66,11 +66,11 @@
 /// What the members need.
 pub(super) fn join(
     settings: &Settings,
-    outside: &Outside,
+    external: &External,
     socket: UdpSocket,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
-) -> io::Result<members::Parts> {
+) -> io::Result<members::MemberConfig> {
     let own = Heartbeat {
         host: settings.host.clone(),
         data_centre: settings.data_centre.clone(),
@@ -80,14 +80,14 @@
         offset: 0,
         digest: 0,
     };
-    Ok(members::Parts {
+    Ok(members::MemberConfig {
         own,
         peer: socket.addr()?,
         seeds: settings.seeds.clone(),
         settings: times(settings),
-        list_period: settings.list_period,
+        list_interval: settings.list_interval,
         socket: Arc::new(socket),
-        list: outside.list.clone(),
+        list: external.list.clone(),
         fleets,
         drain,
     })
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -4,13 +4,13 @@
 //! answering for a short time even when nothing is in flight, so that the balancer sees readiness
 //! go before connections are refused.
 
+use crate::admin::AdminApi;
 use crate::app::{App, Drain};
+use crate::context::ServerContext;
 use crate::event;
-use crate::front::Front;
-use crate::operators::Console;
+use crate::http::HttpServer;
 use crate::serve::Paths;
 use crate::settings::Settings;
-use crate::site::Site;
 use crate::spans;
 use flume::Receiver;
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
@@ -32,28 +32,33 @@
 pub struct Running {
     /// Where callers are heard.
     pub addr: SocketAddr,
-    front: Front,
+    server: HttpServer,
     drain: Arc<Drain>,
     grace: Duration,
     limit: Duration,
 }
 
-/// Serves callers with the given parts, and operators where there is a console.
+/// Starts the HTTP server for callers and, with `admin_api`, for operators.
 ///
 /// # Errors
 /// When the address cannot be listened on.
-pub fn start(settings: &Settings, app: App, console: Option<Console>) -> io::Result<Running> {
+pub fn start(settings: &Settings, app: App, admin_api: Option<AdminApi>) -> io::Result<Running> {
     let drain = app.drain.clone();
-    let site = Site { app, console, store: spans::install(settings.traces), metrics: recorder() };
-    let front = Front::start(settings, site, &Paths)?;
-    let addr = front.addr();
+    let context = ServerContext {
+        app,
+        admin_api,
+        spans: spans::install(settings.traces),
+        metrics: recorder(),
+    };
+    let server = HttpServer::start(settings, context, &Paths)?;
+    let addr = server.addr();
     event!(
         Event::Started,
         "host={} data_centre={} listen={addr}",
         settings.host,
         settings.data_centre
     );
-    Ok(Running { addr, front, drain, grace: settings.grace, limit: settings.drain_limit })
+    Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_timeout })
 }
 
 /// The metrics of this process, once.
@@ -71,7 +76,7 @@
     /// Takes no new work from now on.
     pub fn drain(&self) {
         self.drain.start();
-        event!(Event::Draining, "in_flight={}", self.front.in_flight());
+        event!(Event::Draining, "in_flight={}", self.server.in_flight());
     }
 
     /// Drains to the end; returns how many requests were cut off.
@@ -81,9 +86,9 @@
         }
         let begun = Instant::now();
         thread::sleep(self.grace);
-        self.front.wait(self.limit.saturating_sub(begun.elapsed()));
-        let cut = self.front.in_flight();
-        self.front.stop();
+        self.server.wait(self.limit.saturating_sub(begun.elapsed()));
+        let cut = self.server.in_flight();
+        self.server.stop();
         event!(Event::Stopped, "cut={cut}");
         cut
     }
--- a/crates/roseshored/src/entry.rs
+++ b/crates/roseshored/src/entry.rs
@@ -9,7 +9,7 @@
 use roseshore_adapters::clock::BootClock;
 use roseshore_platform::{BOOT_VARIABLE, Platform, read_boot};
 use roseshore_ports::entry::WireError;
-use roseshore_relay::entry::{Entry, Start};
+use roseshore_relay::entry::{EntryHost, EntryOptions};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,7 +18,7 @@
 use std::sync::atomic::AtomicBool;
 
 /// The first word that chooses this mode.
-pub const WORD: &str = "entry";
+pub const SUBCOMMAND: &str = "entry";
 
 /// Where the platform lays the settings when no variable says.
 const USUAL_PATH: &str = "/etc/roseshore/boot.toml";
@@ -77,7 +77,7 @@
         )
 }
 
-/// Runs the mode with the words after [`WORD`].
+/// Runs the mode with the words after [`SUBCOMMAND`].
 pub fn main(words: impl Iterator<Item = String>) -> ExitCode {
     let name = std::iter::once("roseshored entry".to_owned());
     let matches = command().get_matches_from(name.chain(words));
@@ -107,12 +107,13 @@
     signal_hook::flag::register(SIGHUP, reload.clone())?;
     let handle = recorder()?;
     let port = matches.get_one::<u16>("metrics-port").copied();
-    let metrics = port.map(|port| (SocketAddr::new(settings.callers.ip(), port), handle));
-    let reread = Box::new(move || read_boot(&path));
+    let metrics = port.map(|port| (SocketAddr::new(settings.caller_addr.ip(), port), handle));
+    let read_settings = Box::new(move || read_boot(&path));
     let platform = Box::new(Platform);
     let (clock, quiet) = (Box::new(BootClock::new()), false);
-    let start = Start { settings, reread, platform, clock, metrics, stop, reload, quiet };
-    let mut entry = Entry::new(start)?;
+    let options =
+        EntryOptions { settings, read_settings, platform, clock, metrics, stop, reload, quiet };
+    let mut entry = EntryHost::new(options)?;
     Ok(entry.run()?)
 }
 
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Keeps the record of requests and answers operators' questions about them.
 //!
 //! [`LedgerDriver`] implements the `Ledger` port and answers peers' queries about this daemon;
-//! [`Asker`] asks every daemon and puts the rows together; [`account`] writes this daemon's parts
+//! [`QueryFanout`] asks every daemon and merges the rows; [`account`] writes this daemon's parts
 //! of the weekly account to the log and reads the whole of it.
 
 pub mod account;
@@ -9,9 +9,13 @@
 
 use crate::ledger::account::Account;
 use parking_lot::Mutex;
-use roseshore_core::ledger::book::{Book, Ended, Fate, Running, Whose};
+use roseshore_core::ledger::history::{
+    EndedRequest, RequestHistory, RequestMeta, RequestState, RunningRequest,
+};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, Ask, End, Ledger, Member, MemberState, Members, Queries};
+use roseshore_ports::inside::{
+    Ledger, Member, MemberState, Members, PeerHandler, QueryHandler, RequestEnd, RequestInfo,
+};
 use roseshore_ports::outside::Peers;
 use roseshore_wire::peer;
 use roseshore_wire::query::{Query, Reply, Rows, Topic};
@@ -27,7 +31,7 @@
 pub struct LedgerDriver {
     host: HostId,
     data_centre: DataCentreId,
-    book: Mutex<Book>,
+    book: Mutex<RequestHistory>,
     account: Arc<Account>,
 }
 
@@ -47,64 +51,67 @@
 }
 
 impl Ledger for LedgerDriver {
-    fn begun(&self, ask: &Ask) {
-        let running =
-            Running { whose: whose(ask), begun: wall(ask.arrived), deadline: wall(ask.deadline) };
-        self.book.lock().begun(running);
+    fn begun(&self, ask: &RequestInfo) {
+        let running = RunningRequest {
+            meta: whose(ask),
+            started: wall(ask.arrived),
+            deadline: wall(ask.deadline),
+        };
+        self.book.lock().begin(running);
     }
 
-    fn ended(&self, end: &End) {
-        let ended = Ended {
-            whose: whose(&end.ask),
-            at: wall(end.ended),
-            late: end.ended.saturating_duration_since(end.ask.deadline),
+    fn ended(&self, end: &RequestEnd) {
+        let ended = EndedRequest {
+            meta: whose(&end.ask),
+            ended_at: wall(end.ended),
+            late_by: end.ended.saturating_duration_since(end.ask.deadline),
             verdict: end.verdict,
             code: end.code,
             repeated: end.repeated,
-            left: end.left,
-            resumed: end.resumed,
+            caller_left: end.caller_left,
+            reroutes: end.resumed,
             missed: end.missed(),
         };
         self.account.ended(&ended);
-        self.book.lock().ended(ended);
+        self.book.lock().end(ended);
     }
 
-    fn find(&self, id: &str) -> Option<Fate> {
-        self.book.lock().fate(id)
+    fn find(&self, id: &str) -> Option<RequestState> {
+        self.book.lock().find(id)
     }
 }
 
-impl Answers for LedgerDriver {
-    fn answer(&self, ask: &peer::Ask) -> Option<peer::Reply> {
-        let peer::Ask::Query { query } = ask else { return None };
+impl PeerHandler for LedgerDriver {
+    fn answer(&self, ask: &peer::PeerRequest) -> Option<peer::PeerReply> {
+        let peer::PeerRequest::Query { query } = ask else { return None };
         let reply = match serde_json::from_str::<Query>(query) {
             Ok(query) => serde_json::to_string(&self.local(&query)),
-            Err(err) => return Some(peer::Reply::Unable { reason: err.to_string() }),
+            Err(err) => return Some(peer::PeerReply::Unable { reason: err.to_string() }),
         };
         Some(match reply {
-            Ok(rows) => peer::Reply::Rows { rows },
-            Err(err) => peer::Reply::Unable { reason: err.to_string() },
+            Ok(rows) => peer::PeerReply::Rows { rows },
+            Err(err) => peer::PeerReply::Unable { reason: err.to_string() },
         })
     }
 }
 
 /// Asks every daemon of the system.
-pub struct Asker {
+pub struct QueryFanout {
     ledger: Arc<LedgerDriver>,
     account: Arc<Account>,
     members: Arc<dyn Members>,
     peers: Arc<dyn Peers>,
 }
 
-impl Asker {
+impl QueryFanout {
     /// An asker over the members that this daemon knows.
     pub fn new(
         ledger: Arc<LedgerDriver>,
         account: Arc<Account>,
         members: Arc<dyn Members>,
         peers: Arc<dyn Peers>,
-    ) -> Asker {
-        Asker { ledger, account, members, peers }
+    ) -> QueryFanout {
+        QueryFanout { ledger, account, members, peers }
     }
 
     /// The other daemons that may have rows.
@@ -119,7 +126,7 @@
     /// Asks the members side by side, so that silent ones cost one limit and not one each.
     fn ask_all(&self, query: &Query, others: Vec<Member>) -> Vec<(HostId, Option<Reply>)> {
         let Ok(text) = serde_json::to_string(query) else { return Vec::new() };
-        let ask = peer::Ask::Query { query: text };
+        let ask = peer::PeerRequest::Query { query: text };
         let (jobs, queue) = flume::unbounded::<Member>();
         let (results, replies) = flume::unbounded();
         let askers = ASKERS.min(others.len());
@@ -144,7 +151,7 @@
     }
 }
 
-impl Queries for Asker {
+impl QueryHandler for QueryFanout {
     fn ask(&self, query: &Query) -> Reply {
         if query.topic == Topic::Account {
             return self.account.reply(query);
@@ -161,15 +168,15 @@
     }
 }
 
-fn read(reply: peer::Reply) -> Option<Reply> {
+fn read(reply: peer::PeerReply) -> Option<Reply> {
     match reply {
-        peer::Reply::Rows { rows } => serde_json::from_str(&rows).ok(),
+        peer::PeerReply::Rows { rows } => serde_json::from_str(&rows).ok(),
         _ => None,
     }
 }
 
-fn whose(ask: &Ask) -> Whose {
-    Whose {
+fn whose(ask: &RequestInfo) -> RequestMeta {
+    RequestMeta {
         request: ask.request.clone(),
         service: ask.service.clone(),
         organisation: ask.organisation.clone(),
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -1,22 +1,22 @@
 //! Writes this daemon's part of the weekly account, and reads the whole.
 
 use crate::event;
-use crate::stream::{Met, read_on};
+use crate::log_reader::{Batch, read_to_end};
 use parking_lot::Mutex;
-use roseshore_core::ledger::account::{Counter, Fold, Part, Row, Summary};
-use roseshore_core::ledger::book::Ended;
+use roseshore_core::ledger::account::{AccountDelta, Counter, Fold, Row, Summary};
+use roseshore_core::ledger::history::EndedRequest;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Member, Members};
-use roseshore_ports::outside::{Called, Log};
+use roseshore_ports::outside::{CallResult, Log};
 use roseshore_wire::platform::Record;
 use roseshore_wire::query::{AccountRow, Query, Reply, Rows};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// The stream of parts.
-pub const PARTS: &str = "account";
+pub const DELTA_STREAM: &str = "account";
 /// The stream of summaries.
-pub const SUMMARIES: &str = "account-summaries";
+pub const SUMMARY_STREAM: &str = "account-summaries";
 /// Parts after which the account is written down anew.
 const SUMMARY_EVERY: u64 = 512;
 /// How often a part is written, if there is anything to say.
@@ -47,8 +47,8 @@
     }
 
     /// Counts a request.
-    pub(crate) fn ended(&self, ended: &Ended) {
-        self.counter.lock().ended(ended);
+    pub(crate) fn ended(&self, ended: &EndedRequest) {
+        self.counter.lock().count(ended);
     }
 
     /// Flushes until `stop` is closed, and once more then.
@@ -59,14 +59,18 @@
         let mut kept = Instant::now();
         while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(FLUSH_EVERY) {
             let flushed = self.flush();
-            let first = members.ranked(PARTS).first().is_some_and(|m| m.host == self.host);
-            if first && flushed.is_ok() && kept.elapsed() >= KEEP_EVERY && self.keep().is_ok() {
+            let first = members.ranked(DELTA_STREAM).first().is_some_and(|m| m.host == self.host);
+            if first
+                && flushed.is_ok()
+                && kept.elapsed() >= KEEP_EVERY
+                && self.write_summary().is_ok()
+            {
                 kept = Instant::now();
             }
         }
         // The last chance: what is not in the log now is gone with this host.
         if self.flush().is_err() {
-            event!(Event::AccountDelayed, "lost rows={}", self.counter.lock().open());
+            event!(Event::AccountDelayed, "lost rows={}", self.counter.lock().pending_rows());
         }
     }
 
@@ -74,10 +78,10 @@
     ///
     /// # Errors
     /// When the log does not take it; it is kept and due again.
-    pub fn flush(&self) -> Called<()> {
-        let Some(part) = self.counter.lock().due() else { return Ok(()) };
+    pub fn flush(&self) -> CallResult<()> {
+        let Some(part) = self.counter.lock().next_delta() else { return Ok(()) };
         let Ok(line) = serde_json::to_string(&part) else { return Ok(()) };
-        match self.log.append(PARTS, &[line]) {
+        match self.log.append(DELTA_STREAM, &[line]) {
             Ok(offset) => {
                 self.counter.lock().appended();
                 self.delayed.store(false, Ordering::Relaxed);
@@ -87,7 +91,11 @@
             Err(err) => {
                 // Said once per outage, not with every try.
                 if !self.delayed.swap(true, Ordering::Relaxed) {
-                    event!(Event::AccountDelayed, "rows={}: {err}", self.counter.lock().open());
+                    event!(
+                        Event::AccountDelayed,
+                        "rows={}: {err}",
+                        self.counter.lock().pending_rows()
+                    );
                 }
                 Err(err)
             }
@@ -98,37 +106,37 @@
     ///
     /// The part's own writer does it, so that nobody has to be chosen; a writer that dies here
     /// leaves the work to the next turn.
-    fn summarize(&self, offset: Offset) -> Called<()> {
+    fn summarize(&self, offset: Offset) -> CallResult<()> {
         if !(offset + 1).is_multiple_of(SUMMARY_EVERY) {
             return Ok(());
         }
-        self.keep()
+        self.write_summary()
     }
 
     /// Writes the account down, so that it outlives the log's retention of the parts.
     ///
     /// # Errors
     /// When the log does not answer.
-    pub fn keep(&self) -> Called<()> {
+    pub fn write_summary(&self) -> CallResult<()> {
         self.read()?;
         let summary = self.fold.lock().summary();
         let Ok(line) = serde_json::to_string(&summary) else { return Ok(()) };
-        self.log.append(SUMMARIES, &[line]).map(drop)
+        self.log.append(SUMMARY_STREAM, &[line]).map(drop)
     }
 
     /// Reads on to the end of the log.
     ///
     /// # Errors
     /// When the log does not answer.
-    pub fn read(&self) -> Called<()> {
+    pub fn read(&self) -> CallResult<()> {
         if self.fold.lock().next() == 0 {
             self.resume()?;
         }
         let from = self.fold.lock().next();
-        read_on(&*self.log, PARTS, from, |met| {
+        read_to_end(&*self.log, DELTA_STREAM, from, |met| {
             match met {
-                Met::Records(records) => self.take(records),
-                Met::Trimmed(oldest) => {
+                Batch::Records(records) => self.take(records),
+                Batch::Trimmed(oldest) => {
                     self.resume()?;
                     self.skip(oldest);
                 }
@@ -140,8 +148,8 @@
     fn take(&self, records: &[Record]) {
         let mut fold = self.fold.lock();
         for record in records {
-            let part = serde_json::from_str::<Part>(&record.data).ok();
-            fold.take(record.offset, part.as_ref());
+            let part = serde_json::from_str::<AccountDelta>(&record.data).ok();
+            fold.apply(record.offset, part.as_ref());
         }
     }
 
@@ -149,16 +157,16 @@
     fn skip(&self, oldest: Offset) {
         let mut fold = self.fold.lock();
         if fold.next() < oldest {
-            fold.take(oldest - 1, None);
+            fold.apply(oldest - 1, None);
         }
     }
 
     /// Goes on from the newest summary that is kept.
-    fn resume(&self) -> Called<()> {
+    fn resume(&self) -> CallResult<()> {
         let mut next = 0;
-        read_on(&*self.log, SUMMARIES, next, |met| {
+        read_to_end(&*self.log, SUMMARY_STREAM, next, |met| {
             match met {
-                Met::Records(records) => {
+                Batch::Records(records) => {
                     for record in records {
                         if let Ok(summary) = serde_json::from_str::<Summary>(&record.data) {
                             self.fold.lock().resume(&summary);
@@ -166,7 +174,7 @@
                         next = record.offset + 1;
                     }
                 }
-                Met::Trimmed(oldest) => next = oldest,
+                Batch::Trimmed(oldest) => next = oldest,
             }
             Ok(next)
         })
--- a/crates/roseshored/src/loads/notes.rs
+++ b/crates/roseshored/src/loads/delta.rs
@@ -7,7 +7,7 @@
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::ReportContent;
 use roseshore_wire::engine::Load;
-use roseshore_wire::peer::{NoteContent, NoteKey};
+use roseshore_wire::peer::{LoadReport, LoadReportKey};
 use roseshore_wire::service::ServiceLoad;
 use rustc_hash::FxHashMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -17,25 +17,25 @@
 
 /// Shortens reports.
 #[derive(Default)]
-pub struct Packer {
+pub struct DeltaEncoder {
     sent: FxHashMap<TargetId, Sent>,
 }
 
 struct Sent {
-    key: NoteKey,
+    key: LoadReportKey,
     at: Instant,
 }
 
-impl Packer {
+impl DeltaEncoder {
     /// What to send of a report.
-    pub fn pack(
+    pub fn encode(
         &mut self,
         target: &TargetId,
         content: &ReportContent,
         now: Instant,
-    ) -> NoteContent {
+    ) -> LoadReport {
         let Some(key) = key(target, content) else {
-            return NoteContent::Silent { target: target.clone() };
+            return LoadReport::Silent { target: target.clone() };
         };
         let last = self.sent.get(target);
         if last.is_some_and(|s| s.key == key && now.saturating_duration_since(s.at) < REFRESH) {
@@ -58,9 +58,9 @@
 
 /// Completes shortened reports.
 #[derive(Default)]
-pub struct Unpacker {
-    whole: FxHashMap<NoteKey, Whole>,
-    keys: FxHashMap<TargetId, NoteKey>,
+pub struct DeltaDecoder {
+    whole: FxHashMap<LoadReportKey, Whole>,
+    keys: FxHashMap<TargetId, LoadReportKey>,
 }
 
 struct Whole {
@@ -70,27 +70,27 @@
 
 /// A completed report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Unpacked {
+pub struct DecodedReport {
     /// The target.
     pub target: TargetId,
     /// What it said.
     pub content: ReportContent,
 }
 
-impl Unpacker {
+impl DeltaDecoder {
     /// The whole report, or `None` when the part that did not change is not known here.
-    pub fn unpack(&mut self, note: NoteContent) -> Option<Unpacked> {
+    pub fn decode(&mut self, note: LoadReport) -> Option<DecodedReport> {
         match note {
-            NoteContent::Engine { target, load } => {
+            LoadReport::Engine { target, load } => {
                 Some(self.learn(target, ReportContent::Engine(load)))
             }
-            NoteContent::Service { target, load } => {
+            LoadReport::Service { target, load } => {
                 Some(self.learn(target, ReportContent::Service(load)))
             }
-            NoteContent::Silent { target } => {
-                Some(Unpacked { target, content: ReportContent::Silent })
+            LoadReport::Silent { target } => {
+                Some(DecodedReport { target, content: ReportContent::Silent })
             }
-            NoteContent::Brief { key, queue, running, step_us, kv_used } => {
+            LoadReport::Brief { key, queue, running, step_us, kv_used } => {
                 let known = self.whole.get(&key)?;
                 let mut content = known.content.clone();
                 match &mut content {
@@ -103,7 +103,7 @@
                     }
                     ReportContent::Silent => {}
                 }
-                Some(Unpacked { target: known.target.clone(), content })
+                Some(DecodedReport { target: known.target.clone(), content })
             }
         }
     }
@@ -114,7 +114,7 @@
         self.whole.retain(|_, whole| keep(&whole.target));
     }
 
-    fn learn(&mut self, target: TargetId, content: ReportContent) -> Unpacked {
+    fn learn(&mut self, target: TargetId, content: ReportContent) -> DecodedReport {
         if let Some(key) = key(&target, &content) {
             if let Some(old) = self.keys.insert(target.clone(), key)
                 && old != key
@@ -124,30 +124,30 @@
             let whole = Whole { target: target.clone(), content: content.clone() };
             self.whole.insert(key, whole);
         }
-        Unpacked { target, content }
+        DecodedReport { target, content }
     }
 }
 
-fn whole(target: &TargetId, content: &ReportContent) -> NoteContent {
+fn whole(target: &TargetId, content: &ReportContent) -> LoadReport {
     let target = target.clone();
     match content {
-        ReportContent::Engine(load) => NoteContent::Engine { target, load: load.clone() },
-        ReportContent::Service(load) => NoteContent::Service { target, load: load.clone() },
-        ReportContent::Silent => NoteContent::Silent { target },
+        ReportContent::Engine(load) => LoadReport::Engine { target, load: load.clone() },
+        ReportContent::Service(load) => LoadReport::Service { target, load: load.clone() },
+        ReportContent::Silent => LoadReport::Silent { target },
     }
 }
 
-fn brief(key: NoteKey, content: &ReportContent) -> NoteContent {
+fn brief(key: LoadReportKey, content: &ReportContent) -> LoadReport {
     let (queue, running, step_us, kv_used) = match content {
         ReportContent::Engine(load) => (load.queue, load.running, load.step_us, load.kv_used),
         ReportContent::Service(load) => (load.queue, load.running, load.call_us, 0),
         ReportContent::Silent => (0, 0, 0, 0),
     };
-    NoteContent::Brief { key, queue, running, step_us, kv_used }
+    LoadReport::Brief { key, queue, running, step_us, kv_used }
 }
 
 /// The hash of the target and all that is not a count; `None` for a silent target.
-fn key(target: &TargetId, content: &ReportContent) -> Option<NoteKey> {
+fn key(target: &TargetId, content: &ReportContent) -> Option<LoadReportKey> {
     let fixed = match content.clone() {
         ReportContent::Engine(load) => {
             ReportContent::Engine(Load { queue: 0, running: 0, step_us: 0, kv_used: 0, ..load })
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -5,22 +5,22 @@
 //! keeps what lookups of one service share: budgets for extra attempts, and the pace of each
 //! source. A daemon is one process, so [`run`] uses one [`Lookups`] for all.
 
-mod ask;
+mod attempts;
 mod pool;
-mod said;
+mod reply;
 mod shared;
 
-pub use said::said;
+pub use reply::read_reply;
 
 use crate::app::App;
 use crate::event;
-use ask::{Asked, Heard};
+use attempts::{Asked, Heard};
 use metrics::counter;
 use pool::Pool;
 use roseshore_core::fleet::ServiceKind;
 use roseshore_core::lookup::{Action, Lookup, Outcome, Policy};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Fleets, Router};
+use roseshore_ports::inside::{ConfigSource, RequestInfo, Router};
 use roseshore_ports::outside::{ServiceReply, Services};
 use shared::{Service, Shared};
 use std::sync::{Arc, LazyLock};
@@ -28,7 +28,7 @@
 /// Threads that wait for replicas at once.
 const THREADS: usize = 256;
 /// The part of lookups over several sources that ask all of them, to find contradictions.
-const COMPARED: f64 = 1.0 / 64.0;
+const COMPARE_RATIO: f64 = 1.0 / 64.0;
 
 static LOOKUPS: LazyLock<Lookups> = LazyLock::new(|| Lookups::new(THREADS));
 
@@ -40,8 +40,13 @@
 /// # Errors
 /// [`Code::NotFound`] only when every source that could hold the name says that it does not;
 /// [`Code::SourceSilent`] when a source that could hold it was given up on.
-pub fn run(app: &App, ask: &Ask, name: &str, trace: Option<&str>) -> Result<ServiceReply, Refusal> {
-    let parts = Parts {
+pub fn run(
+    app: &App,
+    ask: &RequestInfo,
+    name: &str,
+    trace: Option<&str>,
+) -> Result<ServiceReply, Refusal> {
+    let parts = LookupDeps {
         fleets: app.fleets.clone(),
         router: app.router.clone(),
         services: app.services.clone(),
@@ -51,9 +56,9 @@
 
 /// What lookups need of the daemon.
 #[derive(Clone)]
-pub struct Parts {
+pub struct LookupDeps {
     /// The configuration in force.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// The choice of replicas.
     pub router: Arc<dyn Router>,
     /// The replicas.
@@ -64,20 +69,20 @@
 pub struct Lookups {
     pool: Arc<Pool>,
     shared: Shared,
-    compared: f64,
+    compare_ratio: f64,
 }
 
 impl Lookups {
     /// Lookups over so many threads at most.
     pub fn new(threads: usize) -> Lookups {
         let pool = Arc::new(Pool::new(threads));
-        Lookups { pool, shared: Shared::default(), compared: COMPARED }
+        Lookups { pool, shared: Shared::default(), compare_ratio: COMPARE_RATIO }
     }
 
     /// Sets the part of lookups over several sources that ask all of them.
     #[must_use]
-    pub fn comparing(mut self, part: f64) -> Lookups {
-        self.compared = part;
+    pub fn with_compare_ratio(mut self, ratio: f64) -> Lookups {
+        self.compare_ratio = ratio;
         self
     }
 
@@ -87,15 +92,15 @@
     /// Those of [`run`].
     pub fn run(
         &self,
-        parts: &Parts,
-        ask: &Ask,
+        parts: &LookupDeps,
+        ask: &RequestInfo,
         name: &str,
         trace: Option<&str>,
     ) -> Result<ServiceReply, Refusal> {
         check(ask, name)?;
         let sources = sources(parts, &ask.service)?;
         let service = self.shared.service(&ask.service, &sources);
-        let policy = policy(&service, self.compared);
+        let policy = policy(&service, self.compare_ratio);
         let retry_after = policy.retry_after;
         let asked = Asked::new(parts, &self.pool, &service, ask, name, trace);
         let outcome = self.drive(asked, policy, ask.deadline);
@@ -124,7 +129,7 @@
 
     /// Hears the sources out that were asked for a comparison, behind the caller's back.
     fn watch(&self, asked: Asked, lookup: Lookup<Found>) {
-        if !lookup.compares() || !lookup.open() {
+        if !lookup.compares() || !lookup.has_open_attempts() {
             return;
         }
         // Without a free thread the comparison is left out.
@@ -135,12 +140,12 @@
 /// Waits for a reply or for time to pass, and takes all replies that are there: one that was not
 /// taken would count as unknown in the verdict.
 fn hear(asked: &Asked, lookup: &mut Lookup<Found>) -> Vec<Action<Found>> {
-    let first = asked.heard.recv_deadline(lookup.wake()).ok();
+    let first = asked.heard.recv_deadline(lookup.next_wake()).ok();
     let mut budgets = asked.service.budgets.lock();
     let now = Instant::now();
     let mut actions = Vec::new();
     for Heard { attempt, said } in first.into_iter().chain(asked.heard.try_iter()) {
-        actions.extend(lookup.hear(attempt, said, now, &mut budgets));
+        actions.extend(lookup.record_reply(attempt, said, now, &mut budgets));
     }
     actions.extend(lookup.tick(now, &mut budgets));
     actions
@@ -148,10 +153,10 @@
 
 fn compare(asked: Asked, mut lookup: Lookup<Found>) {
     let end = Instant::now() + Policy::default().attempt_limit;
-    while lookup.open() {
+    while lookup.has_open_attempts() {
         let Ok(Heard { attempt, said }) = asked.heard.recv_deadline(end) else { return };
         let mut budgets = asked.service.budgets.lock();
-        let actions = lookup.heard(attempt, said, Instant::now(), &mut budgets);
+        let actions = lookup.on_reply(attempt, said, Instant::now(), &mut budgets);
         drop(budgets);
         for action in actions {
             if let Action::Conflict { earlier, later } = action {
@@ -162,7 +167,7 @@
 }
 
 /// The name goes into a path as it came, so nothing but a part of a path may be in it.
-fn check(ask: &Ask, name: &str) -> Result<(), Refusal> {
+fn check(ask: &RequestInfo, name: &str) -> Result<(), Refusal> {
     let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#' | b'"' | b'<' | b'>');
     if name.is_empty() || !name.bytes().all(plain) {
         let text = "the name is empty or has characters that a path may not have; encode them";
@@ -176,7 +181,7 @@
 }
 
 /// A lookup service without declared sources is its own only source.
-fn sources(parts: &Parts, service: &str) -> Result<Vec<String>, Refusal> {
+fn sources(parts: &LookupDeps, service: &str) -> Result<Vec<String>, Refusal> {
     let Some(known) = parts.fleets.current() else {
         let text = "this host has no configuration yet; ask another one or come back";
         let refusal = Refusal::not_run(Code::NoConfiguration, text);
@@ -191,10 +196,10 @@
     Ok(declared.sources.clone())
 }
 
-fn policy(service: &Service, compared: f64) -> Policy {
+fn policy(service: &Service, compare_ratio: f64) -> Policy {
     let fixed = Policy::default();
     let unit_random: f64 = rand::random();
-    let compare = service.sources.len() > 1 && rand::random::<f64>() < compared;
+    let compare = service.sources.len() > 1 && rand::random::<f64>() < compare_ratio;
     Policy {
         hedge_after: service.hedge_after(),
         // Callers that were refused together do not come back together.
@@ -207,7 +212,7 @@
 
 fn finish(
     service: &Service,
-    ask: &Ask,
+    ask: &RequestInfo,
     name: &str,
     outcome: Outcome<Found>,
     retry_after: Duration,
@@ -224,7 +229,7 @@
             let verdict = Verdict::Answered;
             Err(Refusal { verdict, code: Code::NotFound, message, retry_after: None })
         }
-        Outcome::Silent(index, verdict) => {
+        Outcome::Unavailable(index, verdict) => {
             counter!("roseshore_lookups_total", "outcome" => "silent").increment(1);
             let source = &service.sources[index];
             if source.silence.may_log(Instant::now()) {
--- a/crates/roseshored/src/lookups/ask.rs
+++ b/crates/roseshored/src/lookups/attempts.rs
@@ -2,27 +2,27 @@
 
 use super::pool::Pool;
 use super::shared::Service;
-use super::{Found, Parts, said};
+use super::{Found, LookupDeps, read_reply};
 use crate::event;
 use metrics::counter;
-use roseshore_core::lookup::{Policy, Reason, Said, SourceIndex};
+use roseshore_core::lookup::{Policy, Reason, SourceIndex, SourceReply};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Permit, Replica};
-use roseshore_ports::outside::{Called, Hop, ServiceReply};
+use roseshore_ports::inside::{Permit, Replica, RequestInfo};
+use roseshore_ports::outside::{CallContext, CallResult, ServiceReply};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
 /// What an attempt brought.
 pub(super) struct Heard {
     pub(super) attempt: usize,
-    pub(super) said: Said<Found>,
+    pub(super) said: SourceReply<Found>,
 }
 
 /// One lookup's attempts and where their replies arrive.
 pub(super) struct Asked {
     pub(super) service: Arc<Service>,
     pub(super) heard: flume::Receiver<Heard>,
-    parts: Parts,
+    parts: LookupDeps,
     pool: Arc<Pool>,
     tell: flume::Sender<Heard>,
     request: RequestId,
@@ -34,10 +34,10 @@
 
 impl Asked {
     pub(super) fn new(
-        parts: &Parts,
+        parts: &LookupDeps,
         pool: &Arc<Pool>,
         service: &Arc<Service>,
-        ask: &Ask,
+        ask: &RequestInfo,
         name: &str,
         trace: Option<&str>,
     ) -> Asked {
@@ -65,7 +65,7 @@
     ) {
         counter!("roseshore_lookup_attempts_total", "reason" => label(reason)).increment(1);
         if !self.send(index, attempt, reason, limit) {
-            let _ = self.tell.send(Heard { attempt, said: Said::Unasked });
+            let _ = self.tell.send(Heard { attempt, said: SourceReply::NoReplica });
         }
     }
 
@@ -79,15 +79,19 @@
             replica,
             source: source.name.clone(),
             name: self.name.clone(),
-            hop: Hop { deadline: limit, trace: self.trace.clone(), request: self.request.clone() },
+            hop: CallContext {
+                deadline: limit,
+                trace: self.trace.clone(),
+                request: self.request.clone(),
+            },
         };
         let tell = self.tell.clone();
         self.pool.give(Box::new(move || {
             let began = Instant::now();
             let said = catch_unwind(AssertUnwindSafe(|| call.run(began)));
             drop((place, permit));
-            let said = said.unwrap_or(Said::Failed(Verdict::MayHaveRun));
-            if matches!(said, Said::Holds(_) | Said::Missing) {
+            let said = said.unwrap_or(SourceReply::Failed(Verdict::MayHaveRun));
+            if matches!(said, SourceReply::Found(_) | SourceReply::Missing) {
                 source.observe(began.elapsed());
             }
             // The lookup may have ended without this attempt.
@@ -127,27 +131,27 @@
 
 /// One attempt at one replica.
 struct Call {
-    parts: Parts,
+    parts: LookupDeps,
     replica: Replica,
     source: String,
     name: String,
-    hop: Hop,
+    hop: CallContext,
 }
 
 impl Call {
-    fn run(&self, began: Instant) -> Said<Found> {
+    fn run(&self, began: Instant) -> SourceReply<Found> {
         let services = &self.parts.services;
         let reply = services.lookup(self.replica.addr, &self.source, &self.name, &self.hop);
         self.report(began, &reply);
-        said(reply, &self.source, &self.name)
+        read_reply(reply, &self.source, &self.name)
     }
 
     /// Tells the router how the target did. Running into a caller's short deadline proves nothing
     /// against the target; running into the attempt's whole limit does.
-    fn report(&self, began: Instant, reply: &Called<ServiceReply>) {
+    fn report(&self, began: Instant, reply: &CallResult<ServiceReply>) {
         let target = &self.replica.target;
         if reply.is_ok() {
-            return self.parts.router.observed(target, began.elapsed());
+            return self.parts.router.record_latency(target, began.elapsed());
         }
         let had_time = self.hop.deadline - began >= Policy::default().attempt_limit / 2;
         if had_time || Instant::now() < self.hop.deadline {
--- a/crates/roseshored/src/lookups/said.rs
+++ b/crates/roseshored/src/lookups/reply.rs
@@ -1,10 +1,10 @@
 //! What a reply of a replica says about a name.
 
 use super::Found;
-use roseshore_core::lookup::Said;
+use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
-use roseshore_ports::outside::{Called, ServiceReply};
-use roseshore_wire::service::{Missing, Unstarted};
+use roseshore_ports::outside::{CallResult, ServiceReply};
+use roseshore_wire::service::{Missing, NotStarted};
 use std::sync::Arc;
 
 const FOUND: u16 = 200;
@@ -15,16 +15,20 @@
 ///
 /// A `404` counts only with the body that names both; one of a web server on the way, or for
 /// another source, is no reply of the source.
-pub fn said(called: Called<ServiceReply>, source: &str, name: &str) -> Said<Found> {
+pub fn read_reply(
+    called: CallResult<ServiceReply>,
+    source: &str,
+    name: &str,
+) -> SourceReply<Found> {
     let reply = match called {
         Ok(reply) => reply,
-        Err(error) => return Said::Failed(error.verdict()),
+        Err(error) => return SourceReply::Failed(error.verdict()),
     };
     match reply.status {
-        FOUND => Said::Holds(Arc::new(reply)),
-        NOT_FOUND if is_missing(&reply, source, name) => Said::Missing,
-        UNAVAILABLE if is_unstarted(&reply) => Said::Failed(Verdict::NotRun),
-        _ => Said::Failed(Verdict::MayHaveRun),
+        FOUND => SourceReply::Found(Arc::new(reply)),
+        NOT_FOUND if is_missing(&reply, source, name) => SourceReply::Missing,
+        UNAVAILABLE if is_unstarted(&reply) => SourceReply::Failed(Verdict::NotRun),
+        _ => SourceReply::Failed(Verdict::MayHaveRun),
     }
 }
 
@@ -34,5 +38,5 @@
 }
 
 fn is_unstarted(reply: &ServiceReply) -> bool {
-    serde_json::from_slice::<Unstarted>(&reply.body).is_ok_and(|w| w.not_run)
+    serde_json::from_slice::<NotStarted>(&reply.body).is_ok_and(|w| w.not_run)
 }
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -6,12 +6,14 @@
 use crate::app::Drain;
 use crate::event;
 use parking_lot::Mutex;
-use roseshore_core::membership::{Change, Heartbeat, Listed, MemberDigest, Membership, Settings};
+use roseshore_core::membership::{
+    Change, Heartbeat, ListedHost, MemberDigest, Membership, Settings,
+};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, Member, MemberState, Members};
-use roseshore_ports::outside::{Datagrams, HostList, Received};
+use roseshore_ports::inside::{ConfigSource, Member, MemberState, Members};
+use roseshore_ports::outside::{Datagrams, HostList, ReceivedDatagram};
 use roseshore_wire::frame::MAX_DATAGRAM;
-use roseshore_wire::peer::{Datagram, LoadNote, NoteContent};
+use roseshore_wire::peer::{Datagram, LoadReport, TargetLoad};
 use roseshore_wire::platform::{HostState, Hosts};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,7 +28,7 @@
 const BEAT_BYTES: usize = 200;
 
 /// What the driver needs.
-pub struct Parts {
+pub struct MemberConfig {
     /// This daemon; its offset, digest and sequence are filled in.
     pub own: Heartbeat,
     /// Where it hears peers.
@@ -36,33 +38,33 @@
     /// The bounds.
     pub settings: Settings,
     /// Between readings of the host list.
-    pub list_period: Duration,
+    pub list_interval: Duration,
     /// The socket at `peer`.
     pub socket: Arc<dyn Datagrams>,
     /// The platform's host list.
     pub list: Arc<dyn HostList>,
     /// The configuration in force.
-    pub fleets: Arc<dyn Fleets>,
+    pub fleets: Arc<dyn ConfigSource>,
     /// Whether this daemon takes no new work.
     pub drain: Arc<Drain>,
 }
 
 /// Reports that came from a peer.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// When they came.
-    pub at: Instant,
+pub struct PeerReports {
+    /// When the heartbeat that carried them arrived.
+    pub received_at: Instant,
     /// The reports.
-    pub notes: Vec<LoadNote>,
+    pub notes: Vec<TargetLoad>,
 }
 
 /// A report for the peers.
 #[derive(Clone, Debug)]
-pub struct Fresh {
+pub struct LocalReport {
     /// When the target was polled; its age is worked out when it is sent.
     pub seen: Instant,
     /// What it said.
-    pub content: NoteContent,
+    pub content: LoadReport,
     /// Whether it cannot wait for the next heartbeat.
     pub urgent: bool,
 }
@@ -72,10 +74,10 @@
     view: Mutex<Membership>,
     socket: Arc<dyn Datagrams>,
     list: Arc<dyn HostList>,
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     drain: Arc<Drain>,
-    outbox: flume::Sender<Fresh>,
-    inbox: flume::Receiver<Told>,
+    outbox: flume::Sender<LocalReport>,
+    inbox: flume::Receiver<PeerReports>,
     joined: AtomicBool,
     stopped: AtomicBool,
 }
@@ -85,8 +87,9 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: Parts) -> io::Result<Arc<MemberDriver>> {
-        let Parts { own, peer, seeds, settings, list_period, socket, list, fleets, drain } = parts;
+    pub fn start(parts: MemberConfig) -> io::Result<Arc<MemberDriver>> {
+        let MemberConfig { own, peer, seeds, settings, list_interval, socket, list, fleets, drain } =
+            parts;
         let view = Mutex::new(Membership::new(own, peer, seeds, settings, Instant::now()));
         let (outbox, notes) = flume::bounded(MAX_NOTES);
         let (tell, inbox) = flume::bounded(MAX_NOTES);
@@ -104,7 +107,7 @@
         let (a, b, c) = (driver.clone(), driver.clone(), driver.clone());
         spawn("members-hear", move || a.hear(&tell))?;
         spawn("members-beat", move || b.send(&notes))?;
-        spawn("members-list", move || c.read_list(list_period))?;
+        spawn("members-list", move || c.read_list(list_interval))?;
         Ok(driver)
     }
 
@@ -114,14 +117,14 @@
     }
 
     /// Sends a report with the next heartbeat; it is dropped if too many wait.
-    pub fn share(&self, fresh: Fresh) {
+    pub fn queue_report(&self, fresh: LocalReport) {
         if self.outbox.try_send(fresh).is_err() {
             metrics::counter!("roseshore_notes_dropped_total").increment(1);
         }
     }
 
     /// Reports told by peers.
-    pub fn told(&self) -> flume::Receiver<Told> {
+    pub fn peer_reports(&self) -> flume::Receiver<PeerReports> {
         self.inbox.clone()
     }
 
@@ -146,7 +149,7 @@
     }
 
     /// The daemons of other data centres that are listed or not gone.
-    pub fn far(&self) -> Vec<Member> {
+    pub fn remote_members(&self) -> Vec<Member> {
         self.view.lock().far()
     }
 
@@ -157,7 +160,7 @@
 
     /// Takes the digest of another data centre.
     pub fn take_digest(&self, notes: Vec<MemberDigest>) {
-        let changes = self.view.lock().told(notes, Instant::now());
+        let changes = self.view.lock().on_digest(notes, Instant::now());
         self.report(&changes);
     }
 
@@ -165,7 +168,7 @@
         !self.stopped.load(Ordering::SeqCst)
     }
 
-    fn hear(&self, tell: &flume::Sender<Told>) {
+    fn hear(&self, tell: &flume::Sender<PeerReports>) {
         while self.running() {
             if let Some(received) = self.socket.receive(LOOK) {
                 self.take(received, tell);
@@ -173,14 +176,14 @@
         }
     }
 
-    fn take(&self, received: Received, tell: &flume::Sender<Told>) {
-        let at = Instant::now();
+    fn take(&self, received: ReceivedDatagram, tell: &flume::Sender<PeerReports>) {
+        let received_at = Instant::now();
         let Datagram::Beat { heartbeat, notes } = received.datagram;
-        let heard = self.view.lock().heard(received.from, heartbeat, at);
+        let heard = self.view.lock().on_heartbeat(received.from, heartbeat, received_at);
         match heard {
             Ok(changes) => {
                 self.report(&changes);
-                if !notes.is_empty() && tell.try_send(Told { at, notes }).is_err() {
+                if !notes.is_empty() && tell.try_send(PeerReports { received_at, notes }).is_err() {
                     metrics::counter!("roseshore_notes_dropped_total").increment(1);
                 }
             }
@@ -192,7 +195,7 @@
         }
     }
 
-    fn send(&self, outbox: &flume::Receiver<Fresh>) {
+    fn send(&self, outbox: &flume::Receiver<LocalReport>) {
         let mut next = Instant::now();
         let mut draining = false;
         let mut waiting = Vec::new();
@@ -218,9 +221,9 @@
         }
     }
 
-    fn beat(&self, fresh: Vec<Fresh>) {
+    fn beat(&self, fresh: Vec<LocalReport>) {
         let now = Instant::now();
-        let audience = self.view.lock().audience();
+        let audience = self.view.lock().heartbeat_addrs();
         for notes in split(fresh.into_iter().map(|f| f.note(now))) {
             let heartbeat = self.heartbeat();
             let datagram = Datagram::Beat { heartbeat, notes };
@@ -252,7 +255,7 @@
     }
 
     fn take_list(&self, list: Hosts) {
-        let hosts = list.hosts.into_iter().map(|h| Listed {
+        let hosts = list.hosts.into_iter().map(|h| ListedHost {
             host: h.host,
             data_centre: h.data_centre,
             peer: h.peer,
@@ -260,7 +263,7 @@
         });
         let mut view = self.view.lock();
         let before = view.leaving_targets();
-        let changes = view.listed(list.version, hosts.collect(), Instant::now());
+        let changes = view.on_host_list(list.version, hosts.collect(), Instant::now());
         let leaving = view.leaving_targets();
         drop(view);
         for host in leaving.difference(&before) {
@@ -307,15 +310,15 @@
     thread::Builder::new().name(name.into()).spawn(body).map(drop)
 }
 
-impl Fresh {
-    fn note(self, now: Instant) -> LoadNote {
+impl LocalReport {
+    fn note(self, now: Instant) -> TargetLoad {
         let age_ms = now.saturating_duration_since(self.seen).as_millis() as u32;
-        LoadNote { age_ms, content: self.content }
+        TargetLoad { age_ms, content: self.content }
     }
 }
 
 /// Splits notes so that each part fits a datagram; there is always at least one part.
-fn split(notes: impl Iterator<Item = LoadNote>) -> Vec<Vec<LoadNote>> {
+fn split(notes: impl Iterator<Item = TargetLoad>) -> Vec<Vec<TargetLoad>> {
     let mut parts = vec![Vec::new()];
     let mut used = 0;
     for note in notes {
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -1,6 +1,6 @@
 //! Exchanges digests with the other data centres.
 //!
-//! [`roseshore_core::membership::Speakers`] decides who speaks with whom; this driver carries the
+//! [`roseshore_core::membership::DigestSchedule`] decides who speaks with whom; this driver carries the
 //! digests and passes what was learned on to the own data centre. Nothing else waits for its
 //! thread, so a data centre that is cut off delays no other part.
 
@@ -10,11 +10,11 @@
 
 use crate::members::MemberDriver;
 use parking_lot::Mutex;
-use roseshore_core::membership::{Call, Settings, Speakers};
+use roseshore_core::membership::{DigestCall, DigestSchedule, Settings};
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Answers, MemberState, Members, Reports};
+use roseshore_ports::inside::{MemberState, Members, PeerHandler, ReportStore};
 use roseshore_ports::outside::Peers;
-use roseshore_wire::peer::{Ask, Digest, Reply, Summary};
+use roseshore_wire::peer::{Digest, PeerReply, PeerRequest, Summary};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,35 +28,35 @@
 const MAX_WAITING: usize = 64;
 
 /// What the driver needs.
-pub struct Parts {
+pub struct PeerConfig {
     /// The daemons.
     pub members: Arc<MemberDriver>,
     /// The links.
     pub peers: Arc<dyn Peers>,
     /// The reports of the own data centre's targets.
-    pub reports: Arc<dyn Reports>,
+    pub reports: Arc<dyn ReportStore>,
     /// The bounds that the members go by.
     pub settings: Settings,
 }
 
 /// The load of another data centre, as last told.
 #[derive(Clone, Debug)]
-pub struct FarLoad {
+pub struct RemoteLoad {
     /// The data centre.
     pub data_centre: DataCentreId,
     /// When it was told.
-    pub told: Instant,
-    /// By model; ages count from `told`.
+    pub received_at: Instant,
+    /// By model; ages count from `received_at`.
     pub summaries: Vec<Summary>,
 }
 
-/// The running driver; put it among the [`Answers`] that serve peers.
+/// The running driver; put it among the [`PeerHandler`] that serve peers.
 pub struct PeerDriver {
     members: Arc<MemberDriver>,
     peers: Arc<dyn Peers>,
-    reports: Arc<dyn Reports>,
-    speakers: Mutex<Speakers>,
-    far: Mutex<BTreeMap<DataCentreId, FarLoad>>,
+    reports: Arc<dyn ReportStore>,
+    schedule: Mutex<DigestSchedule>,
+    far: Mutex<BTreeMap<DataCentreId, RemoteLoad>>,
     learn: flume::Sender<Learned>,
     stopped: AtomicBool,
 }
@@ -72,14 +72,14 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: Parts) -> io::Result<Arc<PeerDriver>> {
+    pub fn start(parts: PeerConfig) -> io::Result<Arc<PeerDriver>> {
         let own = parts.members.own().data_centre;
         let (learn, learned) = flume::bounded(MAX_WAITING);
         let driver = Arc::new(PeerDriver {
             members: parts.members,
             peers: parts.peers,
             reports: parts.reports,
-            speakers: Mutex::new(Speakers::new(own, parts.settings)),
+            schedule: Mutex::new(DigestSchedule::new(own, parts.settings)),
             far: Mutex::new(BTreeMap::new()),
             learn,
             stopped: AtomicBool::new(false),
@@ -96,7 +96,7 @@
     }
 
     /// The loads of the other data centres.
-    pub fn far(&self) -> Vec<FarLoad> {
+    pub fn remote_loads(&self) -> Vec<RemoteLoad> {
         self.far.lock().values().cloned().collect()
     }
 
@@ -110,23 +110,23 @@
             if self.members.stale() {
                 continue;
             }
-            let far = self.members.far();
+            let far = self.members.remote_members();
             let place = |subject: &str| self.members.place(subject);
-            let calls = self.speakers.lock().tick(far, place, Instant::now());
+            let calls = self.schedule.lock().tick(far, place, Instant::now());
             for call in calls {
                 self.call(call);
             }
         }
     }
 
-    fn call(&self, call: Call) {
-        let ask = Ask::Digests { digests: vec![self.digest()], speaker: true };
-        if let Ok(Reply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
+    fn call(&self, call: DigestCall) {
+        let ask = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
+        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
             self.learned(digests);
             return;
         }
         metrics::counter!("roseshore_digests_failed_total").increment(1);
-        self.speakers.lock().failed(&call.data_centre, Instant::now());
+        self.schedule.lock().failed(&call.data_centre, Instant::now());
     }
 
     /// Takes digests from another data centre, and lets the own one know.
@@ -138,13 +138,13 @@
         }
     }
 
-    fn take(&self, digests: &[Digest], told: Instant) {
+    fn take(&self, digests: &[Digest], received_at: Instant) {
         for digest in digests {
             let data_centre = digest.data_centre.clone();
             self.members.take_digest(digest.members.clone());
-            self.speakers.lock().heard(&data_centre, told);
+            self.schedule.lock().heard(&data_centre, received_at);
             let summaries = digest.summaries.clone();
-            let load = FarLoad { data_centre: data_centre.clone(), told, summaries };
+            let load = RemoteLoad { data_centre: data_centre.clone(), received_at, summaries };
             self.far.lock().insert(data_centre, load);
         }
     }
@@ -157,7 +157,7 @@
                 let near = member.data_centre == own.data_centre && member.host != own.host;
                 if near && member.state != MemberState::Suspect {
                     let digests = aged(&digests, at.elapsed());
-                    let ask = Ask::Digests { digests, speaker: false };
+                    let ask = PeerRequest::Digests { digests, speaker: false };
                     // A loss is made good by the next digest.
                     let _ = self.peers.ask(member.peer, &ask, LIMIT);
                 }
@@ -174,15 +174,15 @@
     }
 }
 
-impl Answers for PeerDriver {
-    fn answer(&self, ask: &Ask) -> Option<Reply> {
-        let Ask::Digests { digests, speaker } = ask else { return None };
+impl PeerHandler for PeerDriver {
+    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Digests { digests, speaker } = ask else { return None };
         if !speaker {
             self.take(digests, Instant::now());
-            return Some(Reply::Done);
+            return Some(PeerReply::Done);
         }
         self.learned(digests.clone());
-        Some(Reply::Digests { digests: vec![self.digest()] })
+        Some(PeerReply::Digests { digests: vec![self.digest()] })
     }
 }
 
--- a/crates/roseshored/src/routing.rs
+++ b/crates/roseshored/src/routing.rs
@@ -1,36 +1,38 @@
-//! The driver of the choice of targets.
+//! Target selection for this daemon.
 //!
-//! One lock around [`Router`]: a decision takes microseconds. It follows the configuration in force
-//! and asks the members whether a chosen host is leaving before a choice is given out.
+//! One lock guards the core's router, since a decision takes microseconds. The driver applies each new
+//! configuration and, before it returns a choice, checks with the membership that no chosen host is
+//! leaving.
 
-use crate::gate::CapacitySource;
+use crate::admission::CapacitySource;
 use parking_lot::Mutex;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use roseshore_core::admit::Capacity;
-use roseshore_core::load::{Content, EngineState, Index, ServiceState};
+use roseshore_core::load::{EngineState, PollResult, ServiceState, TargetIndex};
 use roseshore_core::order::rollout::Rollout;
 use roseshore_core::prelude::*;
 use roseshore_core::route::prefix::CacheChange;
-use roseshore_core::route::{self, ChainChoice, ChainNeed, StageChoice, Tuning};
+use roseshore_core::route::{self, ChainChoice, ChainRequest, SampleSizes, StageChoice};
 use roseshore_ports::inside::{
-    Caches, Chain, Fleets, Members, Need, Permit, Replica, Report, ReportContent, Reports, Router,
+    CacheEventSink, Chain, ChainNeeds, ConfigSource, Members, Permit, Replica, Report,
+    ReportContent, ReportStore, Router,
 };
 use roseshore_wire::engine::{CacheEvent, Load, Role, Stage};
 use roseshore_wire::service::ServiceLoad;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// How often hosts that were leaving are asked about again.
-const RECHECK: Duration = Duration::from_millis(500);
-/// The tokens of prompt and answer for which the capacity of a model's targets is worked out.
-const TYPICAL: (u32, u32) = (200, 100);
-/// When a caller without a route should come back.
-const NO_ROUTE: Duration = Duration::from_secs(1);
+/// How often hosts marked as leaving are checked again.
+const LEAVING_RECHECK: Duration = Duration::from_millis(500);
+/// Prompt and answer length, in tokens, for which the capacity of a model's targets is computed.
+const TYPICAL_TOKENS: (u32, u32) = (200, 100);
+/// Retry delay given to a caller for which there is no route.
+const NO_ROUTE_RETRY: Duration = Duration::from_secs(1);
 
-/// The daemon's choice of targets.
+/// Chooses targets for this daemon's requests from load reports and cache contents.
 pub struct Routing {
-    fleets: Arc<dyn Fleets>,
+    fleets: Arc<dyn ConfigSource>,
     members: Arc<dyn Members>,
     state: Arc<Mutex<State>>,
 }
@@ -41,61 +43,62 @@
     fleet: Arc<Fleet>,
     offset: Option<Offset>,
     newest: FxHashMap<TargetId, Report>,
-    leaving: Vec<Index>,
-    checked: Instant,
+    leaving: Vec<TargetIndex>,
+    last_recheck: Instant,
 }
 
 impl Routing {
-    /// A choice among the targets of the configuration in force.
-    pub fn new(fleets: Arc<dyn Fleets>, members: Arc<dyn Members>) -> Routing {
+    /// Creates a router over the targets of the current configuration.
+    pub fn new(fleets: Arc<dyn ConfigSource>, members: Arc<dyn Members>) -> Routing {
         let own = members.own().data_centre;
         let random = SmallRng::from_rng(&mut rand::rng());
         let state = State {
-            router: route::Router::new(&own, Tuning::default(), random),
+            router: route::Router::new(&own, SampleSizes::default(), random),
             rollout: Rollout::default(),
             fleet: Arc::default(),
             offset: None,
             newest: FxHashMap::default(),
             leaving: Vec::new(),
-            checked: Instant::now(),
+            last_recheck: Instant::now(),
         };
         Routing { fleets, members, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Takes over a new configuration and looks again at hosts that were leaving.
+    /// Applies a new configuration and rechecks hosts marked as leaving.
     ///
-    /// Other parts are asked without the lock, for they may be telling this one something.
+    /// Other components are called without holding the lock, because they may call into this one at
+    /// the same time.
     fn refresh(&self, now: Instant) {
-        let force = self.fleets.current();
+        let current = self.fleets.current();
         let mut state = self.state.lock();
-        if let Some(force) = force
-            && state.offset.is_none_or(|known| force.offset > known)
+        if let Some(current) = current
+            && state.offset.is_none_or(|known| current.offset > known)
         {
-            state.declare(&force.fleet, force.offset);
+            state.apply_fleet(&current.fleet, current.offset);
         }
-        if now.saturating_duration_since(state.checked) < RECHECK {
+        if now.saturating_duration_since(state.last_recheck) < LEAVING_RECHECK {
             return;
         }
-        state.checked = now;
+        state.last_recheck = now;
         let hosts = state.leaving_hosts();
         drop(state);
         for (row, host) in hosts {
             if !self.members.leaving(&host) {
-                self.state.lock().stays(row, &host);
+                self.state.lock().clear_leaving(row, &host);
             }
         }
     }
 
-    /// Chooses until none of the chosen hosts is leaving.
+    /// Repeats `select` until none of the chosen hosts is leaving, and marks those that are.
     fn choose<T>(
         &self,
-        mut choice: impl FnMut(&mut route::Router, Instant) -> Option<Chosen<T>>,
+        mut select: impl FnMut(&mut route::Router, Instant) -> Option<Selection<T>>,
     ) -> Option<(T, Permit)> {
         let now = Instant::now();
         self.refresh(now);
         loop {
             let mut state = self.state.lock();
-            let chosen = choice(&mut state.router, now)?;
+            let chosen = select(&mut state.router, now)?;
             let ticket = state.router.begin(&chosen.rows, now);
             drop(state);
             let shared = Arc::clone(&self.state);
@@ -107,7 +110,7 @@
             }
             let mut state = self.state.lock();
             for (&row, host) in leaving {
-                state.leaves(row, host);
+                state.mark_leaving(row, host);
             }
             drop(state);
             drop(permit);
@@ -115,52 +118,52 @@
     }
 }
 
-/// A choice that was not yet checked for leaving hosts.
-struct Chosen<T> {
+/// A choice that has not been checked for leaving hosts yet.
+struct Selection<T> {
     value: T,
-    rows: Vec<Index>,
+    rows: Vec<TargetIndex>,
     hosts: Vec<HostId>,
 }
 
 impl State {
-    fn declare(&mut self, fleet: &Arc<Fleet>, offset: Offset) {
+    fn apply_fleet(&mut self, fleet: &Arc<Fleet>, offset: Offset) {
         self.fleet = Arc::clone(fleet);
-        self.router.declare(fleet);
+        self.router.apply_fleet(fleet);
         self.rollout.declare(fleet);
         self.newest.retain(|id, _| fleet.targets.contains_key(id));
-        self.count_answering();
-        self.leaving.retain(|&row| self.router.loads().row(row).leaving);
+        self.export_answering();
+        self.leaving.retain(|&row| self.router.loads().row(row).host_leaving);
         self.offset = Some(offset);
     }
 
-    fn count_answering(&self) {
+    fn export_answering(&self) {
         let count = self.newest.values().filter(|report| answers(report)).count();
         metrics::gauge!("roseshore_targets_answering").set(count as f64);
     }
 
-    fn leaving_hosts(&self) -> Vec<(Index, HostId)> {
-        let host = |&row: &Index| (row, self.router.loads().row(row).host.clone());
+    fn leaving_hosts(&self) -> Vec<(TargetIndex, HostId)> {
+        let host = |&row: &TargetIndex| (row, self.router.loads().row(row).host.clone());
         self.leaving.iter().map(host).collect()
     }
 
-    fn leaves(&mut self, row: Index, host: &HostId) {
+    fn mark_leaving(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host && !self.leaving.contains(&row) {
-            self.router.set_leaving(row, true);
+            self.router.set_host_leaving(row, true);
             self.leaving.push(row);
         }
     }
 
-    fn stays(&mut self, row: Index, host: &HostId) {
+    fn clear_leaving(&mut self, row: TargetIndex, host: &HostId) {
         if self.router.loads().row(row).host == *host {
-            self.router.set_leaving(row, false);
+            self.router.set_host_leaving(row, false);
             self.leaving.retain(|&known| known != row);
         }
     }
 }
 
 impl Router for Routing {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
-        let wants = ChainNeed {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
+        let request = ChainRequest {
             model: &need.model,
             version: &need.version,
             layers: need.layers,
@@ -171,8 +174,8 @@
             avoid: &need.avoid,
         };
         let chosen = self.choose(|router, now| {
-            let choice = router.chain(&wants, now)?;
-            Some(chosen_chain(router, choice))
+            let choice = router.choose_chain(&request, now)?;
+            Some(chain_selection(router, choice))
         });
         chosen.ok_or_else(|| no_chain(need))
     }
@@ -183,8 +186,8 @@
         let mut state = self.state.lock();
         let State { router, rollout, fleet, .. } = &mut *state;
         let declared = fleet.models.get(model)?;
-        let look = || router.pieces(model, now);
-        let choice = rollout.choose(model, &declared.version, declared.layers, look);
+        let holdings = || router.loaded_ranges(model, now);
+        let choice = rollout.choose(model, &declared.version, declared.layers, holdings);
         drop(state);
         if choice.switched {
             crate::event!(Event::VersionServes, "model=`{model}` version=`{}`", choice.version);
@@ -194,32 +197,35 @@
 
     fn replica(&self, serves: &str, avoid: &[TargetId]) -> Result<(Replica, Permit), Refusal> {
         let chosen = self.choose(|router, now| {
-            let row = router.replica(serves, avoid, now)?;
+            let row = router.choose_replica(serves, avoid, now)?;
             let target = router.loads().row(row);
             let value = Replica { target: target.id.clone(), addr: target.addr };
-            Some(Chosen { value, rows: vec![row], hosts: vec![target.host.clone()] })
+            Some(Selection { value, rows: vec![row], hosts: vec![target.host.clone()] })
         });
         chosen.ok_or_else(|| no_replica(serves))
     }
 
     fn failed(&self, target: &TargetId) {
-        self.state.lock().router.failed(target, Instant::now());
+        self.state.lock().router.record_failure(target, Instant::now());
         metrics::counter!("roseshore_target_failures_total", "target" => target.clone())
             .increment(1);
-        crate::event!(Event::TargetLost, "target=`{target}` out of use for a while");
+        crate::event!(
+            Event::TargetLost,
+            "target=`{target}` is not used for a while after a failed call"
+        );
     }
 
-    fn paced(&self, stages: &[Stage], took: Duration) {
+    fn record_step_time(&self, stages: &[Stage], took: Duration) {
         let mut state = self.state.lock();
         let rows = stages.iter().filter_map(|s| state.router.loads().find(&s.target));
-        let rows: Vec<Index> = rows.collect();
+        let rows: Vec<TargetIndex> = rows.collect();
         if rows.len() == stages.len() {
-            state.router.paced(&rows, took, Instant::now());
+            state.router.record_chain_step(&rows, took, Instant::now());
         }
     }
 
-    fn observed(&self, target: &TargetId, took: Duration) {
-        self.state.lock().router.observed(target, took, Instant::now());
+    fn record_latency(&self, target: &TargetId, took: Duration) {
+        self.state.lock().router.record_step(target, took, Instant::now());
     }
 
     fn leaving(&self, target: &TargetId) -> bool {
@@ -228,16 +234,16 @@
         let Some(row) = loads.find(target).map(|index| loads.row(index)) else {
             return false;
         };
-        let known = row.leaving || row.closing;
+        let marked = row.host_leaving || row.draining;
         let host = row.host.clone();
-        // Other parts are asked without the lock.
+        // The membership is queried without holding the lock.
         drop(state);
-        known || self.members.leaving(&host)
+        marked || self.members.leaving(&host)
     }
 }
 
-impl Reports for Routing {
-    fn take(&self, report: Report) {
+impl ReportStore for Routing {
+    fn store(&self, report: Report) {
         self.refresh(Instant::now());
         let mut state = self.state.lock();
         let known = state.newest.get(&report.target);
@@ -250,7 +256,7 @@
             state.newest.insert(report.target.clone(), report);
         }
         if changed {
-            state.count_answering();
+            state.export_answering();
         }
     }
 
@@ -259,17 +265,17 @@
     }
 }
 
-impl Caches for Routing {
-    fn take_cache(&self, target: &TargetId, events: &[CacheEvent]) {
+impl CacheEventSink for Routing {
+    fn apply_events(&self, target: &TargetId, events: &[CacheEvent]) {
         let changes: Vec<CacheChange> = events.iter().map(cache_change).collect();
-        self.state.lock().router.cached(target, &changes);
+        self.state.lock().router.apply_cache_changes(target, &changes);
     }
 }
 
 impl CapacitySource for Routing {
     fn capacity(&self, service: &ServiceId) -> Option<Capacity> {
-        let force = self.fleets.current()?;
-        let declared = force.fleet.services.get(service)?;
+        let current = self.fleets.current()?;
+        let declared = current.fleet.services.get(service)?;
         let now = Instant::now();
         let Some(id) = &declared.model else {
             let mut state = self.state.lock();
@@ -281,19 +287,19 @@
             let capacities = sources.filter_map(|source| capacity(&format!("{service}/{source}")));
             return capacities.min_by(|a, b| a.slots.total_cmp(&b.slots));
         };
-        let model = force.fleet.models.get(id)?;
+        let model = current.fleet.models.get(id)?;
         let version = self.version(id)?;
-        let need = ChainNeed {
+        let request = ChainRequest {
             model: id,
             version: &version,
             layers: model.layers,
             adapter: None,
             prefixes: &[],
-            prompt: TYPICAL.0,
-            expected: TYPICAL.1,
+            prompt: TYPICAL_TOKENS.0,
+            expected: TYPICAL_TOKENS.1,
             avoid: &[],
         };
-        self.state.lock().router.chain_capacity(&need, now)
+        self.state.lock().router.chain_capacity(&request, now)
     }
 }
 
@@ -302,7 +308,7 @@
     report.content != ReportContent::Silent
 }
 
-fn chosen_chain(router: &route::Router, choice: ChainChoice) -> Chosen<Chain> {
+fn chain_selection(router: &route::Router, choice: ChainChoice) -> Selection<Chain> {
     let row = |stage: &StageChoice| router.loads().row(stage.row);
     let stages = choice.stages.iter().map(|choice| Stage {
         target: row(choice).id.clone(),
@@ -310,20 +316,24 @@
         layers: choice.layers,
         incarnation: row(choice).incarnation,
     });
-    Chosen {
-        value: Chain { stages: stages.collect(), first: choice.first, between: choice.between },
+    Selection {
+        value: Chain {
+            stages: stages.collect(),
+            first_token: choice.first_token,
+            token_interval: choice.token_interval,
+        },
         rows: choice.stages.iter().map(|stage| stage.row).collect(),
         hosts: choice.stages.iter().map(|stage| row(stage).host.clone()).collect(),
     }
 }
 
-fn no_chain(need: &Need) -> Refusal {
+fn no_chain(need: &ChainNeeds) -> Refusal {
     let text = format!(
         "no live chain of targets covers all {} layers of model `{}` version `{}`; \
          see `roseshore running` for its targets, or come back later",
         need.layers, need.model, need.version
     );
-    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE)
+    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE_RETRY)
 }
 
 fn no_replica(serves: &str) -> Refusal {
@@ -331,7 +341,7 @@
         "no replica of `{serves}` is in use; declare a target with `serves = \"{serves}\"`, or \
          come back later"
     );
-    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE)
+    Refusal::not_run(Code::NoRoute, text).after(NO_ROUTE_RETRY)
 }
 
 fn cache_change(event: &CacheEvent) -> CacheChange {
@@ -342,11 +352,11 @@
     }
 }
 
-fn content(content: &ReportContent) -> Content {
+fn content(content: &ReportContent) -> PollResult {
     match content {
-        ReportContent::Engine(load) => Content::Engine(engine_state(load)),
-        ReportContent::Service(load) => Content::Service(service_state(load)),
-        ReportContent::Silent => Content::Silent,
+        ReportContent::Engine(load) => PollResult::Engine(engine_state(load)),
+        ReportContent::Service(load) => PollResult::Service(service_state(load)),
+        ReportContent::Silent => PollResult::Silent,
     }
 }
 
@@ -358,9 +368,9 @@
         version: holding.version.clone(),
         layers: holding.layers,
         adapters: holding.adapters.clone(),
-        whole: holding.role == Role::Both,
+        both_phases: holding.role == Role::Both,
         loading: holding.loading,
-        leaving: load.leaving,
+        draining: load.leaving,
         queue: load.queue,
         running: load.running,
         slots: load.slots,
@@ -377,6 +387,6 @@
         running: load.running,
         slots: load.slots,
         call: Duration::from_micros(load.call_us),
-        leaving: load.leaving,
+        draining: load.leaving,
     }
 }
--- a/crates/roseshored/src/serve/asking.rs
+++ b/crates/roseshored/src/serve/request_info.rs
@@ -1,9 +1,9 @@
 //! Whose request it is and by when: the headers that every kind of request shares.
 
-use crate::front::exchange::Exchange;
-use crate::front::read::Request;
+use crate::http::exchange::Exchange;
+use crate::http::read::Request;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Ask, Permit};
+use roseshore_ports::inside::{Permit, RequestInfo};
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -18,7 +18,7 @@
 
 /// The fleet in force.
 pub(super) fn fleet(exchange: &Exchange<'_>) -> Result<Arc<Fleet>, Refusal> {
-    let current = exchange.site.app.fleets.current();
+    let current = exchange.context.app.fleets.current();
     current.map(|it| it.fleet).ok_or_else(|| {
         let text = "this host has no configuration yet; ask another one, or come back";
         Refusal::not_run(Code::NoConfiguration, text)
@@ -26,25 +26,25 @@
 }
 
 /// What the headers say of one request.
-pub(super) struct Asking<'a> {
+pub(super) struct RequestHeaders<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) service: &'a str,
     pub(super) declared: &'a Service,
     pub(super) cost: u32,
 }
 
-impl Asking<'_> {
+impl RequestHeaders<'_> {
     /// Reads the headers; from here on the request is in the ledger.
     pub(super) fn ask(
         &self,
         request: &Request,
         exchange: &mut Exchange<'_>,
-    ) -> Result<Ask, Refusal> {
+    ) -> Result<RequestInfo, Refusal> {
         exchange.idempotent = Some(self.declared.idempotent);
         exchange.advisory = self.declared.advisory;
         let organisation = organisation(request, self.fleet)?;
         let limit = deadline(request)?.unwrap_or(self.declared.deadline);
-        let ask = Ask {
+        let ask = RequestInfo {
             request: exchange.id.clone(),
             organisation,
             service: self.service.to_owned(),
@@ -53,16 +53,16 @@
             priority: priority(request)?,
             cost: self.cost,
         };
-        exchange.site.app.ledger.begun(&ask);
+        exchange.context.app.ledger.begun(&ask);
         exchange.ask = Some(ask.clone());
         Ok(ask)
     }
 }
 
 /// Waits for the request's turn.
-pub(super) fn admit(exchange: &Exchange<'_>, ask: &Ask) -> Result<Permit, Refusal> {
+pub(super) fn admit(exchange: &Exchange<'_>, ask: &RequestInfo) -> Result<Permit, Refusal> {
     let _span = tracing::info_span!("admit").entered();
-    exchange.site.app.gate.enter(ask)
+    exchange.context.app.admission.admit(ask)
 }
 
 /// The customer: its own header, or what stock clients of model interfaces send.
@@ -114,7 +114,7 @@
 }
 
 /// The idempotency key, joined with its organisation and service.
-pub(super) fn key(request: &Request, ask: &Ask) -> Result<Option<Key>, Refusal> {
+pub(super) fn key(request: &Request, ask: &RequestInfo) -> Result<Option<Key>, Refusal> {
     let Some(key) = request.header("idempotency-key") else { return Ok(None) };
     let plain = key.bytes().all(|it| it.is_ascii_graphic());
     if key.is_empty() || key.len() > MAX_KEY || !plain {
--- a/crates/roseshored/src/serve/sight.rs
+++ b/crates/roseshored/src/serve/status.rs
@@ -1,12 +1,12 @@
 //! What the balancer, operators and scrapers ask of this daemon.
 
-use super::asking;
-use crate::front::exchange::{Exchange, Finish};
-use crate::front::read::Request;
-use crate::front::reply::Response;
-use crate::operators::{self, Call, Console};
+use super::request_info;
+use crate::admin::{self, AdminApi, Call};
+use crate::http::exchange::{Exchange, Finish};
+use crate::http::read::Request;
+use crate::http::reply::Response;
 use roseshore_core::fleet::ServiceKind;
-use roseshore_core::ledger::book::{Ended, Fate};
+use roseshore_core::ledger::history::{EndedRequest, RequestState};
 use roseshore_core::prelude::*;
 use serde_json::{Value, json};
 use tiny_http::Method;
@@ -16,10 +16,10 @@
 
 /// Serves the paths that start no work.
 pub(super) fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
-    if let Some(console) = &exchange.site.console
-        && request.path.starts_with(operators::PREFIX)
+    if let Some(admin_api) = &exchange.context.admin_api
+        && request.path.starts_with(admin::PREFIX)
     {
-        let response = operate(console, request);
+        let response = operate(admin_api, request);
         exchange.reply.send(&response);
         return Ok(Finish::default());
     }
@@ -43,30 +43,30 @@
     Ok(Finish::default())
 }
 
-fn operate(console: &Console, request: &Request) -> Response {
+fn operate(admin_api: &AdminApi, request: &Request) -> Response {
     let path = format!("{}?{}", request.path, request.query);
     let method = request.method.as_str();
-    let answer = operators::handle(console, &Call { method, path: &path, body: &request.body });
+    let answer = admin::handle(admin_api, &Call { method, path: &path, body: &request.body });
     Response::new(answer.status, "application/json", answer.body)
 }
 
 fn ready(exchange: &Exchange<'_>) -> Result<Response, Refusal> {
-    if exchange.site.app.leaving() {
+    if exchange.context.app.leaving() {
         return Err(Refusal::not_run(Code::Draining, "this host is leaving"));
     }
-    asking::fleet(exchange)?;
+    request_info::fleet(exchange)?;
     Ok(Response::json(200, &json!({"status": "ready"})))
 }
 
 fn metrics(exchange: &Exchange<'_>) -> String {
-    let Some(handle) = &exchange.site.metrics else { return String::new() };
+    let Some(handle) = &exchange.context.metrics else { return String::new() };
     handle.run_upkeep();
     handle.render()
 }
 
 /// Every service of models, and each with its adapters, in the form of model interfaces.
 fn models(exchange: &Exchange<'_>) -> Result<Value, Refusal> {
-    let fleet = asking::fleet(exchange)?;
+    let fleet = request_info::fleet(exchange)?;
     let mut ids = Vec::new();
     for (name, service) in &fleet.services {
         if service.kind != ServiceKind::Model {
@@ -86,12 +86,12 @@
 }
 
 fn fate(exchange: &Exchange<'_>, id: &str) -> Response {
-    match exchange.site.app.ledger.find(id) {
-        Some(Fate::Running(it)) => {
-            let body = json!({"request": id, "state": "running", "service": it.whose.service});
+    match exchange.context.app.ledger.find(id) {
+        Some(RequestState::Running(it)) => {
+            let body = json!({"request": id, "state": "running", "service": it.meta.service});
             Response::json(200, &body)
         }
-        Some(Fate::Ended(ended)) => Response::json(200, &row(id, &ended)),
+        Some(RequestState::Ended(ended)) => Response::json(200, &row(id, &ended)),
         None => {
             let text = "this host knows nothing of it; it may be another host's, or too long ago";
             let body = json!({"request": id, "state": "unknown", "message": text});
@@ -100,23 +100,23 @@
     }
 }
 
-fn row(id: &str, ended: &Ended) -> Value {
+fn row(id: &str, ended: &EndedRequest) -> Value {
     json!({
         "request": id,
         "state": "ended",
-        "service": ended.whose.service,
-        "organisation": ended.whose.organisation,
+        "service": ended.meta.service,
+        "organisation": ended.meta.organisation,
         "verdict": ended.verdict.name(),
         "code": ended.code.map(|it| it.to_string()),
         "repeated": ended.repeated,
-        "left": ended.left,
-        "late_ms": ended.late.as_millis() as u64,
-        "resumed": ended.resumed,
+        "left": ended.caller_left,
+        "late_ms": ended.late_by.as_millis() as u64,
+        "resumed": ended.reroutes,
     })
 }
 
 fn trace(exchange: &Exchange<'_>, id: &str) -> Response {
-    if let Some(tree) = exchange.site.store.find(id) {
+    if let Some(tree) = exchange.context.spans.find(id) {
         return Response::json(200, &json!({"request": id, "spans": tree}));
     }
     let text = "no spans of it are kept here; raise `--traces`, or ask the host that served it";
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -5,14 +5,16 @@
 use roseshore_core::membership::{Heartbeat, Settings};
 use roseshore_core::prelude::*;
 pub(crate) use roseshore_fakes::wait::wait_until as wait;
-use roseshore_ports::inside::{Fleets, InForce, MemberState, Members, Report, Reports};
-use roseshore_ports::outside::{CallError, Called, Datagrams, HostList, Received};
+use roseshore_ports::inside::{
+    ActiveConfig, ConfigSource, MemberState, Members, Report, ReportStore,
+};
+use roseshore_ports::outside::{CallError, CallResult, Datagrams, HostList, ReceivedDatagram};
 use roseshore_wire::engine::{Holding, Load, Role};
 use roseshore_wire::peer::Datagram;
 use roseshore_wire::platform::{Host, HostState, Hosts};
 use roseshore_wire::service::ServiceLoad;
 use roseshored::app::Drain;
-use roseshored::members::{MemberDriver, Parts};
+use roseshored::members::{MemberConfig, MemberDriver};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -36,7 +38,7 @@
 }
 
 impl HostList for List {
-    fn hosts(&self) -> Called<Hosts> {
+    fn hosts(&self) -> CallResult<Hosts> {
         if self.down.load(Ordering::SeqCst) {
             return Err(CallError::Unreached("the platform is out".into()));
         }
@@ -46,9 +48,9 @@
 
 pub(crate) struct Folded;
 
-impl Fleets for Folded {
-    fn current(&self) -> Option<InForce> {
-        Some(InForce { fleet: Arc::default(), offset: 42, digest: 7 })
+impl ConfigSource for Folded {
+    fn current(&self) -> Option<ActiveConfig> {
+        Some(ActiveConfig { fleet: Arc::default(), offset: 42, digest: 7 })
     }
 }
 
@@ -60,14 +62,14 @@
 }
 
 impl Datagrams for Cable {
-    fn send(&self, to: SocketAddr, datagram: &Datagram) -> Called<()> {
+    fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()> {
         if self.mute.load(Ordering::SeqCst) {
             return Ok(());
         }
         self.socket.send(to, datagram)
     }
 
-    fn receive(&self, limit: Duration) -> Option<Received> {
+    fn receive(&self, limit: Duration) -> Option<ReceivedDatagram> {
         self.socket.receive(limit).filter(|_| !self.deaf.load(Ordering::SeqCst))
     }
 }
@@ -112,7 +114,7 @@
         let peer = socket.addr().expect("its address");
         let cable = Arc::new(Cable { socket, deaf: false.into(), mute: false.into() });
         let drain = Arc::new(Drain::default());
-        let parts = Parts {
+        let parts = MemberConfig {
             own: Heartbeat {
                 host: format!("h{n}"),
                 data_centre: centre(n),
@@ -125,7 +127,7 @@
             peer,
             seeds: Vec::new(),
             settings: settings(),
-            list_period: Duration::from_millis(500),
+            list_interval: Duration::from_millis(500),
             socket: cable.clone(),
             list: list.clone(),
             fleets: Arc::new(Folded),
@@ -200,8 +202,8 @@
 #[derive(Default)]
 pub(crate) struct Taken(pub(crate) Mutex<BTreeMap<TargetId, Report>>);
 
-impl Reports for Taken {
-    fn take(&self, report: Report) {
+impl ReportStore for Taken {
+    fn store(&self, report: Report) {
         let mut all = self.0.lock();
         if all.get(&report.target).is_none_or(|known| known.seen < report.seen) {
             all.insert(report.target.clone(), report);
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -2,13 +2,13 @@
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::config::{
-    Command, KeeperLimits, ReaderLimits, SNAPSHOTS, STREAM, Settled, State,
+    Command, ReaderLimits, SNAPSHOTS, STREAM, Settled, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
 use roseshore_fakes::wait::wait_until as eventually;
-use roseshore_ports::inside::{Answers, Fleets, Member, MemberState, Members};
-use roseshore_ports::outside::{CallError, Called, Log, Peers};
-use roseshore_wire::peer::{Ask, Reply};
+use roseshore_ports::inside::{ConfigSource, Member, MemberState, Members, PeerHandler};
+use roseshore_ports::outside::{CallError, CallResult, Log, Peers};
+use roseshore_wire::peer::{PeerReply, PeerRequest};
 use roseshore_wire::platform::{Record, Records};
 use roseshored::fleets::{FleetDriver, FleetSettings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -69,14 +69,14 @@
 struct Reach(Arc<World>, String);
 
 impl Reach {
-    fn open(&self) -> Called<()> {
+    fn open(&self) -> CallResult<()> {
         let cut = self.0.faults.lock().platform.contains(&self.1);
         if cut { Err(CallError::Unreached("cut off".into())) } else { Ok(()) }
     }
 }
 
 impl Log for Reach {
-    fn append(&self, stream: &str, records: &[String]) -> Called<Offset> {
+    fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset> {
         self.open()?;
         let first = self.0.add(stream, records);
         let mut faults = self.0.faults.lock();
@@ -87,7 +87,7 @@
         Ok(first)
     }
 
-    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> Called<Records> {
+    fn read(&self, stream: &str, from: Offset, max: usize, wait: Duration) -> CallResult<Records> {
         self.open()?;
         if let Some(left) = &mut self.0.faults.lock().reads {
             *left = left.checked_sub(1).ok_or_else(|| CallError::Unreached("out".into()))?;
@@ -181,7 +181,7 @@
 }
 
 impl Peers for View {
-    fn ask(&self, addr: SocketAddr, ask: &Ask, _: Duration) -> Called<Reply> {
+    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
         let own = self.net.node(&self.own);
         let nodes = self.net.nodes.lock().clone();
         let asked = nodes.iter().find(|it| it.addr == addr);
@@ -214,12 +214,16 @@
         let settings = FleetSettings {
             reader: ReaderLimits {
                 readers: 1,
-                wait: ms(100),
-                backstop: ms(400),
-                pause: ms(10),
-                most: ms(100),
+                poll_wait: ms(100),
+                poll_interval: ms(400),
+                min_backoff: ms(10),
+                max_backoff: ms(100),
+            },
+            snapshots: SnapshotLimits {
+                max_records: 8,
+                max_age: Duration::from_hours(1),
+                retry_after: ms(50),
             },
-            keeper: KeeperLimits { records: 8, age: Duration::from_hours(1), pause: ms(50) },
             tick: ms(10),
             peer: ms(500),
         };
@@ -283,8 +287,8 @@
     assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), Settled::Accepted(0));
     eventually("every daemon has it", || nodes.iter().all(|it| rate(it) == Some(5.0)));
     let view = &cluster.views[&nodes[4].host];
-    let spread = nodes[4].driver.settle_everywhere(&**view, 0, Instant::now() + BOUND);
-    assert_eq!((spread.in_force.len(), spread.unconfirmed.len()), (3, 0));
+    let confirmation = nodes[4].driver.wait_confirmed(&**view, 0, Instant::now() + BOUND);
+    assert_eq!((confirmation.in_force.len(), confirmation.unconfirmed.len()), (3, 0));
     let digests: BTreeSet<u64> = nodes.iter().map(|it| it.driver.inspect(State::digest)).collect();
     assert_eq!(digests.len(), 1);
 }
@@ -346,7 +350,7 @@
             eventually(case.name, || nodes.iter().all(|it| rate(it) == Some(6.0)));
         } else {
             let view = &cluster.views[&nodes[0].host];
-            let unconfirmed = || nodes[0].driver.spread(&**view, 1).unconfirmed;
+            let unconfirmed = || nodes[0].driver.confirmation(&**view, 1).unconfirmed;
             eventually("only the cut one is behind", || unconfirmed() == ["landhi"]);
             assert_eq!(rate(&nodes[2]), Some(5.0), "{}: serves what it knew", case.name);
         }
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -10,14 +10,14 @@
 use roseshore_core::fleet::TargetKind;
 use roseshore_core::polling::Settings;
 use roseshore_core::prelude::*;
-use roseshore_ports::inside::{Fleets, InForce, Report, ReportContent};
+use roseshore_ports::inside::{ActiveConfig, ConfigSource, Report, ReportContent};
 use roseshore_ports::outside::{
-    CallError, Called, Engine, Hop, ServiceReply, Services, StreamItem,
+    CallContext, CallError, CallResult, Engine, ServiceReply, Services, StreamItem,
 };
 use roseshore_wire::engine::{CacheEvents, Cancel, Generate, Holding, Kv, KvExport, Load, Order};
-use roseshore_wire::peer::{NoteContent, Summary};
+use roseshore_wire::peer::{LoadReport, Summary};
 use roseshore_wire::service::ServiceLoad;
-use roseshored::loads::notes::{Packer, Unpacker};
+use roseshored::loads::delta::{DeltaDecoder, DeltaEncoder};
 use roseshored::loads::{self, LoadDriver};
 use roseshored::peers::summarise;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 struct Targets(Arc<Site>);
 
 impl Targets {
-    fn ask(&self, addr: SocketAddr) -> Called<u32> {
+    fn ask(&self, addr: SocketAddr) -> CallResult<u32> {
         if *self.0.silent.lock() == Some(addr) {
             return Err(CallError::Lost("no reply in time".into()));
         }
@@ -42,12 +42,12 @@
     }
 }
 
-fn unused<T>() -> Called<T> {
+fn unused<T>() -> CallResult<T> {
     Err(CallError::Unreached("not part of this test".into()))
 }
 
 impl Engine for Targets {
-    fn load(&self, addr: SocketAddr, _limit: Duration) -> Called<Load> {
+    fn load(&self, addr: SocketAddr, _limit: Duration) -> CallResult<Load> {
         let queue = self.ask(addr)?;
         Ok(Load { queue, ..load() })
     }
@@ -56,28 +56,28 @@
         _: SocketAddr,
         _: &Generate,
         _: Instant,
-    ) -> Called<flume::Receiver<StreamItem>> {
+    ) -> CallResult<flume::Receiver<StreamItem>> {
         unused()
     }
-    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> Called<()> {
+    fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
         unused()
     }
-    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> Called<Kv> {
+    fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
         unused()
     }
-    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> Called<()> {
+    fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
         unused()
     }
-    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> Called<CacheEvents> {
+    fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
         unused()
     }
-    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> Called<Holding> {
+    fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
         unused()
     }
 }
 
 impl Services for Targets {
-    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &Hop) -> Called<ServiceReply> {
+    fn lookup(&self, _: SocketAddr, _: &str, _: &str, _: &CallContext) -> CallResult<ServiceReply> {
         unused()
     }
     fn call(
@@ -86,11 +86,11 @@
         _: &str,
         _: &[u8],
         _: Option<&str>,
-        _: &Hop,
-    ) -> Called<ServiceReply> {
+        _: &CallContext,
+    ) -> CallResult<ServiceReply> {
         unused()
     }
-    fn load(&self, addr: SocketAddr, _: Duration) -> Called<ServiceLoad> {
+    fn load(&self, addr: SocketAddr, _: Duration) -> CallResult<ServiceLoad> {
         Ok(ServiceLoad { queue: self.ask(addr)?, ..service_load() })
     }
 }
@@ -100,8 +100,8 @@
 /// Six targets in the data centre of the daemons, half of them engines, and one elsewhere.
 struct Declared;
 
-impl Fleets for Declared {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for Declared {
+    fn current(&self) -> Option<ActiveConfig> {
         let mut fleet = Fleet::default();
         for n in 0..=TARGETS {
             let kind = if n % 2 == 0 { TargetKind::Engine } else { TargetKind::Service };
@@ -119,7 +119,7 @@
             };
             fleet.targets.insert(format!("t{n}"), target);
         }
-        Some(InForce { fleet: Arc::new(fleet), offset: 1, digest: 1 })
+        Some(ActiveConfig { fleet: Arc::new(fleet), offset: 1, digest: 1 })
     }
 }
 
@@ -131,16 +131,16 @@
     poll_full(daemon, site, TARGETS)
 }
 
-/// Polls a fleet of at most `full` targets in full.
-fn poll_full(daemon: &Daemon, site: &Arc<Site>, full: usize) -> (LoadDriver, Arc<Taken>) {
+/// Polls a fleet of at most `full_limit` targets in full.
+fn poll_full(daemon: &Daemon, site: &Arc<Site>, full_limit: usize) -> (LoadDriver, Arc<Taken>) {
     let taken = Arc::new(Taken::default());
-    let parts = loads::Parts {
+    let parts = loads::LoadConfig {
         members: daemon.driver.clone(),
         fleets: Arc::new(Declared),
         engine: Arc::new(Targets(site.clone())),
         services: Arc::new(Targets(site.clone())),
         reports: taken.clone(),
-        settings: Settings { full, ..Settings::default() },
+        settings: Settings { full_limit, ..Settings::default() },
     };
     (LoadDriver::start(parts).expect("threads"), taken)
 }
@@ -264,19 +264,19 @@
         },
     ];
     for case in cases {
-        let (mut packer, mut unpacker) = (Packer::default(), Unpacker::default());
+        let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
         let mut now = Instant::now();
         for (i, step) in case.steps.into_iter().enumerate() {
             let Say(after, content, whole, arrives) = step else {
-                packer.reset();
+                encoder.reset();
                 continue;
             };
             now += Duration::from_millis(after);
-            let note = packer.pack(&"t".to_owned(), &content, now);
-            let short = matches!(note, NoteContent::Brief { .. });
+            let note = encoder.encode(&"t".to_owned(), &content, now);
+            let short = matches!(note, LoadReport::Brief { .. });
             assert_eq!(short, !whole, "{}, step {i}", case.name);
             if arrives || short {
-                let got = unpacker.unpack(note).map(|u| u.content);
+                let got = decoder.decode(note).map(|u| u.content);
                 assert_eq!(got, arrives.then_some(content), "{}, step {i}", case.name);
             }
         }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -3,16 +3,18 @@
 use parking_lot::Mutex;
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::fleet::ServiceKind;
-use roseshore_core::lookup::Said;
+use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
-use roseshore_core::retry::{BURST, TRICKLE};
+use roseshore_core::retry::{BURST, MIN_RATE};
 use roseshore_fakes::closed::Closed;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
 use roseshore_fakes::wait::wait_until;
-use roseshore_ports::inside::{Ask, Chain, Fleets, InForce, Need, Permit, Replica, Router};
-use roseshore_ports::outside::{CallError, Called, ServiceReply};
-use roseshored::lookups::{Lookups, Parts, said};
+use roseshore_ports::inside::{
+    ActiveConfig, Chain, ChainNeeds, ConfigSource, Permit, Replica, RequestInfo, Router,
+};
+use roseshore_ports::outside::{CallError, CallResult, ServiceReply};
+use roseshored::lookups::{LookupDeps, Lookups, read_reply};
 use std::sync::Arc;
 use std::thread;
 
@@ -21,10 +23,10 @@
 const DEADLINE: Duration = Duration::from_mins(10);
 const SOURCES: [&str; 3] = ["first", "second", "third"];
 
-struct FixedFleet(Option<InForce>);
+struct FixedFleet(Option<ActiveConfig>);
 
-impl Fleets for FixedFleet {
-    fn current(&self) -> Option<InForce> {
+impl ConfigSource for FixedFleet {
+    fn current(&self) -> Option<ActiveConfig> {
         self.0.clone()
     }
 }
@@ -40,7 +42,7 @@
     };
     let services = [("packages".to_owned(), service)].into();
     let fleet = Arc::new(Fleet { services, ..Fleet::default() });
-    Arc::new(FixedFleet(Some(InForce { fleet, offset: 1, digest: 1 })))
+    Arc::new(FixedFleet(Some(ActiveConfig { fleet, offset: 1, digest: 1 })))
 }
 
 /// Gives the first replica that is not to be avoided.
@@ -61,7 +63,7 @@
 }
 
 impl Router for FixedRouter {
-    fn chain(&self, _: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, _: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         Err(Refusal::not_run(Code::NoRoute, "no chains here"))
     }
 
@@ -76,14 +78,14 @@
         self.failed.lock().push(target.clone());
     }
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
 /// Replicas in the order of their sources, and the lookups over them.
 struct Site {
     fakes: Vec<ServiceFake>,
     router: Arc<FixedRouter>,
-    parts: Parts,
+    parts: LookupDeps,
 }
 
 /// A replica of the source of this index that holds this record of `pkg`, if any.
@@ -116,7 +118,7 @@
         fakes.push(fake);
     }
     let router = Arc::new(router);
-    let parts = Parts {
+    let parts = LookupDeps {
         fleets: fleet(ServiceKind::Lookup, sources),
         router: router.clone(),
         services: Arc::new(HttpServices::default()),
@@ -124,9 +126,9 @@
     Site { fakes, router, parts }
 }
 
-fn ask(limit: Duration) -> Ask {
+fn ask(limit: Duration) -> RequestInfo {
     let arrived = Instant::now();
-    Ask {
+    RequestInfo {
         request: "r1".to_owned(),
         organisation: "mirrors".to_owned(),
         service: "packages".to_owned(),
@@ -161,10 +163,10 @@
 }
 
 /// Looks `pkg` up; fails when the outcome is held back as long as the deadline.
-fn look_up(parts: &Parts, compared: f64) -> Told {
+fn look_up(parts: &LookupDeps, compare_ratio: f64) -> Told {
     let (tell, heard) = flume::bounded(1);
     let parts = parts.clone();
-    let lookups = Lookups::new(16).comparing(compared);
+    let lookups = Lookups::new(16).with_compare_ratio(compare_ratio);
     thread::spawn(move || {
         let _ = tell.send(told(lookups.run(&parts, &ask(DEADLINE), "pkg", None)));
     });
@@ -295,7 +297,7 @@
     log::set_logger(&Lines).unwrap();
     log::set_max_level(log::LevelFilter::Trace);
     let site = site(&SOURCES, vec![is(0, Some("a")), is(1, None), is(2, Some("c"))]);
-    let lookups = Lookups::new(16).comparing(1.0);
+    let lookups = Lookups::new(16).with_compare_ratio(1.0);
     let told = told(lookups.run(&site.parts, &ask(DEADLINE), "pkg", None));
     assert_eq!(told, Told::Record("a".to_owned()));
     let wanted = "E802 first=packages/first other=packages/third name=pkg";
@@ -309,7 +311,8 @@
     let replica = Replica { target: "t0".to_owned(), addr: closed.addr() };
     router.replicas.push((format!("packages/{}", SOURCES[0]), replica));
     let site = site(&SOURCES[..1], Vec::new());
-    let site = Site { parts: Parts { router: Arc::new(router), ..site.parts.clone() }, ..site };
+    let site =
+        Site { parts: LookupDeps { router: Arc::new(router), ..site.parts.clone() }, ..site };
     assert_eq!(look_up(&site.parts, 0.0), Told::Silent(Verdict::NotRun));
 }
 
@@ -325,7 +328,7 @@
     }
     let extra = site.fakes[0].ran().lookups - count;
     // Without successes: the burst of retries and of hedges, and a trickle of each.
-    let bound = 2.0 * (BURST + TRICKLE * began.elapsed().as_secs_f64());
+    let bound = 2.0 * (BURST + MIN_RATE * began.elapsed().as_secs_f64());
     assert!(extra as f64 <= bound, "{extra} extra attempts over {count} lookups");
 }
 
@@ -362,7 +365,7 @@
     ];
     let site = site(&SOURCES, vec![is(0, Some("a"))]);
     for case in cases {
-        let parts = Parts { fleets: case.fleets, ..site.parts.clone() };
+        let parts = LookupDeps { fleets: case.fleets, ..site.parts.clone() };
         let refusal = Lookups::new(4).run(&parts, &ask(case.limit), case.looked, None).unwrap_err();
         assert_eq!((refusal.code, refusal.verdict), (case.code, Verdict::NotRun), "{}", case.name);
     }
@@ -390,18 +393,18 @@
 fn only_a_source_s_own_word_means_missing() {
     struct Case {
         name: &'static str,
-        called: Called<ServiceReply>,
-        said: Said<()>,
+        called: CallResult<ServiceReply>,
+        said: SourceReply<()>,
     }
     let reply = |status, body: &str| {
         let (content, body) = ("application/json".to_owned(), body.as_bytes().to_vec());
         Ok(ServiceReply { status, content, body, replayed: false })
     };
-    let unclear = || Said::Failed(Verdict::MayHaveRun);
+    let unclear = || SourceReply::Failed(Verdict::MayHaveRun);
     let case = |name, called, said| Case { name, called, said };
     let cases = [
-        case("record", reply(200, "x"), Said::Holds(())),
-        case("missing", reply(404, r#"{"source":"s","missing":"n"}"#), Said::Missing),
+        case("record", reply(200, "x"), SourceReply::Found(())),
+        case("missing", reply(404, r#"{"source":"s","missing":"n"}"#), SourceReply::Missing),
         case("404 of a web server", reply(404, "<html>"), unclear()),
         case("404 without a body", reply(404, ""), unclear()),
         case("404 for another source", reply(404, r#"{"source":"z","missing":"n"}"#), unclear()),
@@ -409,22 +412,26 @@
         case("410", reply(410, r#"{"source":"s","missing":"n"}"#), unclear()),
         case("204", reply(204, ""), unclear()),
         case("500", reply(500, ""), unclear()),
-        case("503 unstarted", reply(503, r#"{"not_run":true}"#), Said::Failed(Verdict::NotRun)),
+        case(
+            "503 unstarted",
+            reply(503, r#"{"not_run":true}"#),
+            SourceReply::Failed(Verdict::NotRun),
+        ),
         case("503 of another kind", reply(503, "busy"), unclear()),
         case("reply lost", Err(CallError::Lost(String::new())), unclear()),
         case("reply garbled", Err(CallError::Garbled(String::new())), unclear()),
         case(
             "not reached",
             Err(CallError::Unreached(String::new())),
-            Said::Failed(Verdict::NotRun),
+            SourceReply::Failed(Verdict::NotRun),
         ),
     ];
     for case in cases {
-        let plain = match said(case.called, "s", "n") {
-            Said::Holds(_) => Said::Holds(()),
-            Said::Missing => Said::Missing,
-            Said::Failed(verdict) => Said::Failed(verdict),
-            Said::Unasked => Said::Unasked,
+        let plain = match read_reply(case.called, "s", "n") {
+            SourceReply::Found(_) => SourceReply::Found(()),
+            SourceReply::Missing => SourceReply::Missing,
+            SourceReply::Failed(verdict) => SourceReply::Failed(verdict),
+            SourceReply::NoReplica => SourceReply::NoReplica,
         };
         assert_eq!(plain, case.said, "{}", case.name);
     }
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -2,12 +2,12 @@
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_core::answer::Rules;
+use roseshore_core::answer::AnswerSettings;
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
-use roseshore_ports::inside::{Ask, Chain, Need, Permit, Replica, Router};
+use roseshore_ports::inside::{Chain, ChainNeeds, Permit, Replica, RequestInfo, Router};
 use roseshore_wire::engine::Stage;
-use roseshored::answer::{AnswerAsk, CallerLeft, Parts, Sink, run_over};
+use roseshored::answer::{AnswerDeps, AnswerRequest, CallerLeft, TokenSink, run_with};
 use std::sync::Arc;
 
 const TOKENS: u32 = 12;
@@ -19,12 +19,12 @@
 }
 
 impl Router for Changing {
-    fn chain(&self, need: &Need) -> Result<(Chain, Permit), Refusal> {
+    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let new = (need.version == "v2").then(|| self.new.clone());
         let stage = new.or_else(|| self.old.lock().take());
         let stage = stage.ok_or_else(|| Refusal::not_run(Code::NoRoute, "no chain"))?;
-        let [first, between] = [100, 2].map(Duration::from_millis);
-        Ok((Chain { stages: vec![stage], first, between }, Permit::new(|| ())))
+        let [first_token, token_interval] = [100, 2].map(Duration::from_millis);
+        Ok((Chain { stages: vec![stage], first_token, token_interval }, Permit::new(|| ())))
     }
 
     fn version(&self, _: &ModelId) -> Option<VersionId> {
@@ -37,13 +37,13 @@
 
     fn failed(&self, _: &TargetId) {}
 
-    fn observed(&self, _: &TargetId, _: Duration) {}
+    fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
 #[derive(Default)]
 struct Tokens(Vec<String>);
 
-impl Sink for Tokens {
+impl TokenSink for Tokens {
     fn token(&mut self, _: Position, text: &str) -> Result<(), CallerLeft> {
         self.0.push(text.to_owned());
         Ok(())
@@ -101,14 +101,14 @@
         old.faults().set(case.faults);
         let router = Changing { old: Mutex::new(Some(old.stage())), new: new.stage() };
         let engine = Arc::new(EngineClient::new());
-        let parts = Parts {
+        let parts = AnswerDeps {
             router: Arc::new(router),
             engine,
             budgets: Arc::default(),
-            rules: Rules::default(),
+            settings: AnswerSettings::default(),
         };
         let prompt = vec!["review".to_owned(), "plate".to_owned()];
-        let work = AnswerAsk {
+        let work = AnswerRequest {
             model: "m".into(),
             version: "v1".into(),
             layers: 4,
@@ -118,7 +118,7 @@
             trace: None,
         };
         let now = Instant::now();
-        let ask = Ask {
+        let ask = RequestInfo {
             request: case.name.replace(' ', "-"),
             organisation: "o".into(),
             service: "s".into(),
@@ -128,7 +128,7 @@
             cost: TOKENS,
         };
         let mut sink = Tokens::default();
-        let got = run_over(&parts, &ask, work, &mut sink);
+        let got = run_with(&parts, &ask, work, &mut sink);
         let expected = text::expected("m", case.version, None, &prompt, TOKENS);
         assert_eq!(sink.0, expected[..case.tokens], "{}: {got:?}", case.name);
         match got {
