--- a/crates/roseshore_core/src/declare.rs
+++ b/crates/roseshore_core/src/declare.rs
@@ -1,8 +1,9 @@
-//! Declarations: TOML files in the operators' version control, and what they would change.
+//! Declarations: TOML files that describe a fleet, and the changes they would make.
 //!
-//! [`parse`] reads one or several files into one [`Fleet`] and checks it as the fold will, so that
-//! most faults are told with file, line and column before anything is sent. [`diff`] compares with
-//! the configuration in force and yields the changes of one command.
+//! [`parse`] reads one or more files into one [`Fleet`] and validates it as the configuration fold
+//! does, so that most faults are reported with file, line and column before anything is sent.
+//! [`diff`] compares a declared fleet with the configuration in force and returns the changes for
+//! one command.
 
 mod diff;
 mod file;
@@ -14,32 +15,32 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// A file's name, for messages, and its content.
+/// Declaration file.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// The name.
+    /// File name, used in messages.
     pub name: String,
-    /// The content.
+    /// Content, in TOML.
     pub text: String,
 }
 
-/// A location in a file.
+/// Location in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The file.
+    /// File name.
     pub file: String,
-    /// From 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
-/// What is wrong, and where.
+/// Fault of a declaration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Where.
+    /// Location of the fault.
     pub location: Location,
-    /// What, and a way out.
+    /// What is invalid and how to correct it.
     pub message: String,
 }
 
@@ -63,15 +64,16 @@
     }
 }
 
-/// Reads and checks the declarations of all files together.
+/// Parses the declarations of all files and validates them together.
 ///
 /// # Errors
-/// Every mistake found, in order of file; those of the whole fleet only when each file can be read.
+/// Every fault found, in file order. Faults of the fleet as a whole are reported only if every file
+/// can be parsed and no other fault is found.
 pub fn parse(sources: &[Source]) -> Result<Fleet, Vec<Diagnostic>> {
     let mut fleet = Fleet::default();
     let mut locations: BTreeMap<ObjectKey, Location> = BTreeMap::new();
     let mut diagnostics = Vec::new();
-    let mut tilings = Vec::new();
+    let mut chains = Vec::new();
     for source in sources {
         let content = match file::read(&source.text) {
             Ok(content) => content,
@@ -81,7 +83,7 @@
                 continue;
             }
         };
-        tilings.extend(content.tilings.into_iter().map(|it| (source, it)));
+        chains.extend(content.chains.into_iter().map(|it| (source, it)));
         for declared in content.objects {
             let location = source.location(Some(declared.span));
             if let Some(first) = locations.get(&declared.key) {
@@ -96,9 +98,9 @@
             locations.insert(declared.key, location);
         }
     }
-    for (source, tiling) in tilings {
-        let layers = fleet.models.get(&tiling.model).map(|it| it.layers);
-        if let Some((span, message)) = layers.and_then(|it| tiling.fault(it)) {
+    for (source, chain) in chains {
+        let layers = fleet.models.get(&chain.model).map(|it| it.layers);
+        if let Some((span, message)) = layers.and_then(|it| chain.first_fault(it)) {
             diagnostics.push(Diagnostic { location: source.location(Some(span)), message });
         }
     }
--- a/crates/roseshore_core/src/declare/diff.rs
+++ b/crates/roseshore_core/src/declare/diff.rs
@@ -1,4 +1,4 @@
-//! The difference between what is declared and what is in force.
+//! Computes the difference between a declared fleet and the configuration in force.
 
 use crate::config::{Change, Object, ObjectKey};
 use crate::fleet::Fleet;
@@ -6,21 +6,21 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// An object in force with its version.
+/// Objects in force with their versions.
 type InForce = BTreeMap<ObjectKey, (Offset, Object)>;
 
-/// What a declaration would change.
+/// Difference between a declared fleet and the configuration in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// The changes, in order of key.
+    /// Changes that bring the declaration into force: declared objects by key, then deletions.
     pub changes: Vec<Change>,
-    /// One line for each change and changed field, for people.
+    /// Readable lines, one per change and changed field.
     pub lines: Vec<String>,
-    /// Objects in force that are not declared and stay.
+    /// Objects in force that are not declared and are kept.
     pub undeclared: Vec<ObjectKey>,
 }
 
-/// Compares a declared fleet with what is in force; with `prune`, what is not declared is deleted.
+/// Compares a declared fleet with the objects in force; `prune` deletes those not declared.
 pub fn diff(in_force: &InForce, declared: &Fleet, prune: bool) -> Diff {
     let mut out = Diff::default();
     let declared: BTreeMap<ObjectKey, Object> = declared.objects().into_iter().collect();
@@ -29,12 +29,12 @@
             Some((_, old)) if old == object => {}
             Some((version, old)) => {
                 out.lines.push(format!("~ {key}"));
-                out.lines.extend(fields(old, object));
-                out.put(key, Some(*version), object);
+                out.lines.extend(changed_fields(old, object));
+                out.push_put(key, Some(*version), object);
             }
             None => {
                 out.lines.push(format!("+ {key}"));
-                out.put(key, None, object);
+                out.push_put(key, None, object);
             }
         }
     }
@@ -53,24 +53,26 @@
 }
 
 impl Diff {
-    fn put(&mut self, key: &ObjectKey, base: Option<Offset>, object: &Object) {
+    fn push_put(&mut self, key: &ObjectKey, base: Option<Offset>, object: &Object) {
         self.changes.push(Change { key: key.clone(), base, put: Some(object.clone()) });
     }
 }
 
-/// The fields that differ, each as `    name: old -> new`.
-fn fields(old: &Object, new: &Object) -> Vec<String> {
-    let (old, new) = (content(old), content(new));
+/// Returns the fields that differ, each as `    name: old -> new`.
+fn changed_fields(old: &Object, new: &Object) -> Vec<String> {
+    let (old, new) = (object_fields(old), object_fields(new));
     let names = new.keys().filter(|name| old.get(*name) != new.get(*name));
-    names.map(|name| format!("    {name}: {} -> {}", shown(old.get(name)), new[name])).collect()
+    names
+        .map(|name| format!("    {name}: {} -> {}", format_value(old.get(name)), new[name]))
+        .collect()
 }
 
-fn shown(value: Option<&Value>) -> String {
+fn format_value(value: Option<&Value>) -> String {
     value.map_or_else(|| "absent".into(), Value::to_string)
 }
 
-/// The fields of an object by name.
-fn content(object: &Object) -> serde_json::Map<String, Value> {
+/// Returns the fields of an object by name.
+fn object_fields(object: &Object) -> serde_json::Map<String, Value> {
     let Ok(Value::Object(outer)) = serde_json::to_value(object) else {
         return serde_json::Map::new();
     };
--- a/crates/roseshore_core/src/declare/file.rs
+++ b/crates/roseshore_core/src/declare/file.rs
@@ -1,8 +1,9 @@
-//! The shape of one file.
+//! Format of a declaration file.
 //!
-//! Objects stand under `[data_centre.ID]`, `[model.ID]`, `[service.ID]`, `[organisation.ID]` and
-//! `[target.ID]`. Groups of targets have short forms: `[[chain]]` lists engines that together hold
-//! a model's layers, `[[process]]` a process that serves several things at one address.
+//! Objects are tables `[data_centre.ID]`, `[model.ID]`, `[service.ID]`, `[organisation.ID]` and
+//! `[target.ID]`. Groups of targets have a short form: `[[chain]]` lists engines that together hold
+//! the layers of a model, and `[[process]]` is a process that serves several services or sources at
+//! one address.
 
 use crate::config::{Kind, Object, ObjectKey};
 use crate::fleet::{DataCentre, Model, Organisation, Service, Target, TargetKind};
@@ -13,42 +14,44 @@
 use std::ops::Range;
 use toml::Spanned;
 
-/// An object and where it stands.
-pub(super) struct Declared {
+/// Declared object and its location in the file.
+pub(super) struct DeclaredObject {
     pub(super) key: ObjectKey,
     pub(super) object: Object,
     pub(super) span: Range<usize>,
 }
 
-/// The stages of a chain, which must tile the layers of its model.
-pub(super) struct Tiling {
+/// Layers of the stages of a chain, which must cover those of its model without gap or overlap.
+pub(super) struct ChainLayers {
     pub(super) model: ModelId,
     pub(super) stages: Vec<(Range<usize>, (Layer, Layer))>,
 }
 
-impl Tiling {
-    /// The first stage that leaves a hole or overlaps, and why.
-    pub(super) fn fault(&self, layers: Layer) -> Option<(Range<usize>, String)> {
-        let mut due = 0;
+impl ChainLayers {
+    /// Returns the first stage that leaves a gap or overlaps, and the reason.
+    pub(super) fn first_fault(&self, layers: Layer) -> Option<(Range<usize>, String)> {
+        let mut expected = 0;
         for (span, (first, end)) in &self.stages {
-            if *first != due {
-                let why =
-                    format!("this stage begins at layer {first}, the one before ends at {due}");
+            if *first != expected {
+                let why = format!(
+                    "this stage begins at layer {first}, the one before ends at {expected}"
+                );
                 return Some((span.clone(), format!("{why}; let them meet")));
             }
-            due = *end;
+            expected = *end;
         }
         let (span, _) = self.stages.last()?;
-        let why = format!("the chain ends at layer {due}, but model `{}` has {layers}", self.model);
-        (due != layers).then(|| (span.clone(), format!("{why}; add or correct a stage")))
+        let why =
+            format!("the chain ends at layer {expected}, but model `{}` has {layers}", self.model);
+        (expected != layers).then(|| (span.clone(), format!("{why}; add or correct a stage")))
     }
 }
 
-/// What one file declares.
+/// Declarations of one file.
 #[derive(Default)]
 pub(super) struct Content {
-    pub(super) objects: Vec<Declared>,
-    pub(super) tilings: Vec<Tiling>,
+    pub(super) objects: Vec<DeclaredObject>,
+    pub(super) chains: Vec<ChainLayers>,
 }
 
 type Table<T> = BTreeMap<Spanned<String>, T>;
@@ -72,7 +75,7 @@
     process: Vec<Process>,
 }
 
-/// Engines that together hold a model's layers; their ids are `NAME-0`, `NAME-1` and so on.
+/// Engines that together hold the layers of a model; their ids are `NAME-0`, `NAME-1` and so on.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Chain {
@@ -96,8 +99,8 @@
     checks_fence: Option<bool>,
 }
 
-/// A process that serves several things; the ids are `NAME-SERVICE` or `NAME-SERVICE-SOURCE`, or
-/// `NAME` if it serves one thing.
+/// Process that serves one or more services or sources. The ids of its targets are `NAME-SERVICE`
+/// or `NAME-SERVICE-SOURCE`, or `NAME` if there is only one.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Process {
@@ -108,40 +111,45 @@
     serves: Vec<Spanned<String>>,
 }
 
-/// Reads one file.
+/// Parses one file.
 pub(super) fn read(text: &str) -> Result<Content, toml::de::Error> {
     let file: File = toml::from_str(text)?;
     let mut content = Content::default();
     let out = &mut content.objects;
-    table(out, file.data_centre, Kind::DataCentre, Object::DataCentre);
-    table(out, file.model, Kind::Model, Object::Model);
-    table(out, file.service, Kind::Service, Object::Service);
-    table(out, file.organisation, Kind::Organisation, Object::Organisation);
-    table(out, file.target, Kind::Target, Object::Target);
+    push_objects(out, file.data_centre, Kind::DataCentre, Object::DataCentre);
+    push_objects(out, file.model, Kind::Model, Object::Model);
+    push_objects(out, file.service, Kind::Service, Object::Service);
+    push_objects(out, file.organisation, Kind::Organisation, Object::Organisation);
+    push_objects(out, file.target, Kind::Target, Object::Target);
     for process in file.process {
-        replicas(out, process);
+        push_replicas(out, process);
     }
     for chain in file.chain {
-        content.tilings.push(tiling(&chain));
-        engines(&mut content.objects, chain);
+        content.chains.push(chain_layers(&chain));
+        push_engines(&mut content.objects, chain);
     }
     Ok(content)
 }
 
-fn table<T>(out: &mut Vec<Declared>, table: Table<T>, kind: Kind, wrap: fn(T) -> Object) {
+fn push_objects<T>(
+    out: &mut Vec<DeclaredObject>,
+    table: Table<T>,
+    kind: Kind,
+    wrap: fn(T) -> Object,
+) {
     for (id, object) in table {
         let span = id.span();
         let key = ObjectKey::new(kind, id.into_inner());
-        out.push(Declared { key, object: wrap(object), span });
+        out.push(DeclaredObject { key, object: wrap(object), span });
     }
 }
 
-fn tiling(chain: &Chain) -> Tiling {
+fn chain_layers(chain: &Chain) -> ChainLayers {
     let stages = chain.stages.iter().map(|it| (it.span(), it.as_ref().layers));
-    Tiling { model: chain.model.clone(), stages: stages.collect() }
+    ChainLayers { model: chain.model.clone(), stages: stages.collect() }
 }
 
-fn engines(out: &mut Vec<Declared>, chain: Chain) {
+fn push_engines(out: &mut Vec<DeclaredObject>, chain: Chain) {
     for (index, stage) in chain.stages.into_iter().enumerate() {
         let span = stage.span();
         let stage = stage.into_inner();
@@ -157,11 +165,11 @@
             accelerator: stage.accelerator,
             checks_fence: stage.checks_fence.unwrap_or(chain.checks_fence),
         };
-        out.push(declared(id, target, span));
+        out.push(declared_target(id, target, span));
     }
 }
 
-fn replicas(out: &mut Vec<Declared>, process: Process) {
+fn push_replicas(out: &mut Vec<DeclaredObject>, process: Process) {
     let name = process.name.as_ref();
     let single = process.serves.len() == 1;
     for serves in process.serves {
@@ -179,10 +187,10 @@
             accelerator: None,
             checks_fence: false,
         };
-        out.push(declared(id, target, span));
+        out.push(declared_target(id, target, span));
     }
 }
 
-fn declared(id: TargetId, target: Target, span: Range<usize>) -> Declared {
-    Declared { key: ObjectKey::new(Kind::Target, id), object: Object::Target(target), span }
+fn declared_target(id: TargetId, target: Target, span: Range<usize>) -> DeclaredObject {
+    DeclaredObject { key: ObjectKey::new(Kind::Target, id), object: Object::Target(target), span }
 }
--- a/crates/roseshore_core/src/fleet.rs
+++ b/crates/roseshore_core/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The declared state of a fleet.
 //!
-//! A [`Fleet`] is what the fold over the configuration stream yields and what every other decision
-//! reads. Objects are kept by id in ordered maps, so that equal fleets serialize alike and a
-//! digest over them can be compared between daemons.
+//! A [`Fleet`] is the result of folding the configuration stream and the input of all other
+//! decisions. Objects are kept in maps ordered by id, so that equal fleets serialize identically and
+//! their digests can be compared between daemons.
 
 use crate::ids::*;
 use serde::{Deserialize, Serialize};
@@ -10,135 +10,135 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Everything that operators have declared.
+/// All objects that operators have declared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Fleet {
-    /// The zones, by id.
+    /// Data centres by id.
     pub data_centres: BTreeMap<DataCentreId, DataCentre>,
-    /// The models, by id.
+    /// Models by id.
     pub models: BTreeMap<ModelId, Model>,
-    /// The services, by id.
+    /// Services by id.
     pub services: BTreeMap<ServiceId, Service>,
-    /// The customers, by id.
+    /// Organisations by id.
     pub organisations: BTreeMap<OrganisationId, Organisation>,
-    /// The back ends, by id.
+    /// Targets by id.
     pub targets: BTreeMap<TargetId, Target>,
 }
 
-/// A zone of machines.
+/// Data centre: a zone of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DataCentre {
-    /// The region it lies in.
+    /// Region of the data centre.
     pub region: RegionId,
-    /// One-way delay to other data centres, in milliseconds; absent ones count as a default.
+    /// One-way delay to other data centres, in milliseconds; a default applies to absent ones.
     #[serde(default)]
     pub links: BTreeMap<DataCentreId, f64>,
 }
 
-/// A model family and the version that is served.
+/// Model family and the version to serve.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The number of layers that every token passes.
+    /// Number of layers that every token passes through.
     pub layers: Layer,
-    /// The version that new answers use.
+    /// Version for new answers.
     pub version: VersionId,
-    /// Adapters that callers may ask for.
+    /// Adapters that callers may request.
     #[serde(default)]
     pub adapters: BTreeSet<AdapterId>,
-    /// Size of the weights of one layer, in bytes; what a load costs the weight store.
+    /// Size of the weights of one layer, in bytes; determines the load on the weight store.
     #[serde(default = "layer_bytes")]
     pub layer_bytes: u64,
 }
 
-/// What a service is.
+/// Kind of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Answers by a model over several stages.
+    /// Generates answers with a model that is split over several engines.
     Model,
-    /// Answers by name from one or more sources, idempotent.
+    /// Looks up names in one or more sources; always idempotent.
     Lookup,
-    /// Forwards the call to one replica.
+    /// Forwards each call to one replica.
     Plain,
 }
 
-/// A named service.
+/// Named service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What it is.
+    /// Kind of the service.
     pub kind: ServiceKind,
-    /// The model behind it, for [`ServiceKind::Model`].
+    /// Model that generates the answers, for [`ServiceKind::Model`].
     #[serde(default)]
     pub model: Option<ModelId>,
-    /// The sources behind it in declared order, for [`ServiceKind::Lookup`]; the first that holds a
-    /// name gives the answer.
+    /// Sources in declared order, for [`ServiceKind::Lookup`]; the first that contains a name
+    /// answers.
     #[serde(default)]
     pub sources: Vec<String>,
-    /// Whether a call may be run more than once.
+    /// Whether a call may be executed more than once.
     #[serde(default = "yes")]
     pub idempotent: bool,
-    /// Whether its answers are counted in the account of late and repeated ones.
+    /// Whether its answers are included in the accounting of late and repeated answers.
     #[serde(default)]
     pub advisory: bool,
-    /// The time a request has when the caller names none.
+    /// Deadline of a request if the caller specifies none.
     #[serde(default = "default_deadline", with = "millis")]
     pub deadline: Duration,
 }
 
-/// A customer and its limits, for the whole system.
+/// Organisation and its limits over all daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Its part of a saturated service, relative to the others.
+    /// Share of a saturated service, relative to other organisations.
     #[serde(default = "one")]
     pub share: f64,
-    /// Requests a second over all daemons.
+    /// Requests per second over all daemons.
     #[serde(default = "default_rate")]
     pub rate: f64,
-    /// Requests that may come at once.
+    /// Number of requests that may arrive at once.
     #[serde(default = "default_burst")]
     pub burst: f64,
 }
 
-/// What a target is.
+/// Kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
-    /// A model engine that holds a range of layers.
+    /// Model engine that holds a range of layers.
     Engine,
-    /// A replica of a plain or lookup service.
+    /// Replica of a plain or lookup service.
     Service,
 }
 
-/// A back end.
+/// Target: an engine or a service replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// What it is.
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// The machine it runs on, as the host list names it.
+    /// Host that it runs on, by its name in the host list.
     pub host: HostId,
-    /// Where it runs.
+    /// Data centre that it runs in.
     pub data_centre: DataCentreId,
-    /// Where it listens.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// The service source it serves, for [`TargetKind::Service`]: `service` or `service/source`.
+    /// What it serves, for [`TargetKind::Service`]: `service` or `service/source`.
     #[serde(default)]
     pub serves: Option<String>,
-    /// The model it should hold, for [`TargetKind::Engine`]; one without model and layers is spare,
-    /// see [`crate::order::placement`].
+    /// Model that it should hold, for [`TargetKind::Engine`]; an engine without model and layers is
+    /// a spare, see [`crate::order::placement`].
     #[serde(default)]
     pub model: Option<ModelId>,
-    /// The layers it should hold, first and one past the last.
+    /// Layers that it should hold: the first and one past the last.
     #[serde(default)]
     pub layers: Option<(Layer, Layer)>,
-    /// The kind of accelerator, for the operators' eyes and the cost model's default.
+    /// Kind of accelerator; informs operators and selects the default of the cost model.
     #[serde(default)]
     pub accelerator: Option<String>,
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether it rejects orders with a stale fencing token.
     #[serde(default)]
     pub checks_fence: bool,
 }
@@ -167,12 +167,12 @@
     64 << 20
 }
 
-/// Durations as whole milliseconds, in files and records alike.
+/// Serializes durations as whole milliseconds, in files and in records.
 pub mod millis {
     use serde::{Deserialize, Deserializer, Serializer};
     use std::time::Duration;
 
-    /// Writes whole milliseconds.
+    /// Serializes a duration as whole milliseconds.
     ///
     /// # Errors
     /// Those of the serializer.
@@ -180,7 +180,7 @@
         s.serialize_u64(d.as_millis() as u64)
     }
 
-    /// Reads whole milliseconds.
+    /// Deserializes a duration from whole milliseconds.
     ///
     /// # Errors
     /// Those of the deserializer.
--- a/crates/roseshore_core/tests/declare.rs
+++ b/crates/roseshore_core/tests/declare.rs
@@ -1,4 +1,4 @@
-//! Declarations in TOML: what is read, what is refused and where, and what they would change.
+//! Tests of TOML declarations: which are accepted, where faults are reported, and the differences.
 
 use roseshore_core::declare::{Source, diff, parse};
 use roseshore_core::prelude::*;
@@ -22,7 +22,7 @@
 "#;
 
 #[test]
-fn mistakes_are_told_with_their_place() {
+fn faults_are_reported_with_their_location() {
     struct Case {
         name: &'static str,
         more: &'static str,
@@ -56,12 +56,12 @@
             want: "b.toml:2:8: model `m` is declared already at a.toml:4",
         },
         Case {
-            name: "a model that is not there",
+            name: "an undeclared model",
             more: "[service.s]\nkind = \"model\"\nmodel = \"q\"",
             want: "b.toml:1:10: service `s`: model `q` is not declared",
         },
         Case {
-            name: "a hole in a chain",
+            name: "a gap in a chain",
             more: "[[chain]]\nname = \"c\"\nmodel = \"m\"\ndata_centre = \"korangi\"\nstages = [\n { host = \"h\", addr = \"127.0.0.1:1\", layers = [0, 3] },\n { host = \"h\", addr = \"127.0.0.1:2\", layers = [4, 8] },\n]",
             want: "b.toml:7:2: this stage begins at layer 4, the one before ends at 3",
         },
@@ -71,7 +71,7 @@
             want: "b.toml:6:2: the chain ends at layer 7, but model `m` has 8",
         },
         Case {
-            name: "a hole between targets",
+            name: "a gap between targets",
             more: "[target.t]\nkind = \"engine\"\nhost = \"h\"\ndata_centre = \"korangi\"\naddr = \"127.0.0.1:1\"\nmodel = \"m\"\nlayers = [0, 7]",
             want: "a.toml:4:8: model `m`: no target holds layers 7..8",
         },
@@ -87,15 +87,15 @@
         },
     ];
     for case in cases {
-        let mistakes = parse(&[source("a.toml", GOOD), source("b.toml", case.more)]);
-        let told: Vec<String> =
-            mistakes.expect_err(case.name).iter().map(ToString::to_string).collect();
-        assert!(told.iter().any(|it| it.starts_with(case.want)), "{}: {told:?}", case.name);
+        let diagnostics = parse(&[source("a.toml", GOOD), source("b.toml", case.more)]);
+        let reported: Vec<String> =
+            diagnostics.expect_err(case.name).iter().map(ToString::to_string).collect();
+        assert!(reported.iter().any(|it| it.starts_with(case.want)), "{}: {reported:?}", case.name);
     }
 }
 
 #[test]
-fn both_fleets_are_of_the_letters_size() {
+fn both_fleets_have_the_specified_size() {
     struct Case {
         name: &'static str,
         lookup: &'static str,
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_difference_is_what_a_command_changes() {
+fn differences_are_the_changes_of_a_command() {
     struct Case {
         name: &'static str,
         from: String,
@@ -149,9 +149,9 @@
         undeclared,
     };
     let cases = [
-        case("nothing", good(), good(), true, &[], 0),
+        case("no change", good(), good(), true, &[], 0),
         case(
-            "everything",
+            "all objects new",
             String::new(),
             GOOD.replace("[organisation.mirrors]\nrate = 50.0", ""),
             false,
@@ -167,7 +167,7 @@
             0,
         ),
         case(
-            "left out",
+            "an object not declared",
             good(),
             GOOD.replace("[organisation.mirrors]\nrate = 50.0", ""),
             false,
@@ -175,7 +175,7 @@
             1,
         ),
         case(
-            "pruned",
+            "an object pruned",
             good(),
             GOOD.replace("[organisation.mirrors]\nrate = 50.0", ""),
             true,
