--- a/crates/roseshored/src/app.rs
+++ b/crates/roseshored/src/app.rs
@@ -1,4 +1,4 @@
-//! The parts of a running daemon.
+//! The components of a running daemon.
 
 use crate::budgets::Budgets;
 use roseshore_ports::inside::{
@@ -8,52 +8,52 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What serving a request needs.
+/// The components that serving a request needs; cheap to clone.
 #[derive(Clone)]
 pub struct App {
-    /// The configuration in force.
+    /// Source of the current configuration.
     pub fleets: Arc<dyn ConfigSource>,
-    /// Admission and limits.
+    /// Admission control.
     pub admission: Arc<dyn AdmissionControl>,
-    /// The choice of targets.
+    /// Chooses targets.
     pub router: Arc<dyn Router>,
-    /// Unrepeatable work.
+    /// Claims of idempotency keys.
     pub claims: Arc<dyn Claims>,
-    /// The record of requests.
+    /// Record of running and ended requests.
     pub ledger: Arc<dyn Ledger>,
-    /// The daemons.
+    /// The member list of daemons.
     pub members: Arc<dyn Members>,
-    /// Model engines.
+    /// Client of model engines.
     pub engine: Arc<dyn Engine>,
-    /// Plain and lookup services.
+    /// Client of plain and lookup services.
     pub services: Arc<dyn Services>,
-    /// What services may spend on retries.
+    /// Retry budgets of the services.
     pub budgets: Arc<Budgets>,
-    /// Whether this daemon takes no new work.
+    /// Whether this daemon has been told to drain.
     pub drain: Arc<Drain>,
 }
 
 impl App {
-    /// Whether this daemon takes no new work: it was told to drain, or the host list shows its host
-    /// as leaving. The list may take that back, so that it begins no drain.
+    /// Whether this daemon refuses new work: it was told to drain, or the host list marks its host as
+    /// leaving. The list may revoke that, so it does not start a drain.
     pub fn leaving(&self) -> bool {
         self.drain.draining() || self.members.own().state == MemberState::Leaving
     }
 }
 
-/// Whether this daemon takes no new work.
+/// The drain state of this daemon; once started, a drain is not revoked.
 #[derive(Debug, Default)]
 pub struct Drain {
     draining: AtomicBool,
 }
 
 impl Drain {
-    /// Takes no new work from now on.
+    /// Refuses new work from now on.
     pub fn start(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Whether no new work is taken.
+    /// Whether a drain has been started.
     pub fn draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
--- a/crates/roseshored/src/context.rs
+++ b/crates/roseshored/src/context.rs
@@ -1,19 +1,19 @@
-//! The daemon's parts as the front and the paths behind it see them.
+//! The daemon's components as the HTTP server and its handlers use them.
 
 use crate::admin::AdminApi;
 use crate::app::App;
 use crate::spans::Store;
 use metrics_exporter_prometheus::PrometheusHandle;
 
-/// What the paths need of the daemon.
+/// What the HTTP handlers need of the daemon; cheap to clone.
 #[derive(Clone)]
 pub struct ServerContext {
-    /// The parts.
+    /// The components that serve requests.
     pub app: App,
     /// What operators' calls touch; without it there are none.
     pub admin_api: Option<AdminApi>,
-    /// The spans of the last requests.
+    /// The spans of recent requests.
     pub spans: &'static Store,
-    /// The metrics.
+    /// The metrics recorder; without it `/metrics` is empty.
     pub metrics: Option<PrometheusHandle>,
 }
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -9,7 +9,7 @@
 use crate::context::ServerContext;
 use crate::event;
 use crate::http::HttpServer;
-use crate::serve::Paths;
+use crate::serve::ApiRoutes;
 use crate::settings::Settings;
 use crate::spans;
 use flume::Receiver;
@@ -50,7 +50,7 @@
         spans: spans::install(settings.traces),
         metrics: recorder(),
     };
-    let server = HttpServer::start(settings, context, &Paths)?;
+    let server = HttpServer::start(settings, context, &ApiRoutes)?;
     let addr = server.addr();
     event!(
         Event::Started,
--- a/crates/roseshored/src/http.rs
+++ b/crates/roseshored/src/http.rs
@@ -1,22 +1,23 @@
-//! Callers' connections: accepting them, reading requests, and giving each exactly one end.
+//! HTTP server for callers: accepts connections, reads requests, and ends each request exactly once.
 //!
-//! `tiny_http` lends its types for heads and its kin `chunked_transfer` the bodies, but its server
-//! is not used: one header (`content-length: 1000000000000000`) ends the whole process, and it has
-//! no bound on connections, heads or time. `docs/design/front.md` has the runs.
+//! Types of `tiny_http` are used for heads and `chunked_transfer` for bodies, but not the server of
+//! `tiny_http`: a single header (`content-length: 1000000000000000`) aborts the whole process, and it
+//! does not limit connections, the size of heads, or time. See `docs/design/front.md` for the tests.
 
 pub mod exchange;
+mod in_flight;
 pub mod pool;
 pub mod read;
 pub mod reply;
-mod work;
 
 use crate::context::ServerContext;
 use crate::event;
 use crate::settings::Settings;
 use exchange::{Exchange, RequestHandler};
+use in_flight::InFlight;
 use parking_lot::Mutex;
 use pool::Pool;
-use read::{Bounds, ReadEnd, Reader, Request};
+use read::{Limits, ReadError, Reader, Request};
 use roseshore_core::prelude::*;
 use rustc_hash::FxHashMap;
 use socket2::{Domain, Protocol, Socket, Type};
@@ -25,96 +26,96 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::{self, JoinHandle};
-use work::Work;
 
-/// How often the acceptor looks whether it is to end.
-const TICK: Duration = Duration::from_millis(100);
-/// How long the acceptor rests when the process is out of descriptors.
-const REST: Duration = Duration::from_millis(20);
-/// Connections that wait to be told that there is no room.
-const TURNED_AWAY: usize = 64;
-/// How long a connection that is turned away may take to send its head.
-const AWAY_LIMIT: Duration = Duration::from_millis(200);
-/// How long, and how much, is read from a caller that was refused, so that the refusal reaches it.
-const LINGER: Duration = Duration::from_millis(500);
+/// How often the acceptor checks whether it has to stop.
+const ACCEPT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Delay before the next accept after an error, such as when the process is out of file descriptors.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+/// Maximum number of connections that are being rejected at the same time.
+const MAX_REJECTING: usize = 64;
+/// Time limit for reading the request of a connection that is rejected, and for writing to it.
+const REJECT_LIMIT: Duration = Duration::from_millis(200);
+/// How long the server reads on from a caller that was refused; see [`linger`].
+const LINGER_TIME: Duration = Duration::from_millis(500);
+/// How many bytes the server reads on from a caller that was refused; see [`linger`].
 const LINGER_BYTES: usize = 4 << 20;
-/// Connections that the kernel keeps for the acceptor.
+/// Length of the kernel's queue of connections to accept.
 const BACKLOG: i32 = 1024;
 
-/// What all connections share.
-struct Shared {
+/// State shared by all connections.
+struct ServerState {
     context: ServerContext,
-    behind: &'static dyn RequestHandler,
-    bounds: Bounds,
-    write: Duration,
-    work: Work,
+    handler: &'static dyn RequestHandler,
+    limits: Limits,
+    write_limit: Duration,
+    in_flight: InFlight,
     closing: AtomicBool,
-    next: AtomicU64,
-    open: Mutex<FxHashMap<u64, TcpStream>>,
+    next_id: AtomicU64,
+    connections: Mutex<FxHashMap<u64, TcpStream>>,
 }
 
-/// The callers' side of a running daemon.
+/// The running HTTP server for callers.
 pub struct HttpServer {
     addr: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<ServerState>,
     acceptor: JoinHandle<()>,
 }
 
 impl HttpServer {
-    /// Listens and serves.
+    /// Starts to listen and to serve.
     ///
     /// # Errors
-    /// When the address cannot be listened on.
+    /// Fails when the address cannot be bound or the acceptor thread cannot be spawned.
     pub fn start(
         settings: &Settings,
         context: ServerContext,
-        behind: &'static dyn RequestHandler,
+        handler: &'static dyn RequestHandler,
     ) -> io::Result<HttpServer> {
         let listener = listen(settings.listen)?;
         let addr = listener.local_addr()?;
-        let bounds = Bounds {
+        let limits = Limits {
             body: settings.body_bytes,
-            caller: settings.read_timeout,
+            request: settings.read_timeout,
             idle: settings.idle_timeout,
         };
-        let shared = Arc::new(Shared {
+        let state = Arc::new(ServerState {
             context,
-            behind,
-            bounds,
-            write: settings.write_timeout,
-            work: Work::new(settings.requests),
+            handler,
+            limits,
+            write_limit: settings.write_timeout,
+            in_flight: InFlight::new(settings.requests),
             closing: AtomicBool::new(false),
-            next: AtomicU64::new(0),
-            open: Mutex::default(),
+            next_id: AtomicU64::new(0),
+            connections: Mutex::default(),
         });
-        let acceptor = Acceptor::new(listener, shared.clone(), settings.connections);
+        let acceptor = Acceptor::new(listener, state.clone(), settings.connections);
         let acceptor =
             thread::Builder::new().name("accept".to_owned()).spawn(move || acceptor.run())?;
-        Ok(HttpServer { addr, shared, acceptor })
+        Ok(HttpServer { addr, state, acceptor })
     }
 
-    /// Where callers are heard.
+    /// The address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Requests in work.
+    /// Number of requests in progress, except status requests.
     pub fn in_flight(&self) -> usize {
-        self.shared.work.count()
+        self.state.in_flight.count()
     }
 
-    /// Waits until nothing is in work; false when `limit` ran out first.
+    /// Waits until no request is in progress; returns false if `limit` ran out first.
     pub fn wait(&self, limit: Duration) -> bool {
-        self.shared.work.wait(limit)
+        self.state.in_flight.wait(limit)
     }
 
-    /// Accepts nothing more and closes idle connections.
+    /// Stops accepting connections and closes idle ones.
     pub fn stop(self) {
-        self.shared.closing.store(true, Ordering::SeqCst);
+        self.state.closing.store(true, Ordering::SeqCst);
         if self.acceptor.join().is_err() {
             event!(Event::ThreadLost, "thread=accept");
         }
-        for stream in self.shared.open.lock().values() {
+        for stream in self.state.connections.lock().values() {
             let _ = stream.shutdown(Shutdown::Read);
         }
     }
@@ -125,36 +126,36 @@
     socket.set_reuse_address(true)?;
     socket.bind(&addr.into())?;
     socket.listen(BACKLOG)?;
-    // `accept` returns at every tick, so that the acceptor ends without a connection to itself.
-    socket.set_read_timeout(Some(TICK))?;
+    // `accept` returns at every time-out, so that the acceptor can stop without a wake-up connection.
+    socket.set_read_timeout(Some(ACCEPT_TIMEOUT))?;
     Ok(socket.into())
 }
 
-/// Takes connections and hands them to threads.
+/// Accepts connections and passes them to the thread pools.
 struct Acceptor {
     listener: TcpListener,
-    shared: Arc<Shared>,
+    state: Arc<ServerState>,
     pool: Pool<TcpStream>,
-    away: Pool<TcpStream>,
+    rejecting: Pool<TcpStream>,
 }
 
 impl Acceptor {
-    fn new(listener: TcpListener, shared: Arc<Shared>, connections: usize) -> Acceptor {
-        let (serving, turning) = (shared.clone(), shared.clone());
+    fn new(listener: TcpListener, state: Arc<ServerState>, connections: usize) -> Acceptor {
+        let (serving, refusing) = (state.clone(), state.clone());
         let pool = Pool::new(connections, move |stream| serving.serve(stream));
-        let away = Pool::new(TURNED_AWAY, move |stream| turning.turn_away(stream));
-        Acceptor { listener, shared, pool, away }
+        let rejecting = Pool::new(MAX_REJECTING, move |stream| refusing.reject(stream));
+        Acceptor { listener, state, pool, rejecting }
     }
 
     fn run(&self) {
-        while !self.shared.closing.load(Ordering::SeqCst) {
+        while !self.state.closing.load(Ordering::SeqCst) {
             self.accept();
         }
-        // Whoever the kernel has accepted by now still gets an answer.
+        // Connections that are already in the kernel's queue still get a refusal.
         let _ = self.listener.set_nonblocking(true);
         while let Ok((stream, _)) = self.listener.accept() {
             let _ = stream.set_nonblocking(false);
-            self.shared.turn_away(stream);
+            self.state.reject(stream);
         }
     }
 
@@ -162,28 +163,28 @@
         match self.listener.accept() {
             Ok((stream, _)) => {
                 metrics::gauge!("roseshore_connection_threads").set(self.pool.threads() as f64);
-                let Err(stream) = self.pool.give(stream) else { return };
+                let Err(stream) = self.pool.submit(stream) else { return };
                 metrics::counter!("roseshore_connections_refused_total").increment(1);
-                // With this many being turned away already, the connection is just closed: it
-                // has not been read, so nothing of it ran.
-                let _ = self.away.give(stream);
+                // With too many connections being rejected already, this one is just closed. Nothing
+                // has been read from it, so none of its requests ran.
+                let _ = self.rejecting.submit(stream);
             }
             Err(err) if matches!(err.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            Err(_) => thread::sleep(REST),
+            Err(_) => thread::sleep(ACCEPT_RETRY),
         }
     }
 }
 
-impl Shared {
-    /// Serves one connection until it is closed.
+impl ServerState {
+    /// Serves the requests of one connection until it is closed.
     fn serve(&self, stream: TcpStream) {
-        let Ok(kept) = self.keep(&stream) else { return };
+        let Ok(registered) = self.register(&stream) else { return };
         let Ok(copy) = stream.try_clone() else { return };
-        let mut reader = Reader::new(copy, self.bounds);
+        let mut reader = Reader::new(copy, self.limits);
         loop {
             match reader.request() {
-                Err(ReadEnd::Closed) => break,
-                Err(ReadEnd::Refused(refusal, head)) => {
+                Err(ReadError::Closed) => break,
+                Err(ReadError::Refused(refusal, head)) => {
                     self.refuse(&stream, head.as_deref(), refusal);
                     linger(&stream);
                     break;
@@ -195,70 +196,70 @@
                 }
             }
         }
-        drop(kept);
+        drop(registered);
         let _ = stream.shutdown(Shutdown::Both);
     }
 
-    fn keep(&self, stream: &TcpStream) -> io::Result<Kept<'_>> {
-        // The listener's tick is inherited; the reader sets its own limit before each read.
+    fn register(&self, stream: &TcpStream) -> io::Result<OpenConnection<'_>> {
+        // The listener's read time-out is inherited, but the reader sets its own before each read.
         stream.set_nodelay(true)?;
-        stream.set_write_timeout(Some(self.write))?;
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
-        self.open.lock().insert(id, stream.try_clone()?);
+        stream.set_write_timeout(Some(self.write_limit))?;
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        self.connections.lock().insert(id, stream.try_clone()?);
         if self.closing.load(Ordering::SeqCst) {
             let _ = stream.shutdown(Shutdown::Read);
         }
-        Ok(Kept { shared: self, id })
+        Ok(OpenConnection { state: self, id })
     }
 
-    /// Gives one request its end; returns whether the connection is to be closed.
+    /// Serves one request; returns whether the connection has to be closed.
     fn answer(&self, stream: &TcpStream, request: &Request) -> bool {
         let Ok(copy) = stream.try_clone() else { return true };
-        let last = request.last || self.closing.load(Ordering::SeqCst);
-        let mut exchange = Exchange::new(&self.context, self.behind, copy, Some(request), last);
-        if self.behind.is_status(request) {
+        let close = request.close || self.closing.load(Ordering::SeqCst);
+        let mut exchange = Exchange::new(&self.context, self.handler, copy, Some(request), close);
+        if self.handler.is_status(request) {
             exchange.run(request);
         } else {
-            match self.work.enter() {
-                Some(_place) => exchange.run(request),
-                None => exchange.refuse(full()),
+            match self.in_flight.enter() {
+                Some(_guard) => exchange.run(request),
+                None => exchange.refuse(overloaded()),
             }
         }
-        exchange.closes()
+        exchange.must_close()
     }
 
     fn refuse(&self, stream: &TcpStream, head: Option<&Request>, refusal: Refusal) {
         if let Ok(copy) = stream.try_clone() {
-            Exchange::new(&self.context, self.behind, copy, head, true).refuse(refusal);
+            Exchange::new(&self.context, self.handler, copy, head, true).refuse(refusal);
         }
     }
 
-    /// Tells a connection for which there is no room what became of its request: nothing.
-    fn turn_away(&self, stream: TcpStream) {
-        let _ = stream.set_write_timeout(Some(AWAY_LIMIT));
+    /// Reads one request from a connection for which there is no thread, and refuses it.
+    fn reject(&self, stream: TcpStream) {
+        let _ = stream.set_write_timeout(Some(REJECT_LIMIT));
         let Ok(copy) = stream.try_clone() else { return };
-        let limits = Bounds { caller: AWAY_LIMIT, ..self.bounds };
+        let limits = Limits { request: REJECT_LIMIT, ..self.limits };
         let head = match Reader::new(copy, limits).request() {
             Ok(request) => Some(Box::new(request)),
-            Err(ReadEnd::Refused(_, head)) => head,
-            Err(ReadEnd::Closed) => return,
+            Err(ReadError::Refused(_, head)) => head,
+            Err(ReadError::Closed) => return,
         };
-        self.refuse(&stream, head.as_deref(), full());
+        self.refuse(&stream, head.as_deref(), overloaded());
         linger(&stream);
     }
 }
 
-fn full() -> Refusal {
+fn overloaded() -> Refusal {
     let text = "this host has no room for another request; come back, or raise `--requests`";
     Refusal::not_run(Code::QueueFull, text)
 }
 
-/// Reads on for a while after a refusal: a close with unread bytes would reset the connection, and
-/// the caller would lose the refusal.
+/// Reads on for a while after a refusal. Closing a socket with unread bytes resets the connection, and
+/// the caller might lose the refusal.
 fn linger(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Write);
-    let end = Instant::now() + LINGER;
-    let mut rest = [0; 4096];
+    let end = Instant::now() + LINGER_TIME;
+    let mut buffer = [0; 4096];
     let mut bytes = 0;
     let mut input = stream;
     while bytes < LINGER_BYTES {
@@ -266,21 +267,21 @@
         if left.is_zero() || stream.set_read_timeout(Some(left)).is_err() {
             return;
         }
-        match input.read(&mut rest) {
+        match input.read(&mut buffer) {
             Ok(0) | Err(_) => return,
             Ok(len) => bytes += len,
         }
     }
 }
 
-/// A connection that can be closed from outside while it is idle.
-struct Kept<'a> {
-    shared: &'a Shared,
+/// A registered connection, which [`HttpServer::stop`] can close while it is idle.
+struct OpenConnection<'a> {
+    state: &'a ServerState,
     id: u64,
 }
 
-impl Drop for Kept<'_> {
+impl Drop for OpenConnection<'_> {
     fn drop(&mut self) {
-        self.shared.open.lock().remove(&self.id);
+        self.state.connections.lock().remove(&self.id);
     }
 }
--- a/crates/roseshored/src/http/exchange.rs
+++ b/crates/roseshored/src/http/exchange.rs
@@ -1,7 +1,7 @@
-//! One request and its one end.
+//! One request from its handler to its end.
 //!
-//! Whatever a handler does - answer, refuse, panic, or forget to answer - ends here, in one
-//! place, with one verdict: to the caller, the ledger, the metrics and the log.
+//! Whether a handler answers, refuses, panics or does not answer at all, every request ends here, with
+//! the same verdict for the caller, the ledger, the metrics and the log.
 
 use crate::context::ServerContext;
 use crate::event;
@@ -16,32 +16,35 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use tiny_http::Method;
 
-/// How long to stay away when a refusal does not say; as much again is added by chance.
-const AWAY: Duration = Duration::from_millis(500);
-/// The longest id that a caller may give its request.
-const MAX_ID: usize = 64;
+/// Retry delay when a refusal names none; a random delay of up to the same length is added, so that
+/// callers do not all come back at once.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Longest id that a caller may give its request, in bytes.
+const MAX_ID_LEN: usize = 64;
 
-/// How an answered request went.
+/// Details of an answered request for the ledger.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Finish {
-    /// Whether it was a recorded answer given again.
+    /// Whether the answer was a recorded one.
     pub repeated: bool,
-    /// Re-routes it took.
+    /// Number of re-routes.
     pub resumed: u32,
 }
 
-/// What is behind the front.
+/// Handles the requests that the HTTP server has read.
 pub trait RequestHandler: Sync {
     /// Serves one request.
     ///
     /// # Errors
-    /// The refusal that ends it.
+    /// Returns the refusal that ends the request.
     fn handle(&self, request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal>;
 
-    /// Whether a request only looks at the daemon; those are served while it is full or leaving.
+    /// Whether a request starts no work on targets; such requests are served even if the daemon is full or
+    /// leaving.
     fn is_status(&self, request: &Request) -> bool;
 
-    /// Whose request it is, if it is one that must not be dropped silently.
+    /// The request's info if it belongs to an advisory service, whose requests must not be dropped
+    /// silently.
     fn advisory(
         &self,
         context: &ServerContext,
@@ -50,69 +53,70 @@
     ) -> Option<RequestInfo>;
 }
 
-/// One request on its way to its end.
+/// One request in progress.
 pub struct Exchange<'a> {
-    /// The daemon's parts.
+    /// The daemon's components.
     pub context: &'a ServerContext,
-    behind: &'a dyn RequestHandler,
-    /// The request's own id: the caller's, if it gave one, and a part that never occurs twice.
+    handler: &'a dyn RequestHandler,
+    /// The request's unique id: a random part, after the caller's id if it sent one.
     pub id: RequestId,
-    /// The id as the caller knows it.
-    pub given: RequestId,
+    /// The id as the caller knows it; may occur more than once.
+    pub external_id: RequestId,
     /// The request's place in the caller's trace.
     pub trace: Trace,
-    /// The way back.
+    /// Writes the response.
     pub reply: Reply,
-    /// Whose it is, once that is known.
-    pub ask: Option<RequestInfo>,
-    /// Whether a target may have been given it.
+    /// Organisation, service and deadline, once they are known.
+    pub info: Option<RequestInfo>,
+    /// Whether the request may have been sent to a target.
     pub dispatched: bool,
-    /// Whether the record of its key was read.
-    pub consulted: bool,
-    /// Whether the service may run it twice; `None` until the service is known.
+    /// Whether the state of its idempotency key has been checked.
+    pub key_checked: bool,
+    /// Whether the service is idempotent; `None` until the service is known.
     pub idempotent: Option<bool>,
-    /// When the first token or byte was sent.
-    pub first: Option<Instant>,
-    /// Whether its service's work must not be dropped silently.
+    /// When the first byte of the answer was sent.
+    pub first_byte: Option<Instant>,
+    /// Whether the service is advisory, so that its requests must not be dropped silently.
     pub advisory: bool,
-    keyed: bool,
+    has_key: bool,
     request: Option<&'a Request>,
 }
 
 impl<'a> Exchange<'a> {
-    /// The exchange of a request, or of one whose head could not be read.
+    /// Creates the exchange of a request; `request` is `None` if its head could not be read. `close` is
+    /// whether the connection is closed afterwards.
     pub fn new(
         context: &'a ServerContext,
-        behind: &'a dyn RequestHandler,
+        handler: &'a dyn RequestHandler,
         stream: TcpStream,
         request: Option<&'a Request>,
-        last: bool,
+        close: bool,
     ) -> Exchange<'a> {
         let header = |name| request.and_then(|it| it.header(name));
-        let bare = request.is_some_and(|it| it.method == Method::Head);
-        let chunks = request.is_none_or(|it| it.chunks);
+        let head_only = request.is_some_and(|it| it.method == Method::Head);
+        let chunked = request.is_none_or(|it| it.chunked);
         let nonce = hex16();
-        let sane = header("x-request-id").filter(|it| is_sane(it));
-        let id = sane.map_or(nonce.clone(), |it| format!("{it}~{nonce}"));
+        let valid = header("x-request-id").filter(|it| is_valid_id(it));
+        let id = valid.map_or(nonce.clone(), |it| format!("{it}~{nonce}"));
         Exchange {
             context,
-            behind,
-            given: sane.map_or(nonce, str::to_owned),
+            handler,
+            external_id: valid.map_or(nonce, str::to_owned),
             id,
             trace: Trace::below(header("traceparent")),
-            reply: Reply::new(stream, bare, chunks, last),
-            ask: None,
+            reply: Reply::new(stream, head_only, chunked, close),
+            info: None,
             dispatched: false,
-            consulted: false,
+            key_checked: false,
             idempotent: None,
-            first: None,
+            first_byte: None,
             advisory: false,
-            keyed: header("idempotency-key").is_some(),
+            has_key: header("idempotency-key").is_some(),
             request,
         }
     }
 
-    /// Serves the request to its end.
+    /// Runs the handler and ends the request.
     pub fn run(&mut self, request: &Request) {
         let span = tracing::info_span!(
             "request",
@@ -120,9 +124,9 @@
             trace = self.trace.id(),
             path = request.path.as_str(),
         );
-        let behind = self.behind;
+        let handler = self.handler;
         let result =
-            span.in_scope(|| catch_unwind(AssertUnwindSafe(|| behind.handle(request, self))));
+            span.in_scope(|| catch_unwind(AssertUnwindSafe(|| handler.handle(request, self))));
         match result {
             Ok(Ok(finish)) if !self.reply.unsent() && !self.reply.streaming() => {
                 self.end(Verdict::Answered, None, finish);
@@ -138,19 +142,19 @@
 
     /// Ends the request with a refusal.
     pub fn refuse(&mut self, refusal: Refusal) {
-        self.look_whose();
-        let settled = self.settle(refusal);
-        let body = self.error(&settled);
+        self.identify_advisory();
+        let last = self.final_refusal(refusal);
+        let body = self.error_body(&last);
         if self.reply.streaming() {
             self.reply.fail(&body);
         } else if self.reply.unsent() {
-            let response = self.response(&settled, &body);
+            let response = self.error_response(&last, &body);
             self.reply.send(&response);
         }
-        let Settled { refusal, .. } = settled;
-        // "Not found" is an answer in the form of a refusal.
+        let FinalRefusal { refusal, .. } = last;
+        // "Not found" is an answer that is sent in the form of a refusal.
         let answered = refusal.verdict == Verdict::Answered;
-        if !self.reply.broken && !answered {
+        if !self.reply.disconnected && !answered {
             event!(
                 Event::RequestRefused,
                 "request={} code={} verdict={} {}",
@@ -163,67 +167,69 @@
         self.end(refusal.verdict, Some(refusal.code), Finish::default());
     }
 
-    /// A request that was refused before it was read may be advisory work.
-    fn look_whose(&mut self) {
-        let (None, Some(request)) = (&self.ask, self.request) else { return };
-        self.ask = self.behind.advisory(self.context, request, &self.id);
-        if let Some(ask) = &self.ask {
+    /// Identifies a request of an advisory service that was refused before its headers were read.
+    fn identify_advisory(&mut self) {
+        let (None, Some(request)) = (&self.info, self.request) else { return };
+        self.info = self.handler.advisory(self.context, request, &self.id);
+        if let Some(ask) = &self.info {
             self.advisory = true;
             self.context.app.ledger.begun(ask);
         }
     }
 
-    /// Whether the connection must be closed.
-    pub fn closes(&self) -> bool {
+    /// Whether the connection must be closed after this request.
+    pub fn must_close(&self) -> bool {
         self.reply.close
     }
 
-    /// A verdict is only made less certain here: tokens that were sent prove that it ran, and an
-    /// attempt whose key's record was not read proves nothing of earlier attempts.
-    fn settle(&self, mut refusal: Refusal) -> Settled {
+    /// Completes a refusal before it is sent. The verdict can only become less certain: tokens that were
+    /// sent prove that the request ran, and if the state of its key was not checked, an earlier attempt
+    /// may have run. Also sets a retry delay where one is missing.
+    fn final_refusal(&self, mut refusal: Refusal) -> FinalRefusal {
         let ran = self.reply.streaming() || refusal.code == Code::Internal && self.dispatched;
         if ran {
             refusal.verdict = refusal.verdict.join(Verdict::MayHaveRun);
         }
         let attempt = refusal.verdict;
-        if self.keyed && !self.consulted && may_repeat(refusal.code) {
+        if self.has_key && !self.key_checked && may_be_repeat(refusal.code) {
             refusal.verdict = refusal.verdict.join(Verdict::MayHaveRun);
         }
-        let comes_back = comes_back(refusal.code) || self.advisory && attempt == Verdict::NotRun;
-        if refusal.retry_after.is_none() && comes_back {
-            refusal.retry_after = Some(AWAY + rand::rng().random_range(Duration::ZERO..AWAY));
+        let retryable = is_overload(refusal.code) || self.advisory && attempt == Verdict::NotRun;
+        if refusal.retry_after.is_none() && retryable {
+            refusal.retry_after =
+                Some(RETRY_AFTER + rand::rng().random_range(Duration::ZERO..RETRY_AFTER));
         }
-        Settled { refusal, attempt }
+        FinalRefusal { refusal, attempt }
     }
 
-    fn error(&self, settled: &Settled) -> serde_json::Value {
-        let refusal = &settled.refusal;
+    fn error_body(&self, last: &FinalRefusal) -> serde_json::Value {
+        let refusal = &last.refusal;
         json!({"error": {
             "message": refusal.message,
-            "type": kind(refusal.code),
+            "type": error_type(refusal.code),
             "code": refusal.code.to_string(),
-            "param": param(refusal.code),
+            "param": error_param(refusal.code),
             "verdict": refusal.verdict.name(),
-            "attempt": settled.attempt.name(),
-            "request": self.given,
+            "attempt": last.attempt.name(),
+            "request": self.external_id,
             "retry_after_ms": refusal.retry_after.map(|it| it.as_millis() as u64),
         }})
     }
 
-    fn response(&self, settled: &Settled, body: &serde_json::Value) -> Response {
-        let refusal = &settled.refusal;
+    fn error_response(&self, last: &FinalRefusal, body: &serde_json::Value) -> Response {
+        let refusal = &last.refusal;
         let mut response = Response::json(refusal.code.status(), body)
-            .with("x-request-id", self.given.as_str())
+            .with("x-request-id", self.external_id.as_str())
             .with("x-verdict", refusal.verdict.name())
-            .with("x-attempt", settled.attempt.name())
+            .with("x-attempt", last.attempt.name())
             .with("x-code", refusal.code.to_string());
         if let Some(wait) = refusal.retry_after {
             let seconds = wait.as_millis().div_ceil(1000).max(1);
             response = response.with("retry-after", seconds.to_string());
         }
-        // Stock clients repeat refusals by themselves unless they are told not to.
-        let harmful = refusal.verdict == Verdict::MayHaveRun && !self.keyed;
-        if harmful && self.idempotent == Some(false) {
+        // OpenAI-compatible clients retry on their own unless this header forbids it.
+        let unsafe_retry = refusal.verdict == Verdict::MayHaveRun && !self.has_key;
+        if unsafe_retry && self.idempotent == Some(false) {
             response = response.with("x-should-retry", "false");
         }
         response
@@ -231,19 +237,19 @@
 
     fn end(&mut self, verdict: Verdict, code: Option<Code>, finish: Finish) {
         let now = Instant::now();
-        let caller_left = self.reply.broken;
+        let caller_left = self.reply.disconnected;
         if caller_left {
             event!(Event::CallerLeft, "request={} verdict={}", self.id, verdict.name());
         }
-        let Some(ask) = self.ask.take() else {
+        let Some(ask) = self.info.take() else {
             if let Some(code) = code {
                 let code = code.to_string();
                 metrics::counter!("roseshore_unread_total", "code" => code).increment(1);
             }
             return;
         };
-        count(&ask, verdict, code, caller_left);
-        if let Some(first) = self.first {
+        count_request(&ask, verdict, code, caller_left);
+        if let Some(first) = self.first_byte {
             metrics::histogram!("roseshore_first_seconds").record(first - ask.arrived);
         }
         metrics::histogram!("roseshore_request_seconds").record(now - ask.arrived);
@@ -252,7 +258,7 @@
         }
         event!(Event::RequestEnded, "request={} verdict={}", self.id, verdict.name());
         let Finish { repeated, resumed } = finish;
-        let first = self.first;
+        let first = self.first_byte;
         let advisory = self.advisory;
         let end = RequestEnd {
             ask,
@@ -266,20 +272,20 @@
             advisory,
         };
         if end.missed() {
-            tell_missed(&end);
+            report_missed(&end);
         }
         self.context.app.ledger.ended(&end);
     }
 }
 
-/// A refusal as the caller is told it.
-struct Settled {
+/// A refusal as it is sent to the caller.
+struct FinalRefusal {
     refusal: Refusal,
-    /// What is known of this attempt alone, whatever earlier ones with its key did.
+    /// The verdict on this attempt alone, without earlier attempts with the same key.
     attempt: Verdict,
 }
 
-fn count(ask: &RequestInfo, verdict: Verdict, code: Option<Code>, left: bool) {
+fn count_request(ask: &RequestInfo, verdict: Verdict, code: Option<Code>, left: bool) {
     let code = code.map(|it| it.to_string()).unwrap_or_default();
     metrics::counter!(
         "roseshore_requests_total",
@@ -293,8 +299,8 @@
     }
 }
 
-/// Says that advisory work ended without a whole answer in time.
-fn tell_missed(end: &RequestEnd) {
+/// Logs and counts an advisory request that ended without a complete answer in time.
+fn report_missed(end: &RequestEnd) {
     let RequestInfo { request, organisation, service, .. } = &end.ask;
     let verdict = end.verdict.name();
     let code = end.code.map(|it| it.to_string()).unwrap_or_default();
@@ -318,9 +324,9 @@
     Refusal::not_run(Code::Internal, text)
 }
 
-/// Whether a refusal with this code may have met a request that an earlier attempt ran. One that
-/// cannot be read is no repeat of one that could.
-fn may_repeat(code: Code) -> bool {
+/// Whether a request refused with this code may repeat an earlier one that ran. A request that cannot
+/// be parsed cannot repeat one that was.
+fn may_be_repeat(code: Code) -> bool {
     !matches!(
         code,
         Code::BadRequest
@@ -331,12 +337,12 @@
     )
 }
 
-fn comes_back(code: Code) -> bool {
+fn is_overload(code: Code) -> bool {
     matches!(code.status(), 429 | 503)
 }
 
-/// The class of error in the form that callers of language models know.
-fn kind(code: Code) -> &'static str {
+/// The error type of the OpenAI API.
+fn error_type(code: Code) -> &'static str {
     match code.status() {
         429 => "rate_limit_error",
         403 => "permission_error",
@@ -346,14 +352,14 @@
     }
 }
 
-fn param(code: Code) -> Option<&'static str> {
+fn error_param(code: Code) -> Option<&'static str> {
     match code {
         Code::UnknownModel | Code::UnknownAdapter => Some("model"),
         _ => None,
     }
 }
 
-fn is_sane(id: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    (1..=MAX_ID).contains(&id.len()) && id.chars().all(plain)
+fn is_valid_id(id: &str) -> bool {
+    let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    (1..=MAX_ID_LEN).contains(&id.len()) && id.chars().all(allowed)
 }
--- a/crates/roseshored/src/http/read.rs
+++ b/crates/roseshored/src/http/read.rs
@@ -1,8 +1,8 @@
-//! Reading one request of a caller, within bounds of size and time.
+//! Reads requests from a connection, within limits of size and time.
 //!
-//! The head goes through `httparse` into `tiny_http`'s own types, a chunked body through
-//! `chunked_transfer`; what is done here is what `tiny_http`'s server leaves out: a bound on the
-//! head, on the body, and on the time that both may take together.
+//! The head is parsed by `httparse` into `tiny_http`'s types, a chunked body is decoded by
+//! `chunked_transfer`. This module adds what `tiny_http`'s server lacks: limits on the size of the head
+//! and of the body, and on the time for both together.
 
 use chunked_transfer::Decoder;
 use roseshore_core::prelude::*;
@@ -11,15 +11,15 @@
 use std::str::FromStr;
 use tiny_http::{Header, Method};
 
-/// The longest head, bytes.
+/// Longest head, in bytes.
 const MAX_HEAD: usize = 16 << 10;
-/// The most header lines.
+/// Maximum number of headers.
 const MAX_HEADERS: usize = 100;
-/// The minor version of HTTP 1 from which on callers understand chunks.
-const MINOR_WITH_CHUNKS: u8 = 1;
-const REQUEST_LINE: &str = "the request line is not `METHOD /PATH HTTP/1.1`";
-/// Headers that change what is done; each may be given once.
-const CONTROL: &[&str] = &[
+/// Minor version of HTTP/1 that supports chunked bodies.
+const CHUNKED_MINOR: u8 = 1;
+const BAD_REQUEST_LINE: &str = "the request line is not `METHOD /PATH HTTP/1.1`";
+/// Headers that determine how a request is handled; each may occur only once.
+const UNIQUE_HEADERS: &[&str] = &[
     "content-length",
     "transfer-encoding",
     "idempotency-key",
@@ -30,67 +30,67 @@
     "traceparent",
 ];
 
-/// The bounds on what a caller sends.
+/// Limits on a caller's requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// The longest body, bytes.
+pub struct Limits {
+    /// Longest body, in bytes.
     pub body: usize,
-    /// The time for one whole request.
-    pub caller: Duration,
-    /// The time that a kept connection may lie idle.
+    /// Time for one whole request, from its first byte.
+    pub request: Duration,
+    /// How long a connection may be idle between two requests.
     pub idle: Duration,
 }
 
-/// A whole request.
+/// A request with its whole body.
 #[derive(Debug)]
 pub struct Request {
     /// The method.
     pub method: Method,
     /// The path, without the query.
     pub path: String,
-    /// What follows the `?`.
+    /// The query, without the `?`.
     pub query: String,
     /// The body.
     pub body: Vec<u8>,
-    /// When its first byte came.
+    /// When the first byte arrived.
     pub received: Instant,
-    /// Whether nothing may follow on this connection.
-    pub last: bool,
-    /// Whether the caller understands chunks.
-    pub chunks: bool,
+    /// Whether the connection is closed after this request.
+    pub close: bool,
+    /// Whether the caller supports chunked bodies (HTTP/1.1).
+    pub chunked: bool,
     headers: Vec<Header>,
 }
 
 impl Request {
-    /// A header's value, by its name in any case.
+    /// The value of a header; names are compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        let header = self.headers.iter().find(|it| is(it, name))?;
+        let header = self.headers.iter().find(|it| has_name(it, name))?;
         Some(header.value.as_str())
     }
 }
 
-fn is(header: &Header, name: &str) -> bool {
+fn has_name(header: &Header, name: &str) -> bool {
     header.field.as_str().as_str().eq_ignore_ascii_case(name)
 }
 
-/// Why there is no request.
+/// Why no request was read.
 #[derive(Debug)]
-pub enum ReadEnd {
-    /// The caller is gone, or idle for too long; nothing was asked.
+pub enum ReadError {
+    /// The connection was closed or idle for too long; no request was started.
     Closed,
-    /// What came cannot be served; the connection must be closed after the refusal. The head is
-    /// given where it could be read.
+    /// The request cannot be served; the connection must be closed after the refusal. Includes the head
+    /// if it could be read.
     Refused(Refusal, Option<Box<Request>>),
 }
 
-/// A connection whose reads end at a deadline.
+/// A connection whose reads time out at a deadline.
 #[derive(Debug)]
-pub struct Timed {
+pub struct DeadlineStream {
     stream: TcpStream,
     deadline: Instant,
 }
 
-impl Read for Timed {
+impl Read for DeadlineStream {
     fn read(&mut self, buf: &mut [u8]) -> io::Result<usize> {
         let left = self.deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -104,32 +104,32 @@
     }
 }
 
-/// The reading side of a connection.
+/// Reads the requests of one connection.
 pub struct Reader {
-    input: BufReader<Timed>,
-    bounds: Bounds,
-    fresh: bool,
+    input: BufReader<DeadlineStream>,
+    limits: Limits,
+    first: bool,
 }
 
 impl Reader {
-    /// Reads from a connection.
-    pub fn new(stream: TcpStream, bounds: Bounds) -> Reader {
-        let timed = Timed { stream, deadline: Instant::now() };
-        Reader { input: BufReader::new(timed), bounds, fresh: true }
+    /// Creates a reader of a new connection.
+    pub fn new(stream: TcpStream, limits: Limits) -> Reader {
+        let stream = DeadlineStream { stream, deadline: Instant::now() };
+        Reader { input: BufReader::new(stream), limits, first: true }
     }
 
-    /// Reads the next whole request.
+    /// Reads the next request with its body.
     ///
     /// # Errors
-    /// When there is none, or none that can be served.
-    pub fn request(&mut self) -> Result<Request, ReadEnd> {
+    /// Fails when there is no request or it cannot be served.
+    pub fn request(&mut self) -> Result<Request, ReadError> {
         self.wait()?;
         let received = Instant::now();
-        self.set_deadline(received + self.bounds.caller);
-        let mut request = self.head(received).map_err(|it| ReadEnd::Refused(it, None))?;
+        self.set_deadline(received + self.limits.request);
+        let mut request = self.head(received).map_err(|it| ReadError::Refused(it, None))?;
         match self.body(&request) {
             Ok(body) => request.body = body,
-            Err(refusal) => return Err(ReadEnd::Refused(refusal, Some(Box::new(request)))),
+            Err(refusal) => return Err(ReadError::Refused(refusal, Some(Box::new(request)))),
         }
         Ok(request)
     }
@@ -138,82 +138,83 @@
         self.input.get_mut().deadline = deadline;
     }
 
-    /// Waits for the first byte. A new connection that stays silent is told so; one that was
-    /// used before is just closed.
-    fn wait(&mut self) -> Result<(), ReadEnd> {
-        let fresh = std::mem::replace(&mut self.fresh, false);
-        let limit = if fresh { self.bounds.caller } else { self.bounds.idle };
+    /// Waits for the first byte. A new connection that sends nothing is refused as slow; one that has
+    /// been used before is closed without a response.
+    fn wait(&mut self) -> Result<(), ReadError> {
+        let first = std::mem::replace(&mut self.first, false);
+        let limit = if first { self.limits.request } else { self.limits.idle };
         self.set_deadline(Instant::now() + limit);
         match self.input.fill_buf() {
-            Ok([]) => Err(ReadEnd::Closed),
+            Ok([]) => Err(ReadError::Closed),
             Ok(_) => Ok(()),
-            Err(err) if fresh && err.kind() == ErrorKind::TimedOut => {
-                Err(ReadEnd::Refused(slow(), None))
+            Err(err) if first && err.kind() == ErrorKind::TimedOut => {
+                Err(ReadError::Refused(too_slow(), None))
             }
-            Err(_) => Err(ReadEnd::Closed),
+            Err(_) => Err(ReadError::Closed),
         }
     }
 
     fn head(&mut self, received: Instant) -> Result<Request, Refusal> {
         let mut head = Vec::new();
         while head.len() < MAX_HEAD {
-            let came = self.input.fill_buf().map_err(|err| broken(&err))?;
-            if came.is_empty() {
+            let received_bytes = self.input.fill_buf().map_err(|err| read_refusal(&err))?;
+            if received_bytes.is_empty() {
                 break;
             }
             let before = head.len();
-            let taken = came.len().min(MAX_HEAD - before);
-            head.extend_from_slice(&came[..taken]);
-            // Only a line's end can tell more, so that a head sent byte by byte costs no more.
-            let ended = head[before..].contains(&b'\n');
-            let whole = if ended { parse(&head, received)? } else { None };
-            if let Some((request, len)) = whole {
+            let taken = received_bytes.len().min(MAX_HEAD - before);
+            head.extend_from_slice(&received_bytes[..taken]);
+            // The head is parsed again only after a line end, so that a head sent byte by byte costs
+            // no more than one sent at once.
+            let line_ended = head[before..].contains(&b'\n');
+            let parsed = if line_ended { parse(&head, received)? } else { None };
+            if let Some((request, len)) = parsed {
                 self.input.consume(len - before);
                 return Ok(request);
             }
             self.input.consume(taken);
         }
-        Err(bad("the head ends early or exceeds 16 KiB; send a shorter one"))
+        Err(bad_request("the head ends early or exceeds 16 KiB; send a shorter one"))
     }
 
     fn body(&mut self, request: &Request) -> Result<Vec<u8>, Refusal> {
-        let bound = self.bounds.body;
-        match length(request)? {
-            Length::Bytes(0) => Ok(Vec::new()),
-            Length::Bytes(len) if len > bound as u64 => Err(too_large(bound)),
-            Length::Bytes(len) => {
-                self.go_on(request)?;
+        let max = self.limits.body;
+        match body_length(request)? {
+            BodyLength::Bytes(0) => Ok(Vec::new()),
+            BodyLength::Bytes(len) if len > max as u64 => Err(too_large(max)),
+            BodyLength::Bytes(len) => {
+                self.send_continue(request)?;
                 let mut body = vec![0; len as usize];
-                self.input.read_exact(&mut body).map_err(|err| broken(&err))?;
+                self.input.read_exact(&mut body).map_err(|err| read_refusal(&err))?;
                 Ok(body)
             }
-            Length::Chunks => {
-                self.go_on(request)?;
+            BodyLength::Chunked => {
+                self.send_continue(request)?;
                 let mut body = Vec::new();
-                let mut input = Decoder::new(&mut self.input).take(bound as u64 + 1);
-                input.read_to_end(&mut body).map_err(|err| broken(&err))?;
-                if body.len() > bound { Err(too_large(bound)) } else { Ok(body) }
+                let mut input = Decoder::new(&mut self.input).take(max as u64 + 1);
+                input.read_to_end(&mut body).map_err(|err| read_refusal(&err))?;
+                if body.len() > max { Err(too_large(max)) } else { Ok(body) }
             }
         }
     }
 
-    /// Tells a caller that asked to go on with its body.
-    fn go_on(&mut self, request: &Request) -> Result<(), Refusal> {
+    /// Sends `100 Continue` to a caller that waits for it before it sends the body.
+    fn send_continue(&mut self, request: &Request) -> Result<(), Refusal> {
         match request.header("expect") {
             None => Ok(()),
             Some(value) if value.eq_ignore_ascii_case("100-continue") => {
                 let mut stream = &self.input.get_ref().stream;
-                stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(|err| broken(&err))
+                stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(|err| read_refusal(&err))
             }
             Some(_) => Err(bad_header("`expect` may only be `100-continue`")),
         }
     }
 }
 
-/// Parses a head that may not be whole yet; a whole one comes with its length.
+/// Parses a head; returns the request and the head's length, or `None` if the head is incomplete.
 fn parse(head: &[u8], received: Instant) -> Result<Option<(Request, usize)>, Refusal> {
     if head.starts_with(b"\r") || head.starts_with(b"\n") {
-        return Err(bad(REQUEST_LINE));
+        return Err(bad_request(BAD_REQUEST_LINE));
     }
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -225,35 +226,37 @@
 
 fn malformed(err: httparse::Error) -> Refusal {
     match err {
-        httparse::Error::Version => bad("only `HTTP/1.1` and `HTTP/1.0` are spoken here"),
+        httparse::Error::Version => bad_request("only `HTTP/1.1` and `HTTP/1.0` are spoken here"),
         httparse::Error::TooManyHeaders => {
-            bad(format!("more than {MAX_HEADERS} headers; send fewer"))
+            bad_request(format!("more than {MAX_HEADERS} headers; send fewer"))
         }
         httparse::Error::HeaderName | httparse::Error::HeaderValue => {
             bad_header("a header is not `NAME: VALUE` on one line")
         }
-        _ => bad(REQUEST_LINE),
+        _ => bad_request(BAD_REQUEST_LINE),
     }
 }
 
 fn request(parsed: &httparse::Request<'_, '_>, received: Instant) -> Result<Request, Refusal> {
     let method = parsed.method.and_then(|it| Method::from_str(it).ok());
     let target = parsed.path.filter(|it| it.starts_with('/'));
-    let (Some(method), Some(target)) = (method, target) else { return Err(bad(REQUEST_LINE)) };
+    let (Some(method), Some(target)) = (method, target) else {
+        return Err(bad_request(BAD_REQUEST_LINE));
+    };
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
-    let chunks = parsed.version == Some(MINOR_WITH_CHUNKS);
+    let chunked = parsed.version == Some(CHUNKED_MINOR);
     let mut request = Request {
         method,
         path: path.to_owned(),
         query: query.to_owned(),
         body: Vec::new(),
         received,
-        last: !chunks,
-        chunks,
+        close: !chunked,
+        chunked,
         headers: parsed.headers.iter().map(header).collect::<Result<_, _>>()?,
     };
-    no_doubles(&request.headers)?;
-    note_connection(&mut request);
+    reject_duplicates(&request.headers)?;
+    apply_connection(&mut request);
     Ok(request)
 }
 
@@ -262,40 +265,43 @@
     ascii.map_err(|()| bad_header("a header's value is not ASCII"))
 }
 
-fn no_doubles(headers: &[Header]) -> Result<(), Refusal> {
-    for name in CONTROL {
-        if headers.iter().filter(|it| is(it, name)).count() > 1 {
+fn reject_duplicates(headers: &[Header]) -> Result<(), Refusal> {
+    for name in UNIQUE_HEADERS {
+        if headers.iter().filter(|it| has_name(it, name)).count() > 1 {
             return Err(bad_header(format!("`{name}` is given twice; send it once")));
         }
     }
     Ok(())
 }
 
-fn note_connection(request: &mut Request) {
+fn apply_connection(request: &mut Request) {
     let value = request.header("connection").unwrap_or_default().to_ascii_lowercase();
     if value.contains("close") {
-        request.last = true;
+        request.close = true;
     } else if value.contains("keep-alive") {
-        request.last = false;
+        request.close = false;
     }
 }
 
-enum Length {
+/// The framing of a body.
+enum BodyLength {
     Bytes(u64),
-    Chunks,
+    Chunked,
 }
 
-/// A length in both forms is refused: whoever forwards the request may have read the other one.
-fn length(request: &Request) -> Result<Length, Refusal> {
+/// Reads the framing headers. A request with both of them is refused, because a proxy in front may
+/// have used the other one (request smuggling).
+fn body_length(request: &Request) -> Result<BodyLength, Refusal> {
     let encoding = request.header("transfer-encoding");
     let bytes = request.header("content-length");
     match (encoding, bytes) {
-        (None, None) => Ok(Length::Bytes(0)),
-        (None, Some(text)) if text.bytes().all(|it| it.is_ascii_digit()) => {
-            text.parse().map(Length::Bytes).map_err(|_| bad_header("`content-length` is too large"))
-        }
+        (None, None) => Ok(BodyLength::Bytes(0)),
+        (None, Some(text)) if text.bytes().all(|it| it.is_ascii_digit()) => text
+            .parse()
+            .map(BodyLength::Bytes)
+            .map_err(|_| bad_header("`content-length` is too large")),
         (None, Some(_)) => Err(bad_header("`content-length` is not a whole number")),
-        (Some(text), None) if text.eq_ignore_ascii_case("chunked") => Ok(Length::Chunks),
+        (Some(text), None) if text.eq_ignore_ascii_case("chunked") => Ok(BodyLength::Chunked),
         (Some(_), None) => Err(bad_header("`transfer-encoding` may only be `chunked`")),
         (Some(_), Some(_)) => {
             Err(bad_header("`content-length` and `transfer-encoding` exclude each other"))
@@ -303,23 +309,23 @@
     }
 }
 
-fn broken(err: &io::Error) -> Refusal {
+fn read_refusal(err: &io::Error) -> Refusal {
     if err.kind() == ErrorKind::TimedOut {
-        return slow();
+        return too_slow();
     }
-    bad("the request ends early or is not well-formed")
+    bad_request("the request ends early or is not well-formed")
 }
 
-fn slow() -> Refusal {
+fn too_slow() -> Refusal {
     Refusal::not_run(Code::SlowCaller, "the request was not sent whole in time; send it again")
 }
 
-fn too_large(bound: usize) -> Refusal {
-    let text = format!("the body exceeds {bound} bytes; send less, or raise `--body-bytes`");
+fn too_large(max: usize) -> Refusal {
+    let text = format!("the body exceeds {max} bytes; send less, or raise `--body-bytes`");
     Refusal::not_run(Code::BodyTooLarge, text)
 }
 
-fn bad(text: impl Into<String>) -> Refusal {
+fn bad_request(text: impl Into<String>) -> Refusal {
     Refusal::not_run(Code::BadRequest, text)
 }
 
--- a/crates/roseshored/src/http/reply.rs
+++ b/crates/roseshored/src/http/reply.rs
@@ -1,8 +1,7 @@
-//! Writing to a caller: one whole response, or a stream of events that ends in the open.
+//! Writes responses to callers: one whole response, or a stream of server-sent events.
 //!
-//! A stream that breaks ends in an event `error`, never in `[DONE]`, and never by just stopping:
-//! [`Reply`] is owned by the connection's loop, which settles whatever a handler left unfinished,
-//! a panic included.
+//! A stream that fails ends with an event `error`, never with `[DONE]` and never silently: [`Reply`] is
+//! owned by the request's exchange, which ends whatever a handler left unfinished, even by a panic.
 
 use chunked_transfer::Encoder;
 use std::fmt::Write as _;
@@ -10,7 +9,7 @@
 use std::net::TcpStream;
 use tiny_http::StatusCode;
 
-/// The end of a whole stream of events.
+/// Data of the last event of a complete stream.
 const DONE: &str = "[DONE]";
 
 /// A header of a response.
@@ -23,7 +22,8 @@
 }
 
 impl Field {
-    /// A header; line breaks in its value are left out.
+    /// Creates a header; characters of the value other than printable ASCII are removed, so that it cannot
+    /// break the head.
     pub fn new(name: &'static str, value: impl Into<String>) -> Field {
         let value: String = value.into();
         let value = value.chars().filter(|it| (' '..='~').contains(it)).collect();
@@ -31,26 +31,26 @@
     }
 }
 
-/// A whole response.
+/// A response with its whole body.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content: String,
-    /// Further headers.
+    /// Additional headers.
     pub fields: Vec<Field>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: &serde_json::Value) -> Response {
         Response::new(status, "application/json", body.to_string().into_bytes())
     }
 
-    /// A response with a body of any type.
+    /// Creates a response with a body of any type.
     pub fn new(status: u16, content: impl Into<String>, body: Vec<u8>) -> Response {
         Response { status, content: content.into(), fields: Vec::new(), body }
     }
@@ -63,123 +63,128 @@
     }
 }
 
-/// How far the answer to one request has got.
-enum State {
+/// Progress of the response to one request.
+enum ReplyState {
     Unsent,
-    Streaming(Stream),
+    Streaming(EventStream),
     Sent,
 }
 
-/// The body of a stream of events; callers of `HTTP/1.0` get it without chunks, up to the close.
-enum Stream {
+/// The body of an event stream; callers of HTTP/1.0 get it unchunked, ended by the close.
+enum EventStream {
     Chunked(Encoder<TcpStream>),
     Plain(TcpStream),
 }
 
-impl Stream {
-    /// Passes a text on at once, in one write.
+impl EventStream {
+    /// Sends a text at once, in a single write.
     fn write(&mut self, text: &str) -> io::Result<()> {
         match self {
-            Stream::Chunked(encoder) => {
+            EventStream::Chunked(encoder) => {
                 encoder.write_all(text.as_bytes())?;
                 encoder.flush()
             }
-            Stream::Plain(stream) => stream.write_all(text.as_bytes()),
+            EventStream::Plain(stream) => stream.write_all(text.as_bytes()),
         }
     }
 }
 
-/// The answer to one request.
+/// Writes the response to one request.
 pub struct Reply {
     stream: TcpStream,
-    state: State,
-    bare: bool,
-    chunks: bool,
-    /// Whether the connection is closed after this answer.
+    state: ReplyState,
+    head_only: bool,
+    chunked: bool,
+    /// Whether the connection is closed after this response.
     pub close: bool,
-    /// Whether a write failed, so that the caller must be taken for gone.
-    pub broken: bool,
+    /// Whether a write has failed, so that the caller is assumed to be gone.
+    pub disconnected: bool,
 }
 
 impl Reply {
-    /// The answer on a connection; `bare` leaves bodies out, as for `HEAD`.
-    pub fn new(stream: TcpStream, bare: bool, chunks: bool, close: bool) -> Reply {
-        let close = close || !chunks;
-        Reply { stream, state: State::Unsent, bare, chunks, close, broken: false }
+    /// Creates a reply on a connection; `head_only` omits the body, as for `HEAD`. Without support of
+    /// `chunked` bodies the connection is always closed at the end.
+    pub fn new(stream: TcpStream, head_only: bool, chunked: bool, close: bool) -> Reply {
+        let close = close || !chunked;
+        Reply { stream, state: ReplyState::Unsent, head_only, chunked, close, disconnected: false }
     }
 
     /// Whether nothing has been sent yet.
     pub fn unsent(&self) -> bool {
-        matches!(self.state, State::Unsent)
+        matches!(self.state, ReplyState::Unsent)
     }
 
-    /// Whether a stream is open.
+    /// Whether an event stream is open.
     pub fn streaming(&self) -> bool {
-        matches!(self.state, State::Streaming(_))
+        matches!(self.state, ReplyState::Streaming(_))
     }
 
-    /// Sends a whole response, in one write where it is small.
+    /// Sends a whole response; head and body are written together.
     pub fn send(&mut self, response: &Response) {
         let mut head = self.head(response.status, &response.content, &response.fields);
         let _ = write!(head, "content-length: {}\r\n\r\n", response.body.len());
         let mut bytes = head.into_bytes();
-        if !self.bare {
+        if !self.head_only {
             bytes.extend_from_slice(&response.body);
         }
-        self.state = State::Sent;
+        self.state = ReplyState::Sent;
         let written = self.stream.write_all(&bytes);
-        self.note(written);
+        self.check_write(written);
     }
 
-    /// Opens a stream of events with its first one.
+    /// Opens an event stream and sends its first event.
     pub fn open(&mut self, fields: &[Field], first: &str) {
         let mut head = self.head(200, "text/event-stream", fields);
         head += "cache-control: no-store\r\n";
-        if self.chunks {
+        if self.chunked {
             head += "transfer-encoding: chunked\r\n";
         }
         head += "\r\n";
-        let opened = self.stream.write_all(head.as_bytes()).and_then(|()| self.begin());
+        let opened = self.stream.write_all(head.as_bytes()).and_then(|()| self.start_stream());
         match opened {
             Ok(stream) => {
-                self.state = State::Streaming(stream);
+                self.state = ReplyState::Streaming(stream);
                 self.event(first);
             }
             Err(err) => {
-                self.state = State::Sent;
-                self.note(Err(err));
+                self.state = ReplyState::Sent;
+                self.check_write(Err(err));
             }
         }
     }
 
-    fn begin(&self) -> io::Result<Stream> {
+    fn start_stream(&self) -> io::Result<EventStream> {
         let stream = self.stream.try_clone()?;
-        Ok(if self.chunks { Stream::Chunked(Encoder::new(stream)) } else { Stream::Plain(stream) })
+        Ok(if self.chunked {
+            EventStream::Chunked(Encoder::new(stream))
+        } else {
+            EventStream::Plain(stream)
+        })
     }
 
-    /// Sends one or more events, already in their form.
+    /// Sends one or more events that are already formatted.
     pub fn event(&mut self, text: &str) {
-        let State::Streaming(stream) = &mut self.state else { return };
-        let written = if self.broken { Ok(()) } else { stream.write(text) };
-        self.note(written);
+        let ReplyState::Streaming(stream) = &mut self.state else { return };
+        let written = if self.disconnected { Ok(()) } else { stream.write(text) };
+        self.check_write(written);
     }
 
-    /// Ends a stream as whole.
+    /// Ends a stream that is complete.
     pub fn done(&mut self) {
         self.event(&data(DONE));
-        self.state = State::Sent;
+        self.state = ReplyState::Sent;
     }
 
-    /// Ends a stream as broken; no `[DONE]` follows.
+    /// Ends a stream with an event `error`; no `[DONE]` follows.
     pub fn fail(&mut self, body: &serde_json::Value) {
         self.event(&format!("event: error\n{}", data(&body.to_string())));
-        self.state = State::Sent;
+        self.state = ReplyState::Sent;
         self.close = true;
     }
 
-    fn note(&mut self, written: io::Result<()>) {
+    fn check_write(&mut self, written: io::Result<()>) {
         if written.is_err() {
-            self.broken = true;
+            self.disconnected = true;
             self.close = true;
         }
     }
@@ -197,7 +202,7 @@
     }
 }
 
-/// One event with data.
+/// Formats one event with data.
 pub fn data(text: &str) -> String {
     format!("data: {text}\n\n")
 }
--- a/crates/roseshored/src/serve.rs
+++ b/crates/roseshored/src/serve.rs
@@ -1,8 +1,8 @@
-//! What callers can ask: the paths, and the checks before anything is dispatched.
+//! The routes of the callers' API, and the checks before a request is dispatched.
 //!
-//! The order is fixed, so that a refusal can say "not run" and mean it: is the host leaving, has it
-//! a configuration, can the body be read, are service, adapter and organisation declared, is there
-//! room, is the key free - and only then is a target given anything.
+//! The checks have a fixed order, and all of them precede the first byte to a target, so that a refusal
+//! can truthfully say "not run": the host is not leaving, it has a configuration, the body is valid,
+//! service, adapter and organisation are declared, the request is admitted, and its key is free.
 
 mod advisory;
 mod models;
@@ -18,19 +18,19 @@
 use roseshore_ports::inside::RequestInfo;
 use tiny_http::Method;
 
-/// The path of chats.
+/// Path of chat completions.
 const CHAT: &str = "/v1/chat/completions";
-/// The path of completions of a text.
+/// Path of text completions.
 const TEXT: &str = "/v1/completions";
-/// The path below which names are looked up.
+/// Path prefix of lookups.
 const LOOKUP: &str = "/v1/lookup/";
-/// The path below which services are called.
+/// Path prefix of calls of plain services.
 const CALL: &str = "/v1/call/";
 
-/// The paths behind the front.
-pub struct Paths;
+/// The request handler of the daemon's HTTP server.
+pub struct ApiRoutes;
 
-impl RequestHandler for Paths {
+impl RequestHandler for ApiRoutes {
     fn handle(&self, request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
         handle(request, exchange)
     }
@@ -45,14 +45,15 @@
         request: &Request,
         id: &RequestId,
     ) -> Option<RequestInfo> {
-        advisory::ask(context, request, id)
+        advisory::request_info(context, request, id)
     }
 }
 
-/// Whether a request only looks at the daemon; those are served while it is full or leaving.
+/// Whether a request only reads the daemon's status or is an operator's; such requests are served even
+/// if the daemon is full or leaving.
 fn is_status(request: &Request) -> bool {
-    let work = [CHAT, TEXT, LOOKUP, CALL];
-    !work.iter().any(|it| request.path.starts_with(it))
+    let work_paths = [CHAT, TEXT, LOOKUP, CALL];
+    !work_paths.iter().any(|it| request.path.starts_with(it))
 }
 
 fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
@@ -66,19 +67,19 @@
         return Err(Refusal::not_run(Code::Draining, text));
     }
     match request.method {
-        Method::Post if path == CHAT => models::run(request, exchange, models::Form::Chat),
-        Method::Post if path == TEXT => models::run(request, exchange, models::Form::Text),
+        Method::Post if path == CHAT => models::run(request, exchange, models::ApiFormat::Chat),
+        Method::Post if path == TEXT => models::run(request, exchange, models::ApiFormat::Text),
         Method::Get | Method::Head if path.starts_with(LOOKUP) => {
             services::lookup(request, exchange, &path[LOOKUP.len()..])
         }
         Method::Post if path.starts_with(CALL) => {
             services::call(request, exchange, &path[CALL.len()..])
         }
-        _ => Err(unknown(request)),
+        _ => Err(unknown_path(request)),
     }
 }
 
-fn unknown(request: &Request) -> Refusal {
+fn unknown_path(request: &Request) -> Refusal {
     let text = format!(
         "`{} {}` is not served here; see the paths in the docs",
         request.method, request.path
--- a/crates/roseshored/src/serve/advisory.rs
+++ b/crates/roseshored/src/serve/advisory.rs
@@ -1,7 +1,7 @@
-//! Requests of advisory services that are refused before they are read as such.
+//! Identifies requests of advisory services that are refused before they are fully read.
 //!
-//! A host that is leaving, full or given a bad header refuses early; work that must not be dropped
-//! silently is found here all the same, so that its end is told and counted like any other.
+//! A request may be refused early because the host is leaving or full or a header is invalid. Advisory
+//! work must not be dropped silently, so its end is logged and counted in these cases too.
 
 use super::{CALL, CHAT, LOOKUP, TEXT};
 use crate::context::ServerContext;
@@ -13,19 +13,19 @@
 
 /// The part of a body that names the service.
 #[derive(Deserialize)]
-struct Named {
+struct ModelField {
     model: String,
 }
 
-/// Whose request it is, if it names an advisory service; an organisation that is not declared is
-/// counted under [`OTHERS`].
-pub(super) fn ask(
+/// The request's info if it names an advisory service, otherwise `None`. An organisation that is not
+/// declared is counted under [`OTHERS`].
+pub(super) fn request_info(
     context: &ServerContext,
     request: &Request,
     id: &RequestId,
 ) -> Option<RequestInfo> {
     let fleet = context.app.fleets.current()?.fleet;
-    let service = service(request)?;
+    let service = service_name(request)?;
     let declared = fleet.services.get(&service).filter(|it| it.advisory)?;
     let organisation = super::request_info::organisation(request, &fleet);
     Some(RequestInfo {
@@ -34,16 +34,16 @@
         service,
         deadline: request.received + declared.deadline,
         arrived: request.received,
-        priority: super::request_info::PRIORITY,
+        priority: super::request_info::DEFAULT_PRIORITY,
         cost: 1,
     })
 }
 
-fn service(request: &Request) -> Option<ServiceId> {
+fn service_name(request: &Request) -> Option<ServiceId> {
     let path = request.path.as_str();
     if path == CHAT || path == TEXT {
-        let named: Named = serde_json::from_slice(&request.body).ok()?;
-        let (service, _adapter) = super::models::split(&named.model);
+        let body: ModelField = serde_json::from_slice(&request.body).ok()?;
+        let (service, _adapter) = super::models::split_adapter(&body.model);
         return Some(service.to_owned());
     }
     let rest = path.strip_prefix(LOOKUP).or_else(|| path.strip_prefix(CALL))?;
--- a/crates/roseshored/src/serve/models/form.rs
+++ b/crates/roseshored/src/serve/models/form.rs
@@ -1,78 +1,80 @@
-//! The two forms in which answers are written.
+//! Response bodies of the chat and the text completion API.
 
-use super::body::Question;
+use super::body::CompletionRequest;
 use crate::http::reply::data;
 use serde_json::{Value, json};
 use std::time::SystemTime;
 
-/// The form of a question and its answer.
+/// The API whose format is used for a request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(in crate::serve) enum Form {
-    /// Messages of a chat.
+pub(in crate::serve) enum ApiFormat {
+    /// Chat completion: a list of messages.
     Chat,
-    /// A text to go on from.
+    /// Text completion: a single prompt.
     Text,
 }
 
-/// What stays the same over all parts of one answer.
-pub(super) struct Shape {
+/// Formats the parts of one answer; holds what they have in common.
+pub(super) struct Formatter {
     pub(super) stream: bool,
-    form: Form,
-    usage: bool,
+    format: ApiFormat,
+    include_usage: bool,
     id: String,
     created: u64,
     model: String,
-    prompt: usize,
+    prompt_tokens: usize,
 }
 
-impl Shape {
-    pub(super) fn new(form: Form, request: &str, question: &Question) -> Shape {
-        let prefix = match form {
-            Form::Chat => "chatcmpl",
-            Form::Text => "cmpl",
+impl Formatter {
+    pub(super) fn new(format: ApiFormat, id: &str, request: &CompletionRequest) -> Formatter {
+        let prefix = match format {
+            ApiFormat::Chat => "chatcmpl",
+            ApiFormat::Text => "cmpl",
         };
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
-        Shape {
-            stream: question.stream,
-            form,
-            usage: question.usage,
-            id: format!("{prefix}-{request}"),
+        Formatter {
+            stream: request.stream,
+            format,
+            include_usage: request.include_usage,
+            id: format!("{prefix}-{id}"),
             created: since.map(|it| it.as_secs()).unwrap_or_default(),
-            model: question.model.clone(),
-            prompt: question.prompt.len(),
+            model: request.model.clone(),
+            prompt_tokens: request.prompt.len(),
         }
     }
 
-    /// What a stream begins with.
-    pub(super) fn first(&self) -> String {
-        match self.form {
-            Form::Chat => {
+    /// The first chunk of a stream; empty for text completions, which have none.
+    pub(super) fn stream_start(&self) -> String {
+        match self.format {
+            ApiFormat::Chat => {
                 let delta = json!({"role": "assistant", "content": ""});
                 self.chunk(json!({"index": 0, "delta": delta, "finish_reason": null}))
             }
-            Form::Text => String::new(),
+            ApiFormat::Text => String::new(),
         }
     }
 
-    /// One token of a stream.
+    /// The chunk of one token.
     pub(super) fn token(&self, text: &str) -> String {
-        self.chunk(match self.form {
-            Form::Chat => json!({"index": 0, "delta": {"content": text}, "finish_reason": null}),
-            Form::Text => {
+        self.chunk(match self.format {
+            ApiFormat::Chat => {
+                json!({"index": 0, "delta": {"content": text}, "finish_reason": null})
+            }
+            ApiFormat::Text => {
                 json!({"index": 0, "text": text, "logprobs": null, "finish_reason": null})
             }
         })
     }
 
-    /// What a whole stream ends with, before the mark of its end.
-    pub(super) fn last(&self, count: u32, reason: &str) -> String {
-        let mut text = self.chunk(match self.form {
-            Form::Chat => json!({"index": 0, "delta": {}, "finish_reason": reason}),
-            Form::Text => {
+    /// The chunks at the end of a complete stream, before `[DONE]`.
+    pub(super) fn stream_end(&self, count: u32, reason: &str) -> String {
+        let mut text = self.chunk(match self.format {
+            ApiFormat::Chat => json!({"index": 0, "delta": {}, "finish_reason": reason}),
+            ApiFormat::Text => {
                 json!({"index": 0, "text": "", "logprobs": null, "finish_reason": reason})
             }
         });
-        if self.usage {
+        if self.include_usage {
             let mut body = self.body(self.chunk_object(), &[]);
             body["usage"] = self.usage(count);
             text += &data(&body.to_string());
@@ -80,15 +82,15 @@
         text
     }
 
-    /// A whole answer.
-    pub(super) fn whole(&self, text: &str, count: u32, reason: &str) -> Value {
-        let (object, choice) = match self.form {
-            Form::Chat => {
+    /// The body of a complete answer that is not streamed.
+    pub(super) fn complete(&self, text: &str, count: u32, reason: &str) -> Value {
+        let (object, choice) = match self.format {
+            ApiFormat::Chat => {
                 let message = json!({"role": "assistant", "content": text});
                 let choice = json!({"index": 0, "message": message, "finish_reason": reason});
                 ("chat.completion", choice)
             }
-            Form::Text => {
+            ApiFormat::Text => {
                 let choice =
                     json!({"index": 0, "text": text, "logprobs": null, "finish_reason": reason});
                 ("text_completion", choice)
@@ -104,9 +106,9 @@
     }
 
     fn chunk_object(&self) -> &'static str {
-        match self.form {
-            Form::Chat => "chat.completion.chunk",
-            Form::Text => "text_completion",
+        match self.format {
+            ApiFormat::Chat => "chat.completion.chunk",
+            ApiFormat::Text => "text_completion",
         }
     }
 
@@ -122,9 +124,9 @@
 
     fn usage(&self, count: u32) -> Value {
         json!({
-            "prompt_tokens": self.prompt,
+            "prompt_tokens": self.prompt_tokens,
             "completion_tokens": count,
-            "total_tokens": self.prompt + count as usize,
+            "total_tokens": self.prompt_tokens + count as usize,
         })
     }
 }
--- a/crates/roseshored/src/serve/record.rs
+++ b/crates/roseshored/src/serve/record.rs
@@ -1,44 +1,44 @@
-//! The recorded answer of an unrepeatable question.
+//! The recorded answer of a non-idempotent request.
 
 use crate::answer::CompletedAnswer;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::Outcome;
 use serde::{Deserialize, Serialize};
 
-/// The content type of [`Recorded`].
-const CONTENT: &str = "application/json; record=answer";
+/// Content type of a [`RecordedAnswer`].
+const CONTENT_TYPE: &str = "application/json; record=answer";
 
-/// A whole answer as it is kept with its key.
+/// A complete answer as it is stored with its key; serialized as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Recorded {
-    /// The id of the request that ran.
+pub(super) struct RecordedAnswer {
+    /// Id of the request that ran.
     pub(super) request: RequestId,
-    /// The text.
+    /// The complete text.
     pub(super) text: String,
-    /// Tokens in it.
+    /// Number of tokens in the text.
     pub(super) count: u32,
     /// `stop` or `length`.
     pub(super) reason: String,
 }
 
-impl Recorded {
-    pub(super) fn new(request: &str, whole: &CompletedAnswer) -> Recorded {
-        Recorded {
+impl RecordedAnswer {
+    pub(super) fn new(request: &str, answer: &CompletedAnswer) -> RecordedAnswer {
+        RecordedAnswer {
             request: request.to_owned(),
-            text: whole.text.clone(),
-            count: whole.token_count,
-            reason: whole.finish_reason.clone(),
+            text: answer.text.clone(),
+            count: answer.token_count,
+            reason: answer.finish_reason.clone(),
         }
     }
 
-    /// The outcome to record.
+    /// The outcome to record for the key.
     pub(super) fn outcome(&self) -> Outcome {
         let body = serde_json::to_vec(self).unwrap_or_default();
-        Outcome { verdict: Verdict::Answered, status: 200, content: CONTENT.to_owned(), body }
+        Outcome { verdict: Verdict::Answered, status: 200, content: CONTENT_TYPE.to_owned(), body }
     }
 
-    /// Reads the answer of a settled key, or says what is known of it.
-    pub(super) fn read(outcome: &Outcome) -> Result<Recorded, Refusal> {
+    /// Reads the answer of a settled key, or the refusal if there is none.
+    pub(super) fn read(outcome: &Outcome) -> Result<RecordedAnswer, Refusal> {
         if outcome.verdict == Verdict::Answered {
             return serde_json::from_slice(&outcome.body).map_err(|_| {
                 let text =
@@ -52,8 +52,8 @@
     }
 }
 
-/// The outcome of a dispatched question that got no answer.
-pub(super) fn unanswered(refusal: &Refusal) -> Outcome {
+/// The outcome to record for a dispatched request that ended in a refusal.
+pub(super) fn refusal_outcome(refusal: &Refusal) -> Outcome {
     let body = refusal.message.clone().into_bytes();
     let content = "text/plain".to_owned();
     Outcome { verdict: refusal.verdict, status: refusal.code.status(), content, body }
--- a/crates/roseshored/src/serve/request_info.rs
+++ b/crates/roseshored/src/serve/request_info.rs
@@ -1,4 +1,4 @@
-//! Whose request it is and by when: the headers that every kind of request shares.
+//! Reads the headers that all kinds of requests share: organisation, deadline, priority and key.
 
 use crate::http::exchange::Exchange;
 use crate::http::read::Request;
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The priority of a request that names none.
-pub(super) const PRIORITY: u8 = 4;
+/// Priority of a request that names none.
+pub(super) const DEFAULT_PRIORITY: u8 = 4;
 /// The highest priority.
 const MAX_PRIORITY: u8 = 9;
-/// The longest deadline that a caller may ask for.
+/// Longest deadline that a caller may request.
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
-/// The longest idempotency key.
-const MAX_KEY: usize = 200;
+/// Longest idempotency key, in bytes.
+const MAX_KEY_LEN: usize = 200;
 
-/// The fleet in force.
+/// The current configuration.
 pub(super) fn fleet(exchange: &Exchange<'_>) -> Result<Arc<Fleet>, Refusal> {
     let current = exchange.context.app.fleets.current();
     current.map(|it| it.fleet).ok_or_else(|| {
@@ -25,17 +25,17 @@
     })
 }
 
-/// What the headers say of one request.
-pub(super) struct RequestHeaders<'a> {
+/// Builds a request's info from its headers and the service that it names.
+pub(super) struct InfoBuilder<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) service: &'a str,
     pub(super) declared: &'a Service,
     pub(super) cost: u32,
 }
 
-impl RequestHeaders<'_> {
-    /// Reads the headers; from here on the request is in the ledger.
-    pub(super) fn ask(
+impl InfoBuilder<'_> {
+    /// Reads the headers and enters the request in the ledger.
+    pub(super) fn build(
         &self,
         request: &Request,
         exchange: &mut Exchange<'_>,
@@ -44,7 +44,7 @@
         exchange.advisory = self.declared.advisory;
         let organisation = organisation(request, self.fleet)?;
         let limit = deadline(request)?.unwrap_or(self.declared.deadline);
-        let ask = RequestInfo {
+        let info = RequestInfo {
             request: exchange.id.clone(),
             organisation,
             service: self.service.to_owned(),
@@ -53,19 +53,19 @@
             priority: priority(request)?,
             cost: self.cost,
         };
-        exchange.context.app.ledger.begun(&ask);
-        exchange.ask = Some(ask.clone());
-        Ok(ask)
+        exchange.context.app.ledger.begun(&info);
+        exchange.info = Some(info.clone());
+        Ok(info)
     }
 }
 
-/// Waits for the request's turn.
-pub(super) fn admit(exchange: &Exchange<'_>, ask: &RequestInfo) -> Result<Permit, Refusal> {
+/// Waits until the request is admitted.
+pub(super) fn admit(exchange: &Exchange<'_>, info: &RequestInfo) -> Result<Permit, Refusal> {
     let _span = tracing::info_span!("admit").entered();
-    exchange.context.app.admission.admit(ask)
+    exchange.context.app.admission.admit(info)
 }
 
-/// The customer: its own header, or what stock clients of model interfaces send.
+/// The organisation, from its own header or from those that OpenAI-compatible clients send.
 pub(super) fn organisation(request: &Request, fleet: &Fleet) -> Result<OrganisationId, Refusal> {
     let bearer = || request.header("authorization")?.strip_prefix("Bearer ");
     let named = request
@@ -79,18 +79,18 @@
     if !fleet.organisations.contains_key(named) {
         let text = format!(
             "organisation `{}` is not declared; declare it with `roseshore apply`",
-            shown(named)
+            redact(named)
         );
         return Err(Refusal::not_run(Code::UnknownOrganisation, text));
     }
     Ok(named.to_owned())
 }
 
-/// A name as it may be shown: a secret sent in the wrong place is not repeated in full.
-fn shown(name: &str) -> String {
-    const SHOWN: usize = 16;
-    let mut text: String = name.chars().take(SHOWN).collect();
-    if name.len() > SHOWN {
+/// Shortens a name for an error message, because it may be a secret sent in the wrong header.
+fn redact(name: &str) -> String {
+    const VISIBLE_CHARS: usize = 16;
+    let mut text: String = name.chars().take(VISIBLE_CHARS).collect();
+    if name.len() > VISIBLE_CHARS {
         text.push('…');
     }
     text
@@ -101,31 +101,35 @@
     let limit = text.parse().ok().map(Duration::from_millis);
     match limit.filter(|it| !it.is_zero() && *it <= MAX_DEADLINE) {
         Some(limit) => Ok(Some(limit)),
-        None => Err(bad(format!("`x-deadline-ms` must be from 1 to {}", MAX_DEADLINE.as_millis()))),
+        None => Err(bad_header(format!(
+            "`x-deadline-ms` must be from 1 to {}",
+            MAX_DEADLINE.as_millis()
+        ))),
     }
 }
 
 fn priority(request: &Request) -> Result<u8, Refusal> {
-    let Some(text) = request.header("x-priority") else { return Ok(PRIORITY) };
+    let Some(text) = request.header("x-priority") else { return Ok(DEFAULT_PRIORITY) };
     match text.parse() {
         Ok(priority) if priority <= MAX_PRIORITY => Ok(priority),
-        _ => Err(bad(format!("`x-priority` must be from 0 to {MAX_PRIORITY}"))),
+        _ => Err(bad_header(format!("`x-priority` must be from 0 to {MAX_PRIORITY}"))),
     }
 }
 
-/// The idempotency key, joined with its organisation and service.
-pub(super) fn key(request: &Request, ask: &RequestInfo) -> Result<Option<Key>, Refusal> {
+/// The idempotency key, prefixed with organisation and service, so that keys of different customers
+/// cannot collide.
+pub(super) fn key(request: &Request, info: &RequestInfo) -> Result<Option<Key>, Refusal> {
     let Some(key) = request.header("idempotency-key") else { return Ok(None) };
-    let plain = key.bytes().all(|it| it.is_ascii_graphic());
-    if key.is_empty() || key.len() > MAX_KEY || !plain {
-        return Err(bad(format!(
-            "`idempotency-key` must be 1 to {MAX_KEY} visible ASCII characters"
+    let visible = key.bytes().all(|it| it.is_ascii_graphic());
+    if key.is_empty() || key.len() > MAX_KEY_LEN || !visible {
+        return Err(bad_header(format!(
+            "`idempotency-key` must be 1 to {MAX_KEY_LEN} visible ASCII characters"
         )));
     }
-    Ok(Some(format!("{}/{}/{key}", ask.organisation, ask.service)))
+    Ok(Some(format!("{}/{}/{key}", info.organisation, info.service)))
 }
 
-/// A digest over parts, each closed by a zero byte.
+/// A digest over several parts, each terminated by a zero byte.
 pub(super) fn digest<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> u64 {
     let mut hash = Xxh3::new();
     for part in parts {
@@ -135,6 +139,6 @@
     hash.digest()
 }
 
-fn bad(text: String) -> Refusal {
+fn bad_header(text: String) -> Refusal {
     Refusal::not_run(Code::BadHeader, text)
 }
--- a/crates/roseshored/src/serve/status.rs
+++ b/crates/roseshored/src/serve/status.rs
@@ -1,4 +1,4 @@
-//! What the balancer, operators and scrapers ask of this daemon.
+//! Handlers of health checks, operators' requests, metrics and other reads of the daemon's status.
 
 use super::request_info;
 use crate::admin::{self, AdminApi, Call};
@@ -11,46 +11,46 @@
 use serde_json::{Value, json};
 use tiny_http::Method;
 
-/// The content type of metrics.
-const METRICS: &str = "text/plain; version=0.0.4";
+/// Content type of the Prometheus text format.
+const METRICS_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Serves the paths that start no work.
+/// Serves the requests that start no work on targets.
 pub(super) fn handle(request: &Request, exchange: &mut Exchange<'_>) -> Result<Finish, Refusal> {
     if let Some(admin_api) = &exchange.context.admin_api
         && request.path.starts_with(admin::PREFIX)
     {
-        let response = operate(admin_api, request);
+        let response = admin_response(admin_api, request);
         exchange.reply.send(&response);
         return Ok(Finish::default());
     }
     if !matches!(request.method, Method::Get | Method::Head) {
-        return Err(super::unknown(request));
+        return Err(super::unknown_path(request));
     }
     let path = request.path.as_str();
     let response = match path {
         "/healthz" => Response::json(200, &json!({"status": "ok"})),
-        "/readyz" => ready(exchange)?,
-        "/metrics" => Response::new(200, METRICS, metrics(exchange).into_bytes()),
-        "/v1/models" => Response::json(200, &models(exchange)?),
+        "/readyz" => readiness(exchange)?,
+        "/metrics" => Response::new(200, METRICS_TYPE, render_metrics(exchange).into_bytes()),
+        "/v1/models" => Response::json(200, &list_models(exchange)?),
         _ => match path.rsplit_once('/') {
-            Some(("/v1/requests", id)) => fate(exchange, id),
+            Some(("/v1/requests", id)) => request_state(exchange, id),
             Some(("/v1/trace", id)) => trace(exchange, id),
-            _ => return Err(super::unknown(request)),
+            _ => return Err(super::unknown_path(request)),
         },
     };
-    let response = response.with("x-request-id", exchange.given.as_str());
+    let response = response.with("x-request-id", exchange.external_id.as_str());
     exchange.reply.send(&response);
     Ok(Finish::default())
 }
 
-fn operate(admin_api: &AdminApi, request: &Request) -> Response {
+fn admin_response(admin_api: &AdminApi, request: &Request) -> Response {
     let path = format!("{}?{}", request.path, request.query);
     let method = request.method.as_str();
     let answer = admin::handle(admin_api, &Call { method, path: &path, body: &request.body });
     Response::new(answer.status, "application/json", answer.body)
 }
 
-fn ready(exchange: &Exchange<'_>) -> Result<Response, Refusal> {
+fn readiness(exchange: &Exchange<'_>) -> Result<Response, Refusal> {
     if exchange.context.app.leaving() {
         return Err(Refusal::not_run(Code::Draining, "this host is leaving"));
     }
@@ -58,14 +58,14 @@
     Ok(Response::json(200, &json!({"status": "ready"})))
 }
 
-fn metrics(exchange: &Exchange<'_>) -> String {
+fn render_metrics(exchange: &Exchange<'_>) -> String {
     let Some(handle) = &exchange.context.metrics else { return String::new() };
     handle.run_upkeep();
     handle.render()
 }
 
-/// Every service of models, and each with its adapters, in the form of model interfaces.
-fn models(exchange: &Exchange<'_>) -> Result<Value, Refusal> {
+/// All model services, and each combined with its adapters, as an OpenAI-compatible model list.
+fn list_models(exchange: &Exchange<'_>) -> Result<Value, Refusal> {
     let fleet = request_info::fleet(exchange)?;
     let mut ids = Vec::new();
     for (name, service) in &fleet.services {
@@ -77,21 +77,21 @@
         let adapters = fleet.models.get(model).map(|it| &it.adapters);
         ids.extend(adapters.into_iter().flatten().map(|it| format!("{name}:{it}")));
     }
-    let data: Vec<Value> = ids.into_iter().map(|it| model(&it)).collect();
+    let data: Vec<Value> = ids.into_iter().map(|it| model_object(&it)).collect();
     Ok(json!({"object": "list", "data": data}))
 }
 
-fn model(id: &str) -> Value {
+fn model_object(id: &str) -> Value {
     json!({"id": id, "object": "model", "created": 0, "owned_by": "roseshore"})
 }
 
-fn fate(exchange: &Exchange<'_>, id: &str) -> Response {
+fn request_state(exchange: &Exchange<'_>, id: &str) -> Response {
     match exchange.context.app.ledger.find(id) {
         Some(RequestState::Running(it)) => {
             let body = json!({"request": id, "state": "running", "service": it.meta.service});
             Response::json(200, &body)
         }
-        Some(RequestState::Ended(ended)) => Response::json(200, &row(id, &ended)),
+        Some(RequestState::Ended(ended)) => Response::json(200, &ended_object(id, &ended)),
         None => {
             let text = "this host knows nothing of it; it may be another host's, or too long ago";
             let body = json!({"request": id, "state": "unknown", "message": text});
@@ -100,7 +100,7 @@
     }
 }
 
-fn row(id: &str, ended: &EndedRequest) -> Value {
+fn ended_object(id: &str, ended: &EndedRequest) -> Value {
     json!({
         "request": id,
         "state": "ended",
