--- a/crates/roseshored/src/context.rs
+++ b/crates/roseshored/src/context.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::AdminApi;
 use crate::app::App;
-use crate::spans::Store;
+use crate::spans::SpanStore;
 use metrics_exporter_prometheus::PrometheusHandle;
 
 /// What the HTTP handlers need of the daemon; cheap to clone.
@@ -13,7 +13,7 @@
     /// What operators' calls touch; without it there are none.
     pub admin_api: Option<AdminApi>,
     /// The spans of recent requests.
-    pub spans: &'static Store,
+    pub spans: &'static SpanStore,
     /// The metrics recorder; without it `/metrics` is empty.
     pub metrics: Option<PrometheusHandle>,
 }
--- a/crates/roseshored/src/http/exchange.rs
+++ b/crates/roseshored/src/http/exchange.rs
@@ -7,7 +7,7 @@
 use crate::event;
 use crate::http::read::Request;
 use crate::http::reply::{Reply, Response};
-use crate::spans::{Trace, hex16};
+use crate::spans::{TraceContext, hex16};
 use rand::RngExt;
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{RequestEnd, RequestInfo};
@@ -62,8 +62,8 @@
     pub id: RequestId,
     /// The id as the caller knows it; may occur more than once.
     pub external_id: RequestId,
-    /// The request's place in the caller's trace.
-    pub trace: Trace,
+    /// The request's span in the caller's trace.
+    pub trace: TraceContext,
     /// Writes the response.
     pub reply: Reply,
     /// Organisation, service and deadline, once they are known.
@@ -103,7 +103,7 @@
             handler,
             external_id: valid.map_or(nonce, str::to_owned),
             id,
-            trace: Trace::below(header("traceparent")),
+            trace: TraceContext::from_header(header("traceparent")),
             reply: Reply::new(stream, head_only, chunked, close),
             info: None,
             dispatched: false,
--- a/crates/roseshored/src/spans.rs
+++ b/crates/roseshored/src/spans.rs
@@ -1,7 +1,8 @@
-//! Spans of the last requests, one for each hop, kept in memory within bounds.
+//! Collects the tracing spans of recent requests in memory, for `GET /v1/trace/REQUEST`.
 //!
-//! Any part opens spans by `tracing` below the request's; a layer collects them by request, so
-//! that `GET /v1/trace/REQUEST` can show where the time went. Nothing is opened per token.
+//! Components open `tracing` spans below the request's own span, and a subscriber layer collects them
+//! by request. The numbers of requests and of spans per request are limited. No span is opened per
+//! token.
 
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
@@ -15,86 +16,89 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::registry::LookupSpan;
 
-/// The most spans kept of one request.
+/// Maximum number of spans kept per request.
 const MAX_SPANS: usize = 128;
-/// The field of a request's first span that names it.
-const REQUEST: &str = "request";
-/// The version of `traceparent` that is written.
+/// The field of a root span that holds the request's id.
+const REQUEST_FIELD: &str = "request";
+/// The supported version of `traceparent`.
 const VERSION: &str = "00";
 
-/// The place of a request in the caller's trace, as W3C `traceparent`.
+/// A request's span in the caller's trace, as in W3C Trace Context.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trace {
+pub struct TraceContext {
     id: String,
     span: String,
     flags: String,
 }
 
-impl Trace {
-    /// A span below the caller's, or below none where the caller's header is absent or broken.
-    pub fn below(header: Option<&str>) -> Trace {
+impl TraceContext {
+    /// Creates a child span of the caller's span, or a new trace if the `traceparent` header is absent or
+    /// invalid.
+    pub fn from_header(header: Option<&str>) -> TraceContext {
         let span = hex16();
-        match header.and_then(parse) {
-            Some(parent) => Trace { span, ..parent },
-            None => Trace { id: format!("{}{}", hex16(), hex16()), span, flags: "01".to_owned() },
+        match header.and_then(parse_traceparent) {
+            Some(parent) => TraceContext { span, ..parent },
+            None => {
+                TraceContext { id: format!("{}{}", hex16(), hex16()), span, flags: "01".to_owned() }
+            }
         }
     }
 
-    /// The header for the next hop.
+    /// The `traceparent` header for calls to targets.
     pub fn header(&self) -> String {
         format!("{VERSION}-{}-{}-{}", self.id, self.span, self.flags)
     }
 
-    /// The trace's id, 32 hex digits.
+    /// The trace id: 32 hex digits.
     pub fn id(&self) -> &str {
         &self.id
     }
 }
 
-fn parse(header: &str) -> Option<Trace> {
+fn parse_traceparent(header: &str) -> Option<TraceContext> {
     let mut parts = header.split('-');
     let version = parts.next()?;
     let id = parts.next()?;
     let span = parts.next()?;
     let flags = parts.next()?;
-    let known = version == VERSION && parts.next().is_none();
-    let sound = is_hex(id, 32) && is_hex(span, 16) && is_hex(flags, 2);
-    let set = id.bytes().any(|it| it != b'0') && span.bytes().any(|it| it != b'0');
-    let trace = Trace { id: id.to_owned(), span: span.to_owned(), flags: flags.to_owned() };
-    (known && sound && set).then_some(trace)
+    let supported = version == VERSION && parts.next().is_none();
+    let well_formed = is_hex(id, 32) && is_hex(span, 16) && is_hex(flags, 2);
+    let nonzero = id.bytes().any(|it| it != b'0') && span.bytes().any(|it| it != b'0');
+    let trace = TraceContext { id: id.to_owned(), span: span.to_owned(), flags: flags.to_owned() };
+    (supported && well_formed && nonzero).then_some(trace)
 }
 
 fn is_hex(text: &str, len: usize) -> bool {
     text.len() == len && text.bytes().all(|it| it.is_ascii_digit() || (b'a'..=b'f').contains(&it))
 }
 
-/// Sixteen random hex digits.
+/// A random nonzero number as 16 hex digits.
 pub fn hex16() -> String {
     format!("{:016x}", rand::random::<u64>().max(1))
 }
 
-/// One span as it is shown.
+/// A span as returned by the API, with its children.
 #[derive(Clone, Debug, Serialize)]
 pub struct SpanRow {
-    /// What was done.
+    /// The span's name.
     pub name: &'static str,
-    /// From the request's arrival, microseconds.
+    /// Start, in microseconds after the start of the request's root span.
     pub start_us: u64,
-    /// How long it took, microseconds; `None` while it is open.
+    /// Duration in microseconds; `None` while the span is open.
     pub took_us: Option<u64>,
     /// Fields, as `name=value`.
     pub fields: Vec<String>,
-    /// Spans below it.
+    /// Child spans.
     pub children: Vec<SpanRow>,
 }
 
-/// The spans of one request, the first one being its own.
-struct Tree {
-    begun: Instant,
-    rows: Vec<Row>,
+/// The spans of one request; the first is its root span.
+struct SpanTree {
+    start: Instant,
+    spans: Vec<Span>,
 }
 
-struct Row {
+struct Span {
     name: &'static str,
     parent: Option<usize>,
     start: Instant,
@@ -102,147 +106,151 @@
     fields: Vec<String>,
 }
 
-impl Tree {
-    fn show(&self, index: usize) -> SpanRow {
-        let row = &self.rows[index];
+impl SpanTree {
+    fn to_row(&self, index: usize) -> SpanRow {
+        let span = &self.spans[index];
         let children =
-            (index + 1..self.rows.len()).filter(|it| self.rows[*it].parent == Some(index));
+            (index + 1..self.spans.len()).filter(|it| self.spans[*it].parent == Some(index));
         SpanRow {
-            name: row.name,
-            start_us: (row.start - self.begun).as_micros() as u64,
-            took_us: row.end.map(|it| (it - row.start).as_micros() as u64),
-            fields: row.fields.clone(),
-            children: children.map(|it| self.show(it)).collect(),
+            name: span.name,
+            start_us: (span.start - self.start).as_micros() as u64,
+            took_us: span.end.map(|it| (it - span.start).as_micros() as u64),
+            fields: span.fields.clone(),
+            children: children.map(|it| self.to_row(it)).collect(),
         }
     }
 }
 
-type SharedTree = Arc<Mutex<Tree>>;
+type SharedTree = Arc<Mutex<SpanTree>>;
 
-/// The spans of the last requests.
+/// The spans of recent requests.
 #[derive(Default)]
-pub struct Store {
-    kept: Mutex<Kept>,
+pub struct SpanStore {
+    requests: Mutex<RecentRequests>,
 }
 
 #[derive(Default)]
-struct Kept {
-    bound: usize,
+struct RecentRequests {
+    max: usize,
     order: VecDeque<RequestId>,
     trees: HashMap<RequestId, SharedTree>,
 }
 
-impl Store {
-    /// The spans of a request, by its id or the id that its caller gave it.
+impl SpanStore {
+    /// The spans of a request, by its unique id or by the caller's id; of several requests with one
+    /// caller's id, the latest is returned.
     pub fn find(&self, id: &str) -> Option<SpanRow> {
-        let kept = self.kept.lock();
-        let full = kept.order.iter().rev().find(|it| request_id_matches(it, id))?;
-        let tree = kept.trees.get(full)?.clone();
-        drop(kept);
+        let requests = self.requests.lock();
+        let request = requests.order.iter().rev().find(|it| request_id_matches(it, id))?;
+        let tree = requests.trees.get(request)?.clone();
+        drop(requests);
         let tree = tree.lock();
-        Some(tree.show(0))
+        Some(tree.to_row(0))
     }
 
     fn add(&self, id: RequestId, tree: SharedTree) {
-        let mut kept = self.kept.lock();
-        if kept.bound == 0 {
+        let mut requests = self.requests.lock();
+        if requests.max == 0 {
             return;
         }
-        while kept.order.len() >= kept.bound {
-            if let Some(old) = kept.order.pop_front() {
-                kept.trees.remove(&old);
+        while requests.order.len() >= requests.max {
+            if let Some(oldest) = requests.order.pop_front() {
+                requests.trees.remove(&oldest);
             }
         }
-        kept.order.push_back(id.clone());
-        kept.trees.insert(id, tree);
+        requests.order.push_back(id.clone());
+        requests.trees.insert(id, tree);
     }
 }
 
-/// Keeps the spans of the last `bound` requests of this process from now on.
-pub fn install(bound: usize) -> &'static Store {
-    static STORE: OnceLock<Store> = OnceLock::new();
+/// Installs the process-wide span collector, which keeps the spans of the last `max` requests; 0 keeps
+/// none.
+pub fn install(max: usize) -> &'static SpanStore {
+    static STORE: OnceLock<SpanStore> = OnceLock::new();
     let store = STORE.get_or_init(|| {
-        let subscriber = tracing_subscriber::registry().with(Keeper);
-        // A second subscriber is an embedder's own choice; then no spans are kept here.
+        let subscriber = tracing_subscriber::registry().with(SpanCollector);
+        // If the embedding process has set its own subscriber, no spans are collected here.
         let _ = tracing::subscriber::set_global_default(subscriber);
-        Store::default()
+        SpanStore::default()
     });
-    store.kept.lock().bound = bound;
-    KEEPER.get_or_init(|| store);
+    store.requests.lock().max = max;
+    INSTALLED.get_or_init(|| store);
     store
 }
 
-static KEEPER: OnceLock<&'static Store> = OnceLock::new();
+static INSTALLED: OnceLock<&'static SpanStore> = OnceLock::new();
 
 /// The layer that collects spans.
-struct Keeper;
+struct SpanCollector;
 
-/// Where a span is kept.
-struct Slot {
+/// The place of a span in its request's tree; stored in the span's extensions.
+struct SpanRef {
     tree: SharedTree,
     index: usize,
 }
 
-impl<S: tracing::Subscriber + for<'a> LookupSpan<'a>> Layer<S> for Keeper {
+impl<S: tracing::Subscriber + for<'a> LookupSpan<'a>> Layer<S> for SpanCollector {
     fn on_new_span(&self, attrs: &Attributes<'_>, id: &Id, ctx: Context<'_, S>) {
         let Some(span) = ctx.span(id) else { return };
-        let mut seen = Fields::default();
-        attrs.record(&mut seen);
+        let mut fields = FieldVisitor::default();
+        attrs.record(&mut fields);
         let parent = span.parent();
-        let slot = match parent.as_ref().map(|it| it.extensions()) {
-            Some(above) => above.get::<Slot>().and_then(|it| child(it, span.name(), seen)),
-            None => seen.request.take().map(|request| root(request, span.name(), seen)),
+        let span_ref = match parent.as_ref().map(|it| it.extensions()) {
+            Some(extensions) => {
+                extensions.get::<SpanRef>().and_then(|it| add_child(it, span.name(), fields))
+            }
+            None => fields.request.take().map(|request| add_root(request, span.name(), fields)),
         };
-        if let Some(slot) = slot {
-            span.extensions_mut().insert(slot);
+        if let Some(span_ref) = span_ref {
+            span.extensions_mut().insert(span_ref);
         }
     }
 
     fn on_record(&self, id: &Id, values: &Record<'_>, ctx: Context<'_, S>) {
         let Some(span) = ctx.span(id) else { return };
         let extensions = span.extensions();
-        let Some(slot) = extensions.get::<Slot>() else { return };
-        let mut seen = Fields::default();
-        values.record(&mut seen);
-        slot.tree.lock().rows[slot.index].fields.append(&mut seen.texts);
+        let Some(span_ref) = extensions.get::<SpanRef>() else { return };
+        let mut fields = FieldVisitor::default();
+        values.record(&mut fields);
+        span_ref.tree.lock().spans[span_ref.index].fields.append(&mut fields.texts);
     }
 
     fn on_close(&self, id: Id, ctx: Context<'_, S>) {
         let Some(span) = ctx.span(&id) else { return };
         let extensions = span.extensions();
-        let Some(slot) = extensions.get::<Slot>() else { return };
-        slot.tree.lock().rows[slot.index].end = Some(Instant::now());
+        let Some(span_ref) = extensions.get::<SpanRef>() else { return };
+        span_ref.tree.lock().spans[span_ref.index].end = Some(Instant::now());
     }
 }
 
-fn root(request: RequestId, name: &'static str, seen: Fields) -> Slot {
+fn add_root(request: RequestId, name: &'static str, fields: FieldVisitor) -> SpanRef {
     let now = Instant::now();
-    let row = Row { name, parent: None, start: now, end: None, fields: seen.texts };
-    let tree = Arc::new(Mutex::new(Tree { begun: now, rows: vec![row] }));
-    if let Some(store) = KEEPER.get() {
+    let span = Span { name, parent: None, start: now, end: None, fields: fields.texts };
+    let tree = Arc::new(Mutex::new(SpanTree { start: now, spans: vec![span] }));
+    if let Some(store) = INSTALLED.get() {
         store.add(request, tree.clone());
     }
-    Slot { tree, index: 0 }
+    SpanRef { tree, index: 0 }
 }
 
-fn child(above: &Slot, name: &'static str, seen: Fields) -> Option<Slot> {
-    let mut tree = above.tree.lock();
-    let index = tree.rows.len();
+fn add_child(parent_ref: &SpanRef, name: &'static str, fields: FieldVisitor) -> Option<SpanRef> {
+    let mut tree = parent_ref.tree.lock();
+    let index = tree.spans.len();
     if index >= MAX_SPANS {
         return None;
     }
-    let parent = Some(above.index);
-    tree.rows.push(Row { name, parent, start: Instant::now(), end: None, fields: seen.texts });
-    Some(Slot { tree: above.tree.clone(), index })
+    let parent = Some(parent_ref.index);
+    tree.spans.push(Span { name, parent, start: Instant::now(), end: None, fields: fields.texts });
+    Some(SpanRef { tree: parent_ref.tree.clone(), index })
 }
 
 #[derive(Default)]
-struct Fields {
+struct FieldVisitor {
     request: Option<RequestId>,
     texts: Vec<String>,
 }
 
-impl Visit for Fields {
+impl Visit for FieldVisitor {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
         let mut text = String::new();
         let _ = write!(text, "{value:?}");
@@ -254,9 +262,9 @@
     }
 }
 
-impl Fields {
+impl FieldVisitor {
     fn push(&mut self, name: &str, value: &str) {
-        if name == REQUEST {
+        if name == REQUEST_FIELD {
             self.request = Some(value.to_owned());
         }
         self.texts.push(format!("{name}={value}"));
