--- a/crates/roseshored/src/daemon.rs
+++ b/crates/roseshored/src/daemon.rs
@@ -124,7 +124,7 @@
             fleets: self.fleets.clone(),
             engine: self.external.engine.clone(),
             reports: routing.clone(),
-            caches: routing.clone(),
+            sink: routing.clone(),
         };
         let orders = OrderDeps {
             log: self.external.log.clone(),
--- a/crates/roseshored/src/loads.rs
+++ b/crates/roseshored/src/loads.rs
@@ -1,7 +1,7 @@
-//! Polls targets and shares what they say.
+//! Polls targets for their load and shares the reports with the other daemons.
 //!
-//! One thread drives [`roseshore_core::polling`]; a bounded pool of threads asks the targets, so
-//! that a frozen one holds up nothing but its own poll. Reports go to [`ReportStore`] here and, with
+//! One thread drives [`roseshore_core::polling`]; a fixed pool of threads makes the calls, so that
+//! a target that hangs delays only its own poll. Reports go to the local [`ReportStore`] and, with
 //! the next heartbeat, to the other daemons of the data centre.
 
 pub mod caches;
@@ -21,26 +21,27 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::{io, thread};
 
-/// How often the decision is asked what is due.
+/// Longest wait for a poll result before the next check for due polls.
 const TICK: Duration = Duration::from_millis(20);
-/// How long a target may take to report.
-const LIMIT: Duration = Duration::from_millis(200);
-/// Threads that ask targets.
-const WORKERS: usize = 8;
+/// Timeout of one poll.
+const POLL_TIMEOUT: Duration = Duration::from_millis(200);
+/// Threads that poll targets.
+const POLL_THREADS: usize = 8;
 
-/// What the driver needs.
+/// Dependencies and settings of a [`LoadDriver`].
 pub struct LoadConfig {
-    /// The daemons.
+    /// The view of the daemons, which also carries the reports.
     pub members: Arc<MemberDriver>,
-    /// The configuration in force; its targets of the own data centre are polled.
+    /// The configuration in force. Targets in this data centre are polled; all targets are, while
+    /// there are at most `settings.full_limit`.
     pub fleets: Arc<dyn ConfigSource>,
     /// Model engines.
     pub engine: Arc<dyn Engine>,
     /// Plain and lookup services.
     pub services: Arc<dyn Services>,
-    /// Who takes the reports.
+    /// Where reports are stored.
     pub reports: Arc<dyn ReportStore>,
-    /// The times of polling.
+    /// Timing and limits of polling.
     pub settings: Settings,
 }
 
@@ -54,39 +55,39 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: LoadConfig) -> io::Result<LoadDriver> {
+    pub fn start(config: LoadConfig) -> io::Result<LoadDriver> {
         let stopped = Arc::new(AtomicBool::new(false));
-        let (ask, jobs) = flume::bounded(parts.settings.max_polls);
-        let (tell, polled) = flume::bounded(parts.settings.max_polls);
-        for n in 0..WORKERS {
+        let (jobs, job_queue) = flume::bounded(config.settings.max_polls);
+        let (results, polled) = flume::bounded(config.settings.max_polls);
+        for n in 0..POLL_THREADS {
             let worker = Worker {
-                engine: parts.engine.clone(),
-                services: parts.services.clone(),
-                jobs: jobs.clone(),
-                polled: tell.clone(),
+                engine: config.engine.clone(),
+                services: config.services.clone(),
+                jobs: job_queue.clone(),
+                polled: results.clone(),
             };
             let name = format!("loads-{n}");
             thread::Builder::new().name(name).spawn(move || worker.run())?;
         }
-        let told = parts.members.peer_reports();
-        let (period, full) = (parts.settings.period, parts.settings.full_limit);
+        let peer_reports = config.members.peer_reports();
+        let (period, full_limit) = (config.settings.period, config.settings.full_limit);
         let driver = Driver {
-            polling: Polling::new(parts.settings),
-            members: parts.members,
-            fleets: parts.fleets,
-            reports: parts.reports,
+            polling: Polling::new(config.settings),
+            members: config.members,
+            fleets: config.fleets,
+            reports: config.reports,
             period,
-            full,
+            full_limit,
             offset: None,
             targets: BTreeMap::new(),
             encoder: DeltaEncoder::default(),
             decoder: DeltaDecoder::default(),
-            ask,
+            jobs,
         };
         let stop = stopped.clone();
         thread::Builder::new()
             .name("loads".into())
-            .spawn(move || driver.run(&polled, &told, &stop))?;
+            .spawn(move || driver.run(&polled, &peer_reports, &stop))?;
         Ok(LoadDriver { stopped })
     }
 }
@@ -106,7 +107,7 @@
 
 struct Polled {
     target: TargetId,
-    begun: Instant,
+    started: Instant,
     content: ReportContent,
 }
 
@@ -120,18 +121,20 @@
 impl Worker {
     fn run(&self) {
         while let Ok(job) = self.jobs.recv() {
-            let begun = Instant::now();
+            let started = Instant::now();
             let content = match job.kind {
-                TargetKind::Engine => self.engine.load(job.addr, LIMIT).map(ReportContent::Engine),
+                TargetKind::Engine => {
+                    self.engine.load(job.addr, POLL_TIMEOUT).map(ReportContent::Engine)
+                }
                 TargetKind::Service => {
-                    self.services.load(job.addr, LIMIT).map(ReportContent::Service)
+                    self.services.load(job.addr, POLL_TIMEOUT).map(ReportContent::Service)
                 }
             };
             let content = content.unwrap_or_else(|e| {
-                log::debug!("poll of `{}`: {e}", job.target);
+                log::debug!("poll of `{}` failed: {e}", job.target);
                 ReportContent::Silent
             });
-            if self.polled.send(Polled { target: job.target, begun, content }).is_err() {
+            if self.polled.send(Polled { target: job.target, started, content }).is_err() {
                 return;
             }
         }
@@ -144,46 +147,46 @@
     fleets: Arc<dyn ConfigSource>,
     reports: Arc<dyn ReportStore>,
     period: Duration,
-    full: usize,
+    full_limit: usize,
     offset: Option<Offset>,
     targets: BTreeMap<TargetId, Job>,
     encoder: DeltaEncoder,
     decoder: DeltaDecoder,
-    ask: flume::Sender<Job>,
+    jobs: flume::Sender<Job>,
 }
 
 impl Driver {
     fn run(
         mut self,
         polled: &flume::Receiver<Polled>,
-        told: &flume::Receiver<PeerReports>,
+        peer_reports: &flume::Receiver<PeerReports>,
         stop: &AtomicBool,
     ) {
         while !stop.load(Ordering::SeqCst) {
             if let Ok(first) = polled.recv_timeout(TICK) {
-                self.take(first);
-                polled.drain().for_each(|p| self.take(p));
+                self.on_polled(first);
+                polled.drain().for_each(|p| self.on_polled(p));
             }
-            told.drain().for_each(|t| self.take_told(t));
-            self.follow();
+            peer_reports.drain().for_each(|r| self.on_peer_reports(r));
+            self.apply_config();
             self.tick();
         }
     }
 
-    /// Takes over a new configuration.
-    fn follow(&mut self) {
+    /// Applies a new configuration, the current heartbeat interval and joins of daemons.
+    fn apply_config(&mut self) {
         self.polling.set_period(self.period.max(self.members.period()));
         if self.members.take_joined() {
             self.encoder.reset();
         }
-        let Some(force) = self.fleets.current() else { return };
-        if self.offset == Some(force.offset) {
+        let Some(config) = self.fleets.current() else { return };
+        if self.offset == Some(config.offset) {
             return;
         }
-        self.offset = Some(force.offset);
+        self.offset = Some(config.offset);
         let own = self.members.own().data_centre;
-        let all = force.fleet.targets.len() <= self.full;
-        let polled = force.fleet.targets.iter().filter(|(_, t)| all || t.data_centre == own);
+        let all = config.fleet.targets.len() <= self.full_limit;
+        let polled = config.fleet.targets.iter().filter(|(_, t)| all || t.data_centre == own);
         let job =
             |id: &TargetId, t: &Target| Job { target: id.clone(), kind: t.kind, addr: t.addr };
         self.targets = polled.map(|(id, t)| (id.clone(), job(id, t))).collect();
@@ -195,25 +198,25 @@
     fn tick(&mut self) {
         let stale = self.members.stale();
         let members = &self.members;
-        let place = |target: &str| if stale { None } else { members.place(target) };
-        for action in self.polling.tick(Instant::now(), place) {
-            self.act(action);
+        let rank = |target: &str| if stale { None } else { members.rank(target) };
+        for action in self.polling.tick(Instant::now(), rank) {
+            self.perform(action);
         }
     }
 
-    fn act_all(&mut self, actions: Vec<Action>) {
+    fn perform_all(&mut self, actions: Vec<Action>) {
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Poll(target) => {
                 let Some(job) = self.targets.get(&target) else { return };
                 metrics::counter!("roseshore_polls_total").increment(1);
-                if self.ask.try_send(job.clone()).is_err() {
-                    // The decision takes the poll for lost after a while and asks again.
+                if self.jobs.try_send(job.clone()).is_err() {
+                    // `Polling` treats the poll as lost after a timeout and requests it again.
                     metrics::counter!("roseshore_polls_crowded_total").increment(1);
                 }
             }
@@ -225,18 +228,18 @@
         }
     }
 
-    fn take(&mut self, polled: Polled) {
+    fn on_polled(&mut self, polled: Polled) {
         let now = Instant::now();
-        let Polled { target, begun, content } = polled;
+        let Polled { target, started, content } = polled;
         let actions = if content == ReportContent::Silent {
             metrics::counter!("roseshore_polls_failed_total").increment(1);
             self.polling.on_failure(&target, now)
         } else {
             let actions = self.polling.on_answer(&target, now);
-            self.publish(target, content, begun);
+            self.publish(target, content, started);
             actions
         };
-        self.act_all(actions);
+        self.perform_all(actions);
     }
 
     fn publish(&mut self, target: TargetId, content: ReportContent, seen: Instant) {
@@ -246,10 +249,11 @@
         self.reports.store(Report { target, seen, content });
     }
 
-    fn take_told(&mut self, told: PeerReports) {
-        for note in told.notes {
+    fn on_peer_reports(&mut self, peer_reports: PeerReports) {
+        for note in peer_reports.notes {
             let age = Duration::from_millis(u64::from(note.age_ms));
-            let seen = told.received_at.checked_sub(age).unwrap_or(told.received_at);
+            let seen =
+                peer_reports.received_at.checked_sub(age).unwrap_or(peer_reports.received_at);
             let Some(unpacked) = self.decoder.decode(note.content) else {
                 metrics::counter!("roseshore_notes_incomplete_total").increment(1);
                 continue;
@@ -257,7 +261,7 @@
             let delta::DecodedReport { target, content } = unpacked;
             let silent = content == ReportContent::Silent;
             let actions = self.polling.on_peer_report(&target, silent, seen);
-            self.act_all(actions);
+            self.perform_all(actions);
             self.reports.store(Report { target, seen, content });
         }
     }
--- a/crates/roseshored/src/loads/caches.rs
+++ b/crates/roseshored/src/loads/caches.rs
@@ -1,7 +1,7 @@
 //! Reads the events of engines' prefix caches.
 //!
-//! One thread asks one engine in a while; nothing waits for it. An engine that does not answer is
-//! not asked, since its newest report is silence.
+//! One thread reads from one engine at a time, and no other thread waits for it. Engines whose
+//! newest load report is [`ReportContent::Silent`] are skipped.
 
 use roseshore_core::polling;
 use roseshore_core::prelude::*;
@@ -10,54 +10,54 @@
 use roseshore_wire::engine::CacheEvent;
 use std::sync::Arc;
 
-/// The time between two questions.
-const PACE: Duration = Duration::from_millis(200);
-/// The time between two questions to one engine.
-const REST: Duration = Duration::from_secs(2);
-/// How long an engine may take to answer.
-const LIMIT: Duration = Duration::from_millis(200);
+/// Time between two reads, over all engines.
+const READ_INTERVAL: Duration = Duration::from_millis(200);
+/// Time between two reads from one engine.
+const ENGINE_INTERVAL: Duration = Duration::from_secs(2);
+/// Timeout of one read.
+const READ_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Reads the events of the engines that report.
+/// Reads cache events from the engines that respond to polls.
 pub struct CacheReader {
-    /// Where the engines are.
+    /// The configuration in force, which gives the engines' addresses.
     pub fleets: Arc<dyn ConfigSource>,
-    /// The engines.
+    /// The client of the engines.
     pub engine: Arc<dyn Engine>,
-    /// Which of them answer.
+    /// The newest load reports, which tell which engines respond.
     pub reports: Arc<dyn ReportStore>,
-    /// Who takes the events.
-    pub caches: Arc<dyn CacheEventSink>,
+    /// Where the events go.
+    pub sink: Arc<dyn CacheEventSink>,
 }
 
 impl CacheReader {
-    /// Asks until `stop` is closed.
+    /// Reads events until `stop` is closed.
     pub fn run(&self, stop: &flume::Receiver<()>) {
-        let mut cursors = polling::CacheCursors::new(REST);
-        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(PACE) {
-            self.round(&mut cursors, Instant::now());
+        let mut cursors = polling::CacheCursors::new(ENGINE_INTERVAL);
+        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(READ_INTERVAL) {
+            self.read_next(&mut cursors, Instant::now());
         }
     }
 
-    fn round(&self, cursors: &mut polling::CacheCursors, now: Instant) {
-        for restarted in cursors.set_engines(self.answering()) {
-            self.caches.apply_events(&restarted, &[CacheEvent::Cleared]);
+    fn read_next(&self, cursors: &mut polling::CacheCursors, now: Instant) {
+        for restarted in cursors.set_engines(self.responding_engines()) {
+            self.sink.apply_events(&restarted, &[CacheEvent::Cleared]);
         }
         let Some((target, from)) = cursors.due(now) else { return };
-        let Some(force) = self.fleets.current() else { return };
-        let Some(declared) = force.fleet.targets.get(&target) else { return };
-        match self.engine.cache(declared.addr, from, LIMIT) {
+        let Some(config) = self.fleets.current() else { return };
+        let Some(declared) = config.fleet.targets.get(&target) else { return };
+        match self.engine.cache(declared.addr, from, READ_TIMEOUT) {
             Ok(read) => {
-                self.caches.apply_events(&target, &read.events);
+                self.sink.apply_events(&target, &read.events);
                 cursors.advance(&target, read.next);
             }
             Err(e) => {
                 metrics::counter!("roseshore_cache_reads_failed_total").increment(1);
-                log::debug!("cache events of `{target}`: {e}");
+                log::debug!("cannot read cache events of `{target}`: {e}");
             }
         }
     }
 
-    fn answering(&self) -> impl Iterator<Item = (TargetId, Incarnation)> {
+    fn responding_engines(&self) -> impl Iterator<Item = (TargetId, Incarnation)> {
         let reports = self.reports.newest().into_iter();
         reports.filter_map(|report| match report.content {
             ReportContent::Engine(load) => Some((report.target, load.holding.incarnation)),
--- a/crates/roseshored/src/loads/delta.rs
+++ b/crates/roseshored/src/loads/delta.rs
@@ -1,8 +1,9 @@
-//! Reports on their way between daemons, short where little changed.
+//! Delta encoding of load reports between daemons.
 //!
-//! A whole report is sent when something besides the counts changed, when a daemon joined, and now
-//! and then in case it was lost; in between only the counts travel, under a key that is a hash of
-//! the target and everything else. Whoever lacks the whole report for a key passes the counts over.
+//! A full report is sent when anything but the counts has changed, after a daemon has joined, and
+//! every [`FULL_REPORT_INTERVAL`] in case it was lost. In between, only the counts are sent, with a
+//! key that is a hash of the target and everything else. A receiver that does not have the full
+//! report for a key ignores the counts.
 
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::ReportContent;
@@ -12,22 +13,22 @@
 use rustc_hash::FxHashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How often a report that did not change is sent whole.
-const REFRESH: Duration = Duration::from_secs(30);
+/// Longest time between two full reports of a target.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Shortens reports.
+/// Encodes reports, as counts only where the receivers have the rest.
 #[derive(Default)]
 pub struct DeltaEncoder {
-    sent: FxHashMap<TargetId, Sent>,
+    sent: FxHashMap<TargetId, LastFull>,
 }
 
-struct Sent {
+struct LastFull {
     key: LoadReportKey,
     at: Instant,
 }
 
 impl DeltaEncoder {
-    /// What to send of a report.
+    /// Encodes a report, in full if the receivers may lack the part that is not counts.
     pub fn encode(
         &mut self,
         target: &TargetId,
@@ -38,60 +39,62 @@
             return LoadReport::Silent { target: target.clone() };
         };
         let last = self.sent.get(target);
-        if last.is_some_and(|s| s.key == key && now.saturating_duration_since(s.at) < REFRESH) {
-            return brief(key, content);
+        if last.is_some_and(|s| {
+            s.key == key && now.saturating_duration_since(s.at) < FULL_REPORT_INTERVAL
+        }) {
+            return brief_report(key, content);
         }
-        self.sent.insert(target.clone(), Sent { key, at: now });
-        whole(target, content)
+        self.sent.insert(target.clone(), LastFull { key, at: now });
+        full_report(target, content)
     }
 
-    /// Sends every report whole again, as a daemon joined.
+    /// Makes the next report of every target a full one, because a daemon has joined.
     pub fn reset(&mut self) {
         self.sent.clear();
     }
 
-    /// Forgets targets that are no longer declared.
+    /// Drops the state of targets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&TargetId) -> bool) {
         self.sent.retain(|target, _| keep(target));
     }
 }
 
-/// Completes shortened reports.
+/// Decodes reports: completes counts from the last full report with the same key.
 #[derive(Default)]
 pub struct DeltaDecoder {
-    whole: FxHashMap<LoadReportKey, Whole>,
+    full_reports: FxHashMap<LoadReportKey, FullReport>,
     keys: FxHashMap<TargetId, LoadReportKey>,
 }
 
-struct Whole {
+struct FullReport {
     target: TargetId,
     content: ReportContent,
 }
 
-/// A completed report.
+/// A decoded report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecodedReport {
     /// The target.
     pub target: TargetId,
-    /// What it said.
+    /// What the target reported.
     pub content: ReportContent,
 }
 
 impl DeltaDecoder {
-    /// The whole report, or `None` when the part that did not change is not known here.
-    pub fn decode(&mut self, note: LoadReport) -> Option<DecodedReport> {
-        match note {
+    /// The complete report, or `None` for counts whose full report is not known here.
+    pub fn decode(&mut self, report: LoadReport) -> Option<DecodedReport> {
+        match report {
             LoadReport::Engine { target, load } => {
-                Some(self.learn(target, ReportContent::Engine(load)))
+                Some(self.record_full(target, ReportContent::Engine(load)))
             }
             LoadReport::Service { target, load } => {
-                Some(self.learn(target, ReportContent::Service(load)))
+                Some(self.record_full(target, ReportContent::Service(load)))
             }
             LoadReport::Silent { target } => {
                 Some(DecodedReport { target, content: ReportContent::Silent })
             }
             LoadReport::Brief { key, queue, running, step_us, kv_used } => {
-                let known = self.whole.get(&key)?;
+                let known = self.full_reports.get(&key)?;
                 let mut content = known.content.clone();
                 match &mut content {
                     ReportContent::Engine(load) => {
@@ -108,27 +111,27 @@
         }
     }
 
-    /// Forgets targets that are no longer declared.
+    /// Drops the state of targets for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(&TargetId) -> bool) {
         self.keys.retain(|target, _| keep(target));
-        self.whole.retain(|_, whole| keep(&whole.target));
+        self.full_reports.retain(|_, full| keep(&full.target));
     }
 
-    fn learn(&mut self, target: TargetId, content: ReportContent) -> DecodedReport {
+    fn record_full(&mut self, target: TargetId, content: ReportContent) -> DecodedReport {
         if let Some(key) = key(&target, &content) {
             if let Some(old) = self.keys.insert(target.clone(), key)
                 && old != key
             {
-                self.whole.remove(&old);
+                self.full_reports.remove(&old);
             }
-            let whole = Whole { target: target.clone(), content: content.clone() };
-            self.whole.insert(key, whole);
+            let full = FullReport { target: target.clone(), content: content.clone() };
+            self.full_reports.insert(key, full);
         }
         DecodedReport { target, content }
     }
 }
 
-fn whole(target: &TargetId, content: &ReportContent) -> LoadReport {
+fn full_report(target: &TargetId, content: &ReportContent) -> LoadReport {
     let target = target.clone();
     match content {
         ReportContent::Engine(load) => LoadReport::Engine { target, load: load.clone() },
@@ -137,7 +140,7 @@
     }
 }
 
-fn brief(key: LoadReportKey, content: &ReportContent) -> LoadReport {
+fn brief_report(key: LoadReportKey, content: &ReportContent) -> LoadReport {
     let (queue, running, step_us, kv_used) = match content {
         ReportContent::Engine(load) => (load.queue, load.running, load.step_us, load.kv_used),
         ReportContent::Service(load) => (load.queue, load.running, load.call_us, 0),
@@ -146,9 +149,9 @@
     LoadReport::Brief { key, queue, running, step_us, kv_used }
 }
 
-/// The hash of the target and all that is not a count; `None` for a silent target.
+/// The hash of the target and everything that is not a count; `None` for a silent target.
 fn key(target: &TargetId, content: &ReportContent) -> Option<LoadReportKey> {
-    let fixed = match content.clone() {
+    let without_counts = match content.clone() {
         ReportContent::Engine(load) => {
             ReportContent::Engine(Load { queue: 0, running: 0, step_us: 0, kv_used: 0, ..load })
         }
@@ -157,7 +160,8 @@
         }
         ReportContent::Silent => return None,
     };
-    let bytes = roseshore_wire::frame::encode(&whole(target, &fixed), usize::MAX).ok()?;
+    let bytes =
+        roseshore_wire::frame::encode(&full_report(target, &without_counts), usize::MAX).ok()?;
     let hash = xxh3_64(&bytes).to_le_bytes();
     hash.first_chunk().copied()
 }
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -1,7 +1,7 @@
-//! Drives the membership: heartbeats out and in, and the platform's host list.
+//! Runs the membership protocol: sends and receives heartbeats and reads the platform's host list.
 //!
-//! Three threads share the view: one receives, one sends and lets time pass, one reads the host
-//! list. Decisions are in [`roseshore_core::membership`].
+//! Three threads share the membership state: one receives heartbeats, one sends them and advances
+//! the timers, one reads the host list. The state machine is [`roseshore_core::membership`].
 
 use crate::app::Drain;
 use crate::event;
@@ -20,24 +20,24 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::{io, thread};
 
-/// The longest wait of a thread before it looks whether it should end.
-const LOOK: Duration = Duration::from_millis(100);
-/// Notes that may wait for the next heartbeat.
-const MAX_NOTES: usize = 4096;
-/// Bytes of a datagram kept free for the heartbeat itself.
-const BEAT_BYTES: usize = 200;
+/// Longest blocking wait of a thread before it checks whether it should stop.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Capacity of the queues of outgoing and of received load reports.
+const MAX_QUEUED_REPORTS: usize = 4096;
+/// Bytes of a datagram reserved for the heartbeat itself.
+const HEARTBEAT_BYTES: usize = 200;
 
-/// What the driver needs.
+/// Dependencies and settings of a [`MemberDriver`].
 pub struct MemberConfig {
-    /// This daemon; its offset, digest and sequence are filled in.
+    /// This daemon's heartbeat; offset, digest and sequence are filled in before each send.
     pub own: Heartbeat,
-    /// Where it hears peers.
+    /// The address on which it receives peers' datagrams.
     pub peer: SocketAddr,
-    /// Peers known from settings.
+    /// Peers from the settings, used until the host list has been read.
     pub seeds: Vec<SocketAddr>,
-    /// The bounds.
+    /// Timing of the membership protocol.
     pub settings: Settings,
-    /// Between readings of the host list.
+    /// Time between two reads of the host list.
     pub list_interval: Duration,
     /// The socket at `peer`.
     pub socket: Arc<dyn Datagrams>,
@@ -49,27 +49,27 @@
     pub drain: Arc<Drain>,
 }
 
-/// Reports that came from a peer.
+/// Load reports received from a peer in one heartbeat.
 #[derive(Clone, Debug)]
 pub struct PeerReports {
-    /// When the heartbeat that carried them arrived.
+    /// When the heartbeat arrived.
     pub received_at: Instant,
-    /// The reports.
+    /// The reports; their ages count back from `received_at`.
     pub notes: Vec<TargetLoad>,
 }
 
-/// A report for the peers.
+/// A load report to send to the peers.
 #[derive(Clone, Debug)]
 pub struct LocalReport {
-    /// When the target was polled; its age is worked out when it is sent.
+    /// When the target was polled; the age of the report is computed from it on sending.
     pub seen: Instant,
-    /// What it said.
+    /// What the target reported.
     pub content: LoadReport,
-    /// Whether it cannot wait for the next heartbeat.
+    /// Whether to send it at once instead of with the next regular heartbeat.
     pub urgent: bool,
 }
 
-/// The daemons, as this one sees them.
+/// This daemon's view of the other daemons, and the threads that maintain it.
 pub struct MemberDriver {
     view: Mutex<Membership>,
     socket: Arc<dyn Datagrams>,
@@ -87,12 +87,12 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: MemberConfig) -> io::Result<Arc<MemberDriver>> {
+    pub fn start(config: MemberConfig) -> io::Result<Arc<MemberDriver>> {
         let MemberConfig { own, peer, seeds, settings, list_interval, socket, list, fleets, drain } =
-            parts;
+            config;
         let view = Mutex::new(Membership::new(own, peer, seeds, settings, Instant::now()));
-        let (outbox, notes) = flume::bounded(MAX_NOTES);
-        let (tell, inbox) = flume::bounded(MAX_NOTES);
+        let (outbox, queued) = flume::bounded(MAX_QUEUED_REPORTS);
+        let (received_reports, inbox) = flume::bounded(MAX_QUEUED_REPORTS);
         let driver = Arc::new(MemberDriver {
             view,
             socket,
@@ -105,156 +105,162 @@
             stopped: AtomicBool::new(false),
         });
         let (a, b, c) = (driver.clone(), driver.clone(), driver.clone());
-        spawn("members-hear", move || a.hear(&tell))?;
-        spawn("members-beat", move || b.send(&notes))?;
-        spawn("members-list", move || c.read_list(list_interval))?;
+        spawn("members-hear", move || a.receive_loop(&received_reports))?;
+        spawn("members-beat", move || b.send_loop(&queued))?;
+        spawn("members-list", move || c.host_list_loop(list_interval))?;
         Ok(driver)
     }
 
-    /// Ends the threads, without waiting for them.
+    /// Tells the threads to stop, without joining them.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Sends a report with the next heartbeat; it is dropped if too many wait.
-    pub fn queue_report(&self, fresh: LocalReport) {
-        if self.outbox.try_send(fresh).is_err() {
+    /// Queues a report for the next heartbeat; when the queue is full, drops and counts it.
+    pub fn queue_report(&self, report: LocalReport) {
+        if self.outbox.try_send(report).is_err() {
             metrics::counter!("roseshore_notes_dropped_total").increment(1);
         }
     }
 
-    /// Reports told by peers.
+    /// Receiver of the reports from peers; all receivers share one queue.
     pub fn peer_reports(&self) -> flume::Receiver<PeerReports> {
         self.inbox.clone()
     }
 
-    /// Whether a daemon joined since the last call, so that it needs whole reports.
+    /// Whether a daemon has joined since the last call and therefore needs full reports.
     pub fn take_joined(&self) -> bool {
         self.joined.swap(false, Ordering::SeqCst)
     }
 
-    /// Whether this daemon may not know yet who else lives.
+    /// Whether the view may be incomplete, so that this daemon cannot tell which others are alive.
     pub fn stale(&self) -> bool {
         self.view.lock().stale(Instant::now())
     }
 
-    /// This daemon's place in the order for a subject.
-    pub fn place(&self, subject: &str) -> Option<usize> {
+    /// This daemon's rank in the rendezvous order for a subject.
+    pub fn rank(&self, subject: &str) -> Option<usize> {
         self.view.lock().place(subject)
     }
 
-    /// The time between heartbeats.
+    /// The interval between heartbeats.
     pub fn period(&self) -> Duration {
         self.view.lock().period()
     }
 
-    /// The daemons of other data centres that are listed or not gone.
+    /// Daemons of other data centres that are in the host list or not gone.
     pub fn remote_members(&self) -> Vec<Member> {
         self.view.lock().far()
     }
 
-    /// The digest for other data centres.
+    /// The membership digest to send to other data centres.
     pub fn digest(&self) -> Vec<MemberDigest> {
         self.view.lock().digest(Instant::now())
     }
 
-    /// Takes the digest of another data centre.
-    pub fn take_digest(&self, notes: Vec<MemberDigest>) {
-        let changes = self.view.lock().on_digest(notes, Instant::now());
-        self.report(&changes);
+    /// Applies the membership digest of another data centre.
+    pub fn apply_digest(&self, members: Vec<MemberDigest>) {
+        let changes = self.view.lock().on_digest(members, Instant::now());
+        self.log_changes(&changes);
     }
 
     fn running(&self) -> bool {
         !self.stopped.load(Ordering::SeqCst)
     }
 
-    fn hear(&self, tell: &flume::Sender<PeerReports>) {
+    fn receive_loop(&self, received_reports: &flume::Sender<PeerReports>) {
         while self.running() {
-            if let Some(received) = self.socket.receive(LOOK) {
-                self.take(received, tell);
+            if let Some(received) = self.socket.receive(STOP_CHECK_INTERVAL) {
+                self.handle_datagram(received, received_reports);
             }
         }
     }
 
-    fn take(&self, received: ReceivedDatagram, tell: &flume::Sender<PeerReports>) {
+    fn handle_datagram(
+        &self,
+        received: ReceivedDatagram,
+        received_reports: &flume::Sender<PeerReports>,
+    ) {
         let received_at = Instant::now();
         let Datagram::Beat { heartbeat, notes } = received.datagram;
-        let heard = self.view.lock().on_heartbeat(received.from, heartbeat, received_at);
-        match heard {
+        let result = self.view.lock().on_heartbeat(received.from, heartbeat, received_at);
+        match result {
             Ok(changes) => {
-                self.report(&changes);
-                if !notes.is_empty() && tell.try_send(PeerReports { received_at, notes }).is_err() {
+                self.log_changes(&changes);
+                if !notes.is_empty()
+                    && received_reports.try_send(PeerReports { received_at, notes }).is_err()
+                {
                     metrics::counter!("roseshore_notes_dropped_total").increment(1);
                 }
             }
-            Err(why) => {
+            Err(reason) => {
                 let counter =
-                    metrics::counter!("roseshore_datagrams_ignored_total", "why" => why.name());
+                    metrics::counter!("roseshore_datagrams_ignored_total", "why" => reason.name());
                 counter.increment(1);
             }
         }
     }
 
-    fn send(&self, outbox: &flume::Receiver<LocalReport>) {
+    fn send_loop(&self, outbox: &flume::Receiver<LocalReport>) {
         let mut next = Instant::now();
         let mut draining = false;
         let mut waiting = Vec::new();
         while self.running() {
             let changes = self.view.lock().tick(Instant::now());
-            self.report(&changes);
-            let began = self.drain.draining() != draining;
+            self.log_changes(&changes);
+            let drain_started = self.drain.draining() != draining;
             draining = self.drain.draining();
             let now = Instant::now();
-            if began || now >= next {
+            if drain_started || now >= next {
                 next = now + self.period();
                 waiting.extend(outbox.drain());
-                self.beat(std::mem::take(&mut waiting));
+                self.send_heartbeat(std::mem::take(&mut waiting));
             }
-            let wait = next.saturating_duration_since(now).min(LOOK);
-            if let Ok(fresh) = outbox.recv_timeout(wait) {
-                let urgent = fresh.urgent;
-                waiting.push(fresh);
+            let wait = next.saturating_duration_since(now).min(STOP_CHECK_INTERVAL);
+            if let Ok(report) = outbox.recv_timeout(wait) {
+                let urgent = report.urgent;
+                waiting.push(report);
                 if urgent {
-                    self.beat(std::mem::take(&mut waiting));
+                    self.send_heartbeat(std::mem::take(&mut waiting));
                 }
             }
         }
     }
 
-    fn beat(&self, fresh: Vec<LocalReport>) {
+    fn send_heartbeat(&self, reports: Vec<LocalReport>) {
         let now = Instant::now();
-        let audience = self.view.lock().heartbeat_addrs();
-        for notes in split(fresh.into_iter().map(|f| f.note(now))) {
+        let addrs = self.view.lock().heartbeat_addrs();
+        for notes in split(reports.into_iter().map(|report| report.into_wire(now))) {
             let heartbeat = self.heartbeat();
             let datagram = Datagram::Beat { heartbeat, notes };
-            for peer in &audience {
+            for peer in &addrs {
                 if let Err(e) = self.socket.send(*peer, &datagram) {
-                    log::debug!("heartbeat to `{peer}`: {e}");
+                    log::debug!("cannot send heartbeat to `{peer}`: {e}");
                 }
             }
         }
     }
 
     fn heartbeat(&self) -> Heartbeat {
-        let known = self.fleets.current();
-        let (offset, digest) = known.map_or((0, 0), |f| (f.offset, f.digest));
+        let config = self.fleets.current();
+        let (offset, digest) = config.map_or((0, 0), |f| (f.offset, f.digest));
         self.view.lock().beat(self.drain.draining(), offset, digest)
     }
 
-    fn read_list(&self, period: Duration) {
+    fn host_list_loop(&self, period: Duration) {
         while self.running() {
             match self.list.hosts() {
-                Ok(hosts) => self.take_list(hosts),
+                Ok(hosts) => self.apply_host_list(hosts),
                 Err(e) => {
                     metrics::counter!("roseshore_host_list_failed_total").increment(1);
-                    log::debug!("host list: {e}");
+                    log::debug!("cannot read the host list: {e}");
                 }
             }
             thread::sleep(period);
         }
     }
 
-    fn take_list(&self, list: Hosts) {
+    fn apply_host_list(&self, list: Hosts) {
         let hosts = list.hosts.into_iter().map(|h| ListedHost {
             host: h.host,
             data_centre: h.data_centre,
@@ -269,10 +275,10 @@
         for host in leaving.difference(&before) {
             event!(Event::TargetLeft, "host={host} state=leaving");
         }
-        self.report(&changes);
+        self.log_changes(&changes);
     }
 
-    fn report(&self, changes: &[Change]) {
+    fn log_changes(&self, changes: &[Change]) {
         for change in changes {
             let (event, text) = match change.to {
                 MemberState::Alive => (Event::HostJoined, "alive"),
@@ -311,24 +317,25 @@
 }
 
 impl LocalReport {
-    fn note(self, now: Instant) -> TargetLoad {
+    fn into_wire(self, now: Instant) -> TargetLoad {
         let age_ms = now.saturating_duration_since(self.seen).as_millis() as u32;
         TargetLoad { age_ms, content: self.content }
     }
 }
 
-/// Splits notes so that each part fits a datagram; there is always at least one part.
+/// Splits reports into groups that each fit a datagram. Returns at least one group, which may be
+/// empty, so that a heartbeat is sent even without reports.
 fn split(notes: impl Iterator<Item = TargetLoad>) -> Vec<Vec<TargetLoad>> {
-    let mut parts = vec![Vec::new()];
+    let mut groups = vec![Vec::new()];
     let mut used = 0;
     for note in notes {
         let size = roseshore_wire::frame::encode(&note, usize::MAX).map_or(0, |b| b.len());
-        if used + size > MAX_DATAGRAM - BEAT_BYTES && used > 0 {
-            parts.push(Vec::new());
+        if used + size > MAX_DATAGRAM - HEARTBEAT_BYTES && used > 0 {
+            groups.push(Vec::new());
             used = 0;
         }
         used += size;
-        parts.last_mut().expect("one part at least").push(note);
+        groups.last_mut().expect("at least one group").push(note);
     }
-    parts
+    groups
 }
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -1,8 +1,8 @@
-//! Exchanges digests with the other data centres.
+//! Exchanges digests of members and load with the other data centres.
 //!
-//! [`roseshore_core::membership::DigestSchedule`] decides who speaks with whom; this driver carries the
-//! digests and passes what was learned on to the own data centre. Nothing else waits for its
-//! thread, so a data centre that is cut off delays no other part.
+//! [`roseshore_core::membership::DigestSchedule`] decides which daemon calls which;
+//! this driver sends the digests and relays received ones within its own data centre. No other
+//! thread waits for it, so an unreachable data centre delays nothing else.
 
 mod summary;
 
@@ -20,50 +20,50 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::{io, thread};
 
-/// How often the decision is asked which calls are due.
+/// Interval between checks for due exchanges and for digests to relay.
 const TICK: Duration = Duration::from_millis(100);
-/// How long a peer may take to reply.
-const LIMIT: Duration = Duration::from_millis(500);
-/// Digests that may wait to be passed on.
-const MAX_WAITING: usize = 64;
+/// Timeout of a call to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Batches of received digests that may wait to be relayed.
+const MAX_QUEUED_BATCHES: usize = 64;
 
-/// What the driver needs.
+/// Dependencies and settings of a [`PeerDriver`].
 pub struct PeerConfig {
-    /// The daemons.
+    /// The view of the daemons.
     pub members: Arc<MemberDriver>,
-    /// The links.
+    /// Connections to the peers.
     pub peers: Arc<dyn Peers>,
-    /// The reports of the own data centre's targets.
+    /// Load reports of the targets in this data centre.
     pub reports: Arc<dyn ReportStore>,
-    /// The bounds that the members go by.
+    /// The membership settings, which also set how often digests are exchanged.
     pub settings: Settings,
 }
 
-/// The load of another data centre, as last told.
+/// The load of another data centre, from its newest digest.
 #[derive(Clone, Debug)]
 pub struct RemoteLoad {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// When it was told.
+    /// When the digest arrived.
     pub received_at: Instant,
-    /// By model; ages count from `received_at`.
+    /// One summary per model; ages count back from `received_at`.
     pub summaries: Vec<Summary>,
 }
 
-/// The running driver; put it among the [`PeerHandler`] that serve peers.
+/// The running exchange; register it as a [`PeerHandler`], so that it answers other daemons.
 pub struct PeerDriver {
     members: Arc<MemberDriver>,
     peers: Arc<dyn Peers>,
     reports: Arc<dyn ReportStore>,
     schedule: Mutex<DigestSchedule>,
-    far: Mutex<BTreeMap<DataCentreId, RemoteLoad>>,
-    learn: flume::Sender<Learned>,
+    remote: Mutex<BTreeMap<DataCentreId, RemoteLoad>>,
+    relay_queue: flume::Sender<ReceivedDigests>,
     stopped: AtomicBool,
 }
 
-/// Digests to pass on to the own data centre.
-struct Learned {
-    at: Instant,
+/// Digests received from another data centre, to relay within this one.
+struct ReceivedDigests {
+    received_at: Instant,
     digests: Vec<Digest>,
 }
 
@@ -72,94 +72,101 @@
     ///
     /// # Errors
     /// When a thread cannot be started.
-    pub fn start(parts: PeerConfig) -> io::Result<Arc<PeerDriver>> {
-        let own = parts.members.own().data_centre;
-        let (learn, learned) = flume::bounded(MAX_WAITING);
+    pub fn start(config: PeerConfig) -> io::Result<Arc<PeerDriver>> {
+        let own = config.members.own().data_centre;
+        let (relay_queue, received) = flume::bounded(MAX_QUEUED_BATCHES);
         let driver = Arc::new(PeerDriver {
-            members: parts.members,
-            peers: parts.peers,
-            reports: parts.reports,
-            schedule: Mutex::new(DigestSchedule::new(own, parts.settings)),
-            far: Mutex::new(BTreeMap::new()),
-            learn,
+            members: config.members,
+            peers: config.peers,
+            reports: config.reports,
+            schedule: Mutex::new(DigestSchedule::new(own, config.settings)),
+            remote: Mutex::new(BTreeMap::new()),
+            relay_queue,
             stopped: AtomicBool::new(false),
         });
-        let (speaker, relay) = (driver.clone(), driver.clone());
-        thread::Builder::new().name("peers-speak".into()).spawn(move || speaker.speak())?;
-        thread::Builder::new().name("peers-relay".into()).spawn(move || relay.relay(&learned))?;
+        let (exchange, relay) = (driver.clone(), driver.clone());
+        thread::Builder::new()
+            .name("peers-speak".into())
+            .spawn(move || exchange.exchange_loop())?;
+        thread::Builder::new()
+            .name("peers-relay".into())
+            .spawn(move || relay.relay_loop(&received))?;
         Ok(driver)
     }
 
-    /// Ends the threads, without waiting for them.
+    /// Tells the threads to stop, without joining them.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// The loads of the other data centres.
+    /// The newest known load of each other data centre.
     pub fn remote_loads(&self) -> Vec<RemoteLoad> {
-        self.far.lock().values().cloned().collect()
+        self.remote.lock().values().cloned().collect()
     }
 
     fn running(&self) -> bool {
         !self.stopped.load(Ordering::SeqCst)
     }
 
-    fn speak(&self) {
+    fn exchange_loop(&self) {
         while self.running() {
             thread::sleep(TICK);
             if self.members.stale() {
                 continue;
             }
-            let far = self.members.remote_members();
-            let place = |subject: &str| self.members.place(subject);
-            let calls = self.schedule.lock().tick(far, place, Instant::now());
+            let remote = self.members.remote_members();
+            let rank = |subject: &str| self.members.rank(subject);
+            let calls = self.schedule.lock().tick(remote, rank, Instant::now());
             for call in calls {
-                self.call(call);
+                self.exchange(call);
             }
         }
     }
 
-    fn call(&self, call: DigestCall) {
+    fn exchange(&self, call: DigestCall) {
         let ask = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
-        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, LIMIT) {
-            self.learned(digests);
+        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, PEER_TIMEOUT)
+        {
+            self.accept(digests);
             return;
         }
         metrics::counter!("roseshore_digests_failed_total").increment(1);
         self.schedule.lock().failed(&call.data_centre, Instant::now());
     }
 
-    /// Takes digests from another data centre, and lets the own one know.
-    fn learned(&self, digests: Vec<Digest>) {
-        let at = Instant::now();
-        self.take(&digests, at);
-        if self.learn.try_send(Learned { at, digests }).is_err() {
+    /// Applies digests from another data centre and queues them for relay within this one.
+    fn accept(&self, digests: Vec<Digest>) {
+        let received_at = Instant::now();
+        self.apply(&digests, received_at);
+        if self.relay_queue.try_send(ReceivedDigests { received_at, digests }).is_err() {
             metrics::counter!("roseshore_digests_dropped_total").increment(1);
         }
     }
 
-    fn take(&self, digests: &[Digest], received_at: Instant) {
+    fn apply(&self, digests: &[Digest], received_at: Instant) {
         for digest in digests {
             let data_centre = digest.data_centre.clone();
-            self.members.take_digest(digest.members.clone());
+            self.members.apply_digest(digest.members.clone());
             self.schedule.lock().heard(&data_centre, received_at);
             let summaries = digest.summaries.clone();
             let load = RemoteLoad { data_centre: data_centre.clone(), received_at, summaries };
-            self.far.lock().insert(data_centre, load);
+            self.remote.lock().insert(data_centre, load);
         }
     }
 
-    fn relay(&self, learned: &flume::Receiver<Learned>) {
+    fn relay_loop(&self, received: &flume::Receiver<ReceivedDigests>) {
         while self.running() {
-            let Ok(Learned { at, digests }) = learned.recv_timeout(TICK) else { continue };
+            let Ok(ReceivedDigests { received_at, digests }) = received.recv_timeout(TICK) else {
+                continue;
+            };
             let own = self.members.own();
             for member in self.members.all() {
-                let near = member.data_centre == own.data_centre && member.host != own.host;
-                if near && member.state != MemberState::Suspect {
-                    let digests = aged(&digests, at.elapsed());
+                let local = member.data_centre == own.data_centre && member.host != own.host;
+                if local && member.state != MemberState::Suspect {
+                    let digests = add_age(&digests, received_at.elapsed());
                     let ask = PeerRequest::Digests { digests, speaker: false };
-                    // A loss is made good by the next digest.
-                    let _ = self.peers.ask(member.peer, &ask, LIMIT);
+                    // A lost relay is not retried: the next digest replaces it.
+                    let _ = self.peers.ask(member.peer, &ask, PEER_TIMEOUT);
                 }
             }
         }
@@ -178,16 +185,16 @@
     fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
         let PeerRequest::Digests { digests, speaker } = ask else { return None };
         if !speaker {
-            self.take(digests, Instant::now());
+            self.apply(digests, Instant::now());
             return Some(PeerReply::Done);
         }
-        self.learned(digests.clone());
+        self.accept(digests.clone());
         Some(PeerReply::Digests { digests: vec![self.digest()] })
     }
 }
 
-/// Adds the time since they were told to the ages in digests.
-fn aged(digests: &[Digest], by: Duration) -> Vec<Digest> {
+/// Returns the digests with `by` added to all their ages.
+fn add_age(digests: &[Digest], by: Duration) -> Vec<Digest> {
     let by = by.as_millis() as u32;
     let mut digests = digests.to_vec();
     for digest in &mut digests {
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -1,4 +1,5 @@
-//! Daemons on loopback with a host list that the test changes; every wait is for a condition.
+//! Daemons on loopback with a host list that the test changes. Tests wait for conditions, never for
+//! a fixed time.
 
 use parking_lot::Mutex;
 use roseshore_adapters::peer::UdpSocket;
@@ -22,7 +23,7 @@
 
 pub(crate) const BOUND: Duration = Duration::from_secs(20);
 
-/// The platform's list, which the test changes.
+/// The platform's host list, which the test changes or makes unavailable.
 #[derive(Default)]
 pub(crate) struct List {
     pub(crate) hosts: Mutex<Hosts>,
@@ -46,37 +47,37 @@
     }
 }
 
-pub(crate) struct Folded;
+pub(crate) struct FixedConfig;
 
-impl ConfigSource for Folded {
+impl ConfigSource for FixedConfig {
     fn current(&self) -> Option<ActiveConfig> {
         Some(ActiveConfig { fleet: Arc::default(), offset: 42, digest: 7 })
     }
 }
 
-/// A socket that the test can cut off in either direction.
-pub(crate) struct Cable {
-    pub(crate) socket: UdpSocket,
-    pub(crate) deaf: AtomicBool,
-    pub(crate) mute: AtomicBool,
+/// A socket whose sending and receiving the test can block separately.
+pub(crate) struct FaultySocket {
+    pub(crate) inner: UdpSocket,
+    pub(crate) drop_received: AtomicBool,
+    pub(crate) drop_sent: AtomicBool,
 }
 
-impl Datagrams for Cable {
+impl Datagrams for FaultySocket {
     fn send(&self, to: SocketAddr, datagram: &Datagram) -> CallResult<()> {
-        if self.mute.load(Ordering::SeqCst) {
+        if self.drop_sent.load(Ordering::SeqCst) {
             return Ok(());
         }
-        self.socket.send(to, datagram)
+        self.inner.send(to, datagram)
     }
 
     fn receive(&self, limit: Duration) -> Option<ReceivedDatagram> {
-        self.socket.receive(limit).filter(|_| !self.deaf.load(Ordering::SeqCst))
+        self.inner.receive(limit).filter(|_| !self.drop_received.load(Ordering::SeqCst))
     }
 }
 
 pub(crate) struct Daemon {
     pub(crate) driver: Arc<MemberDriver>,
-    pub(crate) cable: Arc<Cable>,
+    pub(crate) socket: Arc<FaultySocket>,
     pub(crate) drain: Arc<Drain>,
     pub(crate) listener: TcpListener,
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// A port that is free for UDP and TCP.
+/// Sockets on a port that is free for both UDP and TCP.
 pub(crate) fn sockets(addr: SocketAddr) -> (UdpSocket, TcpListener) {
     let end = Instant::now() + BOUND;
     loop {
@@ -99,7 +100,7 @@
     }
 }
 
-/// Bounds that let a cut between data centres be noticed within a test.
+/// Settings short enough for a test to see a partition between data centres detected.
 pub(crate) fn settings() -> Settings {
     Settings {
         digest: Duration::from_millis(200),
@@ -110,11 +111,12 @@
 
 impl Daemon {
     pub(crate) fn start(n: usize, incarnation: u64, addr: SocketAddr, list: &Arc<List>) -> Daemon {
-        let (socket, listener) = sockets(addr);
-        let peer = socket.addr().expect("its address");
-        let cable = Arc::new(Cable { socket, deaf: false.into(), mute: false.into() });
+        let (inner, listener) = sockets(addr);
+        let peer = inner.addr().expect("its address");
+        let socket =
+            Arc::new(FaultySocket { inner, drop_received: false.into(), drop_sent: false.into() });
         let drain = Arc::new(Drain::default());
-        let parts = MemberConfig {
+        let config = MemberConfig {
             own: Heartbeat {
                 host: format!("h{n}"),
                 data_centre: centre(n),
@@ -128,12 +130,12 @@
             seeds: Vec::new(),
             settings: settings(),
             list_interval: Duration::from_millis(500),
-            socket: cable.clone(),
+            socket: socket.clone(),
             list: list.clone(),
-            fleets: Arc::new(Folded),
+            fleets: Arc::new(FixedConfig),
             drain: drain.clone(),
         };
-        Daemon { driver: MemberDriver::start(parts).expect("threads"), cable, drain, listener }
+        Daemon { driver: MemberDriver::start(config).expect("threads"), socket, drain, listener }
     }
 
     pub(crate) fn peer(&self) -> SocketAddr {
@@ -146,7 +148,7 @@
     }
 }
 
-/// Three daemons that know each other.
+/// Three daemons that see each other as alive.
 pub(crate) fn cluster() -> (Arc<List>, Vec<Daemon>) {
     let list = Arc::new(List::default());
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -161,7 +163,7 @@
     (list, daemons)
 }
 
-/// Numbers from 50 on are in the other data centre.
+/// The data centre of a daemon by its number; numbers from 50 on are in `far`.
 pub(crate) fn centre(n: usize) -> DataCentreId {
     if n < 50 { "near" } else { "far" }.into()
 }
@@ -200,9 +202,9 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Taken(pub(crate) Mutex<BTreeMap<TargetId, Report>>);
+pub(crate) struct StoredReports(pub(crate) Mutex<BTreeMap<TargetId, Report>>);
 
-impl ReportStore for Taken {
+impl ReportStore for StoredReports {
     fn store(&self, report: Report) {
         let mut all = self.0.lock();
         if all.get(&report.target).is_none_or(|known| known.seen < report.seen) {
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -1,6 +1,6 @@
-//! Polling and sharing of reports over real sockets on loopback, with targets in memory.
+//! Polling and sharing of load reports over real sockets on loopback, with targets in memory.
 
-// A part of it is unused in each test program, since both share it.
+// Each test program uses only part of this shared module.
 #[allow(dead_code)]
 #[path = "cluster/cluster.rs"]
 mod cluster;
@@ -24,14 +24,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Targets that answer as the test says, and the reports that one daemon took.
+/// What the targets report: the queue of all of them, and one that does not respond.
 #[derive(Default)]
-struct Site {
+struct TargetState {
     queue: AtomicU32,
     silent: Mutex<Option<SocketAddr>>,
 }
 
-struct Targets(Arc<Site>);
+struct Targets(Arc<TargetState>);
 
 impl Targets {
     fn ask(&self, addr: SocketAddr) -> CallResult<u32> {
@@ -97,10 +97,10 @@
 
 const TARGETS: usize = 6;
 
-/// Six targets in the data centre of the daemons, half of them engines, and one elsewhere.
-struct Declared;
+/// Six targets in the daemons' data centre, half of them engines, and one in another data centre.
+struct TargetsConfig;
 
-impl ConfigSource for Declared {
+impl ConfigSource for TargetsConfig {
     fn current(&self) -> Option<ActiveConfig> {
         let mut fleet = Fleet::default();
         for n in 0..=TARGETS {
@@ -127,25 +127,29 @@
     SocketAddr::from(([127, 0, 0, 1], 1 + n as u16))
 }
 
-fn poll(daemon: &Daemon, site: &Arc<Site>) -> (LoadDriver, Arc<Taken>) {
-    poll_full(daemon, site, TARGETS)
+fn poll(daemon: &Daemon, state: &Arc<TargetState>) -> (LoadDriver, Arc<StoredReports>) {
+    poll_full(daemon, state, TARGETS)
 }
 
 /// Polls a fleet of at most `full_limit` targets in full.
-fn poll_full(daemon: &Daemon, site: &Arc<Site>, full_limit: usize) -> (LoadDriver, Arc<Taken>) {
-    let taken = Arc::new(Taken::default());
-    let parts = loads::LoadConfig {
+fn poll_full(
+    daemon: &Daemon,
+    state: &Arc<TargetState>,
+    full_limit: usize,
+) -> (LoadDriver, Arc<StoredReports>) {
+    let stored = Arc::new(StoredReports::default());
+    let config = loads::LoadConfig {
         members: daemon.driver.clone(),
-        fleets: Arc::new(Declared),
-        engine: Arc::new(Targets(site.clone())),
-        services: Arc::new(Targets(site.clone())),
-        reports: taken.clone(),
+        fleets: Arc::new(TargetsConfig),
+        engine: Arc::new(Targets(state.clone())),
+        services: Arc::new(Targets(state.clone())),
+        reports: stored.clone(),
         settings: Settings { full_limit, ..Settings::default() },
     };
-    (LoadDriver::start(parts).expect("threads"), taken)
+    (LoadDriver::start(config).expect("threads"), stored)
 }
 
-impl Taken {
+impl StoredReports {
     /// Whether every target's newest report satisfies a condition.
     fn all(&self, condition: impl Fn(&Report) -> bool) -> bool {
         let all = self.0.lock();
@@ -164,19 +168,19 @@
 #[test]
 fn reports_reach_every_daemon() {
     let (list, mut daemons) = cluster();
-    let site = Arc::new(Site::default());
-    let mut loads: Vec<_> = daemons.iter().map(|d| poll(d, &site)).collect();
-    let all = |loads: &[(LoadDriver, Arc<Taken>)], queue| {
-        let of = |t: &Taken| (0..TARGETS).all(|n| t.queue(&format!("t{n}")) == Some(queue));
+    let state = Arc::new(TargetState::default());
+    let mut loads: Vec<_> = daemons.iter().map(|d| poll(d, &state)).collect();
+    let all = |loads: &[(LoadDriver, Arc<StoredReports>)], queue| {
+        let of = |t: &StoredReports| (0..TARGETS).all(|n| t.queue(&format!("t{n}")) == Some(queue));
         loads.iter().all(|(_, t)| of(t) && t.all(|_| true))
     };
     wait("all targets at all daemons", || all(&loads, 0));
-    site.queue.store(7, Ordering::SeqCst);
+    state.queue.store(7, Ordering::SeqCst);
     wait("a change at all daemons", || all(&loads, 7));
 
-    *site.silent.lock() = Some(target_addr(2));
+    *state.silent.lock() = Some(target_addr(2));
     wait("silent at all daemons", || loads.iter().all(|(_, t)| t.queue("t2").is_none()));
-    *site.silent.lock() = None;
+    *state.silent.lock() = None;
     wait("back at all daemons", || all(&loads, 7));
 
     daemons.remove(0).driver.stop();
@@ -186,30 +190,31 @@
 
     let new = Daemon::start(4, 1, SocketAddr::from(([127, 0, 0, 1], 0)), &list);
     list.set(|hosts| hosts.push(host(4, Some(new.peer()))));
-    loads.push(poll(&new, &site));
-    site.queue.store(9, Ordering::SeqCst);
+    loads.push(poll(&new, &state));
+    state.queue.store(9, Ordering::SeqCst);
     wait("one that joins knows all", || all(&loads, 9));
 }
 
 #[test]
-fn all_go_by_the_word_of_one_poller() {
+fn all_daemons_use_the_report_of_one_poller() {
     let (_list, daemons) = cluster();
-    let number = |n| Arc::new(Site { queue: AtomicU32::new(n), ..Site::default() });
+    let number = |n| Arc::new(TargetState { queue: AtomicU32::new(n), ..TargetState::default() });
     let loads: Vec<_> = daemons.iter().zip(1..).map(|(d, n)| poll(d, &number(n))).collect();
     for target in (0..TARGETS).map(|n| format!("t{n}")) {
-        wait("the same poller's word at all daemons", || {
+        wait("the same poller's report at all daemons", || {
             let first = loads[0].1.queue(&target);
-            first.is_some() && loads.iter().all(|(_, taken)| taken.queue(&target) == first)
+            first.is_some() && loads.iter().all(|(_, stored)| stored.queue(&target) == first)
         });
     }
 }
 
 #[test]
-fn short_notes() {
+fn delta_encoding() {
     enum Step {
-        /// A report, milliseconds after the last; whether it travels whole, and arrives or not.
+        /// A report: milliseconds since the last step, its content, whether it is sent in full, and
+        /// whether the receiver gets it.
         Say(u64, ReportContent, bool, bool),
-        /// Somebody joined.
+        /// A daemon joined.
         Join,
     }
     use Step::{Join, Say};
@@ -222,7 +227,7 @@
     let leaving = ReportContent::Engine(Load { leaving: true, ..load() });
     let cases = [
         Case {
-            name: "counts travel short",
+            name: "only the counts are sent",
             steps: vec![
                 Say(0, engine(0, 0), true, true),
                 Say(250, engine(5, 9000), false, true),
@@ -230,7 +235,7 @@
             ],
         },
         Case {
-            name: "what else changes travels whole",
+            name: "any other change is sent in full",
             steps: vec![
                 Say(0, engine(0, 0), true, true),
                 Say(250, leaving, true, true),
@@ -238,7 +243,7 @@
             ],
         },
         Case {
-            name: "now and then whole, for those who lost it",
+            name: "sent in full at intervals, in case one was lost",
             steps: vec![
                 Say(0, service(0), true, true),
                 Say(29_900, service(1), false, true),
@@ -246,15 +251,15 @@
             ],
         },
         Case {
-            name: "whole for one that joins",
+            name: "sent in full after a join",
             steps: vec![Say(0, service(0), true, true), Join, Say(250, service(1), true, true)],
         },
         Case {
-            name: "counts without their whole report are passed over",
+            name: "counts without their full report are ignored",
             steps: vec![Say(0, service(0), true, false), Say(250, service(1), false, false)],
         },
         Case {
-            name: "silence needs nothing",
+            name: "a silent target needs no full report",
             steps: vec![
                 Say(0, ReportContent::Silent, true, true),
                 Say(250, engine(0, 0), true, true),
@@ -295,7 +300,7 @@
     let cases = [
         Case { name: "nothing", engines: &[], want: None },
         Case {
-            name: "the tightest layer bounds, the longest queue waits",
+            name: "fewest slots and longest queue of any layer",
             engines: &[(0, 8, 1, 4, false), (0, 8, 2, 4, false), (8, 16, 9, 4, false)],
             want: Some((9, 4)),
         },
@@ -304,9 +309,9 @@
             engines: &[(0, 10, 1, 4, false), (6, 16, 2, 5, false)],
             want: Some((3, 4)),
         },
-        Case { name: "a hole", engines: &[(8, 16, 1, 4, false)], want: Some((1, 0)) },
+        Case { name: "a gap in the layers", engines: &[(8, 16, 1, 4, false)], want: Some((1, 0)) },
         Case {
-            name: "one that leaves does not count",
+            name: "a leaving engine is not counted",
             engines: &[(0, 16, 1, 4, false), (0, 16, 5, 4, true)],
             want: Some((1, 4)),
         },
@@ -331,8 +336,8 @@
 #[test]
 fn a_small_fleet_is_polled_in_full() {
     let (_list, daemons) = cluster();
-    let site = Arc::new(Site::default());
-    let loads: Vec<_> = daemons.iter().map(|d| poll_full(d, &site, TARGETS + 1)).collect();
+    let state = Arc::new(TargetState::default());
+    let loads: Vec<_> = daemons.iter().map(|d| poll_full(d, &state, TARGETS + 1)).collect();
     let far = format!("t{TARGETS}");
     wait("the target elsewhere", || loads.iter().all(|(_, t)| t.queue(&far) == Some(0)));
 }
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -1,6 +1,6 @@
-//! Membership over real sockets on loopback; every wait is for a condition.
+//! Membership over real sockets on loopback. Tests wait for conditions, never for a fixed time.
 
-// A part of it is unused in each test program, since both share it.
+// Each test program uses only part of this shared module.
 #[allow(dead_code)]
 #[path = "cluster/cluster.rs"]
 mod cluster;
@@ -41,17 +41,17 @@
     let cases = [
         Case { name: "a daemon drains", leave: |_, d| d[2].drain.start(), host: 2 },
         Case {
-            name: "the list says so of a daemon",
+            name: "the host list marks a daemon as leaving",
             leave: |l, _| l.set(|h| h[2].state = HostState::Leaving),
             host: 2,
         },
         Case {
-            name: "the list says so of a target's host",
+            name: "the host list marks a target's host as leaving",
             leave: |l, _| l.set(|h| h[3].state = HostState::Leaving),
             host: 9,
         },
         Case {
-            name: "the list said so and is out since",
+            name: "the host list marked it as leaving and is unavailable since",
             leave: |l, d| {
                 l.set(|h| h[3].state = HostState::Leaving);
                 wait("the notice", || d.iter().all(|d| d.driver.leaving(&"h9".into())));
@@ -74,30 +74,30 @@
 fn silence_and_return() {
     let (_list, mut daemons) = cluster();
     let last = daemons.pop().expect("three");
-    last.cable.mute.store(true, Ordering::SeqCst);
+    last.socket.drop_sent.store(true, Ordering::SeqCst);
     wait("suspected by both", || daemons.iter().all(|d| d.sees(2) == Some(MemberState::Suspect)));
-    wait("one that is not heard still hears the others", || {
+    wait("a daemon that cannot send still receives", || {
         (0..2).all(|n| last.sees(n) == Some(MemberState::Alive))
     });
-    last.cable.mute.store(false, Ordering::SeqCst);
+    last.socket.drop_sent.store(false, Ordering::SeqCst);
     wait("alive again", || daemons.iter().all(|d| d.sees(2) == Some(MemberState::Alive)));
-    last.cable.deaf.store(true, Ordering::SeqCst);
-    wait("hears nobody", || last.driver.ranked("x").len() == 1);
-    wait("still heard", || daemons[0].sees(2) == Some(MemberState::Alive));
+    last.socket.drop_received.store(true, Ordering::SeqCst);
+    wait("sees no other daemon alive", || last.driver.ranked("x").len() == 1);
+    wait("still seen by the others", || daemons[0].sees(2) == Some(MemberState::Alive));
 }
 
 #[test]
-fn a_restarted_daemon_is_the_newer_life() {
+fn a_restarted_daemon_replaces_its_old_incarnation() {
     let (list, mut daemons) = cluster();
     let old = daemons.pop().expect("three");
     old.drain.start();
     wait("leaving", || daemons.iter().all(|d| d.sees(2) == Some(MemberState::Leaving)));
     let addr = old.peer();
-    let threads = Arc::downgrade(&old.cable);
+    let threads = Arc::downgrade(&old.socket);
     drop(old);
     wait("the socket is free", || threads.strong_count() == 0);
     let _new = Daemon::start(2, 2, addr, &list);
-    wait("alive in its second life", || {
+    wait("alive in its second incarnation", || {
         daemons.iter().all(|d| {
             let all = d.driver.all();
             let new = all.iter().find(|m| m.host == "h2").map(|m| (m.incarnation, m.state));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn notes_reach_the_others_once() {
+fn reports_reach_the_others_once() {
     let (_list, daemons) = cluster();
     let name = |n| format!("a target with quite a long name {n}");
     for n in 0..100 {
@@ -122,8 +122,8 @@
         let inbox = other.driver.peer_reports();
         let mut got = Vec::new();
         while got.len() < 100 {
-            let told = inbox.recv_timeout(BOUND).expect("notes");
-            got.extend(told.notes.into_iter().map(|n| n.content));
+            let batch = inbox.recv_timeout(BOUND).expect("notes");
+            got.extend(batch.notes.into_iter().map(|n| n.content));
         }
         let want = (0..100).map(|n| LoadReport::Silent { target: name(n) });
         assert_eq!(got, want.collect::<Vec<_>>(), "over several datagrams");
@@ -131,13 +131,13 @@
     }
 }
 
-/// Links that the test can cut.
-struct Wire {
+/// Connections to peers that the test can cut.
+struct CuttablePeers {
     peers: TcpPeers,
     cut: Arc<AtomicBool>,
 }
 
-impl Peers for Wire {
+impl Peers for CuttablePeers {
     fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply> {
         if self.cut.load(Ordering::SeqCst) {
             return Err(CallError::Unreached("cut".into()));
@@ -146,71 +146,76 @@
     }
 }
 
-struct Speaking {
+struct PeerDaemon {
     daemon: Daemon,
     driver: Arc<PeerDriver>,
     _server: Server,
 }
 
-impl Drop for Speaking {
+impl Drop for PeerDaemon {
     fn drop(&mut self) {
         self.driver.stop();
     }
 }
 
-/// A daemon that speaks with other data centres; its targets' queue is its own number.
-fn speaking(n: usize, list: &Arc<List>, cut: &Arc<AtomicBool>) -> Speaking {
+/// Starts a daemon that exchanges digests with other data centres; its target reports a queue of
+/// `n` requests.
+fn peer_daemon(n: usize, list: &Arc<List>, cut: &Arc<AtomicBool>) -> PeerDaemon {
     let daemon = Daemon::start(n, 1, SocketAddr::from(([127, 0, 0, 1], 0)), list);
-    let reports = Arc::new(Taken::default());
+    let reports = Arc::new(StoredReports::default());
     let content = ReportContent::Engine(Load { queue: n as u32, ..load() });
     reports.store(Report { target: "t".into(), seen: Instant::now(), content });
-    let parts = peers::PeerConfig {
+    let config = peers::PeerConfig {
         members: daemon.driver.clone(),
-        peers: Arc::new(Wire { peers: TcpPeers::new(Limits::default()), cut: cut.clone() }),
+        peers: Arc::new(CuttablePeers {
+            peers: TcpPeers::new(Limits::default()),
+            cut: cut.clone(),
+        }),
         reports,
         settings: settings(),
     };
-    let driver = PeerDriver::start(parts).expect("threads");
+    let driver = PeerDriver::start(config).expect("threads");
     let listener = daemon.listener.try_clone().expect("the listener");
     let server = serve(listener, vec![driver.clone()]).expect("a server");
-    Speaking { daemon, driver, _server: server }
+    PeerDaemon { daemon, driver, _server: server }
 }
 
 #[test]
-fn data_centres_part_and_meet_again() {
+fn partitioned_data_centres_rejoin() {
     let list = Arc::new(List::default());
     let cut = Arc::new(AtomicBool::new(false));
     let numbers = [1, 2, 51, 52];
-    let all: Vec<_> = numbers.iter().map(|n| speaking(*n, &list, &cut)).collect();
+    let all: Vec<_> = numbers.iter().map(|n| peer_daemon(*n, &list, &cut)).collect();
     list.set(|hosts| {
         let peers = all.iter().map(|s| Some(s.daemon.peer()));
         hosts.extend(numbers.iter().zip(peers).map(|(n, peer)| host(*n, peer)));
     });
     let far = |n: usize| if n < 50 { [51, 52] } else { [1, 2] };
     let sees = |state: Option<MemberState>| {
-        let both = |(n, s): (&usize, &Speaking)| far(*n).iter().all(|f| s.daemon.sees(*f) == state);
+        let both =
+            |(n, s): (&usize, &PeerDaemon)| far(*n).iter().all(|f| s.daemon.sees(*f) == state);
         numbers.iter().zip(&all).all(both)
     };
-    let queues = |s: &Speaking| -> Vec<(DataCentreId, u32)> {
+    let queues = |s: &PeerDaemon| -> Vec<(DataCentreId, u32)> {
         let far = s.driver.remote_loads();
         far.iter().map(|f| (f.data_centre.clone(), f.summaries[0].queue)).collect()
     };
     wait("all alive to all", || sees(Some(MemberState::Alive)));
-    wait("the load over there, of one of its daemons", || {
+    wait("the load of the other data centre, from one of its daemons", || {
         numbers.iter().zip(&all).all(|(n, s)| {
-            let told = queues(s);
-            told.len() == 1
-                && told[0].0 == centre(far(*n)[0])
-                && far(*n).contains(&(told[0].1 as usize))
+            let loads = queues(s);
+            loads.len() == 1
+                && loads[0].0 == centre(far(*n)[0])
+                && far(*n).contains(&(loads[0].1 as usize))
         })
     });
     cut.store(true, Ordering::SeqCst);
-    wait("suspected, then gone over there", || sees(None));
-    let near = |s: &Speaking| s.daemon.driver.ranked("x").len() == 2;
-    wait("alive here meanwhile", || all.iter().all(near));
+    wait("the other data centre suspected, then gone", || sees(None));
+    let near = |s: &PeerDaemon| s.daemon.driver.ranked("x").len() == 2;
+    wait("the own data centre stays alive", || all.iter().all(near));
     all[0].daemon.drain.start();
     cut.store(false, Ordering::SeqCst);
-    wait("met again, with what happened meanwhile", || {
+    wait("rejoined, with the changes made during the partition", || {
         let leaving = |n: usize| if n == 1 { MemberState::Leaving } else { MemberState::Alive };
         numbers
             .iter()
