--- a/crates/roseshored/examples/lookup_paths.rs
+++ b/crates/roseshored/examples/lookup_paths.rs
@@ -1,8 +1,9 @@
-//! Measures the ways a lookup can take to a replica, in one run.
+//! Compares the throughput and latency of HTTP clients for a lookup, in one run.
 //!
-//! Each way is driven by the same number of threads against one stand-in for a while, and the ways
-//! take turns, so that what else the machine does hits all of them alike. Prints lookups a second
-//! and the time of one at 50 and 99 of 100, the median of the rounds.
+//! Each client is driven by the same number of threads against one fake service. The clients take
+//! turns in short rounds, so that other load on the machine affects all of them alike. Prints
+//! lookups per second and the 50th and 99th percentile of latency in microseconds, each the median
+//! over the rounds.
 
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::fleet::ServiceKind;
@@ -50,13 +51,13 @@
     fn record_latency(&self, _: &TargetId, _: Duration) {}
 }
 
-type Way = Box<dyn Fn() + Send + Sync>;
+type Client = Box<dyn Fn() + Send + Sync>;
 
-fn hop() -> CallContext {
+fn context() -> CallContext {
     CallContext { deadline: Instant::now() + LIMIT, trace: None, request: "r".to_owned() }
 }
 
-fn minreq_way(addr: SocketAddr) -> Way {
+fn minreq_client(addr: SocketAddr) -> Client {
     Box::new(move || {
         let url = format!("http://{addr}/v1/lookup/certs/pkg-7");
         let request = minreq::get(url).with_header("Connection", "close");
@@ -65,8 +66,8 @@
     })
 }
 
-/// Without its timeout `minreq` starts no thread for each request.
-fn untimed_way(addr: SocketAddr) -> Way {
+/// `minreq` starts a thread for each request unless it has no timeout.
+fn untimed_client(addr: SocketAddr) -> Client {
     Box::new(move || {
         let url = format!("http://{addr}/v1/lookup/certs/pkg-7");
         let request = minreq::get(url).with_header("Connection", "close");
@@ -74,14 +75,14 @@
     })
 }
 
-fn kept_way(addr: SocketAddr) -> Way {
+fn kept_client(addr: SocketAddr) -> Client {
     let services = HttpServices::default();
     Box::new(move || {
-        assert_eq!(services.lookup(addr, "certs", "pkg-7", &hop()).unwrap().status, 200);
+        assert_eq!(services.lookup(addr, "certs", "pkg-7", &context()).unwrap().status, 200);
     })
 }
 
-fn whole_way(addr: SocketAddr) -> Way {
+fn whole_client(addr: SocketAddr) -> Client {
     let service = Service {
         kind: ServiceKind::Lookup,
         model: None,
@@ -92,7 +93,7 @@
     };
     let services = [("cards".to_owned(), service)].into();
     let fleet = Arc::new(Fleet { services, ..Fleet::default() });
-    let parts = LookupDeps {
+    let deps = LookupDeps {
         fleets: Arc::new(OneFleet(ActiveConfig { fleet, offset: 1, digest: 1 })),
         router: Arc::new(OneReplica(Replica { target: "t".to_owned(), addr })),
         services: Arc::new(HttpServices::default()),
@@ -109,19 +110,19 @@
             priority: 4,
             cost: 1,
         };
-        assert_eq!(lookups.run(&parts, &ask, "pkg-7", None).unwrap().status, 200);
+        assert_eq!(lookups.run(&deps, &ask, "pkg-7", None).unwrap().status, 200);
     })
 }
 
-/// The times of all lookups of one round.
-fn round(way: &Way, threads: usize) -> Vec<Duration> {
+/// The latencies of all lookups in one round.
+fn round(client: &Client, threads: usize) -> Vec<Duration> {
     let end = Instant::now() + ROUND;
     let drive = || {
         let mut times = Vec::new();
         while Instant::now() < end {
-            let began = Instant::now();
-            way();
-            times.push(began.elapsed());
+            let started = Instant::now();
+            client();
+            times.push(started.elapsed());
         }
         times
     };
@@ -141,25 +142,25 @@
     let settings = ServiceSettings { sources: vec![source], ..ServiceSettings::default() };
     let fake = ServiceFake::start(settings).unwrap();
     let addr = fake.addr();
-    let ways: [(&str, Way); 4] = [
-        ("minreq, connection per lookup", minreq_way(addr)),
-        ("minreq without a timeout", untimed_way(addr)),
-        ("ureq, kept connections", kept_way(addr)),
-        ("the whole driver over ureq", whole_way(addr)),
+    let clients: [(&str, Client); 4] = [
+        ("minreq, connection per lookup", minreq_client(addr)),
+        ("minreq without a timeout", untimed_client(addr)),
+        ("ureq, kept connections", kept_client(addr)),
+        ("the whole driver over ureq", whole_client(addr)),
     ];
     println!("| threads | way | lookups/s | p50 us | p99 us |\n|---|---|---|---|---|");
     for threads in THREADS {
-        let mut figures = vec![Vec::new(); ways.len()];
+        let mut figures = vec![Vec::new(); clients.len()];
         for _ in 0..ROUNDS {
-            for (index, (_, way)) in ways.iter().enumerate() {
-                let mut times = round(way, threads);
+            for (index, (_, client)) in clients.iter().enumerate() {
+                let mut times = round(client, threads);
                 times.sort();
                 let at = |part: usize| times[times.len() * part / 100].as_secs_f64() * 1e6;
                 let rate = times.len() as f64 / ROUND.as_secs_f64();
                 figures[index].push([rate, at(50), at(99)]);
             }
         }
-        for (index, (name, _)) in ways.iter().enumerate() {
+        for (index, (name, _)) in clients.iter().enumerate() {
             let of = |i: usize| median(figures[index].iter().map(|f| f[i]).collect());
             println!("| {threads} | {name} | {:.0} | {:.0} | {:.0} |", of(0), of(1), of(2));
         }
--- a/crates/roseshored/src/lookups.rs
+++ b/crates/roseshored/src/lookups.rs
@@ -1,9 +1,9 @@
 //! Lookups by name over the declared sources of a service.
 //!
-//! The driver of [`roseshore_core::lookup`]: it asks replicas on a bounded pool of threads, so that
-//! an attempt can be left behind when another one is sooner, and tells the caller the outcome. It
-//! keeps what lookups of one service share: budgets for extra attempts, and the pace of each
-//! source. A daemon is one process, so [`run`] uses one [`Lookups`] for all.
+//! Drives [`roseshore_core::lookup`]: calls replicas on a bounded pool of threads, so that an
+//! attempt can be abandoned when another one finishes first, and returns the outcome. Lookups of
+//! one service share the budgets for extra attempts and the latency estimate of each source.
+//! [`run`] uses one [`Lookups`] for the whole process.
 
 mod attempts;
 mod pool;
@@ -14,7 +14,7 @@
 
 use crate::app::App;
 use crate::event;
-use attempts::{Asked, Heard};
+use attempts::{AttemptResult, Attempts};
 use metrics::counter;
 use pool::Pool;
 use roseshore_core::fleet::ServiceKind;
@@ -25,47 +25,47 @@
 use shared::{Service, Shared};
 use std::sync::{Arc, LazyLock};
 
-/// Threads that wait for replicas at once.
-const THREADS: usize = 256;
-/// The part of lookups over several sources that ask all of them, to find contradictions.
+/// Most threads that wait for replicas at the same time.
+const MAX_THREADS: usize = 256;
+/// Share of lookups over several sources that ask all of them, to detect conflicting records.
 const COMPARE_RATIO: f64 = 1.0 / 64.0;
 
-static LOOKUPS: LazyLock<Lookups> = LazyLock::new(|| Lookups::new(THREADS));
+static LOOKUPS: LazyLock<Lookups> = LazyLock::new(|| Lookups::new(MAX_THREADS));
 
-/// A record as it is passed around; bodies are not copied.
+/// A found record, shared so that its body is not copied.
 type Found = Arc<ServiceReply>;
 
-/// Looks a name up.
+/// Looks up a name.
 ///
 /// # Errors
 /// [`Code::NotFound`] only when every source that could hold the name says that it does not;
-/// [`Code::SourceSilent`] when a source that could hold it was given up on.
+/// [`Code::SourceSilent`] when a source that could hold it gave no usable reply.
 pub fn run(
     app: &App,
-    ask: &RequestInfo,
+    request: &RequestInfo,
     name: &str,
     trace: Option<&str>,
 ) -> Result<ServiceReply, Refusal> {
-    let parts = LookupDeps {
+    let deps = LookupDeps {
         fleets: app.fleets.clone(),
         router: app.router.clone(),
         services: app.services.clone(),
     };
-    LOOKUPS.run(&parts, ask, name, trace)
+    LOOKUPS.run(&deps, request, name, trace)
 }
 
-/// What lookups need of the daemon.
+/// Dependencies of a lookup.
 #[derive(Clone)]
 pub struct LookupDeps {
     /// The configuration in force.
     pub fleets: Arc<dyn ConfigSource>,
-    /// The choice of replicas.
+    /// Chooses the replica for each attempt.
     pub router: Arc<dyn Router>,
-    /// The replicas.
+    /// The client of the replicas.
     pub services: Arc<dyn Services>,
 }
 
-/// What lookups share.
+/// State that all lookups share: the thread pool and the state of each service.
 pub struct Lookups {
     pool: Arc<Pool>,
     shared: Shared,
@@ -73,121 +73,125 @@
 }
 
 impl Lookups {
-    /// Lookups over so many threads at most.
+    /// Creates the shared state with a pool of at most `threads` threads.
     pub fn new(threads: usize) -> Lookups {
         let pool = Arc::new(Pool::new(threads));
         Lookups { pool, shared: Shared::default(), compare_ratio: COMPARE_RATIO }
     }
 
-    /// Sets the part of lookups over several sources that ask all of them.
+    /// Sets the share, from 0 to 1, of lookups over several sources that ask all of them.
     #[must_use]
     pub fn with_compare_ratio(mut self, ratio: f64) -> Lookups {
         self.compare_ratio = ratio;
         self
     }
 
-    /// Looks a name up.
+    /// Looks up a name.
     ///
     /// # Errors
     /// Those of [`run`].
     pub fn run(
         &self,
-        parts: &LookupDeps,
-        ask: &RequestInfo,
+        deps: &LookupDeps,
+        request: &RequestInfo,
         name: &str,
         trace: Option<&str>,
     ) -> Result<ServiceReply, Refusal> {
-        check(ask, name)?;
-        let sources = sources(parts, &ask.service)?;
-        let service = self.shared.service(&ask.service, &sources);
+        check_request(request, name)?;
+        let sources = sources(deps, &request.service)?;
+        let service = self.shared.service(&request.service, &sources);
         let policy = policy(&service, self.compare_ratio);
         let retry_after = policy.retry_after;
-        let asked = Asked::new(parts, &self.pool, &service, ask, name, trace);
-        let outcome = self.drive(asked, policy, ask.deadline);
-        finish(&service, ask, name, outcome, retry_after)
+        let attempts = Attempts::new(deps, &self.pool, &service, request, name, trace);
+        let outcome = self.drive(attempts, policy, request.deadline);
+        finish(&service, request, name, outcome, retry_after)
     }
 
-    fn drive(&self, mut asked: Asked, policy: Policy, deadline: Instant) -> Outcome<Found> {
-        let mut lookup = Lookup::new(asked.service.sources.len(), policy, deadline);
-        let mut actions = lookup.tick(Instant::now(), &mut asked.service.budgets.lock());
+    fn drive(&self, mut attempts: Attempts, policy: Policy, deadline: Instant) -> Outcome<Found> {
+        let mut lookup = Lookup::new(attempts.service.sources.len(), policy, deadline);
+        let mut actions = lookup.tick(Instant::now(), &mut attempts.service.budgets.lock());
         loop {
             for action in actions {
                 match action {
                     Action::Ask { source, attempt, reason, limit } => {
-                        asked.ask(source, attempt, reason, limit);
+                        attempts.start(source, attempt, reason, limit);
                     }
-                    Action::Conflict { earlier, later } => asked.conflict(earlier, later),
+                    Action::Conflict { earlier, later } => attempts.conflict(earlier, later),
                     Action::Done(outcome) => {
-                        self.watch(asked, lookup);
+                        self.finish_comparison(attempts, lookup);
                         return outcome;
                     }
                 }
             }
-            actions = hear(&asked, &mut lookup);
+            actions = next_actions(&attempts, &mut lookup);
         }
     }
 
-    /// Hears the sources out that were asked for a comparison, behind the caller's back.
-    fn watch(&self, asked: Asked, lookup: Lookup<Found>) {
+    /// Waits in the background for the remaining sources of a comparison, after the caller has its
+    /// outcome.
+    fn finish_comparison(&self, attempts: Attempts, lookup: Lookup<Found>) {
         if !lookup.compares() || !lookup.has_open_attempts() {
             return;
         }
-        // Without a free thread the comparison is left out.
-        self.pool.give(Box::new(move || compare(asked, lookup)));
+        // Without a free thread the comparison is skipped.
+        self.pool.submit(Box::new(move || compare_rest(attempts, lookup)));
     }
 }
 
-/// Waits for a reply or for time to pass, and takes all replies that are there: one that was not
-/// taken would count as unknown in the verdict.
-fn hear(asked: &Asked, lookup: &mut Lookup<Found>) -> Vec<Action<Found>> {
-    let first = asked.heard.recv_deadline(lookup.next_wake()).ok();
-    let mut budgets = asked.service.budgets.lock();
+/// Waits for a reply or the next timer, and processes all replies that have arrived: one left in
+/// the channel would count as unknown in the verdict.
+fn next_actions(attempts: &Attempts, lookup: &mut Lookup<Found>) -> Vec<Action<Found>> {
+    let first = attempts.results.recv_deadline(lookup.next_wake()).ok();
+    let mut budgets = attempts.service.budgets.lock();
     let now = Instant::now();
     let mut actions = Vec::new();
-    for Heard { attempt, said } in first.into_iter().chain(asked.heard.try_iter()) {
-        actions.extend(lookup.record_reply(attempt, said, now, &mut budgets));
+    for AttemptResult { attempt, reply } in first.into_iter().chain(attempts.results.try_iter()) {
+        actions.extend(lookup.record_reply(attempt, reply, now, &mut budgets));
     }
     actions.extend(lookup.tick(now, &mut budgets));
     actions
 }
 
-fn compare(asked: Asked, mut lookup: Lookup<Found>) {
+fn compare_rest(attempts: Attempts, mut lookup: Lookup<Found>) {
     let end = Instant::now() + Policy::default().attempt_limit;
     while lookup.has_open_attempts() {
-        let Ok(Heard { attempt, said }) = asked.heard.recv_deadline(end) else { return };
-        let mut budgets = asked.service.budgets.lock();
-        let actions = lookup.on_reply(attempt, said, Instant::now(), &mut budgets);
+        let Ok(AttemptResult { attempt, reply }) = attempts.results.recv_deadline(end) else {
+            return;
+        };
+        let mut budgets = attempts.service.budgets.lock();
+        let actions = lookup.on_reply(attempt, reply, Instant::now(), &mut budgets);
         drop(budgets);
         for action in actions {
             if let Action::Conflict { earlier, later } = action {
-                asked.conflict(earlier, later);
+                attempts.conflict(earlier, later);
             }
         }
     }
 }
 
-/// The name goes into a path as it came, so nothing but a part of a path may be in it.
-fn check(ask: &RequestInfo, name: &str) -> Result<(), Refusal> {
-    let plain = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#' | b'"' | b'<' | b'>');
-    if name.is_empty() || !name.bytes().all(plain) {
+/// Checks the name and the deadline. The name is put into a URL path unescaped, so it may contain
+/// only characters that are allowed in a path.
+fn check_request(request: &RequestInfo, name: &str) -> Result<(), Refusal> {
+    let allowed = |b: u8| b.is_ascii_graphic() && !matches!(b, b'?' | b'#' | b'"' | b'<' | b'>');
+    if name.is_empty() || !name.bytes().all(allowed) {
         let text = "the name is empty or has characters that a path may not have; encode them";
         return Err(Refusal::not_run(Code::BadRequest, text));
     }
-    if ask.deadline <= Instant::now() {
+    if request.deadline <= Instant::now() {
         let text = "the deadline passed before the lookup began; give it more time";
         return Err(Refusal::not_run(Code::DeadlinePassed, text));
     }
     Ok(())
 }
 
-/// A lookup service without declared sources is its own only source.
-fn sources(parts: &LookupDeps, service: &str) -> Result<Vec<String>, Refusal> {
-    let Some(known) = parts.fleets.current() else {
+/// The declared sources of a lookup service; empty if the service is its own only source.
+fn sources(deps: &LookupDeps, service: &str) -> Result<Vec<String>, Refusal> {
+    let Some(config) = deps.fleets.current() else {
         let text = "this host has no configuration yet; ask another one or come back";
         let refusal = Refusal::not_run(Code::NoConfiguration, text);
         return Err(refusal.after(Policy::default().retry_after));
     };
-    let declared = known.fleet.services.get(service).filter(|s| s.kind == ServiceKind::Lookup);
+    let declared = config.fleet.services.get(service).filter(|s| s.kind == ServiceKind::Lookup);
     let Some(declared) = declared else {
         let text =
             format!("`{service}` is no declared lookup service; declare it with `roseshore apply`");
@@ -197,22 +201,22 @@
 }
 
 fn policy(service: &Service, compare_ratio: f64) -> Policy {
-    let fixed = Policy::default();
+    let defaults = Policy::default();
     let unit_random: f64 = rand::random();
     let compare = service.sources.len() > 1 && rand::random::<f64>() < compare_ratio;
     Policy {
         hedge_after: service.hedge_after(),
-        // Callers that were refused together do not come back together.
-        retry_after: fixed.retry_after.mul_f64(1.0 + unit_random),
+        // Random, so that callers that were refused together do not retry together.
+        retry_after: defaults.retry_after.mul_f64(1.0 + unit_random),
         compare,
         unit_random,
-        ..fixed
+        ..defaults
     }
 }
 
 fn finish(
     service: &Service,
-    ask: &RequestInfo,
+    request: &RequestInfo,
     name: &str,
     outcome: Outcome<Found>,
     retry_after: Duration,
@@ -224,26 +228,27 @@
         }
         Outcome::NotFound => {
             counter!("roseshore_lookups_total", "outcome" => "not_found").increment(1);
-            let message = format!("no source of `{}` holds `{name}`; check the name", ask.service);
-            // Every source ran and said so: this is the whole answer.
+            let message =
+                format!("no source of `{}` holds `{name}`; check the name", request.service);
+            // Every source answered that it does not hold the name, so the answer is complete.
             let verdict = Verdict::Answered;
             Err(Refusal { verdict, code: Code::NotFound, message, retry_after: None })
         }
         Outcome::Unavailable(index, verdict) => {
             counter!("roseshore_lookups_total", "outcome" => "silent").increment(1);
             let source = &service.sources[index];
-            if source.silence.may_log(Instant::now()) {
-                let id = &ask.request;
+            if source.silent_log.may_log(Instant::now()) {
+                let id = &request.request;
                 event!(
                     Event::SourceSilent,
                     "service={} source={} request={id}",
-                    ask.service,
+                    request.service,
                     source.name
                 );
             }
             let message = format!(
                 "source `{}` of `{}` did not say whether it holds `{name}`; ask again later",
-                source.name, ask.service
+                source.name, request.service
             );
             let refusal = Refusal { verdict, code: Code::SourceSilent, message, retry_after: None };
             Err(refusal.after(retry_after))
--- a/crates/roseshored/src/lookups/attempts.rs
+++ b/crates/roseshored/src/lookups/attempts.rs
@@ -12,51 +12,51 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::Arc;
 
-/// What an attempt brought.
-pub(super) struct Heard {
+/// The result of an attempt.
+pub(super) struct AttemptResult {
     pub(super) attempt: usize,
-    pub(super) said: SourceReply<Found>,
+    pub(super) reply: SourceReply<Found>,
 }
 
-/// One lookup's attempts and where their replies arrive.
-pub(super) struct Asked {
+/// The attempts of one lookup and the channel on which their results arrive.
+pub(super) struct Attempts {
     pub(super) service: Arc<Service>,
-    pub(super) heard: flume::Receiver<Heard>,
-    parts: LookupDeps,
+    pub(super) results: flume::Receiver<AttemptResult>,
+    deps: LookupDeps,
     pool: Arc<Pool>,
-    tell: flume::Sender<Heard>,
+    result_tx: flume::Sender<AttemptResult>,
     request: RequestId,
     name: String,
     trace: Option<String>,
-    /// The targets asked, by source.
-    targets: Vec<Vec<TargetId>>,
+    /// The targets already tried, by source index.
+    tried: Vec<Vec<TargetId>>,
 }
 
-impl Asked {
+impl Attempts {
     pub(super) fn new(
-        parts: &LookupDeps,
+        deps: &LookupDeps,
         pool: &Arc<Pool>,
         service: &Arc<Service>,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         name: &str,
         trace: Option<&str>,
-    ) -> Asked {
-        let (tell, heard) = flume::unbounded();
-        Asked {
+    ) -> Attempts {
+        let (result_tx, results) = flume::unbounded();
+        Attempts {
             service: service.clone(),
-            heard,
-            parts: parts.clone(),
+            results,
+            deps: deps.clone(),
             pool: pool.clone(),
-            tell,
-            request: ask.request.clone(),
+            result_tx,
+            request: info.request.clone(),
             name: name.to_owned(),
             trace: trace.map(str::to_owned),
-            targets: vec![Vec::new(); service.sources.len()],
+            tried: vec![Vec::new(); service.sources.len()],
         }
     }
 
-    /// Makes an attempt; what it brings is told to [`Asked::heard`], at once if nothing was sent.
-    pub(super) fn ask(
+    /// Starts an attempt. Its result arrives on [`Attempts::results`], at once if no call was made.
+    pub(super) fn start(
         &mut self,
         index: SourceIndex,
         attempt: usize,
@@ -65,56 +65,56 @@
     ) {
         counter!("roseshore_lookup_attempts_total", "reason" => label(reason)).increment(1);
         if !self.send(index, attempt, reason, limit) {
-            let _ = self.tell.send(Heard { attempt, said: SourceReply::NoReplica });
+            let _ = self.result_tx.send(AttemptResult { attempt, reply: SourceReply::NoReplica });
         }
     }
 
     fn send(&mut self, index: SourceIndex, attempt: usize, reason: Reason, limit: Instant) -> bool {
         let source = self.service.sources[index].clone();
-        let Some(place) = source.enter() else { return false };
+        let Some(slot) = source.acquire_slot() else { return false };
         let Some((replica, permit)) = self.replica(index, reason) else { return false };
-        self.targets[index].push(replica.target.clone());
+        self.tried[index].push(replica.target.clone());
         let call = Call {
-            parts: self.parts.clone(),
+            deps: self.deps.clone(),
             replica,
             source: source.name.clone(),
             name: self.name.clone(),
-            hop: CallContext {
+            context: CallContext {
                 deadline: limit,
                 trace: self.trace.clone(),
                 request: self.request.clone(),
             },
         };
-        let tell = self.tell.clone();
-        self.pool.give(Box::new(move || {
-            let began = Instant::now();
-            let said = catch_unwind(AssertUnwindSafe(|| call.run(began)));
-            drop((place, permit));
-            let said = said.unwrap_or(SourceReply::Failed(Verdict::MayHaveRun));
-            if matches!(said, SourceReply::Found(_) | SourceReply::Missing) {
-                source.observe(began.elapsed());
+        let result_tx = self.result_tx.clone();
+        self.pool.submit(Box::new(move || {
+            let started = Instant::now();
+            let reply = catch_unwind(AssertUnwindSafe(|| call.run(started)));
+            drop((slot, permit));
+            let reply = reply.unwrap_or(SourceReply::Failed(Verdict::MayHaveRun));
+            if matches!(reply, SourceReply::Found(_) | SourceReply::Missing) {
+                source.observe(started.elapsed());
             }
             // The lookup may have ended without this attempt.
-            let _ = tell.send(Heard { attempt, said });
+            let _ = result_tx.send(AttemptResult { attempt, reply });
         }))
     }
 
-    /// Another replica than before; the same one will do for a retry, if there is no other.
+    /// Chooses a replica that has not been tried; for a retry, any replica if there is no other.
     fn replica(&self, index: SourceIndex, reason: Reason) -> Option<(Replica, Permit)> {
         let serves = &self.service.sources[index].serves;
-        let avoid = &self.targets[index];
-        let other = self.parts.router.replica(serves, avoid);
-        if other.is_err() && reason == Reason::Retry {
-            return self.parts.router.replica(serves, &[]).ok();
+        let tried = &self.tried[index];
+        let untried = self.deps.router.replica(serves, tried);
+        if untried.is_err() && reason == Reason::Retry {
+            return self.deps.router.replica(serves, &[]).ok();
         }
-        other.ok()
+        untried.ok()
     }
 
-    /// Makes a contradiction visible to operators.
+    /// Counts and logs that two sources hold different records for the name.
     pub(super) fn conflict(&self, earlier: SourceIndex, later: SourceIndex) {
         counter!("roseshore_lookup_conflicts_total").increment(1);
         let (first, other) = (&self.service.sources[earlier], &self.service.sources[later]);
-        if other.conflicts.may_log(Instant::now()) {
+        if other.conflict_log.may_log(Instant::now()) {
             let (first, other, name) = (&first.serves, &other.serves, &self.name);
             event!(Event::SourceConflict, "first={first} other={other} name={name}");
         }
@@ -129,33 +129,34 @@
     }
 }
 
-/// One attempt at one replica.
+/// One call to one replica.
 struct Call {
-    parts: LookupDeps,
+    deps: LookupDeps,
     replica: Replica,
     source: String,
     name: String,
-    hop: CallContext,
+    context: CallContext,
 }
 
 impl Call {
-    fn run(&self, began: Instant) -> SourceReply<Found> {
-        let services = &self.parts.services;
-        let reply = services.lookup(self.replica.addr, &self.source, &self.name, &self.hop);
-        self.report(began, &reply);
+    fn run(&self, started: Instant) -> SourceReply<Found> {
+        let services = &self.deps.services;
+        let reply = services.lookup(self.replica.addr, &self.source, &self.name, &self.context);
+        self.report(started, &reply);
         read_reply(reply, &self.source, &self.name)
     }
 
-    /// Tells the router how the target did. Running into a caller's short deadline proves nothing
-    /// against the target; running into the attempt's whole limit does.
-    fn report(&self, began: Instant, reply: &CallResult<ServiceReply>) {
+    /// Reports latency or failure of the target to the router. A time-out counts as a failure only if
+    /// the attempt had at least half its limit; running into a caller's short deadline does not show
+    /// that the target is at fault.
+    fn report(&self, started: Instant, reply: &CallResult<ServiceReply>) {
         let target = &self.replica.target;
         if reply.is_ok() {
-            return self.parts.router.record_latency(target, began.elapsed());
+            return self.deps.router.record_latency(target, started.elapsed());
         }
-        let had_time = self.hop.deadline - began >= Policy::default().attempt_limit / 2;
-        if had_time || Instant::now() < self.hop.deadline {
-            self.parts.router.failed(target);
+        let had_time = self.context.deadline - started >= Policy::default().attempt_limit / 2;
+        if had_time || Instant::now() < self.context.deadline {
+            self.deps.router.failed(target);
         }
     }
 }
--- a/crates/roseshored/src/lookups/pool.rs
+++ b/crates/roseshored/src/lookups/pool.rs
@@ -1,18 +1,18 @@
 //! A bounded pool of threads that wait for replicas.
 //!
-//! Threads are started as needed and stay. A job that finds neither an idle thread nor room in the
-//! queue is handed back, so that a flood is refused at once and does not pile up.
+//! Threads are started on demand and never end. A job that finds neither an idle thread nor room in
+//! the queue is rejected, so that overload is refused at once instead of queuing without bound.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// What a thread does.
+/// A unit of work for one thread.
 pub(super) type Job = Box<dyn FnOnce() + Send>;
 
-/// The threads and their queue.
+/// The threads and their job queue.
 pub(super) struct Pool {
-    max: usize,
+    max_threads: usize,
     threads: AtomicUsize,
     busy: Arc<AtomicUsize>,
     jobs: flume::Sender<Job>,
@@ -20,27 +20,27 @@
 }
 
 impl Pool {
-    pub(super) fn new(max: usize) -> Pool {
-        let (jobs, queue) = flume::bounded(max);
-        Pool { max, threads: AtomicUsize::new(0), busy: Arc::default(), jobs, queue }
+    pub(super) fn new(max_threads: usize) -> Pool {
+        let (jobs, queue) = flume::bounded(max_threads);
+        Pool { max_threads, threads: AtomicUsize::new(0), busy: Arc::default(), jobs, queue }
     }
 
-    /// Hands a job to a thread; `false` when there is no room.
-    pub(super) fn give(&self, job: Job) -> bool {
-        // Counted before the hand-over, so that a thread about to take a job never looks idle.
+    /// Queues a job; returns `false` and drops it when the queue is full.
+    pub(super) fn submit(&self, job: Job) -> bool {
+        // Counted before the job is queued, so that a thread about to take a job never looks idle.
         let busy = self.busy.fetch_add(1, Ordering::SeqCst);
         if busy >= self.threads.load(Ordering::SeqCst) {
             self.grow();
         }
-        let given = self.jobs.try_send(job).is_ok();
-        if !given {
+        let queued = self.jobs.try_send(job).is_ok();
+        if !queued {
             self.busy.fetch_sub(1, Ordering::SeqCst);
         }
-        given
+        queued
     }
 
     fn grow(&self) {
-        if self.threads.fetch_add(1, Ordering::SeqCst) >= self.max {
+        if self.threads.fetch_add(1, Ordering::SeqCst) >= self.max_threads {
             self.threads.fetch_sub(1, Ordering::SeqCst);
             return;
         }
--- a/crates/roseshored/src/lookups/shared.rs
+++ b/crates/roseshored/src/lookups/shared.rs
@@ -1,4 +1,4 @@
-//! What lookups of one service share.
+//! State shared by the lookups of one service.
 
 use parking_lot::{Mutex, RwLock};
 use roseshore_core::lookup::{Budgets, LatencyEstimate};
@@ -7,12 +7,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Attempts at one source that are open at once, so that a frozen one leaves threads to others.
-const OPEN: usize = 96;
-/// The least time between two log lines about one source.
-const LOG_PAUSE: Duration = Duration::from_secs(1);
+/// Most attempts open at one source, so that a source that hangs leaves threads to the others.
+const MAX_OPEN: usize = 96;
+/// Minimum time between two log lines of one kind about one source.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Every service that was looked into.
+/// The state of every service that has been looked up.
 #[derive(Default)]
 pub(super) struct Shared {
     services: RwLock<FxHashMap<ServiceId, Arc<Service>>>,
@@ -27,32 +27,32 @@
 /// One source.
 pub(super) struct Source {
     pub(super) name: String,
-    /// What replicas of it are declared to serve.
+    /// The name under which its replicas are declared: `service/source`, or the service's own name.
     pub(super) serves: String,
-    pace: Mutex<LatencyEstimate>,
+    latency: Mutex<LatencyEstimate>,
     open: AtomicUsize,
-    /// Log lines about its silence.
-    pub(super) silence: Pause,
-    /// Log lines about its contradictions.
-    pub(super) conflicts: Pause,
+    /// Rate limit of log lines about missing replies.
+    pub(super) silent_log: LogThrottle,
+    /// Rate limit of log lines about conflicting records.
+    pub(super) conflict_log: LogThrottle,
 }
 
-/// Lets one log line through in a while.
+/// Allows one log line per [`LOG_INTERVAL`].
 #[derive(Default)]
-pub(super) struct Pause {
+pub(super) struct LogThrottle {
     logged: Mutex<Option<Instant>>,
 }
 
 impl Shared {
-    /// The shared state of a service; made anew when the declared sources have changed.
+    /// The state of a service; replaced by a new one when the declared sources have changed.
     pub(super) fn service(&self, name: &str, sources: &[String]) -> Arc<Service> {
         let known = self.services.read().get(name).cloned();
-        if let Some(known) = known.filter(|k| k.serves(name, sources)) {
+        if let Some(known) = known.filter(|k| k.matches(name, sources)) {
             return known;
         }
-        let fresh = Arc::new(Service::new(name, sources));
-        self.services.write().insert(name.to_owned(), fresh.clone());
-        fresh
+        let created = Arc::new(Service::new(name, sources));
+        self.services.write().insert(name.to_owned(), created.clone());
+        created
     }
 }
 
@@ -66,7 +66,7 @@
         Service { budgets: Mutex::default(), sources }
     }
 
-    fn serves(&self, name: &str, sources: &[String]) -> bool {
+    fn matches(&self, name: &str, sources: &[String]) -> bool {
         let known = self.sources.iter().map(|s| s.name.as_str());
         if sources.is_empty() {
             return known.eq([name]);
@@ -76,7 +76,7 @@
 
     /// The longest of the sources' hedge delays.
     pub(super) fn hedge_after(&self) -> Duration {
-        let delays = self.sources.iter().map(|s| s.pace.lock().hedge_after());
+        let delays = self.sources.iter().map(|s| s.latency.lock().hedge_after());
         delays.max().unwrap_or_default()
     }
 }
@@ -86,30 +86,30 @@
         Source {
             name: name.to_owned(),
             serves,
-            pace: Mutex::default(),
+            latency: Mutex::default(),
             open: AtomicUsize::new(0),
-            silence: Pause::default(),
-            conflicts: Pause::default(),
+            silent_log: LogThrottle::default(),
+            conflict_log: LogThrottle::default(),
         }
     }
 
-    pub(super) fn observe(&self, took: Duration) {
-        self.pace.lock().observe(took);
+    pub(super) fn observe(&self, latency: Duration) {
+        self.latency.lock().observe(latency);
     }
 
-    /// A place among the open attempts, or `None` when there are too many.
-    pub(super) fn enter(self: &Arc<Source>) -> Option<Place> {
-        let place = Place { source: self.clone() };
+    /// Reserves one of the [`MAX_OPEN`] attempts, or returns `None` when all are in use.
+    pub(super) fn acquire_slot(self: &Arc<Source>) -> Option<Slot> {
+        let slot = Slot { source: self.clone() };
         let before = self.open.fetch_add(1, Ordering::SeqCst);
-        (before < OPEN).then_some(place)
+        (before < MAX_OPEN).then_some(slot)
     }
 }
 
-impl Pause {
-    /// Whether a line may be logged now.
+impl LogThrottle {
+    /// Whether a line may be logged now; if so, the interval starts anew.
     pub(super) fn may_log(&self, now: Instant) -> bool {
         let mut logged = self.logged.lock();
-        let due = logged.is_none_or(|t| now.saturating_duration_since(t) >= LOG_PAUSE);
+        let due = logged.is_none_or(|t| now.saturating_duration_since(t) >= LOG_INTERVAL);
         if due {
             *logged = Some(now);
         }
@@ -117,12 +117,12 @@
     }
 }
 
-/// A place among a source's open attempts; given back when dropped.
-pub(super) struct Place {
+/// A reserved attempt of a source; released on drop.
+pub(super) struct Slot {
     source: Arc<Source>,
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.source.open.fetch_sub(1, Ordering::SeqCst);
     }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups over replicas with faults: sources, retries, hedges, and what the caller is told.
+//! Lookups over faulty replicas: order of sources, retries, hedges, and the outcome for the caller.
 
 use parking_lot::Mutex;
 use roseshore_adapters::service::HttpServices;
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Far more than any outcome takes, and far less than [`DEADLINE`].
+/// Far longer than any outcome takes, and far shorter than [`DEADLINE`].
 const BOUND: Duration = Duration::from_secs(30);
 const DEADLINE: Duration = Duration::from_mins(10);
 const SOURCES: [&str; 3] = ["first", "second", "third"];
@@ -45,7 +45,7 @@
     Arc::new(FixedFleet(Some(ActiveConfig { fleet, offset: 1, digest: 1 })))
 }
 
-/// Gives the first replica that is not to be avoided.
+/// Chooses the first replica that is not to be avoided.
 #[derive(Default)]
 struct FixedRouter {
     replicas: Vec<(String, Replica)>,
@@ -82,48 +82,48 @@
 }
 
 /// Replicas in the order of their sources, and the lookups over them.
-struct Site {
+struct Fixture {
     fakes: Vec<ServiceFake>,
     router: Arc<FixedRouter>,
-    parts: LookupDeps,
+    deps: LookupDeps,
 }
 
-/// A replica of the source of this index that holds this record of `pkg`, if any.
-struct Is {
+/// A replica of the source with this index; `holds` is the body of its record of `pkg`, if any.
+struct ReplicaCase {
     source: usize,
     holds: Option<&'static str>,
     faults: ServiceFaults,
 }
 
-fn is(source: usize, holds: Option<&'static str>) -> Is {
-    Is { source, holds, faults: ServiceFaults::default() }
+fn replica(source: usize, holds: Option<&'static str>) -> ReplicaCase {
+    ReplicaCase { source, holds, faults: ServiceFaults::default() }
 }
 
-fn broken(source: usize, holds: Option<&'static str>, faults: ServiceFaults) -> Is {
-    Is { source, holds, faults }
+fn broken(source: usize, holds: Option<&'static str>, faults: ServiceFaults) -> ReplicaCase {
+    ReplicaCase { source, holds, faults }
 }
 
-fn site(sources: &[&str], replicas: Vec<Is>) -> Site {
+fn fixture(sources: &[&str], replicas: Vec<ReplicaCase>) -> Fixture {
     let mut router = FixedRouter::default();
     let mut fakes = Vec::new();
-    for (index, is) in replicas.into_iter().enumerate() {
-        let name = SOURCES[is.source].to_owned();
-        let records = is.holds.map(|body| ("pkg".to_owned(), body.to_owned())).into_iter();
+    for (index, case) in replicas.into_iter().enumerate() {
+        let name = SOURCES[case.source].to_owned();
+        let records = case.holds.map(|body| ("pkg".to_owned(), body.to_owned())).into_iter();
         let source = Source { name: name.clone(), percent: 0, records: records.collect() };
         let settings = ServiceSettings { sources: vec![source], ..ServiceSettings::default() };
         let fake = ServiceFake::start(settings).unwrap();
-        fake.faults.set(is.faults);
+        fake.faults.set(case.faults);
         let replica = Replica { target: format!("t{index}"), addr: fake.addr() };
         router.replicas.push((format!("packages/{name}"), replica));
         fakes.push(fake);
     }
     let router = Arc::new(router);
-    let parts = LookupDeps {
+    let deps = LookupDeps {
         fleets: fleet(ServiceKind::Lookup, sources),
         router: router.clone(),
         services: Arc::new(HttpServices::default()),
     };
-    Site { fakes, router, parts }
+    Fixture { fakes, router, deps }
 }
 
 fn ask(limit: Duration) -> RequestInfo {
@@ -140,44 +140,44 @@
 }
 
 #[derive(Debug, PartialEq)]
-enum Told {
+enum LookupOutcome {
     Record(String),
     NotFound,
     Silent(Verdict),
     Other(Code),
 }
 
-fn told(result: Result<ServiceReply, Refusal>) -> Told {
+fn outcome(result: Result<ServiceReply, Refusal>) -> LookupOutcome {
     match result {
-        Ok(reply) => Told::Record(String::from_utf8(reply.body).unwrap()),
+        Ok(reply) => LookupOutcome::Record(String::from_utf8(reply.body).unwrap()),
         Err(refusal) if refusal.code == Code::NotFound => {
             assert_eq!(refusal.verdict, Verdict::Answered);
-            Told::NotFound
+            LookupOutcome::NotFound
         }
         Err(refusal) if refusal.code == Code::SourceSilent => {
-            assert!(refusal.retry_after.is_some_and(|w| !w.is_zero()), "no time to come back");
-            Told::Silent(refusal.verdict)
+            assert!(refusal.retry_after.is_some_and(|w| !w.is_zero()), "no retry time");
+            LookupOutcome::Silent(refusal.verdict)
         }
-        Err(refusal) => Told::Other(refusal.code),
+        Err(refusal) => LookupOutcome::Other(refusal.code),
     }
 }
 
-/// Looks `pkg` up; fails when the outcome is held back as long as the deadline.
-fn look_up(parts: &LookupDeps, compare_ratio: f64) -> Told {
-    let (tell, heard) = flume::bounded(1);
-    let parts = parts.clone();
+/// Looks up `pkg`; panics if the outcome is delayed until the deadline.
+fn look_up(deps: &LookupDeps, compare_ratio: f64) -> LookupOutcome {
+    let (result_tx, result) = flume::bounded(1);
+    let deps = deps.clone();
     let lookups = Lookups::new(16).with_compare_ratio(compare_ratio);
     thread::spawn(move || {
-        let _ = tell.send(told(lookups.run(&parts, &ask(DEADLINE), "pkg", None)));
+        let _ = result_tx.send(outcome(lookups.run(&deps, &ask(DEADLINE), "pkg", None)));
     });
-    heard.recv_timeout(BOUND).expect("no outcome at once when given up")
+    result.recv_timeout(BOUND).expect("the outcome is delayed")
 }
 
 struct Case {
     name: &'static str,
-    replicas: Vec<Is>,
-    told: Told,
-    /// The only target that the router hears has failed.
+    replicas: Vec<ReplicaCase>,
+    outcome: LookupOutcome,
+    /// The only target that is reported to the router as failed.
     failed: Option<&'static str>,
 }
 
@@ -185,72 +185,87 @@
     let no = ServiceFaults::default;
     let frozen = || ServiceFaults { freeze: true, ..no() };
     let unknown = || ServiceFaults { unknown: true, ..no() };
-    let record = |body: &str| Told::Record(body.to_owned());
-    let case = |name, replicas, told, failed| Case { name, replicas, told, failed };
+    let record = |body: &str| LookupOutcome::Record(body.to_owned());
+    let case = |name, replicas, outcome, failed| Case { name, replicas, outcome, failed };
     let unclear = Verdict::MayHaveRun;
     vec![
-        case("first holds", vec![is(0, Some("a")), is(1, None), is(2, None)], record("a"), None),
-        case("last holds", vec![is(0, None), is(1, None), is(2, Some("c"))], record("c"), None),
-        case("none holds", vec![is(0, None), is(1, None), is(2, None)], Told::NotFound, None),
+        case(
+            "first holds",
+            vec![replica(0, Some("a")), replica(1, None), replica(2, None)],
+            record("a"),
+            None,
+        ),
+        case(
+            "last holds",
+            vec![replica(0, None), replica(1, None), replica(2, Some("c"))],
+            record("c"),
+            None,
+        ),
+        case(
+            "none holds",
+            vec![replica(0, None), replica(1, None), replica(2, None)],
+            LookupOutcome::NotFound,
+            None,
+        ),
         case(
             "declared order decides between two",
-            vec![is(0, None), is(1, Some("b")), is(2, Some("c"))],
+            vec![replica(0, None), replica(1, Some("b")), replica(2, Some("c"))],
             record("b"),
             None,
         ),
         case(
             "the only source that could still hold it cannot say",
-            vec![is(0, None), is(1, None), broken(2, None, unknown())],
-            Told::Silent(unclear),
+            vec![replica(0, None), replica(1, None), broken(2, None, unknown())],
+            LookupOutcome::Silent(unclear),
             None,
         ),
         case(
             "earlier source cannot say, a later one holds",
-            vec![broken(0, None, unknown()), is(1, Some("b")), is(2, None)],
-            Told::Silent(unclear),
+            vec![broken(0, None, unknown()), replica(1, Some("b")), replica(2, None)],
+            LookupOutcome::Silent(unclear),
             None,
         ),
         case(
             "later source cannot say, an earlier one holds",
-            vec![is(0, Some("a")), broken(1, None, unknown()), is(2, None)],
+            vec![replica(0, Some("a")), broken(1, None, unknown()), replica(2, None)],
             record("a"),
             None,
         ),
         case(
             "no replica of a source",
-            vec![is(0, None), is(2, Some("c"))],
-            Told::Silent(unclear),
+            vec![replica(0, None), replica(2, Some("c"))],
+            LookupOutcome::Silent(unclear),
             None,
         ),
-        case("no replica at all", vec![], Told::Silent(Verdict::NotRun), None),
+        case("no replica at all", vec![], LookupOutcome::Silent(Verdict::NotRun), None),
         case(
             "replicas refuse unstarted",
             vec![broken(0, Some("a"), ServiceFaults { not_run: true, ..no() })],
-            Told::Silent(Verdict::NotRun),
+            LookupOutcome::Silent(Verdict::NotRun),
             None,
         ),
         case(
-            "a replica cannot say, another one can",
-            vec![broken(0, None, unknown()), is(0, Some("a"))],
+            "a replica does not know, another one does",
+            vec![broken(0, None, unknown()), replica(0, Some("a"))],
             record("a"),
             None,
         ),
         case(
             "a replica's replies are garbled, another's are not",
-            vec![broken(0, None, ServiceFaults { garbled: true, ..no() }), is(0, Some("a"))],
+            vec![broken(0, None, ServiceFaults { garbled: true, ..no() }), replica(0, Some("a"))],
             record("a"),
             Some("t0"),
         ),
         case(
             "a replica is frozen, another one answers the hedge",
-            vec![broken(0, None, frozen()), is(0, Some("a"))],
+            vec![broken(0, None, frozen()), replica(0, Some("a"))],
             record("a"),
             Some("t0"),
         ),
         case(
             "a source is frozen",
-            vec![broken(0, Some("a"), frozen()), is(1, Some("b")), is(2, None)],
-            Told::Silent(unclear),
+            vec![broken(0, Some("a"), frozen()), replica(1, Some("b")), replica(2, None)],
+            LookupOutcome::Silent(unclear),
             Some("t0"),
         ),
     ]
@@ -259,26 +274,26 @@
 #[test]
 fn three_registries_under_one_name() {
     // The outcomes are the same whether all sources are asked at once or not.
-    for compared in [0.0, 1.0] {
+    for compare_ratio in [0.0, 1.0] {
         for case in registries() {
-            let site = site(&SOURCES, case.replicas);
-            assert_eq!(look_up(&site.parts, compared), case.told, "{}", case.name);
+            let fixture = fixture(&SOURCES, case.replicas);
+            assert_eq!(look_up(&fixture.deps, compare_ratio), case.outcome, "{}", case.name);
             let wanted: Vec<&str> = case.failed.into_iter().collect();
             let end = Instant::now() + BOUND;
-            while site.router.failed() != wanted && Instant::now() < end {
+            while fixture.router.failed() != wanted && Instant::now() < end {
                 thread::sleep(Duration::from_millis(5));
             }
-            assert_eq!(site.router.failed(), wanted, "failed, {}", case.name);
+            assert_eq!(fixture.router.failed(), wanted, "failed, {}", case.name);
         }
     }
 }
 
-/// Collects the lines of the daemon's events.
-struct Lines;
+/// A logger that collects the daemon's event lines.
+struct LineCollector;
 
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
-impl log::Log for Lines {
+impl log::Log for LineCollector {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
@@ -293,13 +308,14 @@
 }
 
 #[test]
-fn a_contradiction_is_shown_and_the_declared_order_answers() {
-    log::set_logger(&Lines).unwrap();
+fn a_conflict_is_logged_and_the_declared_order_decides() {
+    log::set_logger(&LineCollector).unwrap();
     log::set_max_level(log::LevelFilter::Trace);
-    let site = site(&SOURCES, vec![is(0, Some("a")), is(1, None), is(2, Some("c"))]);
+    let fixture =
+        fixture(&SOURCES, vec![replica(0, Some("a")), replica(1, None), replica(2, Some("c"))]);
     let lookups = Lookups::new(16).with_compare_ratio(1.0);
-    let told = told(lookups.run(&site.parts, &ask(DEADLINE), "pkg", None));
-    assert_eq!(told, Told::Record("a".to_owned()));
+    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    assert_eq!(outcome, LookupOutcome::Record("a".to_owned()));
     let wanted = "E802 first=packages/first other=packages/third name=pkg";
     wait_until(wanted, || LINES.lock().iter().any(|l| l == wanted));
 }
@@ -310,36 +326,38 @@
     let closed = Closed::start().unwrap();
     let replica = Replica { target: "t0".to_owned(), addr: closed.addr() };
     router.replicas.push((format!("packages/{}", SOURCES[0]), replica));
-    let site = site(&SOURCES[..1], Vec::new());
-    let site =
-        Site { parts: LookupDeps { router: Arc::new(router), ..site.parts.clone() }, ..site };
-    assert_eq!(look_up(&site.parts, 0.0), Told::Silent(Verdict::NotRun));
+    let fixture = fixture(&SOURCES[..1], Vec::new());
+    let fixture = Fixture {
+        deps: LookupDeps { router: Arc::new(router), ..fixture.deps.clone() },
+        ..fixture
+    };
+    assert_eq!(look_up(&fixture.deps, 0.0), LookupOutcome::Silent(Verdict::NotRun));
 }
 
 #[test]
 fn an_outage_is_not_multiplied() {
     let faults = ServiceFaults { unknown: true, ..ServiceFaults::default() };
-    let site = site(&SOURCES[..1], vec![broken(0, None, faults)]);
+    let fixture = fixture(&SOURCES[..1], vec![broken(0, None, faults)]);
     let lookups = Lookups::new(16);
     let (began, count) = (Instant::now(), 200);
     for _ in 0..count {
-        let told = told(lookups.run(&site.parts, &ask(DEADLINE), "pkg", None));
-        assert_eq!(told, Told::Silent(Verdict::MayHaveRun));
+        let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+        assert_eq!(outcome, LookupOutcome::Silent(Verdict::MayHaveRun));
     }
-    let extra = site.fakes[0].ran().lookups - count;
+    let extra = fixture.fakes[0].ran().lookups - count;
     // Without successes: the burst of retries and of hedges, and a trickle of each.
     let bound = 2.0 * (BURST + MIN_RATE * began.elapsed().as_secs_f64());
     assert!(extra as f64 <= bound, "{extra} extra attempts over {count} lookups");
 }
 
 #[test]
-fn a_full_pool_refuses_at_once_and_truthfully() {
+fn a_full_pool_refuses_at_once_as_not_run() {
     let faults = ServiceFaults { freeze: true, ..ServiceFaults::default() };
-    let site = site(&SOURCES[..1], vec![broken(0, Some("a"), faults)]);
+    let fixture = fixture(&SOURCES[..1], vec![broken(0, Some("a"), faults)]);
     let lookups = Lookups::new(0);
-    let told = told(lookups.run(&site.parts, &ask(DEADLINE), "pkg", None));
-    assert_eq!(told, Told::Silent(Verdict::NotRun));
-    assert_eq!(site.fakes[0].ran().lookups, 0);
+    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    assert_eq!(outcome, LookupOutcome::Silent(Verdict::NotRun));
+    assert_eq!(fixture.fakes[0].ran().lookups, 0);
 }
 
 #[test]
@@ -348,12 +366,13 @@
         name: &'static str,
         fleets: Arc<FixedFleet>,
         limit: Duration,
-        looked: &'static str,
+        name_sought: &'static str,
         code: Code,
     }
     let good = || fleet(ServiceKind::Lookup, &SOURCES);
     let plain = fleet(ServiceKind::Plain, &[]);
-    let case = |name, fleets, limit, looked, code| Case { name, fleets, limit, looked, code };
+    let case =
+        |name, fleets, limit, name_sought, code| Case { name, fleets, limit, name_sought, code };
     let cases = [
         case("no configuration", Arc::new(FixedFleet(None)), BOUND, "pkg", Code::NoConfiguration),
         case("not a lookup service", plain, BOUND, "pkg", Code::UnknownService),
@@ -363,45 +382,46 @@
         case("a query in the name", good(), BOUND, "a?b", Code::BadRequest),
         case("a blank in the name", good(), BOUND, "a b", Code::BadRequest),
     ];
-    let site = site(&SOURCES, vec![is(0, Some("a"))]);
+    let fixture = fixture(&SOURCES, vec![replica(0, Some("a"))]);
     for case in cases {
-        let parts = LookupDeps { fleets: case.fleets, ..site.parts.clone() };
-        let refusal = Lookups::new(4).run(&parts, &ask(case.limit), case.looked, None).unwrap_err();
+        let deps = LookupDeps { fleets: case.fleets, ..fixture.deps.clone() };
+        let refusal =
+            Lookups::new(4).run(&deps, &ask(case.limit), case.name_sought, None).unwrap_err();
         assert_eq!((refusal.code, refusal.verdict), (case.code, Verdict::NotRun), "{}", case.name);
     }
-    assert_eq!(site.fakes[0].ran().lookups, 0);
+    assert_eq!(fixture.fakes[0].ran().lookups, 0);
 }
 
 #[test]
-fn a_service_without_sources_is_its_own() {
-    let mut site = site(&[], vec![]);
+fn a_service_without_sources_is_its_own_source() {
+    let mut fixture = fixture(&[], vec![]);
     let records = [("card-1".to_owned(), "{}".to_owned())].into();
     let source = Source { name: "packages".to_owned(), percent: 0, records };
     let settings = ServiceSettings { sources: vec![source], ..ServiceSettings::default() };
     let fake = ServiceFake::start(settings).unwrap();
     let replica = Replica { target: "t".to_owned(), addr: fake.addr() };
     let replicas = vec![("packages".to_owned(), replica)];
-    site.parts.router = Arc::new(FixedRouter { replicas, ..FixedRouter::default() });
+    fixture.deps.router = Arc::new(FixedRouter { replicas, ..FixedRouter::default() });
     let lookups = Lookups::new(4);
-    let found = lookups.run(&site.parts, &ask(BOUND), "card-1", None).unwrap();
+    let found = lookups.run(&fixture.deps, &ask(BOUND), "card-1", None).unwrap();
     assert_eq!(found.body, b"{}");
-    let missing = lookups.run(&site.parts, &ask(BOUND), "card-2", None).unwrap_err();
+    let missing = lookups.run(&fixture.deps, &ask(BOUND), "card-2", None).unwrap_err();
     assert_eq!(missing.code, Code::NotFound);
 }
 
 #[test]
-fn only_a_source_s_own_word_means_missing() {
+fn only_a_reply_of_the_source_itself_means_missing() {
     struct Case {
         name: &'static str,
-        called: CallResult<ServiceReply>,
-        said: SourceReply<()>,
+        result: CallResult<ServiceReply>,
+        reply: SourceReply<()>,
     }
     let reply = |status, body: &str| {
         let (content, body) = ("application/json".to_owned(), body.as_bytes().to_vec());
         Ok(ServiceReply { status, content, body, replayed: false })
     };
     let unclear = || SourceReply::Failed(Verdict::MayHaveRun);
-    let case = |name, called, said| Case { name, called, said };
+    let case = |name, result, reply| Case { name, result, reply };
     let cases = [
         case("record", reply(200, "x"), SourceReply::Found(())),
         case("missing", reply(404, r#"{"source":"s","missing":"n"}"#), SourceReply::Missing),
@@ -427,12 +447,12 @@
         ),
     ];
     for case in cases {
-        let plain = match read_reply(case.called, "s", "n") {
+        let plain = match read_reply(case.result, "s", "n") {
             SourceReply::Found(_) => SourceReply::Found(()),
             SourceReply::Missing => SourceReply::Missing,
             SourceReply::Failed(verdict) => SourceReply::Failed(verdict),
             SourceReply::NoReplica => SourceReply::NoReplica,
         };
-        assert_eq!(plain, case.said, "{}", case.name);
+        assert_eq!(plain, case.reply, "{}", case.name);
     }
 }
