--- a/crates/roseshore_core/src/membership/digest_schedule.rs
+++ b/crates/roseshore_core/src/membership/digest_schedule.rs
@@ -1,103 +1,108 @@
-//! Which daemon speaks with which other data centre, and when.
+//! Decides which daemon exchanges digests with which other data centre, and when.
 //!
-//! The first in rendezvous order speaks for its data centre with another one. Of two data centres
-//! the one with the smaller name begins; the other begins too when it has not heard for a while, so
-//! that a way that is open in one direction only is used. Over there an alive daemon is asked
-//! first; after a failure the next one is tried, gone ones included, so that a data centre that was
-//! cut off for hours is found again.
+//! For each other data centre, the first daemon in rendezvous order exchanges digests on behalf of
+//! its own. Of two data centres, the one with the smaller name calls. The other one calls as well
+//! when it has not received a digest for a while, because connections may be possible in one
+//! direction only. Alive daemons of the other data centre are called first; after a failure the next
+//! daemon is called, including those that are gone, so that a data centre is found again after
+//! hours of partition.
 
 use super::{Member, MemberState, Settings, rank::ranked};
 use crate::prelude::*;
 use std::collections::BTreeMap;
 
-/// Periods of silence after which the larger name begins too.
-const PATIENCE: u32 = 2;
+/// Silence in digest intervals after which the data centre with the larger name calls as well.
+const SILENT_PERIODS: u32 = 2;
 
-/// The state of one daemon's talks.
+/// Schedule of one daemon's digest exchanges.
 pub struct DigestSchedule {
     own: DataCentreId,
     settings: Settings,
-    talks: BTreeMap<DataCentreId, Talk>,
+    exchanges: BTreeMap<DataCentreId, Exchange>,
 }
 
-struct Talk {
+struct Exchange {
     due: Instant,
-    heard: Instant,
+    last_heard: Instant,
     failures: usize,
 }
 
-/// A daemon of another data centre to exchange digests with now.
+/// Digest exchange that is due with a daemon of another data centre.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DigestCall {
-    /// The data centre.
+    /// The other data centre.
     pub data_centre: DataCentreId,
-    /// The daemon.
+    /// Daemon to call.
     pub to: Member,
 }
 
 impl DigestSchedule {
-    /// No talks yet.
+    /// Creates a schedule without exchanges.
     pub fn new(own: DataCentreId, settings: Settings) -> DigestSchedule {
-        DigestSchedule { own, settings, talks: BTreeMap::new() }
+        DigestSchedule { own, settings, exchanges: BTreeMap::new() }
     }
 
-    /// The calls that are due. `far` are the daemons of other data centres; `place` is this daemon's
-    /// place in the order for a subject.
+    /// Returns the calls that are due.
+    ///
+    /// `remote` contains the daemons of other data centres. `place` returns this daemon's index in
+    /// the rendezvous order for a subject.
     pub fn tick(
         &mut self,
-        far: Vec<Member>,
+        remote: Vec<Member>,
         place: impl Fn(&str) -> Option<usize>,
         now: Instant,
     ) -> Vec<DigestCall> {
         let mut centres: BTreeMap<DataCentreId, Vec<Member>> = BTreeMap::new();
-        for member in far {
+        for member in remote {
             centres.entry(member.data_centre.clone()).or_default().push(member);
         }
-        self.talks.retain(|centre, _| centres.contains_key(centre));
+        self.exchanges.retain(|centre, _| centres.contains_key(centre));
         let period = self.settings.digest_period(centres.len());
         let mut calls = Vec::new();
         for (centre, members) in centres {
-            let fresh = || Talk { due: now, heard: now, failures: 0 };
-            let talk = self.talks.entry(centre.clone()).or_insert_with(fresh);
-            let silent = now.saturating_duration_since(talk.heard) >= period * PATIENCE;
+            let new = || Exchange { due: now, last_heard: now, failures: 0 };
+            let exchange = self.exchanges.entry(centre.clone()).or_insert_with(new);
+            let silent =
+                now.saturating_duration_since(exchange.last_heard) >= period * SILENT_PERIODS;
             let begins = self.own < centre || silent;
-            if talk.due > now || !begins || place(&subject(&centre)) != Some(0) {
+            if exchange.due > now || !begins || place(&subject(&centre)) != Some(0) {
                 continue;
             }
-            talk.due = now + period;
-            let to = choose(&self.own, members, talk.failures);
+            exchange.due = now + period;
+            let to = choose_peer(&self.own, members, exchange.failures);
             calls.push(DigestCall { data_centre: centre, to });
         }
         calls
     }
 
-    /// Word of a data centre has come, by a call or otherwise.
+    /// Records that a digest of a data centre has arrived, by a call in either direction.
     pub fn heard(&mut self, centre: &DataCentreId, now: Instant) {
-        if let Some(talk) = self.talks.get_mut(centre) {
-            talk.heard = now;
-            talk.failures = 0;
+        if let Some(exchange) = self.exchanges.get_mut(centre) {
+            exchange.last_heard = now;
+            exchange.failures = 0;
         }
     }
 
-    /// A call failed; the next daemon over there is tried at once, all of them in one period.
+    /// Records that a call failed; the next daemon is called at once, up to `CALLS_PER_PERIOD`
+    /// calls per period.
     pub fn failed(&mut self, centre: &DataCentreId, now: Instant) {
-        if let Some(talk) = self.talks.get_mut(centre) {
-            talk.failures += 1;
-            if talk.failures % RETRIES != 0 {
-                talk.due = now;
+        if let Some(exchange) = self.exchanges.get_mut(centre) {
+            exchange.failures += 1;
+            if exchange.failures % CALLS_PER_PERIOD != 0 {
+                exchange.due = now;
             }
         }
     }
 }
 
-/// Calls in one period while they fail.
-const RETRIES: usize = 2;
+/// Number of failing calls per digest interval.
+const CALLS_PER_PERIOD: usize = 2;
 
 fn subject(centre: &str) -> String {
     format!("speaker/{centre}")
 }
 
-fn choose(own: &str, members: Vec<Member>, failures: usize) -> Member {
+fn choose_peer(own: &str, members: Vec<Member>, failures: usize) -> Member {
     let mut order = ranked(&subject(own), members);
     order.sort_by_key(|m| m.state != MemberState::Alive);
     order.swap_remove(failures % order.len())
--- a/crates/roseshore_core/src/membership/hosts.rs
+++ b/crates/roseshore_core/src/membership/hosts.rs
@@ -1,66 +1,66 @@
-//! The platform's host list, as last seen.
+//! The newest host list of the platform.
 //!
-//! A host that the list showed as leaving and then dropped stays leaving until the list shows it
-//! live again: the list is late, and a host on its way out must not get work in between.
+//! A host that the list showed as leaving and then dropped stays leaving until the list shows it as
+//! live again: the list is delayed, and a host that is being withdrawn must not get work meanwhile.
 
 use crate::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// One host of the list.
+/// Entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedHost {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Where it is.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// Where a daemon on it hears peers; absent for hosts of targets.
+    /// Peer address of the daemon on the host; `None` for hosts of targets.
     pub peer: Option<SocketAddr>,
-    /// Whether it is being taken away.
+    /// Whether the host is being withdrawn.
     pub leaving: bool,
 }
 
-/// The newest list and the hosts that left it.
+/// Newest host list, and hosts that were dropped from the list while leaving.
 pub struct HostTable {
     version: Option<u64>,
     hosts: BTreeMap<HostId, ListedHost>,
-    left: BTreeMap<HostId, Instant>,
-    /// The leaving ones of `hosts` and all of `left`: few, and asked for often.
+    withdrawn: BTreeMap<HostId, Instant>,
+    /// Leaving hosts of `hosts` and all of `withdrawn`, kept because they are few and queried often.
     leaving: BTreeSet<HostId>,
-    remember: Duration,
+    retention: Duration,
 }
 
 impl HostTable {
-    /// No list yet; hosts that left are remembered as long as `remember`.
-    pub fn new(remember: Duration) -> HostTable {
-        let (hosts, left, leaving) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        HostTable { version: None, hosts, left, leaving, remember }
+    /// Creates a table without a list; withdrawn hosts are remembered for `retention`.
+    pub fn new(retention: Duration) -> HostTable {
+        let (hosts, withdrawn, leaving) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        HostTable { version: None, hosts, withdrawn, leaving, retention }
     }
 
-    /// Takes a list, or returns `false` if it is older than the known one.
+    /// Replaces the list; returns `false` if `version` is older than the known one.
     pub fn replace(&mut self, version: u64, hosts: Vec<ListedHost>, now: Instant) -> bool {
         if self.version.is_some_and(|known| version < known) {
             return false;
         }
         self.version = Some(version);
-        let fresh: BTreeMap<_, _> = hosts.into_iter().map(|h| (h.host.clone(), h)).collect();
+        let listed: BTreeMap<_, _> = hosts.into_iter().map(|h| (h.host.clone(), h)).collect();
         for (host, old) in &self.hosts {
-            if old.leaving && !fresh.contains_key(host) {
-                self.left.insert(host.clone(), now);
+            if old.leaving && !listed.contains_key(host) {
+                self.withdrawn.insert(host.clone(), now);
             }
         }
-        self.left.retain(|host, _| !fresh.contains_key(host));
-        self.hosts = fresh;
+        self.withdrawn.retain(|host, _| !listed.contains_key(host));
+        self.hosts = listed;
         let leaving = self.hosts.values().filter(|h| h.leaving).map(|h| &h.host);
-        self.leaving = leaving.chain(self.left.keys()).cloned().collect();
+        self.leaving = leaving.chain(self.withdrawn.keys()).cloned().collect();
         true
     }
 
-    /// Forgets hosts that left long ago.
-    pub fn forget(&mut self, now: Instant) {
-        let keep = self.remember;
+    /// Drops hosts that were withdrawn longer ago than the retention.
+    pub fn prune(&mut self, now: Instant) {
+        let keep = self.retention;
         let leaving = &mut self.leaving;
-        self.left.retain(|host, since| {
+        self.withdrawn.retain(|host, since| {
             let recent = now.saturating_duration_since(*since) < keep;
             if !recent {
                 leaving.remove(host);
@@ -69,28 +69,28 @@
         });
     }
 
-    /// Whether the list has the host.
+    /// Whether the host is in the list.
     pub fn contains(&self, host: &HostId) -> bool {
         self.hosts.contains_key(host)
     }
 
-    /// Whether the list says, or last said, that the host is leaving.
+    /// Whether the host is leaving, by the list or by its last entry in an earlier list.
     pub fn leaving(&self, host: &HostId) -> bool {
         self.leaving.contains(host)
     }
 
-    /// The hosts without a daemon that the list says, or last said, are leaving.
+    /// Returns the leaving hosts without a daemon.
     pub fn leaving_targets(&self) -> BTreeSet<HostId> {
         let target = |host: &&HostId| self.hosts.get(*host).is_none_or(|h| h.peer.is_none());
         self.leaving.iter().filter(target).cloned().collect()
     }
 
-    /// Where the daemon on a host hears peers.
+    /// Returns the peer address of the daemon on a host.
     pub fn peer(&self, host: &HostId) -> Option<SocketAddr> {
         self.hosts.get(host)?.peer
     }
 
-    /// The hosts with a daemon, where it hears peers, and its data centre.
+    /// Returns the hosts with a daemon, with its peer address and its data centre.
     pub fn daemons(&self) -> impl Iterator<Item = (&HostId, SocketAddr, &DataCentreId)> {
         self.hosts.values().filter_map(|h| Some((&h.host, h.peer?, &h.data_centre)))
     }
--- a/crates/roseshore_core/src/membership/member.rs
+++ b/crates/roseshore_core/src/membership/member.rs
@@ -1,86 +1,86 @@
-//! What is said and thought of a daemon.
+//! Heartbeats of daemons and their states.
 
 use crate::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a daemon says of itself, several times a second.
+/// Heartbeat that a daemon sends several times a second.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its host.
+    /// Host of the sender.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the sender.
     pub data_centre: DataCentreId,
-    /// Its life.
+    /// Incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// Grows with every heartbeat of one life.
+    /// Sequence number; increases with every heartbeat of an incarnation.
     pub sequence: u64,
-    /// Whether it takes no new work.
+    /// Whether the sender takes no new work.
     pub leaving: bool,
-    /// One past the last configuration record it has folded.
+    /// One past the last configuration record that the sender has folded.
     pub offset: Offset,
-    /// The digest of its configuration at that offset.
+    /// Digest of the sender's configuration at that offset.
     pub digest: u64,
 }
 
-/// What a daemon thinks of another.
+/// State of a daemon as seen by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Heard of lately.
+    /// Has sent a heartbeat recently.
     Alive,
-    /// Not heard of lately; still counted among the daemons.
+    /// Has sent no heartbeat recently, but is still a member.
     Suspect,
-    /// Takes no new work, by its own heartbeat or the host list.
+    /// Takes no new work, by its own heartbeat or by the host list.
     Leaving,
-    /// No longer counted.
+    /// Is no longer a member.
     Gone,
 }
 
-/// A daemon, this one included.
+/// Member of the system: this daemon or another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the daemon.
     pub data_centre: DataCentreId,
-    /// Where it hears peers, UDP and TCP.
+    /// Address for peers, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Its life; 0 until heard of.
+    /// Incarnation of the daemon; 0 before its first heartbeat.
     pub incarnation: Incarnation,
-    /// What this daemon thinks of it.
+    /// State as seen by this daemon.
     pub state: MemberState,
-    /// One past the last configuration record it says it has folded.
+    /// One past the last configuration record folded, by its newest heartbeat.
     pub offset: Offset,
-    /// The digest it gives for that offset.
+    /// Digest of its configuration at that offset.
     pub digest: u64,
 }
 
-/// A daemon's change of state; one not known before was gone.
+/// Change of a daemon's state; an unknown daemon counts as gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The daemon.
+    /// Host of the daemon.
     pub host: HostId,
-    /// What was thought of it.
+    /// Previous state.
     pub from: MemberState,
-    /// What is thought of it now.
+    /// New state.
     pub to: MemberState,
 }
 
 /// Why a heartbeat was ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ignored {
-    /// The sender's address is neither in the host list nor a seed, or belongs to another host.
+    /// The sender's address is not that of the named host, or not a seed if that host is unknown.
     UnknownSender,
-    /// It names this daemon's own host.
+    /// The heartbeat names this daemon's own host.
     OwnHost,
-    /// It is of an older life.
+    /// A newer incarnation of the daemon is known.
     OldIncarnation,
-    /// It was heard of before, or a newer one of the same life was.
+    /// This heartbeat or a newer one of the same incarnation was received before.
     Duplicate,
 }
 
 impl Ignored {
-    /// The stable name used in metrics.
+    /// Stable name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Ignored::UnknownSender => "stranger",
@@ -91,11 +91,11 @@
     }
 }
 
-/// One daemon of another data centre, in a digest.
+/// Digest entry for one daemon of another data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// The last heartbeat.
+    /// Newest heartbeat of the daemon.
     pub beat: Heartbeat,
-    /// Its age when the digest was written, milliseconds.
+    /// Age of the heartbeat when the digest was created, in milliseconds.
     pub age_ms: u32,
 }
--- a/crates/roseshore_core/src/membership/settings.rs
+++ b/crates/roseshore_core/src/membership/settings.rs
@@ -1,80 +1,85 @@
-//! The bounds of membership.
+//! Timing of membership.
 
 use std::time::Duration;
 
-/// How long silence means what.
+/// Intervals and timeouts of membership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Heartbeats in a small data centre come this often; see [`Settings::period`].
+    /// Shortest interval between heartbeats; see [`Settings::period`].
     pub period: Duration,
-    /// What each further peer adds to the period, so that traffic does not grow with the square.
-    pub spread: Duration,
-    /// Silence, in periods, after which a daemon of the own data centre is suspected.
-    pub misses: f32,
-    /// Silence after which a daemon is gone if the host list does not know it either.
-    pub gone: Duration,
-    /// Silence after which it is gone, whatever the list says.
-    pub longest: Duration,
-    /// How often two data centres exchange digests; see [`Settings::digest_period`].
-    pub digest: Duration,
-    /// What each further data centre adds to that period.
-    pub digest_spread: Duration,
-    /// A gap between two events longer than this was a pause of this process.
-    pub pause: Duration,
-    /// How long after a start or a pause the view is not relied on.
-    pub settle: Duration,
-    /// How long incarnations and leaving hosts are remembered after they were last heard of or listed.
-    pub remember: Duration,
+    /// Interval per peer, which applies in large data centres so that the traffic does not grow with
+    /// the square of the number of daemons.
+    pub per_peer: Duration,
+    /// Silence in heartbeat intervals after which a daemon of the own data centre is suspected.
+    pub suspect_periods: f32,
+    /// Silence after which a daemon is gone if it is not in the host list.
+    pub gone_unlisted: Duration,
+    /// Silence after which a daemon is gone even if it is in the host list.
+    pub gone_listed: Duration,
+    /// Shortest interval between digests of two data centres; see [`Settings::digest_period`].
+    pub digest_interval: Duration,
+    /// Digest interval per other data centre, which applies if there are many.
+    pub per_centre: Duration,
+    /// Longest gap between two events that does not count as a pause of this process.
+    pub pause_threshold: Duration,
+    /// How long the view is stale after a start or a pause.
+    pub settle_time: Duration,
+    /// How long incarnations and leaving hosts are remembered after the last heartbeat or listing.
+    pub retention: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             period: Duration::from_millis(200),
-            spread: Duration::from_millis(28),
-            misses: 3.0,
-            gone: Duration::from_secs(10),
-            longest: Duration::from_mins(1),
-            digest: Duration::from_secs(2),
-            digest_spread: Duration::from_secs(1),
-            pause: Duration::from_millis(500),
-            settle: Duration::from_millis(600),
-            remember: Duration::from_hours(24),
+            per_peer: Duration::from_millis(28),
+            suspect_periods: 3.0,
+            gone_unlisted: Duration::from_secs(10),
+            gone_listed: Duration::from_mins(1),
+            digest_interval: Duration::from_secs(2),
+            per_centre: Duration::from_secs(1),
+            pause_threshold: Duration::from_millis(500),
+            settle_time: Duration::from_millis(600),
+            retention: Duration::from_hours(24),
         }
     }
 }
 
-/// The bounds of one data centre's daemons.
+/// Silence after which daemons of a data centre change their state.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bounds {
     pub(super) suspect: Duration,
-    pub(super) gone: Duration,
-    pub(super) longest: Duration,
+    pub(super) gone_unlisted: Duration,
+    pub(super) gone_listed: Duration,
 }
 
-/// Digests that may be lost before the daemons of another data centre are suspected.
-const FAR_MISSES: u32 = 3;
+/// Silence in digest intervals after which a daemon of another data centre is suspected.
+const SUSPECT_DIGESTS: u32 = 3;
 
 impl Settings {
-    /// How often heartbeats are sent to each of `peers` others.
+    /// Interval between heartbeats to each of `peers` other daemons.
     pub fn period(&self, peers: usize) -> Duration {
-        self.period.max(self.spread * peers as u32)
+        self.period.max(self.per_peer * peers as u32)
     }
 
-    /// The bounds in the own data centre with `peers` others in it.
-    pub(super) fn near(&self, peers: usize) -> Bounds {
-        let suspect = self.period(peers).mul_f32(self.misses);
-        Bounds { suspect, gone: self.gone, longest: self.longest }
+    /// Bounds for the own data centre with `peers` other daemons.
+    pub(super) fn local_bounds(&self, peers: usize) -> Bounds {
+        let suspect = self.period(peers).mul_f32(self.suspect_periods);
+        Bounds { suspect, gone_unlisted: self.gone_unlisted, gone_listed: self.gone_listed }
     }
 
-    /// How often digests are exchanged with each of `centres` other data centres.
+    /// Interval between digests with each of `centres` other data centres.
     pub fn digest_period(&self, centres: usize) -> Duration {
-        self.digest.max(self.digest_spread * centres as u32)
+        self.digest_interval.max(self.per_centre * centres as u32)
     }
 
-    /// The bounds in the other data centres, `centres` of them.
-    pub(super) fn far(&self, centres: usize) -> Bounds {
-        let suspect = self.digest_period(centres) * FAR_MISSES;
-        Bounds { suspect, gone: self.gone.max(suspect * 2), longest: self.longest.max(suspect * 4) }
+    /// Bounds for `centres` other data centres.
+    pub(super) fn remote_bounds(&self, centres: usize) -> Bounds {
+        let suspect = self.digest_period(centres) * SUSPECT_DIGESTS;
+        Bounds {
+            suspect,
+            gone_unlisted: self.gone_unlisted.max(suspect * 2),
+            gone_listed: self.gone_listed.max(suspect * 4),
+        }
     }
 }
--- a/crates/roseshore_core/tests/membership.rs
+++ b/crates/roseshore_core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership: tables of steps, and any order of heartbeats, losses, restarts, pauses and cuts.
+//! Tests of membership: tables of events, and a simulation with any order of heartbeats, losses,
+//! restarts, pauses and partitions.
 
 use proptest::prelude::*;
 use roseshore_core::membership::{
@@ -34,31 +35,31 @@
     Membership::new(beat(n, 1, 0, false), addr(n), vec![addr(9)], Settings::default(), now)
 }
 
-/// One event of a case; times are in milliseconds since the step before.
+/// Event or expectation of a case; times are in milliseconds since the previous step.
 #[derive(Clone, Copy)]
 enum Step {
-    /// A heartbeat of host 1: incarnation, sequence, leaving.
+    /// Heartbeat of host 1: incarnation, sequence, leaving.
     Beat(u64, u64, bool),
-    /// A heartbeat that names host `.0` from the address of host `.1`.
+    /// Heartbeat that names host `.0`, sent from the address of host `.1`, and its result.
     From(u16, u16, Result<(), Ignored>),
-    /// Word of host 50 from another data centre, this old.
-    Told(u64, u32),
-    /// The host list of this version, with hosts and whether each is leaving.
+    /// Digest entry for host 50 of another data centre: sequence and age.
+    Digest(u64, u32),
+    /// Host list: version, and hosts with whether each is leaving.
     List(u64, &'static [(u16, bool)]),
-    /// Time passes, in ticks.
-    Pass(u64),
-    /// Time passes in one jump.
+    /// Time passes, with a tick every 100 ms.
+    Advance(u64),
+    /// Time passes without ticks.
     Pause(u64),
-    /// What is thought of a host.
-    Is(u16, MemberState),
-    /// A host is not counted.
-    Not(u16),
-    /// A host takes new work or not.
+    /// Expects the state of a host.
+    State(u16, MemberState),
+    /// Expects that a host is gone.
+    Gone(u16),
+    /// Expects whether a host is leaving.
     Leaving(u16, bool),
-    /// Whether the own view may be out of date.
+    /// Expects whether the view is stale.
     Stale(bool),
 }
-use MemberState::{Alive, Leaving as Left, Suspect};
+use MemberState::{Alive, Leaving as LeavingState, Suspect};
 use Step::*;
 
 struct Case {
@@ -71,43 +72,43 @@
         name: "silence: alive, suspect, gone",
         steps: &[
             List(1, &[(1, false)]),
-            Is(1, Suspect),
+            State(1, Suspect),
             Beat(1, 1, false),
-            Is(1, Alive),
-            Pass(500),
-            Is(1, Alive),
-            Pass(200),
-            Is(1, Suspect),
-            Pass(15_000),
-            Is(1, Suspect),
+            State(1, Alive),
+            Advance(500),
+            State(1, Alive),
+            Advance(200),
+            State(1, Suspect),
+            Advance(15_000),
+            State(1, Suspect),
             List(2, &[]),
-            Not(1),
+            Gone(1),
         ],
     },
     Case {
         name: "listed but silent past the longer bound is gone",
-        steps: &[List(1, &[(1, false)]), Beat(1, 1, false), Pass(61_000), Not(1)],
+        steps: &[List(1, &[(1, false)]), Beat(1, 1, false), Advance(61_000), Gone(1)],
     },
     Case {
-        name: "not listed but heard stays",
+        name: "not listed but sending heartbeats stays",
         steps: &[
             List(1, &[(1, false)]),
             Beat(1, 1, false),
-            Pass(100),
+            Advance(100),
             List(2, &[]),
             Beat(1, 2, false),
-            Is(1, Alive),
+            State(1, Alive),
         ],
     },
     Case {
-        name: "leaving by its own word",
+        name: "leaving by its heartbeat",
         steps: &[
             List(1, &[(1, false)]),
             Beat(1, 1, true),
-            Is(1, Left),
+            State(1, LeavingState),
             Leaving(1, true),
             Beat(2, 1, false),
-            Is(1, Alive),
+            State(1, Alive),
             Leaving(1, false),
         ],
     },
@@ -117,7 +118,7 @@
             List(1, &[(1, false)]),
             Beat(1, 1, false),
             List(2, &[(1, true)]),
-            Is(1, Left),
+            State(1, LeavingState),
             Beat(2, 1, false),
             Leaving(1, true),
         ],
@@ -128,7 +129,7 @@
             List(1, &[(7, true)]),
             List(2, &[]),
             Leaving(7, true),
-            Pass(60_000),
+            Advance(60_000),
             Leaving(7, true),
             List(3, &[(7, false)]),
             Leaving(7, false),
@@ -139,22 +140,22 @@
         steps: &[List(5, &[(7, true)]), List(4, &[(7, false)]), Leaving(7, true)],
     },
     Case {
-        name: "an older life changes nothing",
-        steps: &[List(1, &[(1, false)]), Beat(3, 1, false), Beat(2, 9, true), Is(1, Alive)],
+        name: "an older incarnation changes nothing",
+        steps: &[List(1, &[(1, false)]), Beat(3, 1, false), Beat(2, 9, true), State(1, Alive)],
     },
     Case {
-        name: "a repeat does not prolong a life",
+        name: "a duplicate heartbeat does not reset the silence",
         steps: &[
             List(1, &[(1, false)]),
             Beat(1, 5, false),
-            Pass(700),
+            Advance(700),
             Beat(1, 5, false),
             Beat(1, 4, false),
-            Is(1, Suspect),
+            State(1, Suspect),
         ],
     },
     Case {
-        name: "addresses bind names",
+        name: "a heartbeat must come from the address of its host",
         steps: &[
             From(1, 1, Err(Ignored::UnknownSender)),
             List(1, &[(1, false), (2, false)]),
@@ -163,41 +164,41 @@
             From(2, 9, Err(Ignored::UnknownSender)),
             From(0, 1, Err(Ignored::OwnHost)),
             From(9, 9, Ok(())),
-            Is(9, Alive),
+            State(9, Alive),
         ],
     },
     Case {
-        name: "own pause is not held against others",
+        name: "the own pause does not count as silence of others",
         steps: &[
             List(1, &[(1, false)]),
-            Pass(1000),
+            Advance(1000),
             Beat(1, 1, false),
             Stale(false),
             Pause(600_000),
-            Is(1, Alive),
+            State(1, Alive),
             Stale(true),
-            Pass(700),
+            Advance(700),
             Stale(false),
-            Is(1, Suspect),
+            State(1, Suspect),
         ],
     },
     Case {
-        name: "a far data centre cut off and back",
+        name: "another data centre partitioned and back",
         steps: &[
             List(1, &[(50, false)]),
-            Told(1, 0),
-            Is(50, Alive),
-            Pass(7000),
-            Is(50, Suspect),
-            Pass(60_000),
-            Not(50),
-            Told(2, 100),
-            Is(50, Alive),
+            Digest(1, 0),
+            State(50, Alive),
+            Advance(7000),
+            State(50, Suspect),
+            Advance(60_000),
+            Gone(50),
+            Digest(2, 100),
+            State(50, Alive),
         ],
     },
     Case {
-        name: "a far digest counts from its age",
-        steps: &[List(1, &[(50, false)]), Told(1, 5900), Pass(200), Is(50, Suspect)],
+        name: "a digest entry counts from its age",
+        steps: &[List(1, &[(50, false)]), Digest(1, 5900), Advance(200), State(50, Suspect)],
     },
 ];
 
@@ -221,7 +222,7 @@
                 let got = view.on_heartbeat(addr(from), beat(host, 1, 1, false), now).map(drop);
                 assert_eq!(got, want, "{at}");
             }
-            Told(sequence, age_ms) => {
+            Digest(sequence, age_ms) => {
                 let beat = beat(50, 1, sequence, false);
                 view.on_digest(vec![MemberDigest { beat, age_ms }], now);
             }
@@ -229,7 +230,7 @@
                 let hosts = hosts.iter().map(|(n, leaving)| listed(*n, *leaving)).collect();
                 view.on_host_list(version, hosts, now);
             }
-            Pass(time) => {
+            Advance(time) => {
                 for _ in 0..time / 100 {
                     now += ms(100);
                     view.tick(now);
@@ -240,8 +241,8 @@
                 assert!(view.stale(now), "{at}: before the first tick");
                 view.tick(now);
             }
-            Is(n, want) => assert_eq!(state(&view, n), Some(want), "{at}"),
-            Not(n) => assert_eq!(state(&view, n), None, "{at}"),
+            State(n, want) => assert_eq!(state(&view, n), Some(want), "{at}"),
+            Gone(n) => assert_eq!(state(&view, n), None, "{at}"),
             Leaving(n, want) => assert_eq!(view.leaving(&name(n)), want, "{at}"),
             Stale(want) => assert_eq!(view.stale(now), want, "{at}"),
         }
@@ -253,7 +254,7 @@
 }
 
 #[test]
-fn listed_peers_are_spoken_to_for_ever() {
+fn listed_peers_always_get_heartbeats() {
     let mut now = Instant::now();
     let mut view = view(0, now);
     view.on_host_list(1, vec![listed(0, false), listed(1, false), listed(50, false)], now);
@@ -265,70 +266,70 @@
     assert_eq!(view.heartbeat_addrs(), vec![addr(1), addr(9)], "the gone peer and the silent seed");
 }
 
-/// What may happen in the world of the property below.
+/// Event of the simulation.
 #[derive(Clone, Debug)]
-enum Fate {
+enum Event {
     Beat(u16),
     Deliver(usize),
     Repeat(usize),
     Lose(usize),
     Restart(u16),
     Pause(u16, u64),
-    Cut(u16, u16, bool),
+    Block(u16, u16, bool),
     Drain(u16),
     List,
-    Pass(u64),
+    Advance(u64),
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn event() -> impl Strategy<Value = Event> {
     let host = 0..4u16;
     prop_oneof![
-        6 => host.clone().prop_map(Fate::Beat),
-        8 => any::<usize>().prop_map(Fate::Deliver),
-        2 => any::<usize>().prop_map(Fate::Repeat),
-        2 => any::<usize>().prop_map(Fate::Lose),
-        1 => host.clone().prop_map(Fate::Restart),
-        1 => (host.clone(), 600..90_000u64).prop_map(|(h, t)| Fate::Pause(h, t)),
-        1 => (host.clone(), host.clone(), any::<bool>()).prop_map(|(a, b, c)| Fate::Cut(a, b, c)),
-        1 => host.prop_map(Fate::Drain),
-        1 => Just(Fate::List),
-        4 => (50..400u64).prop_map(Fate::Pass),
+        6 => host.clone().prop_map(Event::Beat),
+        8 => any::<usize>().prop_map(Event::Deliver),
+        2 => any::<usize>().prop_map(Event::Repeat),
+        2 => any::<usize>().prop_map(Event::Lose),
+        1 => host.clone().prop_map(Event::Restart),
+        1 => (host.clone(), 600..90_000u64).prop_map(|(h, t)| Event::Pause(h, t)),
+        1 => (host.clone(), host.clone(), any::<bool>()).prop_map(|(a, b, c)| Event::Block(a, b, c)),
+        1 => host.prop_map(Event::Drain),
+        1 => Just(Event::List),
+        4 => (50..400u64).prop_map(Event::Advance),
     ]
 }
 
-struct Mail {
+struct Message {
     from: u16,
     to: u16,
     beat: Heartbeat,
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     views: Vec<Membership>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     draining: Vec<bool>,
-    asleep: Vec<Instant>,
-    cut: Vec<(u16, u16)>,
-    mail: Vec<Mail>,
-    /// For each view and host: the newest heartbeat and when it came.
-    heard: Vec<Vec<Option<(Heartbeat, Instant)>>>,
+    paused_until: Vec<Instant>,
+    blocked: Vec<(u16, u16)>,
+    in_flight: Vec<Message>,
+    /// For each view and host: the newest heartbeat and when it was received.
+    received: Vec<Vec<Option<(Heartbeat, Instant)>>>,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let now = Instant::now();
-        let mut world = World {
+        let mut sim = Simulation {
             now,
             views: (0..4).map(|n| view(n, now)).collect(),
-            lives: vec![1; 4],
+            incarnations: vec![1; 4],
             draining: vec![false; 4],
-            asleep: vec![now; 4],
-            cut: Vec::new(),
-            mail: Vec::new(),
-            heard: vec![vec![None; 4]; 4],
+            paused_until: vec![now; 4],
+            blocked: Vec::new(),
+            in_flight: Vec::new(),
+            received: vec![vec![None; 4]; 4],
         };
-        world.list();
-        world
+        sim.list();
+        sim
     }
 
     fn list(&mut self) {
@@ -337,111 +338,112 @@
         }
     }
 
-    fn awake(&self, n: u16) -> bool {
-        self.asleep[n as usize] <= self.now
+    fn running(&self, n: u16) -> bool {
+        self.paused_until[n as usize] <= self.now
     }
 
     fn beat(&mut self, from: u16) {
-        if !self.awake(from) {
+        if !self.running(from) {
             return;
         }
-        let beat = self.views[from as usize].beat(self.draining[from as usize], 0, 0);
-        for to in (0..4).filter(|to| *to != from && !self.cut.contains(&(from, *to))) {
-            self.mail.push(Mail { from, to, beat: beat.clone() });
+        let beat = self.views[from as usize].next_heartbeat(self.draining[from as usize], 0, 0);
+        for to in (0..4).filter(|to| *to != from && !self.blocked.contains(&(from, *to))) {
+            self.in_flight.push(Message { from, to, beat: beat.clone() });
         }
     }
 
     fn deliver(&mut self, i: usize, keep: bool) {
-        if self.mail.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let i = i % self.mail.len();
-        let Mail { from, to, beat } = &self.mail[i];
-        if self.awake(*to) {
+        let i = i % self.in_flight.len();
+        let Message { from, to, beat } = &self.in_flight[i];
+        if self.running(*to) {
             let got = self.views[*to as usize].on_heartbeat(addr(*from), beat.clone(), self.now);
-            let heard = &mut self.heard[*to as usize][*from as usize];
+            let received = &mut self.received[*to as usize][*from as usize];
             let order = |b: &Heartbeat| (b.incarnation, b.sequence);
-            let newer = heard.as_ref().is_none_or(|(last, _)| order(beat) > order(last));
-            assert_eq!(got.is_ok(), newer, "an older heartbeat counts for nothing");
+            let newer = received.as_ref().is_none_or(|(last, _)| order(beat) > order(last));
+            assert_eq!(got.is_ok(), newer, "older heartbeats are ignored");
             if newer {
-                *heard = Some((beat.clone(), self.now));
+                *received = Some((beat.clone(), self.now));
             }
         }
         if !keep {
-            self.mail.swap_remove(i);
+            self.in_flight.swap_remove(i);
         }
     }
 
     fn lose(&mut self, i: usize) {
-        if !self.mail.is_empty() {
-            self.mail.swap_remove(i % self.mail.len());
+        if !self.in_flight.is_empty() {
+            self.in_flight.swap_remove(i % self.in_flight.len());
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         self.now += ms(time);
         for n in 0..4 {
-            if self.awake(n) {
+            if self.running(n) {
                 self.views[n as usize].tick(self.now);
             }
         }
     }
 
-    fn apply(&mut self, fate: Fate) {
-        match fate {
-            Fate::Beat(n) => self.beat(n),
-            Fate::Deliver(i) => self.deliver(i, false),
-            Fate::Repeat(i) => self.deliver(i, true),
-            Fate::Lose(i) => self.lose(i),
-            Fate::Restart(n) => self.restart(n),
-            Fate::Pause(n, time) => self.asleep[n as usize] = self.now + ms(time),
-            Fate::Cut(a, b, true) => self.cut.push((a, b)),
-            Fate::Cut(a, b, false) => self.cut.retain(|c| *c != (a, b)),
-            Fate::Drain(n) => self.draining[n as usize] = true,
-            Fate::List => self.list(),
-            Fate::Pass(time) => self.pass(time),
+    fn apply(&mut self, event: Event) {
+        match event {
+            Event::Beat(n) => self.beat(n),
+            Event::Deliver(i) => self.deliver(i, false),
+            Event::Repeat(i) => self.deliver(i, true),
+            Event::Lose(i) => self.lose(i),
+            Event::Restart(n) => self.restart(n),
+            Event::Pause(n, time) => self.paused_until[n as usize] = self.now + ms(time),
+            Event::Block(a, b, true) => self.blocked.push((a, b)),
+            Event::Block(a, b, false) => self.blocked.retain(|c| *c != (a, b)),
+            Event::Drain(n) => self.draining[n as usize] = true,
+            Event::List => self.list(),
+            Event::Advance(time) => self.advance(time),
         }
     }
 
     fn restart(&mut self, n: u16) {
         let i = n as usize;
-        self.lives[i] += 1;
+        self.incarnations[i] += 1;
         self.draining[i] = false;
-        self.asleep[i] = self.now;
-        let own = beat(n, self.lives[i], 0, false);
+        self.paused_until[i] = self.now;
+        let own = beat(n, self.incarnations[i], 0, false);
         self.views[i] = Membership::new(own, addr(n), vec![], Settings::default(), self.now);
         self.views[i].on_host_list(1, (0..4).map(|n| listed(n, false)).collect(), self.now);
-        self.heard[i] = vec![None; 4];
+        self.received[i] = vec![None; 4];
     }
 
     fn check(&self) {
-        for (i, view) in self.views.iter().enumerate().filter(|(i, _)| self.awake(*i as u16)) {
+        for (i, view) in self.views.iter().enumerate().filter(|(i, _)| self.running(*i as u16)) {
             for member in view.all().iter().skip(1) {
                 let n: usize = member.host[1..].parse().expect("a number");
-                let life = self.heard[i][n].as_ref().map_or(0, |(beat, _)| beat.incarnation);
-                assert_eq!(member.incarnation, life, "the newest life heard of");
+                let incarnation =
+                    self.received[i][n].as_ref().map_or(0, |(beat, _)| beat.incarnation);
+                assert_eq!(member.incarnation, incarnation, "newest incarnation received");
             }
-            for (beat, at) in self.heard[i].iter().flatten() {
+            for (beat, at) in self.received[i].iter().flatten() {
                 let fresh = self.now - *at < ms(10_000);
                 let counted = view.all().iter().any(|m| m.host == beat.host);
-                assert!(!fresh || counted, "heard of within the bound is not gone");
-                assert_eq!(view.leaving(&beat.host), beat.leaving, "by its own word");
+                assert!(!fresh || counted, "a host with a recent heartbeat is not gone");
+                assert_eq!(view.leaving(&beat.host), beat.leaving, "leaving by its heartbeat");
                 let chosen = view.ranked("work").iter().any(|m| m.host == beat.host);
-                assert!(!chosen || !beat.leaving, "a leaving one gets no work");
+                assert!(!chosen || !beat.leaving, "a leaving host gets no work");
             }
         }
     }
 
-    /// Lets the world run without faults until views have had time to agree.
-    fn heal(&mut self) {
-        self.cut.clear();
-        self.mail.clear();
-        self.now = self.now.max(*self.asleep.iter().max().expect("four"));
+    /// Runs without faults until the views have had time to converge.
+    fn settle(&mut self) {
+        self.blocked.clear();
+        self.in_flight.clear();
+        self.now = self.now.max(*self.paused_until.iter().max().expect("four hosts"));
         for _ in 0..20 {
-            self.pass(100);
+            self.advance(100);
             self.list();
             (0..4).for_each(|n| self.beat(n));
-            while !self.mail.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, false);
             }
         }
@@ -452,22 +454,22 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn any_order_of_events(fates in prop::collection::vec(fate(), 0..250)) {
-        let mut world = World::new();
-        for fate in fates {
-            world.apply(fate);
-            world.check();
+    fn any_order_of_events(events in prop::collection::vec(event(), 0..250)) {
+        let mut sim = Simulation::new();
+        for event in events {
+            sim.apply(event);
+            sim.check();
         }
-        world.heal();
-        world.check();
+        sim.settle();
+        sim.check();
         for subject in ["a", "b", "c", "d"] {
             let order = |v: &Membership| v.ranked(subject).into_iter().map(|m| m.host).collect::<Vec<_>>();
-            let first = order(&world.views[0]);
-            let alive = world.draining.iter().filter(|d| !**d).count();
+            let first = order(&sim.views[0]);
+            let alive = sim.draining.iter().filter(|d| !**d).count();
             prop_assert_eq!(first.len(), alive);
-            for (n, view) in world.views.iter().enumerate() {
-                prop_assert_eq!(&order(view), &first, "views agree after the cut");
-                prop_assert!(!view.stale(world.now));
+            for (n, view) in sim.views.iter().enumerate() {
+                prop_assert_eq!(&order(view), &first, "views agree after the partition");
+                prop_assert!(!view.stale(sim.now));
                 let place = first.iter().position(|h| *h == name(n as u16));
                 prop_assert_eq!(view.place(subject), place);
             }
@@ -475,7 +477,7 @@
     }
 
     #[test]
-    fn one_that_leaves_moves_only_its_own(count in 2..40u16, gone in any::<u16>(), subject in "[a-z]{1,8}") {
+    fn a_departure_moves_only_its_own_subjects(count in 2..40u16, gone in any::<u16>(), subject in "[a-z]{1,8}") {
         let all: Vec<_> = (0..count).map(|n| view(n, Instant::now()).own()).collect();
         let gone = name(gone % count);
         let mut before = ranked(&subject, all.clone());
@@ -486,14 +488,14 @@
 }
 
 #[test]
-fn who_speaks_with_another_data_centre() {
-    /// One event; times are in milliseconds since the step before.
+fn digest_calls_to_another_data_centre() {
+    /// Step of a case; times are in milliseconds since the previous step.
     enum Step {
-        /// With this place in the order, the host that is called, if one is.
+        /// At this time with this place in the order, the host that is called, if any.
         At(u64, Option<usize>, Option<u16>),
         /// The call failed.
         Failed,
-        /// Word came from over there.
+        /// A digest of the other data centre arrives.
         Heard,
     }
     use Step::{At, Failed, Heard};
@@ -504,17 +506,17 @@
     }
     let cases = [
         Case {
-            name: "the smaller name begins, each period",
+            name: "the smaller name calls, each period",
             own: "a",
             steps: &[At(0, Some(0), Some(1)), At(1900, Some(0), None), At(100, Some(0), Some(1))],
         },
         Case {
-            name: "the others of the data centre keep still",
+            name: "other daemons of the data centre do not call",
             own: "a",
             steps: &[At(0, Some(1), None), At(5000, None, None), At(0, Some(0), Some(1))],
         },
         Case {
-            name: "the larger name waits, and begins when it hears nothing",
+            name: "the larger name waits, and calls when no digest arrives",
             own: "z",
             steps: &[
                 At(0, Some(0), None),
@@ -525,7 +527,7 @@
             ],
         },
         Case {
-            name: "after a failure the next one, then a rest, then round again",
+            name: "after a failure the next daemon, then a pause, then the first again",
             own: "a",
             steps: &[
                 At(0, Some(0), Some(1)),
@@ -542,7 +544,7 @@
         },
     ];
     let mut far = ranked("speaker/a", (1..4).map(|n| view(n, Instant::now()).own()).collect());
-    // The places of the order get the numbers 1 to 3; the gone one is tried last.
+    // The steps number the hosts 1 to 3 in the order of calls; the gone one is called last.
     far.rotate_left(1);
     far[2].state = MemberState::Gone;
     for case in cases {
@@ -550,19 +552,19 @@
         let mut order: Vec<_> = far.iter().filter(|m| m.state == Alive).collect();
         order.extend(far.iter().filter(|m| m.state != Alive));
         let mut now = Instant::now();
-        let mut speakers = DigestSchedule::new(case.own.into(), Settings::default());
+        let mut schedule = DigestSchedule::new(case.own.into(), Settings::default());
         for (i, step) in case.steps.iter().enumerate() {
             match *step {
                 At(time, place, want) => {
                     now += ms(time);
-                    let calls = speakers.tick(far.clone(), |_| place, now);
+                    let calls = schedule.tick(far.clone(), |_| place, now);
                     let got: Vec<_> = calls.into_iter().map(|c| c.to.host).collect();
                     let want: Vec<_> =
                         want.iter().map(|n| order[*n as usize - 1].host.clone()).collect();
                     assert_eq!(got, want, "{}, step {i}", case.name);
                 }
-                Failed => speakers.failed(&"near".into(), now),
-                Heard => speakers.heard(&"near".into(), now),
+                Failed => schedule.failed(&"near".into(), now),
+                Heard => schedule.heard(&"near".into(), now),
             }
         }
     }
--- a/crates/roseshored/src/members.rs
+++ b/crates/roseshored/src/members.rs
@@ -150,7 +150,7 @@
 
     /// Daemons of other data centres that are in the host list or not gone.
     pub fn remote_members(&self) -> Vec<Member> {
-        self.view.lock().far()
+        self.view.lock().remote()
     }
 
     /// The membership digest to send to other data centres.
@@ -244,7 +244,7 @@
     fn heartbeat(&self) -> Heartbeat {
         let config = self.fleets.current();
         let (offset, digest) = config.map_or((0, 0), |f| (f.offset, f.digest));
-        self.view.lock().beat(self.drain.draining(), offset, digest)
+        self.view.lock().next_heartbeat(self.drain.draining(), offset, digest)
     }
 
     fn host_list_loop(&self, period: Duration) {
--- a/crates/roseshored/tests/cluster/cluster.rs
+++ b/crates/roseshored/tests/cluster/cluster.rs
@@ -103,8 +103,8 @@
 /// Settings short enough for a test to see a partition between data centres detected.
 pub(crate) fn settings() -> Settings {
     Settings {
-        digest: Duration::from_millis(200),
-        longest: Duration::from_secs(4),
+        digest_interval: Duration::from_millis(200),
+        gone_listed: Duration::from_secs(4),
         ..Settings::default()
     }
 }
