--- a/crates/roseshored/src/orders.rs
+++ b/crates/roseshored/src/orders.rs
@@ -1,9 +1,9 @@
-//! Gives orders to the targets of the own data centre.
+//! Sends orders to the targets of this data centre, to make them hold what the fleet declares.
 //!
 //! The daemon that is first in rendezvous order for the subject `orders` tries to hold the lease
-//! of its data centre; while it does, it brings targets to what the fleet declares. Who may order
-//! and which orders are due is decided in `roseshore_core::order`; this module reads and appends
-//! records, asks the parts for their state, and sends.
+//! of its data centre, and sends orders while it holds it. Who may send orders and which are due is
+//! decided in `roseshore_core::order`; this module reads and appends lease records, collects the
+//! state and sends the orders.
 
 use crate::app::Drain;
 use crate::event;
@@ -25,23 +25,24 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// How long a round waits before the next one.
-const ROUND: Duration = Duration::from_millis(250);
+/// Time between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 /// Threads that send orders concurrently.
-const SENDERS: usize = 4;
+const SEND_THREADS: usize = 4;
 
-/// The times of giving orders.
+/// Timing and limits of an [`OrderDriver`].
 #[derive(Clone, Copy, Debug)]
 pub struct OrderSettings {
-    /// Those of the lease.
+    /// Timing of the lease.
     pub lease: LeaseTimes,
-    /// Those of the choice of orders.
+    /// Limits on which orders are due.
     pub reconciler: ReconcilerLimits,
-    /// Those of the placement of spare engines.
+    /// Bounds of the placement of spare engines.
     pub placement: PlacementBounds,
-    /// A report older than this says nothing about what a target holds.
+    /// Reports of this age or older are ignored.
     pub max_age: Duration,
-    /// How long a target has to answer an order; the lease's margin covers it.
+    /// Timeout of one order. The margin of the lease must cover it, so that no order is still under
+    /// way when the lease has expired.
     pub timeout: Duration,
 }
 
@@ -57,28 +58,28 @@
     }
 }
 
-/// What giving orders needs.
+/// Dependencies of an [`OrderDriver`].
 #[derive(Clone)]
 pub struct OrderDeps {
-    /// Keeps the leases.
+    /// The log that holds the lease records.
     pub log: Arc<dyn Log>,
-    /// Takes the orders.
+    /// The client that sends orders to engines.
     pub engine: Arc<dyn Engine>,
-    /// Gives the weights.
+    /// The state of the weight store.
     pub weights: Arc<dyn WeightStore>,
-    /// What should be held.
+    /// The configuration in force, which declares what targets should hold.
     pub fleets: Arc<dyn ConfigSource>,
-    /// What is held.
+    /// The newest load reports, which tell what targets hold.
     pub reports: Arc<dyn ReportStore>,
-    /// Who else could order.
+    /// The view of the daemons, for the rendezvous order.
     pub members: Arc<dyn Members>,
-    /// Whether this daemon is leaving.
+    /// Whether this daemon is draining.
     pub drain: Arc<Drain>,
 }
 
-/// The orders of one daemon.
+/// Holds the lease and sends orders for one daemon.
 pub struct OrderDriver {
-    parts: OrderDeps,
+    deps: OrderDeps,
     stream: String,
     data_centre: DataCentreId,
     lease_client: Arc<Mutex<LeaseClient>>,
@@ -91,21 +92,21 @@
 }
 
 impl OrderDriver {
-    /// A driver that holds no lease yet; starts the threads that send.
-    pub fn new(parts: OrderDeps, times: OrderSettings) -> OrderDriver {
-        let own = parts.members.own();
-        let lease_client = LeaseClient::new(own.host, own.incarnation, times.lease);
+    /// Creates a driver without a lease and starts the threads that send orders.
+    pub fn new(deps: OrderDeps, settings: OrderSettings) -> OrderDriver {
+        let own = deps.members.own();
+        let lease_client = LeaseClient::new(own.host, own.incarnation, settings.lease);
         let lease_client = Arc::new(Mutex::new(lease_client));
-        let sender = Sender::start(parts.engine.clone(), lease_client.clone(), times.timeout);
+        let sender = Sender::start(deps.engine.clone(), lease_client.clone(), settings.timeout);
         OrderDriver {
             stream: format!("orders-{}", own.data_centre),
             data_centre: own.data_centre,
-            reconciler: Reconciler::new(times.reconciler),
-            bounds: times.placement,
-            placement: Placement::new(times.placement),
-            max_age: times.max_age,
+            reconciler: Reconciler::new(settings.reconciler),
+            bounds: settings.placement,
+            placement: Placement::new(settings.placement),
+            max_age: settings.max_age,
             holding: false,
-            parts,
+            deps,
             lease_client,
             sender,
         }
@@ -113,50 +114,51 @@
 
     /// Runs rounds until `stop` is closed.
     pub fn run(mut self, stop: &flume::Receiver<()>) {
-        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(ROUND) {
+        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(ROUND_INTERVAL) {
             self.round();
         }
         self.release();
     }
 
-    /// The fencing number with which this daemon may order now, if it holds the lease.
+    /// The fencing number under which this daemon may send orders now, if it holds the lease.
     pub fn fence(&self) -> Option<Fence> {
         self.lease_client.lock().may_order(Instant::now(), true)
     }
 
-    /// One round: read the stream, hold the lease if it is this daemon's turn, give what is due.
+    /// One round: reads the lease stream, acquires or renews the lease if this daemon is first, and
+    /// sends the orders that are due.
     pub fn round(&mut self) {
-        let host = self.parts.members.own().host;
-        let ranked = self.parts.members.ranked("orders");
-        // The second in rank reads along, so that it can take over without reading up first.
-        let near = ranked.iter().take(2).any(|m| m.host == host);
-        if !near && !self.holding {
+        let host = self.deps.members.own().host;
+        let ranked = self.deps.members.ranked("orders");
+        // The second in rank also reads the stream, so that it can take over without catching up.
+        let standby = ranked.iter().take(2).any(|m| m.host == host);
+        if !standby && !self.holding {
             return;
         }
         if !self.read() {
             return;
         }
-        let leaving = self.parts.drain.draining();
+        let leaving = self.deps.drain.draining();
         let first = ranked.first().is_some_and(|m| m.host == host);
         let due = self.lease_client.lock().due(Instant::now(), first && !leaving, rand::random());
         if let Some(record) = due {
             self.append(&record);
         }
-        self.note_holding();
+        self.update_holding();
         if leaving {
             self.release();
         } else if self.holding {
-            self.give();
+            self.send_due();
         }
     }
 
-    /// Reads the stream up to its end; `false` when the log does not answer.
+    /// Reads the stream up to its end; returns `false` if the log does not respond.
     fn read(&self) -> bool {
         let from = self.lease_client.lock().state().next_offset();
-        let read = read_to_end(&*self.parts.log, &self.stream, from, |met| {
+        let read = read_to_end(&*self.deps.log, &self.stream, from, |batch| {
             let mut lease = self.lease_client.lock();
-            match met {
-                Batch::Records(records) => records.iter().for_each(|it| take(&mut lease, it)),
+            match batch {
+                Batch::Records(records) => records.iter().for_each(|it| apply(&mut lease, it)),
                 Batch::Trimmed(oldest) => lease.skip_to(oldest),
             }
             Ok(lease.state().next_offset())
@@ -166,11 +168,11 @@
 
     fn append(&self, record: &LeaseRecord) {
         let Ok(line) = serde_json::to_string(record) else { return };
-        // Whatever becomes of the append, the next reading tells.
-        let _ = self.parts.log.append(&self.stream, &[line]);
+        // The result is ignored: the next read shows whether the record was appended.
+        let _ = self.deps.log.append(&self.stream, &[line]);
     }
 
-    fn note_holding(&mut self) {
+    fn update_holding(&mut self) {
         let fence = self.fence();
         match (self.holding, fence) {
             (false, Some(fence)) => {
@@ -178,7 +180,7 @@
             }
             (true, None) => {
                 event!(Event::LeaseLost, "stream={}", self.stream);
-                // Another holder may move spares meanwhile.
+                // Another holder may move spare engines in the meantime.
                 self.placement = Placement::new(self.bounds);
             }
             _ => {}
@@ -186,9 +188,9 @@
         self.holding = fence.is_some();
     }
 
-    /// Ends the lease once no order is under way.
+    /// Releases the lease, but only once no order is in flight.
     fn release(&mut self) {
-        if self.sender.flying() > 0 {
+        if self.sender.in_flight() > 0 {
             return;
         }
         let record = self.lease_client.lock().release();
@@ -198,19 +200,19 @@
         }
     }
 
-    fn give(&mut self) {
-        let Some(fleet) = self.parts.fleets.current() else { return };
-        let mut wants = desired(&fleet.fleet, &self.data_centre);
-        let seen = seen(&self.parts.reports.newest(), Instant::now(), self.max_age);
+    fn send_due(&mut self) {
+        let Some(fleet) = self.deps.fleets.current() else { return };
+        let mut desired_state = desired(&fleet.fleet, &self.data_centre);
+        let observed_state = observed(&self.deps.reports.newest(), Instant::now(), self.max_age);
         let spares = spares(&fleet.fleet, &self.data_centre);
-        let placed = self.placement.place(Instant::now(), &wants, &spares, &seen);
-        wants.extend(placed);
-        let store = self.parts.weights.weights().ok();
+        let placed = self.placement.place(Instant::now(), &desired_state, &spares, &observed_state);
+        desired_state.extend(placed);
+        let store = self.deps.weights.weights().ok();
         let store = store.map(|s| WeightStoreState { rate: s.rate, backlog: s.backlog });
         let now = Instant::now();
         let lease_client = self.lease_client.clone();
         let allowed = |checks_fence| lease_client.lock().may_order(now, checks_fence).is_some();
-        let due = self.reconciler.due(now, &wants, &seen, store, allowed);
+        let due = self.reconciler.due(now, &desired_state, &observed_state, store, allowed);
         metrics::gauge!("roseshore_orders_waiting").set(due.len() as f64);
         for due in due {
             if let Some(target) = fleet.fleet.targets.get(&due.target) {
@@ -220,23 +222,23 @@
     }
 }
 
-fn take(lease_client: &mut LeaseClient, record: &roseshore_wire::platform::Record) {
+fn apply(lease_client: &mut LeaseClient, record: &roseshore_wire::platform::Record) {
     match serde_json::from_str::<LeaseRecord>(&record.data) {
         Ok(lease) => {
             lease_client.record(record.offset, record.time_ms, &lease, Instant::now());
         }
-        // A record of a later version is skipped by every reader alike.
+        // A record of a newer version cannot be parsed; every reader skips it in the same way.
         Err(_) => lease_client.skip_to(record.offset + 1),
     }
 }
 
-/// What targets hold, by their fresh reports.
-fn seen(reports: &[Report], now: Instant, limit: Duration) -> BTreeMap<TargetId, Observed> {
-    let fresh = reports.iter().filter(|r| now.saturating_duration_since(r.seen) < limit);
-    fresh.filter_map(|r| Some((r.target.clone(), holding(&r.content)?))).collect()
+/// What targets hold, according to reports that are younger than `max_age`.
+fn observed(reports: &[Report], now: Instant, max_age: Duration) -> BTreeMap<TargetId, Observed> {
+    let fresh = reports.iter().filter(|r| now.saturating_duration_since(r.seen) < max_age);
+    fresh.filter_map(|r| Some((r.target.clone(), observe(&r.content)?))).collect()
 }
 
-fn holding(content: &ReportContent) -> Option<Observed> {
+fn observe(content: &ReportContent) -> Option<Observed> {
     let ReportContent::Engine(load) = content else { return None };
     let holding = &load.holding;
     Some(Observed {
@@ -270,7 +272,7 @@
                 adapters: want.adapters.clone(),
                 role: Role::Both,
             },
-            // Answers in flight go on; routers choose only targets that prefill as well.
+            // Answers in flight continue; routers choose only targets whose role includes prefill.
             Action::Drain(holds) => Order {
                 fence,
                 order: format!("{fence}-{target}-drain"),
@@ -287,46 +289,47 @@
 /// The threads that send orders.
 struct Sender {
     jobs: flume::Sender<Job>,
-    flying: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
 }
 
 impl Sender {
     fn start(
         engine: Arc<dyn Engine>,
         lease_client: Arc<Mutex<LeaseClient>>,
-        flight: Duration,
+        timeout: Duration,
     ) -> Sender {
-        let (jobs, queue) = flume::bounded::<Job>(SENDERS * 16);
-        let flying = Arc::new(AtomicUsize::new(0));
-        for _ in 0..SENDERS {
+        let (jobs, queue) = flume::bounded::<Job>(SEND_THREADS * 16);
+        let in_flight = Arc::new(AtomicUsize::new(0));
+        for _ in 0..SEND_THREADS {
             let (queue, engine) = (queue.clone(), engine.clone());
-            let (lease_client, flying) = (lease_client.clone(), flying.clone());
+            let (lease_client, in_flight) = (lease_client.clone(), in_flight.clone());
             thread::spawn(move || {
                 for job in queue {
-                    send(engine.as_ref(), &lease_client, &job, flight);
-                    flying.fetch_sub(1, Ordering::SeqCst);
+                    send(engine.as_ref(), &lease_client, &job, timeout);
+                    in_flight.fetch_sub(1, Ordering::SeqCst);
                 }
             });
         }
-        Sender { jobs, flying }
+        Sender { jobs, in_flight }
     }
 
-    /// Orders that are waiting to be sent or to be answered.
-    fn flying(&self) -> usize {
-        self.flying.load(Ordering::SeqCst)
+    /// The number of orders that are queued or not yet answered.
+    fn in_flight(&self) -> usize {
+        self.in_flight.load(Ordering::SeqCst)
     }
 
     fn send(&self, job: Job) {
-        self.flying.fetch_add(1, Ordering::SeqCst);
-        // A full queue drops the order; it is due again in a later round.
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
+        // A full queue drops the order; a later round finds it due again.
         if self.jobs.try_send(job).is_err() {
-            self.flying.fetch_sub(1, Ordering::SeqCst);
+            self.in_flight.fetch_sub(1, Ordering::SeqCst);
         }
     }
 }
 
-fn send(engine: &dyn Engine, lease_client: &Mutex<LeaseClient>, job: &Job, flight: Duration) {
-    // Asked here and not when the order was decided: the thread may have waited long.
+fn send(engine: &dyn Engine, lease_client: &Mutex<LeaseClient>, job: &Job, timeout: Duration) {
+    // Checked at sending and not when the order became due, because the job may have been queued for
+    // long enough that the lease has expired.
     let Some(fence) = lease_client.lock().may_order(Instant::now(), job.due.checks_fence) else {
         return;
     };
@@ -334,7 +337,7 @@
     let target = &job.due.target;
     let (role, version) = (order.role, order.version.as_deref().unwrap_or_default());
     event!(Event::OrderSent, "target={target} version={version} role={role:?} fence={fence}");
-    match engine.order(job.addr, &order, flight) {
+    match engine.order(job.addr, &order, timeout) {
         Ok(_) => {}
         Err(CallError::Refused(412, ..)) => {
             event!(Event::OrderFenced, "target={target} fence={fence}");
--- a/crates/roseshored/tests/orders.rs
+++ b/crates/roseshored/tests/orders.rs
@@ -1,24 +1,24 @@
-//! The driver of orders against the platform's and the engines' stand-ins, with faults at each
-//! step. Rounds are run by hand, so that a daemon that is not given one is paused.
+//! The order driver against fakes of the platform and the engines, with faults at each step. The
+//! test runs each round itself, so that a daemon without a round is paused.
 
-#[path = "orders/bed.rs"]
-mod bed;
+#[path = "orders/fixture.rs"]
+mod fixture;
 
-use bed::{Bed, Daemon, holds, times, wait};
+use fixture::{Daemon, Fixture, holds, order_settings, wait};
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::EngineFaults;
 use roseshore_fakes::platform::PlatformFaults;
 use roseshore_ports::outside::{CallError, Engine, StreamItem};
 use roseshored::orders::OrderSettings;
 
-/// A lease short enough for tests to wait for its end.
+/// Settings with a lease short enough for a test to wait for its expiry.
 fn short() -> OrderSettings {
-    times(Duration::from_secs(1))
+    order_settings(Duration::from_secs(1))
 }
 
-/// A lease that does not end by itself in a test.
+/// Settings with a lease that does not expire during a test.
 fn long() -> OrderSettings {
-    times(Duration::from_mins(10))
+    order_settings(Duration::from_mins(10))
 }
 
 fn rounds(daemons: &mut [Daemon]) {
@@ -27,20 +27,20 @@
     }
 }
 
-fn declare(daemons: &[Daemon], bed: &Bed, version: &str) {
+fn declare(daemons: &[Daemon], fixture: &Fixture, version: &str) {
     for daemon in daemons {
-        daemon.declare(bed, version);
+        daemon.declare(fixture, version);
     }
 }
 
 struct Case {
     name: &'static str,
-    /// Faults of the platform and of every engine from the time of the change on.
+    /// Faults of the platform and of every engine, set before the change is declared.
     platform: PlatformFaults,
     engine: EngineFaults,
-    /// Whether the first daemon held the lease before the faults.
+    /// Whether the first daemon holds the lease before the faults are set.
     held: bool,
-    /// Whether the change has to wait for the end of the faults.
+    /// Whether the change cannot be made until the faults are cleared.
     blocked: bool,
     writers: usize,
 }
@@ -91,124 +91,130 @@
 }
 
 #[test]
-fn a_change_is_brought_about_once() {
+fn a_change_is_applied_once() {
     for case in cases() {
         let name = case.name;
-        let bed = Bed::start(true);
+        let fixture = Fixture::start(true);
         let mut daemons: Vec<_> =
-            (0..case.writers).map(|n| bed.daemon(&format!("h{n}"), short())).collect();
+            (0..case.writers).map(|n| fixture.daemon(&format!("h{n}"), short())).collect();
         if case.held {
             wait("the lease", || {
                 rounds(&mut daemons);
                 daemons[0].orders.fence().is_some()
             });
         }
-        bed.platform.faults.set(case.platform);
-        bed.engines.iter().for_each(|e| e.faults().set(case.engine.clone()));
+        fixture.platform.faults.set(case.platform);
+        fixture.engines.iter().for_each(|e| e.faults().set(case.engine.clone()));
         if case.held {
             wait("the end of the lease", || {
                 rounds(&mut daemons);
                 daemons[0].orders.fence().is_none()
             });
         }
-        declare(&daemons, &bed, "v2");
+        declare(&daemons, &fixture, "v2");
         if case.blocked {
             (0..20).for_each(|_| rounds(&mut daemons));
-            assert!(bed.all("v1") && bed.loads().iter().all(|n| *n == 0), "{name}: it is kept");
-            bed.platform.faults.clear();
+            assert!(
+                fixture.all("v1") && fixture.loads().iter().all(|n| *n == 0),
+                "{name}: the old version is kept"
+            );
+            fixture.platform.faults.clear();
         }
         wait(name, || {
             rounds(&mut daemons);
-            bed.all("v2")
+            fixture.all("v2")
         });
         (0..5).for_each(|_| rounds(&mut daemons));
-        assert_eq!(bed.loads(), [1, 1, 1, 1], "{name}: loads");
+        assert_eq!(fixture.loads(), [1, 1, 1, 1], "{name}: loads");
     }
 }
 
 #[test]
 fn one_chain_serves_until_the_other_has_changed() {
-    let bed = Bed::loading(true, Duration::from_millis(300));
-    let mut daemons = [bed.daemon("h0", long())];
-    daemons[0].declare(&bed, "v2");
+    let fixture = Fixture::loading(true, Duration::from_millis(300));
+    let mut daemons = [fixture.daemon("h0", long())];
+    daemons[0].declare(&fixture, "v2");
     wait("the change", || {
         rounds(&mut daemons);
-        let chain = |at: usize, v: &str| bed.engines[at..at + 2].iter().all(|e| holds(e, v));
-        let whole = [(0, "v1"), (0, "v2"), (2, "v1"), (2, "v2")];
-        assert!(whole.iter().any(|(at, v)| chain(*at, v)), "no chain is whole");
-        bed.all("v2")
+        let chain = |at: usize, v: &str| fixture.engines[at..at + 2].iter().all(|e| holds(e, v));
+        let complete = [(0, "v1"), (0, "v2"), (2, "v1"), (2, "v2")];
+        assert!(complete.iter().any(|(at, v)| chain(*at, v)), "no chain is complete");
+        fixture.all("v2")
     });
 }
 
-struct Late {
+struct LateOrderCase {
     name: &'static str,
     checks: bool,
 }
 
-const LATE: &[Late] = &[
-    Late { name: "the targets check fencing numbers", checks: true },
-    Late { name: "the targets check nothing", checks: false },
+const LATE_ORDER_CASES: &[LateOrderCase] = &[
+    LateOrderCase { name: "the targets check fencing numbers", checks: true },
+    LateOrderCase { name: "the targets check nothing", checks: false },
 ];
 
-/// A holder is paused with its order in hand; its successor has brought about a later version when
-/// the order goes out.
+/// A lease holder is paused just before it sends an order. Its successor has already deployed a
+/// later version when the order is sent.
 #[test]
 fn a_late_order_of_a_paused_holder() {
-    for case in LATE {
+    for case in LATE_ORDER_CASES {
         let name = case.name;
-        let bed = Bed::start(case.checks);
-        let (mut first, mut second) = (bed.daemon("h0", short()), bed.daemon("h1", short()));
+        let fixture = Fixture::start(case.checks);
+        let (mut first, mut second) =
+            (fixture.daemon("h0", short()), fixture.daemon("h1", short()));
         first.gate.shut(true);
-        first.declare(&bed, "v2");
-        wait("an order in hand", || {
+        first.declare(&fixture, "v2");
+        wait("an order held back", || {
             first.orders.round();
             *first.gate.waiting.lock() >= 2
         });
-        second.declare(&bed, "v3");
+        second.declare(&fixture, "v3");
         wait("the successor's change", || {
             second.orders.round();
-            bed.all("v3")
+            fixture.all("v3")
         });
-        let successor = bed.engines[0].holding().fence;
-        let hand = *first.gate.waiting.lock();
+        let successor = fixture.engines[0].holding().fence;
+        let held_back = *first.gate.waiting.lock();
         first.gate.shut(false);
         wait("the late orders", || *first.gate.waiting.lock() == 0);
-        let late = || bed.engines[..2].iter().any(|e| e.holding().version.as_deref() != Some("v3"));
+        let outdated =
+            || fixture.engines[..2].iter().any(|e| e.holding().version.as_deref() != Some("v3"));
         if case.checks {
-            // Orders are repeated, so that there may be more of them than targets.
-            wait("a refusal of each", || *first.gate.refused.lock() == vec![412; hand]);
-            assert!(bed.all("v3"), "{name}: nothing has changed");
-            assert_eq!(bed.engines[0].holding().fence, successor, "{name}");
+            // Orders are retried, so there may be more of them than targets.
+            wait("a refusal of each", || *first.gate.refused.lock() == vec![412; held_back]);
+            assert!(fixture.all("v3"), "{name}: nothing has changed");
+            assert_eq!(fixture.engines[0].holding().fence, successor, "{name}");
         } else {
-            // The harm: the targets obey, and hold the older version now.
-            wait("the wrong holding", || late() && holds(&bed.engines[0], "v2"));
-            // A router that still trusts its last reports is refused, and gets no wrong answer.
+            // Without the check the targets obey and now hold the older version.
+            wait("the wrong holding", || outdated() && holds(&fixture.engines[0], "v2"));
+            // A router that still relies on its last reports is refused, and gets no wrong answer.
             let deadline = Instant::now() + Duration::from_secs(10);
-            let opened = second.gate.generate(bed.engines[0].addr(), &bed.ask("v3"), deadline);
+            let opened =
+                second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
             assert!(matches!(opened, Err(CallError::Refused(409, ..))), "{name}: {opened:?}");
         }
-        wait("the holding put right", || {
+        wait("the holding corrected", || {
             second.orders.round();
-            bed.all("v3")
+            fixture.all("v3")
         });
-        // What the first daemon finds when it goes on: it holds no lease, and does no more harm.
+        // When the first daemon continues, it finds that it holds no lease and sends nothing more.
         first.orders.round();
-        assert!(first.orders.fence().is_none() && bed.all("v3"), "{name}");
+        assert!(first.orders.fence().is_none() && fixture.all("v3"), "{name}");
         let deadline = Instant::now() + Duration::from_secs(10);
-        let stream = second.gate.generate(bed.engines[0].addr(), &bed.ask("v3"), deadline);
+        let stream = second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
         let items: Vec<StreamItem> = stream.expect("opens").iter().collect();
         assert!(matches!(items.last(), Some(StreamItem::Ended(Ok(())))), "{name}: {items:?}");
     }
 }
 
 #[test]
-fn a_drained_holder_gives_way_once_its_orders_have_landed() {
-    let bed = Bed::start(true);
-    let (mut first, mut second) = (bed.daemon("h0", long()), bed.daemon("h1", long()));
+fn a_drained_holder_releases_the_lease_after_its_orders() {
+    let fixture = Fixture::start(true);
+    let (mut first, mut second) = (fixture.daemon("h0", long()), fixture.daemon("h1", long()));
     first.gate.shut(true);
-    first.declare(&bed, "v2");
-    second.declare(&bed, "v2");
-    wait("orders in hand", || {
+    first.declare(&fixture, "v2");
+    second.declare(&fixture, "v2");
+    wait("orders held back", || {
         first.orders.round();
         *first.gate.waiting.lock() >= 2
     });
@@ -216,51 +222,51 @@
     for _ in 0..10 {
         first.orders.round();
         second.orders.round();
-        assert!(second.orders.fence().is_none(), "orders are under way");
+        assert!(second.orders.fence().is_none(), "orders are in flight");
     }
     first.gate.shut(false);
-    // The lease runs for minutes: only its release lets the second daemon go on.
+    // The lease lasts for minutes: only its release lets the second daemon continue.
     wait("the change by the second daemon", || {
         first.orders.round();
         second.orders.round();
-        second.orders.fence().is_some() && bed.all("v2")
+        second.orders.fence().is_some() && fixture.all("v2")
     });
     assert!(first.orders.fence().is_none());
-    assert_eq!(bed.loads(), [1, 1, 1, 1]);
+    assert_eq!(fixture.loads(), [1, 1, 1, 1]);
 }
 
 #[test]
-fn a_daemon_that_is_not_first_leaves_the_lease_alone() {
-    let bed = Bed::start(true);
-    let mut daemons = [bed.daemon("h0", short()), bed.daemon("h1", short())];
+fn a_daemon_that_is_not_first_does_not_take_the_lease() {
+    let fixture = Fixture::start(true);
+    let mut daemons = [fixture.daemon("h0", short()), fixture.daemon("h1", short())];
     for daemon in &daemons {
         daemon.rank(&["h0", "h1"]);
     }
-    declare(&daemons, &bed, "v2");
+    declare(&daemons, &fixture, "v2");
     wait("the change", || {
         rounds(&mut daemons);
         assert!(daemons[1].orders.fence().is_none());
-        bed.all("v2")
+        fixture.all("v2")
     });
-    // The first is gone: the second takes over after the lease has run out.
+    // The first daemon is gone: the second takes over after the lease has expired.
     daemons[1].rank(&["h1"]);
-    daemons[1].declare(&bed, "v3");
+    daemons[1].declare(&fixture, "v3");
     wait("the change by the second", || {
         daemons[1].orders.round();
-        bed.all("v3")
+        fixture.all("v3")
     });
 }
 
-/// Two daemons with different views of the fleet both believe that they are first.
+/// Two daemons have different views of the fleet and each considers itself first.
 #[test]
 fn two_writers_never_hold_the_lease_together() {
-    let bed = Bed::start(false);
-    let mut daemons = [bed.daemon("h0", short()), bed.daemon("h1", short())];
-    daemons[0].declare(&bed, "v2");
-    daemons[1].declare(&bed, "v3");
+    let fixture = Fixture::start(false);
+    let mut daemons = [fixture.daemon("h0", short()), fixture.daemon("h1", short())];
+    daemons[0].declare(&fixture, "v2");
+    daemons[1].declare(&fixture, "v3");
     let mut fences = Vec::new();
     wait("several holders", || {
-        // A holder that is paused now and then lets its lease run out.
+        // Pausing the daemons in turn lets the lease of the holder expire.
         let paused = fences.len() % 2;
         daemons[1 - paused].orders.round();
         if fences.is_empty() {
@@ -281,27 +287,27 @@
     });
 }
 
-/// A spare engine takes the layers of which every declared engine is lost, and keeps to them.
+/// A spare engine takes over layers when every engine declared for them is lost, and keeps them.
 #[test]
 fn a_spare_takes_lost_layers() {
-    let mut bed = Bed::start(true);
-    let mut daemons = [bed.daemon("h0", long())];
+    let mut fixture = Fixture::start(true);
+    let mut daemons = [fixture.daemon("h0", long())];
     wait("the lease", || {
         rounds(&mut daemons);
         daemons[0].orders.fence().is_some()
     });
-    bed.engines[1].stop();
+    fixture.engines[1].stop();
     (0..30).for_each(|_| rounds(&mut daemons));
-    assert_eq!(bed.spare.stats().orders, 0, "the other chain has these layers");
-    bed.engines[3].stop();
+    assert_eq!(fixture.spare.stats().orders, 0, "the other chain has these layers");
+    fixture.engines[3].stop();
     wait("the spare's load", || {
         rounds(&mut daemons);
-        holds(&bed.spare, "v1") && bed.spare.holding().layers == (2, 4)
+        holds(&fixture.spare, "v1") && fixture.spare.holding().layers == (2, 4)
     });
-    declare(&daemons, &bed, "v2");
+    declare(&daemons, &fixture, "v2");
     wait("the change of the spare with its model", || {
         rounds(&mut daemons);
-        holds(&bed.spare, "v2")
+        holds(&fixture.spare, "v2")
     });
-    assert_eq!(bed.spare.stats().loads, 2);
+    assert_eq!(fixture.spare.stats().loads, 2);
 }
--- a/crates/roseshored/tests/orders/bed.rs
+++ b/crates/roseshored/tests/orders/fixture.rs
@@ -1,4 +1,5 @@
-//! Several daemons' orders over one log, two chains of engine stand-ins and rounds by hand.
+//! Order drivers of several daemons over one fake log and two chains of fake engines, with rounds
+//! run by the test.
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
@@ -30,7 +31,7 @@
 const CHAINS: usize = 2;
 const SPARE: &str = "spare";
 
-pub(crate) fn times(ttl: Duration) -> OrderSettings {
+pub(crate) fn order_settings(ttl: Duration) -> OrderSettings {
     let lease = LeaseTimes { ttl, renew_before: ttl * 2 / 3, margin: ttl / 4, settle: ttl / 8 };
     let soon = Duration::from_millis(100);
     let reconciler =
@@ -40,15 +41,15 @@
 }
 
 /// One daemon's view of the configuration.
-struct View(Mutex<Arc<Fleet>>);
+struct DaemonConfig(Mutex<Arc<Fleet>>);
 
-impl ConfigSource for View {
+impl ConfigSource for DaemonConfig {
     fn current(&self) -> Option<ActiveConfig> {
         Some(ActiveConfig { fleet: self.0.lock().clone(), offset: 1, digest: 0 })
     }
 }
 
-/// One daemon's view of who is first; the list holds hosts in order.
+/// One daemon's view of the rendezvous order; the list holds hosts, first one first.
 struct Ranks {
     own: HostId,
     order: Mutex<Vec<HostId>>,
@@ -84,10 +85,10 @@
     }
 }
 
-/// Asks the engines whenever reports are wanted, so that none is late.
-struct Polls(Vec<(TargetId, SocketAddr)>);
+/// Polls the engines on every read, so that no report is outdated.
+struct PollingReports(Vec<(TargetId, SocketAddr)>);
 
-impl ReportStore for Polls {
+impl ReportStore for PollingReports {
     fn store(&self, _: Report) {}
 
     fn newest(&self) -> Vec<Report> {
@@ -100,8 +101,8 @@
     }
 }
 
-/// Sends orders on, but holds those that change weights up while it is shut: their sender is paused
-/// then.
+/// Forwards orders, but blocks those that change weights while it is shut, which pauses their
+/// sender.
 #[derive(Default)]
 pub(crate) struct Gate {
     client: EngineClient,
@@ -163,19 +164,19 @@
     }
 }
 
-/// The orders of one daemon.
+/// The order driver of one daemon.
 pub(crate) struct Daemon {
     pub(crate) orders: OrderDriver,
     pub(crate) gate: Arc<Gate>,
     pub(crate) drain: Arc<Drain>,
-    view: Arc<View>,
+    view: Arc<DaemonConfig>,
     ranks: Arc<Ranks>,
 }
 
 impl Daemon {
-    /// Shows this daemon another version in force.
-    pub(crate) fn declare(&self, bed: &Bed, version: &str) {
-        *self.view.0.lock() = bed.fleet(version);
+    /// Changes the version that is in force in this daemon's view.
+    pub(crate) fn declare(&self, fixture: &Fixture, version: &str) {
+        *self.view.0.lock() = fixture.fleet(version);
     }
 
     pub(crate) fn rank(&self, order: &[&str]) {
@@ -183,8 +184,8 @@
     }
 }
 
-/// The platform and the targets.
-pub(crate) struct Bed {
+/// The fake platform and targets.
+pub(crate) struct Fixture {
     pub(crate) platform: PlatformFake,
     pub(crate) engines: Vec<EngineFake>,
     /// An engine that is declared with neither a model nor layers.
@@ -192,13 +193,13 @@
     checks: bool,
 }
 
-impl Bed {
-    pub(crate) fn start(checks: bool) -> Bed {
-        Bed::loading(checks, Duration::ZERO)
+impl Fixture {
+    pub(crate) fn start(checks: bool) -> Fixture {
+        Fixture::loading(checks, Duration::ZERO)
     }
 
-    /// Targets whose loads take a while.
-    pub(crate) fn loading(checks: bool, load_time: Duration) -> Bed {
+    /// Targets that take `load_time` to load weights.
+    pub(crate) fn loading(checks: bool, load_time: Duration) -> Fixture {
         let platform = PlatformFake::start(PlatformSettings::default()).expect("starts");
         let engine = |at: usize| {
             let settings = EngineSettings {
@@ -210,7 +211,7 @@
         };
         let spare = EngineSettings { target: SPARE.into(), ..EngineSettings::default() };
         let spare = EngineFake::start(spare).expect("starts");
-        Bed { platform, engines: (0..CHAINS * 2).map(engine).collect(), spare, checks }
+        Fixture { platform, engines: (0..CHAINS * 2).map(engine).collect(), spare, checks }
     }
 
     fn fleet(&self, version: &str) -> Arc<Fleet> {
@@ -248,26 +249,26 @@
         }
     }
 
-    /// A daemon that sees version `v1` in force and itself first.
-    pub(crate) fn daemon(&self, host: &str, times: OrderSettings) -> Daemon {
+    /// A daemon whose view has version `v1` in force and itself first.
+    pub(crate) fn daemon(&self, host: &str, settings: OrderSettings) -> Daemon {
         let platform = || Arc::new(HttpPlatform::new(self.platform.addr(), Duration::from_secs(1)));
         let gate = Arc::new(Gate::default());
         let drain = Arc::new(Drain::default());
-        let view = Arc::new(View(Mutex::new(self.fleet("v1"))));
+        let view = Arc::new(DaemonConfig(Mutex::new(self.fleet("v1"))));
         let order = Mutex::new(vec![host.to_owned()]);
         let ranks = Arc::new(Ranks { own: host.into(), order });
         let addrs = self.engines.iter().enumerate().map(|(at, e)| (name(at), e.addr()));
         let addrs = addrs.chain([(SPARE.to_owned(), self.spare.addr())]);
-        let parts = OrderDeps {
+        let deps = OrderDeps {
             log: platform(),
             engine: gate.clone(),
             weights: platform(),
             fleets: view.clone(),
-            reports: Arc::new(Polls(addrs.collect())),
+            reports: Arc::new(PollingReports(addrs.collect())),
             members: ranks.clone(),
             drain: drain.clone(),
         };
-        Daemon { orders: OrderDriver::new(parts, times), gate, drain, view, ranks }
+        Daemon { orders: OrderDriver::new(deps, settings), gate, drain, view, ranks }
     }
 
     /// Whether every engine serves a version.
@@ -279,7 +280,7 @@
         self.engines.iter().map(|e| e.stats().loads).collect()
     }
 
-    /// A request over the first chain, as a router that still trusts its last reports sends it.
+    /// A request over the first chain, as sent by a router that still relies on its last reports.
     pub(crate) fn ask(&self, version: &str) -> Generate {
         let stage = |at: usize| Stage { layers: RANGES[at], ..self.engines[at].stage() };
         Generate {
