--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -1,9 +1,10 @@
-//! Driver of the configuration: records in, the fleet in force out.
+//! Reads configuration records and publishes the fleet in force.
 //!
-//! One thread reads the log, one pulls from peers that are ahead; both hand records to the fold
-//! of `roseshore_core::config`, whose decisions say who asks whom and when. What was folded is
-//! published as one shared fleet, and only forward. A daemon that starts publishes nothing until
-//! it stands where the first source that answered stood, so that callers never see an old state.
+//! One thread reads the log, another pulls from peers that are ahead. Both pass records to the fold
+//! of `roseshore_core::config`, which also decides who reads from whom and when. The folded state
+//! is published as one shared fleet, and its offset only increases. A daemon that starts publishes
+//! nothing until it has reached the offset of the first source that responded, so that callers
+//! never see an outdated state.
 
 mod loops;
 mod source;
@@ -27,13 +28,13 @@
 /// The settings of a [`FleetDriver`].
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Who reads the log when.
+    /// Which daemons read the log, and when.
     pub reader: ReaderLimits,
-    /// Who writes snapshots when.
+    /// When snapshots are written.
     pub snapshots: SnapshotLimits,
-    /// How often peers are looked at.
+    /// Interval between checks for peers that are ahead, and longest sleep of both threads.
     pub tick: Duration,
-    /// How long a peer may take to answer.
+    /// Timeout of a call to a peer.
     pub peer: Duration,
 }
 
@@ -48,7 +49,7 @@
     }
 }
 
-/// The configuration of this daemon.
+/// Follows the configuration log and holds the configuration in force.
 pub struct FleetDriver {
     log: Arc<dyn Log>,
     settings: FleetSettings,
@@ -63,21 +64,21 @@
     follower: Follower,
     assembly: Assembly,
     tail: RecordTail,
-    /// Where the first source that answered stood; nothing is published before it.
+    /// The end offset of the first source that responded; nothing is published before it is reached.
     goal: Option<Offset>,
-    /// The records of a snapshot while a peer fetches them.
-    served: Vec<String>,
+    /// The records of the snapshot that a peer is fetching; empty otherwise.
+    snapshot_parts: Vec<String>,
 }
 
 impl FleetDriver {
-    /// A driver that knows nothing yet and does nothing until [`FleetDriver::start`].
+    /// Creates a driver without a configuration; its threads run from [`FleetDriver::start`] on.
     pub fn new(log: Arc<dyn Log>, settings: FleetSettings) -> Arc<FleetDriver> {
         let folding = Folding {
             follower: Follower::default(),
             assembly: Assembly::default(),
             tail: RecordTail::default(),
             goal: None,
-            served: Vec::new(),
+            snapshot_parts: Vec::new(),
         };
         Arc::new(FleetDriver {
             log,
@@ -90,23 +91,23 @@
         })
     }
 
-    /// Ends the threads, each after its call under way.
+    /// Tells the threads to stop, each after its current call.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
     }
 
-    /// Whether the log answered the last time.
+    /// Whether the last read of the log succeeded.
     pub fn healthy(&self) -> bool {
         self.healthy.load(Ordering::SeqCst)
     }
 
-    /// Looks at the folded state.
+    /// Calls `look` with the folded state, which may be ahead of the published one.
     pub fn inspect<T>(&self, look: impl FnOnce(&State) -> T) -> T {
         look(self.folding.lock().follower.state())
     }
 
-    /// Notes where a source stood when it first answered.
-    fn stands(&self, end: Offset) {
+    /// Sets the offset to reach before publishing, if no source has responded before.
+    fn set_goal(&self, end: Offset) {
         let mut folding = self.folding.lock();
         if folding.goal.is_none() {
             folding.goal = Some(end);
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Puts the folded state in force.
+    /// Publishes the folded state, if it has reached the start-up goal. `changed` says whether the
+    /// fleet differs from the published one; otherwise that one is reused.
     fn publish(&self, folding: &Folding, changed: bool) {
         let state = folding.follower.state();
         let ready = folding.goal.is_some_and(|goal| state.offset() >= goal);
@@ -130,13 +132,13 @@
         self.folded.notify_all();
     }
 
-    /// Publishes and logs what records did.
-    fn after(&self, folding: &Folding, folded: &[FoldedRecord]) {
+    /// Publishes the folded state and logs the outcome of each record.
+    fn publish_and_log(&self, folding: &Folding, folded: &[FoldedRecord]) {
         let accepted = |it: &FoldedRecord| it.outcome == Outcome::Decided(Decision::Accepted);
         if !folded.is_empty() {
             self.publish(folding, folded.iter().any(accepted));
         }
-        folded.iter().for_each(tell);
+        folded.iter().for_each(log_outcome);
     }
 }
 
@@ -151,15 +153,15 @@
         let mut folding = self.folding.lock();
         let mut folded = Vec::new();
         for record in records {
-            folding.tail.take(record);
+            folding.tail.add(record);
             folded.extend(folding.follower.take(record.offset, &record.data));
         }
-        self.after(&folding, &folded);
+        self.publish_and_log(&folding, &folded);
     }
 }
 
-/// Logs and counts what one record did.
-fn tell(folded: &FoldedRecord) {
+/// Logs and counts the outcome of one record.
+fn log_outcome(folded: &FoldedRecord) {
     let offset = folded.offset;
     let by = folded.author.as_ref();
     let (id, operator) = by.map_or(("", ""), |it| (it.command.as_str(), it.operator.as_str()));
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -1,7 +1,7 @@
 //! The two threads of the driver.
 
 use super::FleetDriver;
-use super::source::Reach;
+use super::source::ReadProgress;
 use crate::event;
 use roseshore_core::config::{
     Peer, PeerSelector, ReadAction, Reader, SNAPSHOTS, Snapshot, SnapshotAction, SnapshotSchedule,
@@ -16,14 +16,14 @@
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
 
-/// What daemons are ranked by.
+/// The subject of the rendezvous order in which daemons read the log.
 pub(super) const SUBJECT: &str = "config";
 
 impl FleetDriver {
     /// Starts the threads.
     ///
     /// # Errors
-    /// When the system gives no thread.
+    /// When a thread cannot be started.
     pub fn start(
         self: &Arc<Self>,
         members: Arc<dyn Members>,
@@ -49,49 +49,49 @@
         while self.running() {
             let rank = rank(members);
             match reader.next(Instant::now(), rank) {
-                ReadAction::Read { wait } => self.read_turn(&mut reader, wait),
-                ReadAction::Wait { until } => self.rest(until),
+                ReadAction::Read { wait } => self.read_once(&mut reader, wait),
+                ReadAction::Wait { until } => self.sleep(until),
             }
             if reader.healthy() {
-                self.keep(&mut schedule, rank == Some(0));
+                self.maintain_snapshots(&mut schedule, rank == Some(0));
             }
         }
     }
 
-    fn read_turn(&self, reader: &mut Reader, wait: Duration) {
-        let turn = match self.read_log(wait) {
-            Ok(Reach::Trimmed) => {
+    fn read_once(&self, reader: &mut Reader, wait: Duration) {
+        let transition = match self.read_log(wait) {
+            Ok(ReadProgress::Trimmed) => {
                 reader.answered(Instant::now(), false);
-                self.rest(Instant::now() + self.settings.tick);
+                self.sleep(Instant::now() + self.settings.tick);
                 None
             }
-            Ok(reach) => reader.answered(Instant::now(), reach == Reach::More),
+            Ok(reach) => reader.answered(Instant::now(), reach == ReadProgress::More),
             Err(err) => {
-                let turn = reader.failed(Instant::now(), rand::random());
-                if turn.is_some() {
+                let transition = reader.failed(Instant::now(), rand::random());
+                if transition.is_some() {
                     event!(Event::LogLost, "stream=config: {err}");
                 }
-                turn
+                transition
             }
         };
-        if turn == Some(Transition::Recovered) {
+        if transition == Some(Transition::Recovered) {
             event!(Event::LogBack, "stream=config");
         }
         self.healthy.store(reader.healthy(), Ordering::SeqCst);
     }
 
-    /// Rests, but not longer than a tick, since the rank may change.
-    fn rest(&self, until: Instant) {
+    /// Sleeps until `until`, but at most one tick, because the rank may change meanwhile.
+    fn sleep(&self, until: Instant) {
         let left = until.saturating_duration_since(Instant::now());
         std::thread::sleep(left.min(self.settings.tick));
     }
 
-    fn keep(&self, schedule: &mut SnapshotSchedule, first: bool) {
+    fn maintain_snapshots(&self, schedule: &mut SnapshotSchedule, first: bool) {
         let offset = self.inspect(roseshore_core::config::State::offset);
         let done = match schedule.next(Instant::now(), first, offset) {
             SnapshotAction::Nothing => return,
             SnapshotAction::CheckNewest => {
-                self.newest().map(|it| schedule.found(Instant::now(), it))
+                self.newest_snapshot().map(|it| schedule.found(Instant::now(), it))
             }
             SnapshotAction::Write => {
                 self.write_snapshot().map(|at| schedule.written(Instant::now(), at))
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The offset and age of the newest snapshot on the log.
-    fn newest(&self) -> CallResult<Option<(Offset, Duration)>> {
+    /// The offset and age of the newest snapshot in the log.
+    fn newest_snapshot(&self) -> CallResult<Option<(Offset, Duration)>> {
         let Some((end, _)) = self.snapshot_bounds()? else { return Ok(None) };
         let found = self.log.read(SNAPSHOTS, end - 1, 1, Duration::ZERO)?;
         Ok(found.records.last().and_then(|it| {
@@ -122,13 +122,13 @@
 
     fn peer_loop(&self, members: &dyn Members, peers: &dyn Peers) {
         let mut selector = PeerSelector::default();
-        let mut told = BTreeSet::new();
+        let mut logged = BTreeSet::new();
         while self.running() {
             let all = others(members);
             let (offset, digest) = self.inspect(|it| (it.offset(), it.digest()));
             let seen: Vec<Peer> = all.iter().map(|it| as_peer(it, members)).collect();
             for it in diverged(offset, digest, &seen) {
-                if told.insert((it.host.clone(), offset)) {
+                if logged.insert((it.host.clone(), offset)) {
                     event!(
                         Event::ConfigDiverged,
                         "peer=`{}` offset={offset} own={digest:016x} theirs={:016x}",
@@ -137,21 +137,21 @@
                     );
                 }
             }
-            told.retain(|(_, at)| *at == offset);
+            logged.retain(|(_, at)| *at == offset);
             let ask = selector.next(offset, &seen);
             let member = ask.and_then(|ask| all.iter().find(|it| it.host == ask.host));
-            let gave = member.map(|it| self.pull(peers, it.peer));
-            if let Some(gave) = gave {
-                selector.record(gave);
+            let advanced = member.map(|it| self.pull(peers, it.peer));
+            if let Some(advanced) = advanced {
+                selector.record(advanced);
             }
-            if gave != Some(true) {
-                self.rest(Instant::now() + self.settings.tick);
+            if advanced != Some(true) {
+                self.sleep(Instant::now() + self.settings.tick);
             }
         }
     }
 }
 
-/// This daemon's place in rendezvous order.
+/// This daemon's rank in rendezvous order.
 fn rank(members: &dyn Members) -> Option<usize> {
     let own = members.own().host;
     members.ranked(SUBJECT).iter().position(|it| it.host == own)
--- a/crates/roseshored/src/fleets/submit.rs
+++ b/crates/roseshored/src/fleets/submit.rs
@@ -1,4 +1,4 @@
-//! Bringing an operator's command to the log and learning what became of it.
+//! Appends operators' commands to the log and determines their outcome.
 
 use super::FleetDriver;
 use roseshore_core::config::{
@@ -9,12 +9,13 @@
 use roseshore_ports::inside::{MemberState, Members};
 use roseshore_ports::outside::CallError;
 
-/// The longest wait for one read of the log on the way.
-const LOOK: Duration = Duration::from_millis(500);
-const PAUSE: Duration = Duration::from_millis(100);
+/// Longest wait of one read of the log.
+const MAX_READ_WAIT: Duration = Duration::from_millis(500);
+/// Pause after a failed read, and between checks whether a command is in force everywhere.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 impl FleetDriver {
-    /// Appends a command and waits until it is decided, or `until`.
+    /// Appends a command and waits, at most to `until`, until it is accepted or rejected.
     pub fn submit(&self, command: &Command, until: Instant) -> Settled {
         let data = match serde_json::to_string(command) {
             Ok(data) => data,
@@ -33,8 +34,8 @@
                 }
                 Step::Read => {
                     let left = until.saturating_duration_since(Instant::now());
-                    if self.read_log(left.min(LOOK)).is_err() {
-                        std::thread::sleep(PAUSE.min(left));
+                    if self.read_log(left.min(MAX_READ_WAIT)).is_err() {
+                        std::thread::sleep(RETRY_PAUSE.min(left));
                     }
                     submission.log_read();
                 }
@@ -48,12 +49,13 @@
     fn append(&self, data: &str) -> AppendOutcome {
         match self.log.append(roseshore_core::config::STREAM, &[data.to_owned()]) {
             Ok(offset) => AppendOutcome::Appended(offset),
-            Err(err) if err.verdict() == Verdict::NotRun => AppendOutcome::Refused(told(&err)),
-            Err(err) => AppendOutcome::Lost(told(&err)),
+            Err(err) if err.verdict() == Verdict::NotRun => AppendOutcome::Refused(message(&err)),
+            Err(err) => AppendOutcome::Lost(message(&err)),
         }
     }
 
-    /// Where the command at `version` is in force, by the progress of all daemons.
+    /// In which data centres the command at `version` is in force, according to the offsets of all
+    /// daemons.
     pub fn confirmation(&self, members: &dyn Members, version: Offset) -> Confirmation {
         let own = members.own();
         let mut progress: Vec<Progress> = members
@@ -69,7 +71,7 @@
         confirmation(version, &declared, &progress)
     }
 
-    /// Waits until a command is in force everywhere, or `until`.
+    /// Waits, at most to `until`, until the command at `version` is in force in all data centres.
     pub fn wait_confirmed(
         &self,
         members: &dyn Members,
@@ -81,11 +83,11 @@
             if confirmation.unconfirmed.is_empty() || Instant::now() >= until {
                 return confirmation;
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_PAUSE);
         }
     }
 }
 
-fn told(err: &CallError) -> String {
+fn message(err: &CallError) -> String {
     err.to_string()
 }
--- a/crates/roseshored/src/fleets/tail.rs
+++ b/crates/roseshored/src/fleets/tail.rs
@@ -1,10 +1,12 @@
-//! The newest records, kept for peers that are a little behind.
+//! The newest records, kept for peers that are slightly behind.
 
 use roseshore_core::prelude::*;
 use roseshore_wire::platform::Record;
 use std::collections::BTreeMap;
 
+/// Most records kept.
 const MAX_RECORDS: usize = 1024;
+/// Most bytes of record data kept.
 const MAX_BYTES: usize = 4 << 20;
 
 /// Records by offset, bounded in number and bytes; the oldest are dropped first.
@@ -15,8 +17,8 @@
 }
 
 impl RecordTail {
-    /// Keeps one record.
-    pub(super) fn take(&mut self, record: &Record) {
+    /// Adds one record, unless one with its offset is present.
+    pub(super) fn add(&mut self, record: &Record) {
         if self.records.contains_key(&record.offset) {
             return;
         }
@@ -28,9 +30,12 @@
         }
     }
 
-    /// The records from an offset on, without holes and before `end`.
-    pub(super) fn run(&self, from: Offset, end: Offset) -> Vec<&Record> {
-        let run = self.records.range(from..end.max(from)).zip(from..);
-        run.take_while(|((offset, _), due)| **offset == *due).map(|((_, it), _)| it).collect()
+    /// The records from `from` up to the first gap or `end`.
+    pub(super) fn contiguous(&self, from: Offset, end: Offset) -> Vec<&Record> {
+        let records = self.records.range(from..end.max(from)).zip(from..);
+        records
+            .take_while(|((offset, _), expected)| **offset == *expected)
+            .map(|((_, it), _)| it)
+            .collect()
     }
 }
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -1,8 +1,8 @@
-//! Keeps the record of requests and answers operators' questions about them.
+//! Records requests and answers operators' queries about them.
 //!
 //! [`LedgerDriver`] implements the `Ledger` port and answers peers' queries about this daemon;
-//! [`QueryFanout`] asks every daemon and merges the rows; [`account`] writes this daemon's parts
-//! of the weekly account to the log and reads the whole of it.
+//! [`QueryFanout`] asks every daemon and merges the rows; [`account`] writes this
+//! daemon's deltas of the weekly account to the log and reads the account back from there.
 
 pub mod account;
 mod rows;
@@ -22,48 +22,48 @@
 use std::sync::Arc;
 use std::thread;
 
-/// How long a daemon has to answer a query.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
-/// Daemons that are asked at once.
-const ASKERS: usize = 16;
+/// Timeout of a query to another daemon.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Daemons that are queried concurrently.
+const QUERY_THREADS: usize = 16;
 
-/// The record of one daemon's requests.
+/// The history of one daemon's requests.
 pub struct LedgerDriver {
     host: HostId,
     data_centre: DataCentreId,
-    book: Mutex<RequestHistory>,
+    history: Mutex<RequestHistory>,
     account: Arc<Account>,
 }
 
 impl LedgerDriver {
-    /// An empty record.
+    /// Creates a ledger with an empty history.
     pub fn new(own: &Member, account: Arc<Account>) -> LedgerDriver {
         let (host, data_centre) = (own.host.clone(), own.data_centre.clone());
-        LedgerDriver { host, data_centre, book: Mutex::default(), account }
+        LedgerDriver { host, data_centre, history: Mutex::default(), account }
     }
 
-    /// This daemon's rows for a query.
+    /// This daemon's own rows for a query.
     pub fn local(&self, query: &Query) -> Reply {
-        let book = self.book.lock();
-        let origin = rows::Place { host: &self.host, data_centre: &self.data_centre };
-        rows::of_book(&book, &origin, query)
+        let history = self.history.lock();
+        let location = rows::Location { host: &self.host, data_centre: &self.data_centre };
+        rows::from_history(&history, &location, query)
     }
 }
 
 impl Ledger for LedgerDriver {
     fn begun(&self, ask: &RequestInfo) {
         let running = RunningRequest {
-            meta: whose(ask),
-            started: wall(ask.arrived),
-            deadline: wall(ask.deadline),
+            meta: request_meta(ask),
+            started: wall_time(ask.arrived),
+            deadline: wall_time(ask.deadline),
         };
-        self.book.lock().begin(running);
+        self.history.lock().begin(running);
     }
 
     fn ended(&self, end: &RequestEnd) {
         let ended = EndedRequest {
-            meta: whose(&end.ask),
-            ended_at: wall(end.ended),
+            meta: request_meta(&end.ask),
+            ended_at: wall_time(end.ended),
             late_by: end.ended.saturating_duration_since(end.ask.deadline),
             verdict: end.verdict,
             code: end.code,
@@ -73,11 +73,11 @@
             missed: end.missed(),
         };
         self.account.ended(&ended);
-        self.book.lock().end(ended);
+        self.history.lock().end(ended);
     }
 
     fn find(&self, id: &str) -> Option<RequestState> {
-        self.book.lock().find(id)
+        self.history.lock().find(id)
     }
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// Asks every daemon of the system.
+/// Sends queries to every known daemon and merges the replies.
 pub struct QueryFanout {
     ledger: Arc<LedgerDriver>,
     account: Arc<Account>,
@@ -104,7 +104,7 @@
 }
 
 impl QueryFanout {
-    /// An asker over the members that this daemon knows.
+    /// Creates a fan-out over the members that this daemon knows.
     pub fn new(
         ledger: Arc<LedgerDriver>,
         account: Arc<Account>,
@@ -114,7 +114,7 @@
         QueryFanout { ledger, account, members, peers }
     }
 
-    /// The other daemons that may have rows.
+    /// The other daemons that may have rows for the query.
     fn others(&self, query: &Query) -> Vec<Member> {
         let own = self.members.own().host;
         let wanted = |dc: &DataCentreId| query.filter.data_centre.as_ref().is_none_or(|w| w == dc);
@@ -123,25 +123,25 @@
             .collect()
     }
 
-    /// Asks the members side by side, so that silent ones cost one limit and not one each.
-    fn ask_all(&self, query: &Query, others: Vec<Member>) -> Vec<(HostId, Option<Reply>)> {
+    /// Queries the members concurrently, so that unresponsive ones do not cost one timeout each.
+    fn query_all(&self, query: &Query, others: Vec<Member>) -> Vec<(HostId, Option<Reply>)> {
         let Ok(text) = serde_json::to_string(query) else { return Vec::new() };
         let ask = peer::PeerRequest::Query { query: text };
         let (jobs, queue) = flume::unbounded::<Member>();
         let (results, replies) = flume::unbounded();
-        let askers = ASKERS.min(others.len());
+        let threads = QUERY_THREADS.min(others.len());
         for member in others {
-            // The queue has no bound and its reader lives on, so this cannot fail.
+            // The queue is unbounded and its receiver is still alive, so this cannot fail.
             drop(jobs.send(member));
         }
         drop(jobs);
         thread::scope(|scope| {
-            for _ in 0..askers {
+            for _ in 0..threads {
                 let (queue, results, ask) = (queue.clone(), results.clone(), &ask);
                 scope.spawn(move || {
                     for member in queue {
-                        let reply = self.peers.ask(member.peer, ask, ASK_LIMIT);
-                        drop(results.send((member.host, reply.ok().and_then(read))));
+                        let reply = self.peers.ask(member.peer, ask, QUERY_TIMEOUT);
+                        drop(results.send((member.host, reply.ok().and_then(parse_rows))));
                     }
                 });
             }
@@ -156,26 +156,26 @@
         if query.topic == Topic::Account {
             return self.account.reply(query);
         }
-        let mut whole = self.ledger.local(query);
-        for (host, reply) in self.ask_all(query, self.others(query)) {
+        let mut merged = self.ledger.local(query);
+        for (host, reply) in self.query_all(query, self.others(query)) {
             match reply {
-                Some(reply) => rows::join(&mut whole, reply),
-                None => whole.unasked.push(host),
+                Some(reply) => rows::merge(&mut merged, reply),
+                None => merged.unasked.push(host),
             }
         }
-        whole.unasked.sort();
-        whole
+        merged.unasked.sort();
+        merged
     }
 }
 
-fn read(reply: peer::PeerReply) -> Option<Reply> {
+fn parse_rows(reply: peer::PeerReply) -> Option<Reply> {
     match reply {
         peer::PeerReply::Rows { rows } => serde_json::from_str(&rows).ok(),
         _ => None,
     }
 }
 
-fn whose(ask: &RequestInfo) -> RequestMeta {
+fn request_meta(ask: &RequestInfo) -> RequestMeta {
     RequestMeta {
         request: ask.request.clone(),
         service: ask.service.clone(),
@@ -183,14 +183,14 @@
     }
 }
 
-/// The wall clock's time of an instant, by the difference to now.
-fn wall(instant: Instant) -> SystemTime {
+/// Converts an instant to wall-clock time, by its difference from now.
+fn wall_time(instant: Instant) -> SystemTime {
     let now = Instant::now();
-    let wall = SystemTime::now();
-    if instant >= now { wall + (instant - now) } else { wall - (now - instant) }
+    let wall_now = SystemTime::now();
+    if instant >= now { wall_now + (instant - now) } else { wall_now - (now - instant) }
 }
 
-/// An empty reply about a topic.
+/// An empty reply for a topic.
 pub(crate) fn empty(topic: Topic) -> Reply {
     let rows = match topic {
         Topic::Running => Rows::Running(Vec::new()),
--- a/crates/roseshored/src/ledger/account.rs
+++ b/crates/roseshored/src/ledger/account.rs
@@ -1,4 +1,4 @@
-//! Writes this daemon's part of the weekly account, and reads the whole.
+//! Writes this daemon's deltas of the weekly account to the log, and reads the whole account.
 
 use crate::event;
 use crate::log_reader::{Batch, read_to_end};
@@ -13,18 +13,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The stream of parts.
+/// The log stream of deltas.
 pub const DELTA_STREAM: &str = "account";
-/// The stream of summaries.
+/// The log stream of summaries.
 pub const SUMMARY_STREAM: &str = "account-summaries";
-/// Parts after which the account is written down anew.
-const SUMMARY_EVERY: u64 = 512;
-/// How often a part is written, if there is anything to say.
-const FLUSH_EVERY: Duration = Duration::from_secs(10);
-/// How often the whole account is written down; far below the log's retention.
-const KEEP_EVERY: Duration = Duration::from_hours(1);
-
-/// The account, towards the log.
+/// Deltas between two summaries of the account.
+const DELTAS_PER_SUMMARY: u64 = 512;
+/// Time between two deltas, if anything has been counted.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(10);
+/// Time between summaries by the daemon that is first in rank; far below the log's retention.
+const SUMMARY_INTERVAL: Duration = Duration::from_hours(1);
+
+/// The weekly account: counts this daemon's requests and folds all daemons' deltas.
 pub struct Account {
     log: Arc<dyn Log>,
     host: HostId,
@@ -34,7 +34,7 @@
 }
 
 impl Account {
-    /// An account that has read nothing yet.
+    /// Creates an account that has read nothing from the log yet.
     pub fn new(log: Arc<dyn Log>, own: &Member) -> Account {
         let counter = Counter::new(own.host.clone(), own.incarnation);
         Account {
@@ -46,50 +46,50 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request that has ended.
     pub(crate) fn ended(&self, ended: &EndedRequest) {
         self.counter.lock().count(ended);
     }
 
-    /// Flushes until `stop` is closed, and once more then.
+    /// Flushes periodically until `stop` is closed, and once more then.
     ///
-    /// The first in rank writes the whole down every [`KEEP_EVERY`], because a summary is itself
-    /// kept for a limited time only.
+    /// The first in rank writes a summary every [`SUMMARY_INTERVAL`], because summaries themselves
+    /// are subject to the log's retention.
     pub fn run(&self, members: &dyn Members, stop: &flume::Receiver<()>) {
-        let mut kept = Instant::now();
-        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(FLUSH_EVERY) {
+        let mut last_summary = Instant::now();
+        while let Err(flume::RecvTimeoutError::Timeout) = stop.recv_timeout(FLUSH_INTERVAL) {
             let flushed = self.flush();
             let first = members.ranked(DELTA_STREAM).first().is_some_and(|m| m.host == self.host);
             if first
                 && flushed.is_ok()
-                && kept.elapsed() >= KEEP_EVERY
+                && last_summary.elapsed() >= SUMMARY_INTERVAL
                 && self.write_summary().is_ok()
             {
-                kept = Instant::now();
+                last_summary = Instant::now();
             }
         }
-        // The last chance: what is not in the log now is gone with this host.
+        // What is not in the log by now is lost when the process ends.
         if self.flush().is_err() {
             event!(Event::AccountDelayed, "lost rows={}", self.counter.lock().pending_rows());
         }
     }
 
-    /// Appends what is due; called now and then, and once before the daemon ends.
+    /// Appends the next delta, if there is one; called periodically and before the daemon ends.
     ///
     /// # Errors
-    /// When the log does not take it; it is kept and due again.
+    /// When the append fails. The delta is kept and appended by a later call.
     pub fn flush(&self) -> CallResult<()> {
-        let Some(part) = self.counter.lock().next_delta() else { return Ok(()) };
-        let Ok(line) = serde_json::to_string(&part) else { return Ok(()) };
+        let Some(delta) = self.counter.lock().next_delta() else { return Ok(()) };
+        let Ok(line) = serde_json::to_string(&delta) else { return Ok(()) };
         match self.log.append(DELTA_STREAM, &[line]) {
             Ok(offset) => {
                 self.counter.lock().appended();
                 self.delayed.store(false, Ordering::Relaxed);
-                event!(Event::AccountWritten, "offset={offset} rows={}", part.rows.len());
-                self.summarize(offset)
+                event!(Event::AccountWritten, "offset={offset} rows={}", delta.rows.len());
+                self.summarise_if_due(offset)
             }
             Err(err) => {
-                // Said once per outage, not with every try.
+                // Logged once per outage, not with every attempt.
                 if !self.delayed.swap(true, Ordering::Relaxed) {
                     event!(
                         Event::AccountDelayed,
@@ -102,21 +102,22 @@
         }
     }
 
-    /// Writes the account down when the part that was just appended is the one whose turn it is.
+    /// Writes a summary if the delta just appended at `offset` is the last of
+    /// [`DELTAS_PER_SUMMARY`].
     ///
-    /// The part's own writer does it, so that nobody has to be chosen; a writer that dies here
-    /// leaves the work to the next turn.
-    fn summarize(&self, offset: Offset) -> CallResult<()> {
-        if !(offset + 1).is_multiple_of(SUMMARY_EVERY) {
+    /// The writer of that delta writes the summary, so no election is needed. If it crashes here,
+    /// the next summary covers the gap.
+    fn summarise_if_due(&self, offset: Offset) -> CallResult<()> {
+        if !(offset + 1).is_multiple_of(DELTAS_PER_SUMMARY) {
             return Ok(());
         }
         self.write_summary()
     }
 
-    /// Writes the account down, so that it outlives the log's retention of the parts.
+    /// Appends a summary of the account, so that it outlives the log's retention of the deltas.
     ///
     /// # Errors
-    /// When the log does not answer.
+    /// When the log does not respond.
     pub fn write_summary(&self) -> CallResult<()> {
         self.read()?;
         let summary = self.fold.lock().summary();
@@ -124,48 +125,48 @@
         self.log.append(SUMMARY_STREAM, &[line]).map(drop)
     }
 
-    /// Reads on to the end of the log.
+    /// Folds new deltas up to the end of the log.
     ///
     /// # Errors
-    /// When the log does not answer.
+    /// When the log does not respond.
     pub fn read(&self) -> CallResult<()> {
         if self.fold.lock().next() == 0 {
             self.resume()?;
         }
         let from = self.fold.lock().next();
-        read_to_end(&*self.log, DELTA_STREAM, from, |met| {
-            match met {
-                Batch::Records(records) => self.take(records),
+        read_to_end(&*self.log, DELTA_STREAM, from, |batch| {
+            match batch {
+                Batch::Records(records) => self.apply(records),
                 Batch::Trimmed(oldest) => {
                     self.resume()?;
-                    self.skip(oldest);
+                    self.skip_trimmed(oldest);
                 }
             }
             Ok(self.fold.lock().next())
         })
     }
 
-    fn take(&self, records: &[Record]) {
+    fn apply(&self, records: &[Record]) {
         let mut fold = self.fold.lock();
         for record in records {
-            let part = serde_json::from_str::<AccountDelta>(&record.data).ok();
-            fold.apply(record.offset, part.as_ref());
+            let delta = serde_json::from_str::<AccountDelta>(&record.data).ok();
+            fold.apply(record.offset, delta.as_ref());
         }
     }
 
-    /// Parts that were trimmed before anybody summed them up are counted as lost.
-    fn skip(&self, oldest: Offset) {
+    /// Deltas that were trimmed before a summary covered them are counted as lost.
+    fn skip_trimmed(&self, oldest: Offset) {
         let mut fold = self.fold.lock();
         if fold.next() < oldest {
             fold.apply(oldest - 1, None);
         }
     }
 
-    /// Goes on from the newest summary that is kept.
+    /// Resumes from the newest summary that the log still has.
     fn resume(&self) -> CallResult<()> {
         let mut next = 0;
-        read_to_end(&*self.log, SUMMARY_STREAM, next, |met| {
-            match met {
+        read_to_end(&*self.log, SUMMARY_STREAM, next, |batch| {
+            match batch {
                 Batch::Records(records) => {
                     for record in records {
                         if let Ok(summary) = serde_json::from_str::<Summary>(&record.data) {
@@ -180,13 +181,13 @@
         })
     }
 
-    /// The account for an operator. Rows that are not whole are marked: when the log does not
-    /// answer, this daemon is named as one that could not be asked.
+    /// The account rows for an operator's query. Incomplete replies are marked: `cut` when deltas
+    /// were lost, and this host in `unasked` when the log does not respond.
     pub(crate) fn reply(&self, query: &Query) -> Reply {
         let flushed = self.flush();
         let read = self.read();
         let fold = self.fold.lock();
-        let rows = fold.rows().filter(|row| fits(query, row)).map(account_row).collect();
+        let rows = fold.rows().filter(|row| matches(query, row)).map(account_row).collect();
         let unasked = match flushed.and(read) {
             Ok(()) => Vec::new(),
             Err(_) => vec![self.host.clone()],
@@ -195,7 +196,7 @@
     }
 }
 
-fn fits(query: &Query, row: &Row) -> bool {
+fn matches(query: &Query, row: &Row) -> bool {
     let filter = &query.filter;
     filter.service.as_ref().is_none_or(|s| *s == row.key.service)
         && filter.organisation.as_ref().is_none_or(|o| *o == row.key.organisation)
--- a/crates/roseshored/src/ledger/rows.rs
+++ b/crates/roseshored/src/ledger/rows.rs
@@ -1,4 +1,4 @@
-//! Rows for operators' queries.
+//! Builds and merges the rows of operators' queries.
 
 use roseshore_core::ledger::history::{EndedRequest, RequestHistory, RequestMeta, RunningRequest};
 use roseshore_core::prelude::*;
@@ -7,53 +7,60 @@
     Filter, LateRow, Origin, Query, RefusedRow, Reply, Rows, RunningRow, Topic,
 };
 
-/// The most rows that one daemon gives; the newest ones.
-const MOST: usize = 1_000;
+/// Most rows that one daemon returns; older ones are left out.
+const MAX_ROWS: usize = 1_000;
 
-/// Where a daemon is.
-pub(crate) struct Place<'a> {
-    /// The daemon.
+/// The daemon that rows come from.
+pub(crate) struct Location<'a> {
+    /// Its host.
     pub(crate) host: &'a HostId,
     /// Its data centre.
     pub(crate) data_centre: &'a DataCentreId,
 }
 
-impl Place<'_> {
-    fn origin(&self, whose: &RequestMeta) -> Origin {
+impl Location<'_> {
+    fn origin(&self, meta: &RequestMeta) -> Origin {
         Origin {
-            request: whose.request.clone(),
-            service: whose.service.clone(),
-            organisation: whose.organisation.clone(),
+            request: meta.request.clone(),
+            service: meta.service.clone(),
+            organisation: meta.organisation.clone(),
             data_centre: self.data_centre.clone(),
             host: self.host.clone(),
         }
     }
 }
 
-/// One daemon's rows.
-pub(crate) fn of_book(book: &RequestHistory, place: &Place<'_>, query: &Query) -> Reply {
+/// The rows of one daemon's history that match a query.
+pub(crate) fn from_history(
+    history: &RequestHistory,
+    location: &Location<'_>,
+    query: &Query,
+) -> Reply {
     let mut reply = super::empty(query.topic);
     let filter = &query.filter;
-    if filter.data_centre.as_ref().is_some_and(|dc| dc != place.data_centre) {
+    if filter.data_centre.as_ref().is_some_and(|dc| dc != location.data_centre) {
         return reply;
     }
     let (rows, cut) = match query.topic {
         Topic::Running => {
             let mut found: Vec<&RunningRequest> =
-                book.running().filter(|r| fits(filter, &r.meta, r.started)).collect();
+                history.running().filter(|r| fits(filter, &r.meta, r.started)).collect();
             found.sort_by_key(|r| r.started);
             let cut = keep_newest(&mut found);
-            (Rows::Running(found.into_iter().map(|r| running_row(place, r)).collect()), cut)
+            (Rows::Running(found.into_iter().map(|r| running_row(location, r)).collect()), cut)
         }
         Topic::Late => {
-            let mut found: Vec<&EndedRequest> = ended(book.late(), filter);
+            let mut found: Vec<&EndedRequest> = ended(history.late(), filter);
             let cut = keep_newest(&mut found);
-            (Rows::Late(found.into_iter().map(|e| late_row(place, e)).collect()), cut)
+            (Rows::Late(found.into_iter().map(|e| late_row(location, e)).collect()), cut)
         }
         Topic::Refused => {
-            let mut found: Vec<&EndedRequest> = ended(book.refused(), filter);
+            let mut found: Vec<&EndedRequest> = ended(history.refused(), filter);
             let cut = keep_newest(&mut found);
-            (Rows::Refused(found.into_iter().filter_map(|e| refused_row(place, e)).collect()), cut)
+            (
+                Rows::Refused(found.into_iter().filter_map(|e| refused_row(location, e)).collect()),
+                cut,
+            )
         }
         Topic::Account => return reply,
     };
@@ -70,30 +77,30 @@
 }
 
 fn keep_newest<T>(rows: &mut Vec<T>) -> bool {
-    let cut = rows.len() > MOST;
-    rows.drain(..rows.len().saturating_sub(MOST));
+    let cut = rows.len() > MAX_ROWS;
+    rows.drain(..rows.len().saturating_sub(MAX_ROWS));
     cut
 }
 
-fn fits(filter: &Filter, whose: &RequestMeta, at: SystemTime) -> bool {
-    filter.service.as_ref().is_none_or(|s| *s == whose.service)
-        && filter.organisation.as_ref().is_none_or(|o| *o == whose.organisation)
+fn fits(filter: &Filter, meta: &RequestMeta, at: SystemTime) -> bool {
+    filter.service.as_ref().is_none_or(|s| *s == meta.service)
+        && filter.organisation.as_ref().is_none_or(|o| *o == meta.organisation)
         && filter.since_ms.is_none_or(|since| millis(at) >= since)
 }
 
-fn running_row(place: &Place<'_>, running: &RunningRequest) -> RunningRow {
+fn running_row(location: &Location<'_>, running: &RunningRequest) -> RunningRow {
     let now = millis(SystemTime::now()).cast_signed();
     let left = millis(running.deadline).cast_signed() - now;
     RunningRow {
-        origin: place.origin(&running.meta),
+        origin: location.origin(&running.meta),
         begun_ms: millis(running.started),
         left_ms: left,
     }
 }
 
-fn late_row(place: &Place<'_>, ended: &EndedRequest) -> LateRow {
+fn late_row(location: &Location<'_>, ended: &EndedRequest) -> LateRow {
     LateRow {
-        origin: place.origin(&ended.meta),
+        origin: location.origin(&ended.meta),
         ended_ms: millis(ended.ended_at),
         late_ms: ended.late_by.as_millis() as u64,
         verdict: ended.verdict,
@@ -101,20 +108,21 @@
     }
 }
 
-fn refused_row(place: &Place<'_>, ended: &EndedRequest) -> Option<RefusedRow> {
+fn refused_row(location: &Location<'_>, ended: &EndedRequest) -> Option<RefusedRow> {
     Some(RefusedRow {
-        origin: place.origin(&ended.meta),
+        origin: location.origin(&ended.meta),
         ended_ms: millis(ended.ended_at),
         verdict: ended.verdict,
         code: ended.code?,
     })
 }
 
-/// Adds another daemon's rows; rows of another topic are left out.
-pub(crate) fn join(whole: &mut Reply, part: Reply) {
-    whole.cut |= part.cut;
-    whole.unasked.extend(part.unasked);
-    match (&mut whole.rows, part.rows) {
+/// Merges another daemon's rows in order of time. Rows of a different topic are dropped, and the
+/// reply is marked as cut.
+pub(crate) fn merge(reply: &mut Reply, part: Reply) {
+    reply.cut |= part.cut;
+    reply.unasked.extend(part.unasked);
+    match (&mut reply.rows, part.rows) {
         (Rows::Running(all), Rows::Running(more)) => {
             all.extend(more);
             all.sort_by_key(|r| r.begun_ms);
@@ -127,6 +135,6 @@
             all.extend(more);
             all.sort_by_key(|r| r.ended_ms);
         }
-        _ => whole.cut = true,
+        _ => reply.cut = true,
     }
 }
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -1,4 +1,4 @@
-//! The configuration's driver: several daemons in one process over a log in memory.
+//! The configuration driver: several daemons in one process over a log in memory.
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::config::{
@@ -30,21 +30,21 @@
     platform: BTreeSet<String>,
     /// Data centres that cannot reach the others.
     peers: BTreeSet<String>,
-    /// Appends to come whose reply is lost after the effect.
+    /// Number of next appends whose reply is lost after they took effect.
     lose: u32,
-    /// Reads that are answered before the log is out, if it goes out.
+    /// Number of reads that succeed before the log becomes unreachable; `None` for no limit.
     reads: Option<u32>,
 }
 
-/// What all daemons share: the log, and what is cut.
+/// What all daemons share: the log and the faults.
 #[derive(Default)]
-struct World {
+struct SharedState {
     streams: Mutex<BTreeMap<String, Stream>>,
     grown: Condvar,
     faults: Mutex<Faults>,
 }
 
-impl World {
+impl SharedState {
     fn add(&self, stream: &str, data: &[String]) -> Offset {
         let mut streams = self.streams.lock();
         let records = &mut streams.entry(stream.to_owned()).or_default().records;
@@ -66,16 +66,16 @@
 }
 
 /// The log as one data centre reaches it.
-struct Reach(Arc<World>, String);
+struct DataCentreLog(Arc<SharedState>, String);
 
-impl Reach {
+impl DataCentreLog {
     fn open(&self) -> CallResult<()> {
         let cut = self.0.faults.lock().platform.contains(&self.1);
         if cut { Err(CallError::Unreached("cut off".into())) } else { Ok(()) }
     }
 }
 
-impl Log for Reach {
+impl Log for DataCentreLog {
     fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset> {
         self.open()?;
         let first = self.0.add(stream, records);
@@ -99,7 +99,7 @@
                 break;
             }
         }
-        // A cut holds back the answer to a long poll too.
+        // A cut also fails a long poll that is waiting.
         self.open()?;
         let Stream { records, oldest } = streams.entry(stream.to_owned()).or_default();
         let (oldest, end) = (*oldest as Offset, records.len() as Offset);
@@ -118,20 +118,21 @@
     driver: Arc<FleetDriver>,
 }
 
-/// The daemons; each one's view of the others, by heartbeats that a cut keeps back.
+/// All daemons and the state that they share. A daemon's [`View`] of another one is updated only
+/// while their data centres are connected.
 #[derive(Default)]
-struct Net {
+struct Network {
     nodes: Mutex<Vec<Arc<Node>>>,
-    world: Arc<World>,
+    world: Arc<SharedState>,
 }
 
 struct View {
-    net: Arc<Net>,
+    net: Arc<Network>,
     own: HostId,
     seen: Mutex<BTreeMap<HostId, Member>>,
 }
 
-impl Net {
+impl Network {
     fn connected(&self, a: &str, b: &str) -> bool {
         let faults = self.world.faults.lock();
         a == b || !(faults.peers.contains(a) || faults.peers.contains(b))
@@ -191,25 +192,25 @@
     }
 }
 
-/// Daemons that are stopped when the test ends.
+/// A set of daemons that are stopped on drop.
 struct Cluster {
-    net: Arc<Net>,
+    net: Arc<Network>,
     views: BTreeMap<HostId, Arc<View>>,
 }
 
 impl Cluster {
     fn new() -> Cluster {
-        Cluster { net: Arc::new(Net::default()), views: BTreeMap::new() }
+        Cluster { net: Arc::new(Network::default()), views: BTreeMap::new() }
     }
 
-    fn world(&self) -> &World {
+    fn world(&self) -> &SharedState {
         &self.net.world
     }
 
     fn start(&mut self, centre: &str) -> Arc<Node> {
         let index = self.views.len();
         let host = format!("{centre}-{index}");
-        let log = Arc::new(Reach(Arc::clone(&self.net.world), centre.into()));
+        let log = Arc::new(DataCentreLog(Arc::clone(&self.net.world), centre.into()));
         let ms = Duration::from_millis;
         let settings = FleetSettings {
             reader: ReaderLimits {
@@ -294,7 +295,7 @@
 }
 
 #[test]
-fn racing_operators_get_one_winner() {
+fn of_concurrent_commands_one_is_accepted() {
     let (_cluster, nodes) = Cluster::full();
     let racers = nodes.iter().enumerate().map(|(index, node)| {
         let node = Arc::clone(node);
@@ -320,8 +321,9 @@
     eventually("everywhere", || nodes.iter().all(|it| rate(it) == Some(5.0)));
 }
 
-/// What is cut while a command is accepted elsewhere, and whether the cut data centre gets it.
-struct Cut {
+/// What is cut while a command is accepted elsewhere, and whether the command still reaches the
+/// data centre `landhi`.
+struct CutCase {
     name: &'static str,
     platform: &'static [&'static str],
     peers: &'static [&'static str],
@@ -329,11 +331,26 @@
 }
 
 #[test]
-fn a_cut_data_centre_serves_on_and_rejoins() {
+fn a_cut_off_data_centre_keeps_serving_and_rejoins() {
     let cases = [
-        Cut { name: "cut off from all", platform: &["landhi"], peers: &["landhi"], reached: false },
-        Cut { name: "cut off from the platform", platform: &["landhi"], peers: &[], reached: true },
-        Cut { name: "cut off from the others", platform: &[], peers: &["landhi"], reached: true },
+        CutCase {
+            name: "cut off from all",
+            platform: &["landhi"],
+            peers: &["landhi"],
+            reached: false,
+        },
+        CutCase {
+            name: "cut off from the platform",
+            platform: &["landhi"],
+            peers: &[],
+            reached: true,
+        },
+        CutCase {
+            name: "cut off from the others",
+            platform: &[],
+            peers: &["landhi"],
+            reached: true,
+        },
     ];
     for case in cases {
         let (cluster, nodes) = Cluster::full();
@@ -365,24 +382,24 @@
     }
 }
 
-/// What a daemon that starts finds.
-struct Start {
+/// The environment in which a daemon starts.
+struct StartCase {
     name: &'static str,
-    /// Records of the log besides the one that declares the organisation.
+    /// Records in the log besides the one that declares the organisation.
     records: usize,
-    /// Whether the log has forgotten them.
+    /// Whether the log has been trimmed.
     trimmed: bool,
-    /// Whether the log is out.
+    /// Whether the log is unreachable.
     out: bool,
-    /// Whether other daemons are there.
+    /// Whether another daemon is running.
     peers: bool,
     ready: bool,
 }
 
 #[test]
-fn a_new_daemon_finds_the_configuration_or_says_that_it_has_none() {
+fn a_new_daemon_loads_the_configuration_or_has_none() {
     let cases = [
-        Start {
+        StartCase {
             name: "the log alone",
             records: 3,
             trimmed: false,
@@ -390,7 +407,7 @@
             peers: false,
             ready: true,
         },
-        Start {
+        StartCase {
             name: "a trimmed log with a snapshot",
             records: 20,
             trimmed: true,
@@ -398,7 +415,7 @@
             peers: false,
             ready: true,
         },
-        Start {
+        StartCase {
             name: "the log is out, peers have the records",
             records: 3,
             trimmed: false,
@@ -406,7 +423,7 @@
             peers: true,
             ready: true,
         },
-        Start {
+        StartCase {
             name: "the log is out, peers have a snapshot only",
             records: 2000,
             trimmed: false,
@@ -414,8 +431,8 @@
             peers: true,
             ready: true,
         },
-        Start {
-            name: "the log is out and nobody is there",
+        StartCase {
+            name: "the log is out and no other daemon runs",
             records: 3,
             trimmed: false,
             out: true,
@@ -429,11 +446,11 @@
         assert_eq!(submit(&old, &command("a", None, 5), BOUND), Settled::Accepted(0));
         cluster.world().add(STREAM, &noise(case.records));
         let end = case.records as Offset + 1;
-        eventually("the old one has all", || old.driver.inspect(State::offset) == end);
+        eventually("the first daemon has all records", || old.driver.inspect(State::offset) == end);
         if case.trimmed {
             eventually("a snapshot", || cluster.world().end(SNAPSHOTS) > 0);
             cluster.world().trim(STREAM, case.records);
-            // What the snapshot may lack is kept; the hole before it is what matters.
+            // Records that the snapshot may lack are kept; only those before it are trimmed.
             eventually("a late snapshot", || {
                 cluster.world().add(STREAM, &noise(1));
                 std::thread::sleep(Duration::from_millis(20));
