--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -1,8 +1,8 @@
-//! What membership, polling and sharing cost one daemon, at four sizes.
+//! Computes the cost of membership, polling and report sharing for one daemon, at four sizes.
 //!
-//! Sizes of messages are those of the coded messages, with 28 bytes of headers each; times are
-//! measured here, on one thread, the socket calls over loopback. What one daemon spends a second is
-//! worked out from them and the rates that the decisions keep. The targets' HTTP is not in it.
+//! Message sizes are those of the encoded messages, plus 28 bytes of headers each. Times are
+//! measured on one thread, with socket calls over loopback. The cost per second follows from these
+//! and from the rates that the state machines set. HTTP calls to targets are not included.
 
 use roseshore_core::membership::{Heartbeat, ListedHost, Membership, Settings};
 use roseshore_core::polling::{Action, Polling};
@@ -19,12 +19,12 @@
 const HEADERS: usize = 28;
 /// IP and TCP headers of a digest, its reply and the acknowledgements, bytes.
 const TCP_HEADERS: usize = 4 * 40;
-/// Seconds between whole reports of a target that does not change.
-const WHOLE: f64 = 30.0;
+/// Seconds between full reports of a target that does not change.
+const FULL_REPORT_SECONDS: f64 = 30.0;
 const MODELS: usize = 24;
 const ROUNDS: u32 = 2000;
 
-/// A data centre among equals.
+/// A number of equal data centres, with the daemons and targets of each.
 struct Size {
     centres: usize,
     daemons: usize,
@@ -57,7 +57,7 @@
     let beat = bytes(&Datagram::Beat { heartbeat: heartbeat(1, 9), notes: vec![] });
     let whole = note_bytes(size, false);
     let brief = note_bytes(size, true);
-    let each = mine * (brief as f64 / poll + whole as f64 / WHOLE);
+    let each = mine * (brief as f64 / poll + whole as f64 / FULL_REPORT_SECONDS);
     let way = peers as f64 * ((beat + HEADERS) as f64 / period + each);
     let digest = digest_bytes(&view, now) as f64;
     let centres = (size.centres - 1) as f64;
@@ -199,7 +199,7 @@
     frame::encode(datagram, MAX_DATAGRAM).expect("below the bound").len()
 }
 
-/// Microseconds of one call of each.
+/// Microseconds per call of each operation.
 struct Costs {
     heard: f64,
     receive: f64,
@@ -211,11 +211,11 @@
 }
 
 fn time(mut body: impl FnMut(u64)) -> f64 {
-    let begun = Instant::now();
+    let started = Instant::now();
     for round in 0..u64::from(ROUNDS) {
         body(round + 2);
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
 fn costs(size: &Size, view: &mut Membership, now: Instant) -> Costs {
@@ -242,7 +242,7 @@
     Costs { heard, receive, send, tick, poll, unpack, pack }
 }
 
-/// Microseconds to send one datagram, and to receive and decode it.
+/// Microseconds to encode and send one datagram, and to receive and decode it.
 fn sockets(size: &Size) -> (f64, f64) {
     let (a, b) = (socket(), socket());
     let to = b.local_addr().expect("its address");
@@ -256,14 +256,14 @@
     let (mut sent, mut received) = (0.0, 0.0);
     let mut buffer = [0; MAX_DATAGRAM];
     for _ in 0..ROUNDS {
-        let begun = Instant::now();
+        let started = Instant::now();
         let bytes = frame::encode(&datagram, MAX_DATAGRAM).expect("below the bound");
         a.send_to(&bytes, to).expect("sent");
-        sent += begun.elapsed().as_secs_f64();
-        let begun = Instant::now();
+        sent += started.elapsed().as_secs_f64();
+        let started = Instant::now();
         let len = b.recv(&mut buffer).expect("received");
         black_box(frame::decode::<Datagram>(&buffer[..len]).expect("decoded"));
-        received += begun.elapsed().as_secs_f64();
+        received += started.elapsed().as_secs_f64();
     }
     (sent * 1e6 / f64::from(ROUNDS), received * 1e6 / f64::from(ROUNDS))
 }
--- a/crates/roseshored/src/admin.rs
+++ b/crates/roseshored/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: the HTTP paths under `/v1/admin/`.
+//! The admin API for operators: the HTTP paths under `/v1/admin/`.
 //!
-//! The server hands every such request to [`handle`] as a [`Call`] and sends the [`Answer`]; the
-//! bodies are those of `roseshore_wire::admin`.
+//! The server passes every such request to [`handle`] as a [`Call`] and sends back the [`Answer`].
+//! The bodies are JSON, defined in `roseshore_wire::admin`.
 
 mod keys;
 
@@ -17,36 +17,38 @@
 
 /// The prefix of all paths here.
 pub const PREFIX: &str = "/v1/admin/";
+/// Wait of a request that gives no `wait_ms`.
 const DEFAULT_WAIT: Duration = Duration::from_secs(10);
+/// Upper limit of `wait_ms`.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// The parts that operators' calls touch.
+/// The components that the admin API reads and changes.
 #[derive(Clone)]
 pub struct AdminApi {
-    /// The configuration.
+    /// The configuration, with the commands that change it.
     pub fleets: Arc<FleetDriver>,
-    /// The daemons.
+    /// The view of the daemons.
     pub members: Arc<dyn Members>,
-    /// Rows about requests; without it such questions are refused.
+    /// Answers queries about requests; `None` refuses them.
     pub queries: Option<Arc<dyn QueryHandler>>,
-    /// What is known of keys.
+    /// The state of idempotency keys.
     pub keys: Arc<dyn Keys>,
-    /// Whether this daemon takes no new work.
+    /// The drain state of this daemon.
     pub drain: Arc<Drain>,
 }
 
-/// One request.
+/// One HTTP request to the admin API.
 #[derive(Clone, Copy, Debug)]
 pub struct Call<'a> {
-    /// The HTTP method, in capitals.
+    /// The HTTP method, in upper case.
     pub method: &'a str,
-    /// The path with its query, beginning with [`PREFIX`].
+    /// The path and query string, starting with [`PREFIX`].
     pub path: &'a str,
     /// The body.
     pub body: &'a [u8],
 }
 
-/// Its answer, `application/json`.
+/// The response, of type `application/json`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -55,14 +57,14 @@
     pub body: Vec<u8>,
 }
 
-/// Answers one request; may take as long as its `wait_ms` says, 30 s at most.
+/// Handles one request; may block for its `wait_ms`, at most 30 s.
 pub fn handle(admin_api: &AdminApi, call: &Call<'_>) -> Answer {
     let (path, query) = call.path.split_once('?').unwrap_or((call.path, ""));
     let path = path.strip_prefix(PREFIX).unwrap_or_default();
     match (call.method, path) {
         ("GET", "config") => admin_api.config(),
         ("GET", "status") => admin_api.status(),
-        ("POST", "commands") => admin_api.command(call.body, wait(query)),
+        ("POST", "commands") => admin_api.command(call.body, wait_of(query)),
         ("POST", "query") => admin_api.query(call.body),
         ("POST", "drain") => admin_api.drain(),
         ("GET", "keys") => keys::show(&*admin_api.keys, query),
@@ -111,7 +113,7 @@
             Ok(command) => command,
             Err(err) => return problem(Code::BadRequest, format!("no command: {err}")),
         };
-        if let Some(message) = self.unfit(&command) {
+        if let Some(message) = self.rejection(&command) {
             return problem(Code::CommandInvalid, message);
         }
         let until = Instant::now() + wait;
@@ -120,13 +122,13 @@
         answer(200, &Report { command: command.id, outcome })
     }
 
-    /// Why a command is not even appended.
-    fn unfit(&self, command: &Command) -> Option<String> {
-        let stands = || self.fleets.inspect(roseshore_core::config::State::offset);
-        if command.made_at > stands() {
+    /// Why a command is rejected without being appended, or `None` if it may be appended.
+    fn rejection(&self, command: &Command) -> Option<String> {
+        let own_offset = || self.fleets.inspect(roseshore_core::config::State::offset);
+        if command.made_at > own_offset() {
             self.fleets.catch_up();
         }
-        let offset = stands();
+        let offset = own_offset();
         if command.format != FORMAT {
             return Some(format!("this daemon takes commands of format {FORMAT}"));
         }
@@ -143,10 +145,10 @@
     fn report(&self, id: &str) -> Answer {
         let settled = self.fleets.inspect(|state| state.settled(id));
         let settled = settled.unwrap_or_else(|| {
-            // One look at the log, since this daemon may be behind it.
-            let looked = self.fleets.catch_up();
+            // Reads the log to its end once, because this daemon may be behind.
+            let log_read = self.fleets.catch_up();
             let again = self.fleets.inspect(|state| state.settled(id));
-            again.unwrap_or_else(|| Settled::Unknown(absent(looked)))
+            again.unwrap_or_else(|| Settled::Unknown(unknown_reason(log_read)))
         });
         let outcome = self.outcome(settled, Instant::now());
         answer(200, &Report { command: id.to_owned(), outcome })
@@ -172,15 +174,15 @@
         match &self.queries {
             Some(queries) => {
                 let mut reply = queries.ask(&query);
-                self.mark(&mut reply.rows);
+                self.mark_advisory(&mut reply.rows);
                 answer(200, &reply)
             }
             None => problem(Code::UnknownPath, "this daemon keeps no rows about requests"),
         }
     }
 
-    /// Marks rows of services that are declared advisory.
-    fn mark(&self, rows: &mut Rows) {
+    /// Marks account rows of services that are declared advisory.
+    fn mark_advisory(&self, rows: &mut Rows) {
         let Rows::Account(rows) = rows else { return };
         self.fleets.inspect(|state| {
             let services = &state.fleet().services;
@@ -205,8 +207,8 @@
     objects.filter_map(with).collect()
 }
 
-fn absent(looked: bool) -> String {
-    if looked {
+fn unknown_reason(log_read: bool) -> String {
+    if log_read {
         return "the log holds no such command up to now, as far back as it is remembered; an \
                 append that is still under way may bring it"
             .into();
@@ -223,7 +225,7 @@
     }
 }
 
-fn wait(query: &str) -> Duration {
+fn wait_of(query: &str) -> Duration {
     let given = query.split('&').find_map(|it| it.strip_prefix("wait_ms="));
     let given = given.and_then(|it| it.parse().ok()).map(Duration::from_millis);
     given.unwrap_or(DEFAULT_WAIT).min(MAX_WAIT)
--- a/crates/roseshored/src/admin/keys.rs
+++ b/crates/roseshored/src/admin/keys.rs
@@ -1,4 +1,4 @@
-//! Operators' questions about keys.
+//! Admin requests about idempotency keys.
 
 use super::{Answer, DEFAULT_WAIT, answer, problem};
 use percent_encoding::percent_decode_str;
@@ -7,7 +7,7 @@
 use roseshore_ports::inside::{KeyStatus, Keys, OperatorDecision, SettleResult};
 use roseshore_wire::admin::{DecisionReport, KeyReport, KeyState, Settle, Settled};
 
-/// The longest note, bytes.
+/// Longest note, bytes.
 const MAX_NOTE: usize = 1000;
 
 /// `GET /v1/admin/keys?organisation=O&service=S&key=K`; the values are percent-encoded.
@@ -41,8 +41,8 @@
         let text = "name `operator`, and what you looked at in `note`, 1 to 1000 bytes";
         return problem(Code::BadRequest, text);
     }
-    let word = OperatorDecision { operator: ask.operator, note: ask.note, ran: ask.ran };
-    let settled = match keys.settle_by_operator(&key, word, Instant::now() + DEFAULT_WAIT) {
+    let decision = OperatorDecision { operator: ask.operator, note: ask.note, ran: ask.ran };
+    let settled = match keys.settle_by_operator(&key, decision, Instant::now() + DEFAULT_WAIT) {
         SettleResult::Applied(offset) => Settled::Taken { offset },
         SettleResult::Rejected(refusal) => {
             Settled::Rejected { code: refusal.code, message: refusal.message }
@@ -75,11 +75,11 @@
         }
         State::Ran(_) => KeyState::Ran,
     };
-    let word = known.settlement.as_ref().map(|said| DecisionReport {
-        operator: said.settlement.operator.clone(),
-        note: said.settlement.note.clone(),
-        ran: said.settlement.ran,
-        offset: said.offset,
+    let word = known.settlement.as_ref().map(|record| DecisionReport {
+        operator: record.settlement.operator.clone(),
+        note: record.settlement.note.clone(),
+        ran: record.settlement.ran,
+        offset: record.offset,
     });
     let KeyStatus { offset, current, covered: complete, .. } = *known;
     KeyReport { key, offset, current, complete, state, word }
--- a/crates/roseshored/src/daemon.rs
+++ b/crates/roseshored/src/daemon.rs
@@ -1,7 +1,6 @@
-//! The parts of a daemon in its own process, put together.
+//! Creates and connects the components of a daemon.
 //!
-//! First what everything stands on ([`Ground`]: configuration and members), then one function for
-//! each subsystem.
+//! [`Foundation`] (configuration and members) comes first; one function per subsystem builds on it.
 
 mod external;
 mod worker;
@@ -21,7 +20,7 @@
 use crate::peers::{self, PeerDriver};
 use crate::routing::Routing;
 use crate::settings::Settings;
-use external::{External, join, listen, times};
+use external::{External, listen, member_config, membership_settings};
 use parking_lot::Mutex;
 use roseshore_adapters::peer::{Server, serve};
 use roseshore_core::polling;
@@ -32,53 +31,57 @@
 use std::sync::Arc;
 use worker::Worker;
 
-/// How long the log may take for the last outcomes at the end.
+/// Longest wait for the log to accept the last outcomes of unrepeatable work at the end.
 const FLUSH_LIMIT: Duration = Duration::from_secs(10);
 
-/// The parts of one daemon.
+/// The components of one daemon.
 pub struct Daemon {
-    /// What serving a request needs.
+    /// What serving requests needs.
     pub app: App,
-    /// What operators' calls touch.
+    /// The admin API for operators.
     pub admin_api: AdminApi,
-    /// Unrepeatable work, as [`App::claims`] and for peers' questions.
+    /// Claims on unrepeatable work, for requests ([`App::claims`]) and for peers.
     pub claims: Arc<ClaimsDriver>,
     members: Arc<MemberDriver>,
-    speaker: Arc<PeerDriver>,
+    digests: Arc<PeerDriver>,
     loads: Mutex<Option<LoadDriver>>,
     peer: Server,
     workers: Mutex<Vec<Worker>>,
 }
 
-/// What the other parts stand on.
-struct Ground {
+/// What all other components depend on.
+struct Foundation {
     external: External,
     drain: Arc<Drain>,
     configuration: Arc<FleetDriver>,
     fleets: Arc<dyn ConfigSource>,
-    joined: Arc<MemberDriver>,
+    member_driver: Arc<MemberDriver>,
     members: Arc<dyn Members>,
 }
 
-/// The record of requests, and who asks the other daemons for theirs.
-struct Books {
+/// The ledger of requests, the account and the queries over all daemons.
+struct LedgerParts {
     account: Arc<Account>,
     ledger: Arc<LedgerDriver>,
     queries: Arc<QueryFanout>,
 }
 
-impl Ground {
-    /// Follows the configuration and joins the other daemons.
-    fn start(settings: &Settings) -> io::Result<(Ground, TcpListener)> {
+impl Foundation {
+    /// Starts to follow the configuration and joins the other daemons.
+    fn start(settings: &Settings) -> io::Result<(Foundation, TcpListener)> {
         let external = External::new(settings);
         let drain = Arc::new(Drain::default());
         let configuration = FleetDriver::new(external.log.clone(), FleetSettings::default());
         let (socket, listener) = listen(settings.peer)?;
-        let part = join(settings, &external, socket, configuration.clone(), drain.clone())?;
-        let joined = MemberDriver::start(part)?;
-        configuration.start(joined.clone(), external.peers.clone())?;
-        let (fleets, members) = (configuration.clone(), joined.clone());
-        Ok((Ground { external, drain, configuration, fleets, joined, members }, listener))
+        let config =
+            member_config(settings, &external, socket, configuration.clone(), drain.clone())?;
+        let member_driver = MemberDriver::start(config)?;
+        configuration.start(member_driver.clone(), external.peers.clone())?;
+        let (fleets, members) = (configuration.clone(), member_driver.clone());
+        Ok((
+            Foundation { external, drain, configuration, fleets, member_driver, members },
+            listener,
+        ))
     }
 
     fn claims(&self) -> io::Result<Arc<ClaimsDriver>> {
@@ -87,20 +90,20 @@
         ClaimsDriver::start(ClaimsConfig::default(), log, peers, members).map(Arc::new)
     }
 
-    fn books(&self) -> Books {
+    fn ledger_parts(&self) -> LedgerParts {
         let own = self.members.own();
         let account = Arc::new(Account::new(self.external.log.clone(), &own));
         let ledger = Arc::new(LedgerDriver::new(&own, account.clone()));
         let (members, peers) = (self.members.clone(), self.external.peers.clone());
         let queries = Arc::new(QueryFanout::new(ledger.clone(), account.clone(), members, peers));
-        Books { account, ledger, queries }
+        LedgerParts { account, ledger, queries }
     }
 
-    /// Polls the targets of the own data centre and shares what they say.
+    /// Starts polling targets and sharing their reports.
     fn loads(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<LoadDriver> {
         let period = settings.poll;
         LoadDriver::start(loads::LoadConfig {
-            members: self.joined.clone(),
+            members: self.member_driver.clone(),
             fleets: self.fleets.clone(),
             engine: self.external.engine.clone(),
             services: self.external.services.clone(),
@@ -109,13 +112,13 @@
         })
     }
 
-    /// Speaks to the other data centres.
-    fn speaker(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<Arc<PeerDriver>> {
+    /// Starts the exchange of digests with the other data centres.
+    fn digests(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<Arc<PeerDriver>> {
         PeerDriver::start(peers::PeerConfig {
-            members: self.joined.clone(),
+            members: self.member_driver.clone(),
             peers: self.external.peers.clone(),
             reports: routing.clone(),
-            settings: times(settings),
+            settings: membership_settings(settings),
         })
     }
 
@@ -147,33 +150,33 @@
 }
 
 impl Daemon {
-    /// Starts every part.
+    /// Starts all components.
     ///
     /// # Errors
-    /// When the system gives no thread or socket.
+    /// When a thread or socket cannot be created.
     pub fn start(settings: &Settings) -> io::Result<Daemon> {
-        let (ground, listener) = Ground::start(settings)?;
-        let claims = ground.claims()?;
-        let books = ground.books();
-        let routing = Arc::new(Routing::new(ground.fleets.clone(), ground.members.clone()));
-        let loads = ground.loads(settings, &routing)?;
-        let speaker = ground.speaker(settings, &routing)?;
-        let workers = ground.workers(&routing, books.account)?;
+        let (foundation, listener) = Foundation::start(settings)?;
+        let claims = foundation.claims()?;
+        let ledger_parts = foundation.ledger_parts();
+        let routing = Arc::new(Routing::new(foundation.fleets.clone(), foundation.members.clone()));
+        let loads = foundation.loads(settings, &routing)?;
+        let digests = foundation.digests(settings, &routing)?;
+        let workers = foundation.workers(&routing, ledger_parts.account)?;
         let answers: Vec<Arc<dyn PeerHandler>> = vec![
-            ground.configuration.clone(),
+            foundation.configuration.clone(),
             claims.clone(),
-            books.ledger.clone(),
-            speaker.clone(),
+            ledger_parts.ledger.clone(),
+            digests.clone(),
         ];
         let peer = serve(listener, answers)?;
         let admin_api = AdminApi {
-            fleets: ground.configuration,
-            members: ground.members.clone(),
-            queries: Some(books.queries),
+            fleets: foundation.configuration,
+            members: foundation.members.clone(),
+            queries: Some(ledger_parts.queries),
             keys: claims.clone(),
-            drain: ground.drain.clone(),
+            drain: foundation.drain.clone(),
         };
-        let (fleets, members) = (ground.fleets, ground.members);
+        let (fleets, members) = (foundation.fleets, foundation.members);
         let app = App {
             admission: Arc::new(AdmissionDriver::new(
                 fleets.clone(),
@@ -183,40 +186,40 @@
             router: routing,
             fleets,
             claims: claims.clone(),
-            ledger: books.ledger,
+            ledger: ledger_parts.ledger,
             members,
-            engine: ground.external.engine,
-            services: ground.external.services,
+            engine: foundation.external.engine,
+            services: foundation.external.services,
             budgets: Arc::default(),
-            drain: ground.drain,
+            drain: foundation.drain,
         };
         Ok(Daemon {
             app,
             admin_api,
             claims,
-            members: ground.joined,
-            speaker,
+            members: foundation.member_driver,
+            digests,
             loads: Mutex::new(Some(loads)),
             peer,
             workers: Mutex::new(workers),
         })
     }
 
-    /// Where other daemons reach this one.
+    /// The address at which other daemons reach this one.
     pub fn peer(&self) -> SocketAddr {
         self.peer.addr()
     }
 
-    /// Ends the threads that are not bound to a request, and writes down what is still to be.
+    /// Writes the last outcomes to the log and stops the threads that do not belong to a request.
     pub fn stop(&self) {
         if !self.claims.flush(FLUSH_LIMIT) {
             event!(Event::KeyUnsettled, "the log did not take the last outcomes");
         }
         for worker in self.workers.lock().drain(..) {
-            worker.end();
+            worker.stop();
         }
         drop(self.loads.lock().take());
-        self.speaker.stop();
+        self.digests.stop();
         self.admin_api.fleets.stop();
         self.members.stop();
     }
--- a/crates/roseshored/src/daemon/external.rs
+++ b/crates/roseshored/src/daemon/external.rs
@@ -1,4 +1,4 @@
-//! The systems outside, behind their adapters, and this daemon's place among the others.
+//! Clients of the external systems, and what joining the other daemons needs.
 
 use crate::app::Drain;
 use crate::members;
@@ -16,12 +16,12 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 
-/// How long the platform may take to answer.
+/// Timeout of a call to the platform.
 const PLATFORM_LIMIT: Duration = Duration::from_secs(2);
-/// Ports that are tried where the settings leave the choice to the system.
+/// Attempts to find a free port when the settings give port 0.
 const PORT_TRIES: usize = 16;
 
-/// The systems outside.
+/// Clients of the external systems.
 pub(super) struct External {
     pub(super) log: Arc<dyn Log>,
     pub(super) list: Arc<dyn HostList>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Listens on one address over both; with port 0, until a port is free for both.
+/// Binds UDP and TCP to the same address; with port 0, tries until a port is free for both.
 pub(super) fn listen(peer: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     for _ in 0..PORT_TRIES {
         let listener = TcpListener::bind(peer)?;
@@ -58,13 +58,13 @@
     Err(io::ErrorKind::AddrInUse.into())
 }
 
-/// The bounds of membership, for the members and for those who speak to other data centres.
-pub(super) fn times(settings: &Settings) -> membership::Settings {
+/// The timing of membership, shared by the member driver and the digest exchange.
+pub(super) fn membership_settings(settings: &Settings) -> membership::Settings {
     membership::Settings { period: settings.heartbeat, ..membership::Settings::default() }
 }
 
-/// What the members need.
-pub(super) fn join(
+/// The configuration of the member driver.
+pub(super) fn member_config(
     settings: &Settings,
     external: &External,
     socket: UdpSocket,
@@ -84,7 +84,7 @@
         own,
         peer: socket.addr()?,
         seeds: settings.seeds.clone(),
-        settings: times(settings),
+        settings: membership_settings(settings),
         list_interval: settings.list_interval,
         socket: Arc::new(socket),
         list: external.list.clone(),
@@ -93,7 +93,8 @@
     })
 }
 
-/// The number of this process's life: later ones are higher, as hosts keep nothing to count in.
+/// The incarnation of this process, from the wall clock: a restarted process has to have a higher
+/// one, and hosts keep no state in which to count.
 fn incarnation() -> Incarnation {
     wall::millis(SystemTime::now())
 }
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -1,8 +1,8 @@
-//! The daemon's life: start, drain, end.
+//! Lifecycle of the daemon: start, drain, stop.
 //!
-//! A drain takes no new work, lets what is in flight run to its end within a bound, and keeps
-//! answering for a short time even when nothing is in flight, so that the balancer sees readiness
-//! go before connections are refused.
+//! During a drain no new work is accepted and requests in flight may finish within a time limit.
+//! The server keeps responding for a grace period even if nothing is in flight, so that the load
+//! balancer sees the readiness check fail before connections are refused.
 
 use crate::admin::AdminApi;
 use crate::app::{App, Drain};
@@ -22,15 +22,15 @@
 use std::sync::{Arc, OnceLock};
 use std::thread;
 
-/// The exit status after a second signal.
-const CUT_SHORT: i32 = 1;
-/// Bounds of the buckets of times, seconds.
+/// Exit status after a second signal.
+const FORCED_EXIT: i32 = 1;
+/// Upper bounds of the latency histograms, seconds.
 const BUCKETS: &[f64] =
     &[0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.4, 2.0, 5.0, 10.0, 30.0];
 
 /// A running daemon.
 pub struct Running {
-    /// Where callers are heard.
+    /// The address on which callers connect.
     pub addr: SocketAddr,
     server: HttpServer,
     drain: Arc<Drain>,
@@ -41,7 +41,7 @@
 /// Starts the HTTP server for callers and, with `admin_api`, for operators.
 ///
 /// # Errors
-/// When the address cannot be listened on.
+/// When the address cannot be bound.
 pub fn start(settings: &Settings, app: App, admin_api: Option<AdminApi>) -> io::Result<Running> {
     let drain = app.drain.clone();
     let context = ServerContext {
@@ -61,7 +61,7 @@
     Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_timeout })
 }
 
-/// The metrics of this process, once.
+/// The metrics recorder of this process, installed on the first call; `None` if that fails.
 fn recorder() -> Option<PrometheusHandle> {
     static HANDLE: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     let install = || {
@@ -73,20 +73,20 @@
 }
 
 impl Running {
-    /// Takes no new work from now on.
+    /// Starts the drain: from now on no new work is accepted.
     pub fn drain(&self) {
         self.drain.start();
         event!(Event::Draining, "in_flight={}", self.server.in_flight());
     }
 
-    /// Drains to the end; returns how many requests were cut off.
+    /// Completes the drain and stops the server; returns the number of requests that were cut off.
     pub fn finish(self) -> usize {
         if !self.drain.draining() {
             self.drain();
         }
-        let begun = Instant::now();
+        let started = Instant::now();
         thread::sleep(self.grace);
-        self.server.wait(self.limit.saturating_sub(begun.elapsed()));
+        self.server.wait(self.limit.saturating_sub(started.elapsed()));
         let cut = self.server.in_flight();
         self.server.stop();
         event!(Event::Stopped, "cut={cut}");
@@ -94,21 +94,21 @@
     }
 }
 
-/// Takes `SIGTERM` and `SIGINT` from now on: the first one comes on the channel, a second one ends
-/// the process at once. Called before the start, so that no signal finds the process undecided.
+/// Handles `SIGTERM` and `SIGINT` from now on: the first is sent on the channel, a second one ends
+/// the process at once. Called before the start, so that no signal arrives without a handler.
 ///
 /// # Errors
-/// When signals cannot be taken.
+/// When the handlers cannot be installed.
 pub fn watch_signals() -> io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
-    let (first, came) = flume::bounded(1);
+    let (first, received) = flume::bounded(1);
     thread::Builder::new().name("signals".to_owned()).spawn(move || {
         for (seen, _) in signals.forever().enumerate() {
             if seen > 0 {
-                std::process::exit(CUT_SHORT);
+                std::process::exit(FORCED_EXIT);
             }
             let _ = first.send(());
         }
     })?;
-    Ok(came)
+    Ok(received)
 }
--- a/crates/roseshored/src/entry.rs
+++ b/crates/roseshored/src/entry.rs
@@ -1,7 +1,7 @@
 //! The daemon as an entry host on the users' platform: `roseshored entry`.
 //!
-//! Settings come from the file that the platform lays beside the process; a flag or variable names
-//! it, and one more gives the port of the metrics.
+//! Settings come from a file that the platform provides. A flag or environment variable gives its
+//! path, and another one the port of the metrics.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use metrics_exporter_prometheus::{Matcher, PrometheusBuilder, PrometheusHandle};
@@ -17,14 +17,14 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// The first word that chooses this mode.
+/// The first argument that selects this mode.
 pub const SUBCOMMAND: &str = "entry";
 
-/// Where the platform lays the settings when no variable says.
-const USUAL_PATH: &str = "/etc/roseshore/boot.toml";
-/// The exit status for wrong settings.
-const WRONG: u8 = 2;
-/// Upper bounds of the latency histograms, seconds: from a passed-on event to a caller's deadline.
+/// Path of the settings file if neither flag nor variable gives one.
+const DEFAULT_PATH: &str = "/etc/roseshore/boot.toml";
+/// Exit status for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
+/// Upper bounds of the latency histograms, seconds: from forwarding one event to a caller's deadline.
 const BUCKETS: &[f64] =
     &[0.001, 0.003, 0.01, 0.03, 0.06, 0.12, 0.25, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0];
 
@@ -32,11 +32,11 @@
     /// Why the daemon cannot run.
     #[derive(Debug)]
     pub enum EntryError {
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(err: WireError) {
             display("{err}")
         }
-        /// A socket, signal or the metrics cannot be set up.
+        /// A socket or signal handler cannot be set up.
         Io(err: std::io::Error) {
             display("the daemon cannot run: {err}")
             source(err)
@@ -44,7 +44,7 @@
         }
         /// The metrics cannot be set up.
         Metrics(err: metrics_exporter_prometheus::BuildError) {
-            display("metrics cannot be kept: {err}")
+            display("cannot set up metrics: {err}")
             source(err)
             from()
         }
@@ -59,8 +59,8 @@
                 .long("boot")
                 .env(BOOT_VARIABLE)
                 .value_parser(value_parser!(PathBuf))
-                .default_value(USUAL_PATH)
-                .help("the settings file"),
+                .default_value(DEFAULT_PATH)
+                .help("path of the settings file"),
         )
         .arg(
             Arg::new("metrics-port")
@@ -69,24 +69,19 @@
                 .value_parser(value_parser!(u16))
                 .help("serve metrics on this port of the callers' address"),
         )
-        .arg(
-            Arg::new("check")
-                .long("check")
-                .num_args(0)
-                .help("only say whether the settings can be used"),
-        )
+        .arg(Arg::new("check").long("check").num_args(0).help("check the settings and exit"))
 }
 
-/// Runs the mode with the words after [`SUBCOMMAND`].
-pub fn main(words: impl Iterator<Item = String>) -> ExitCode {
+/// Runs this mode with the arguments that follow [`SUBCOMMAND`].
+pub fn main(args: impl Iterator<Item = String>) -> ExitCode {
     let name = std::iter::once("roseshored entry".to_owned());
-    let matches = command().get_matches_from(name.chain(words));
+    let matches = command().get_matches_from(name.chain(args));
     match run(&matches) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(EntryError::Settings(err)) => {
             println!("0 {} {err}", roseshore_core::event::Event::BadSettings);
-            ExitCode::from(WRONG)
+            ExitCode::from(INVALID_SETTINGS)
         }
         Err(err) => {
             println!("0 {} {err}", roseshore_core::event::Event::BadSettings);
@@ -122,7 +117,7 @@
         .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), BUCKETS)?;
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // A recorder that is already there is the embedder's own choice.
+    // An error means that the embedding process has installed its own recorder, which is kept.
     let _ = metrics::set_global_recorder(recorder);
     Ok(handle)
 }
--- a/crates/roseshored/src/lib.rs
+++ b/crates/roseshored/src/lib.rs
@@ -1,8 +1,9 @@
-//! The daemon.
+//! The Roseshore daemon.
 //!
-//! It turns sockets into events for the decisions of `roseshore_core` and their actions back into
-//! sockets. Each part is a module with a driver; parts know each other by the traits of
-//! `roseshore_ports` only, and [`app::App`] holds them together.
+//! The state machines of `roseshore_core` do no input or output. The drivers in this crate pass
+//! network events to them and perform the resulting actions. Each component is a module with a
+//! driver; components use each other through the traits of `roseshore_ports`, and [`app::App`]
+//! holds those that serve requests.
 
 pub mod admin;
 pub mod admission;
--- a/crates/roseshored/src/main.rs
+++ b/crates/roseshored/src/main.rs
@@ -1,4 +1,5 @@
-//! Entry point of the daemon: reads the settings, sets up logging, starts the components and waits for a signal.
+//! The daemon's process: reads the settings, sets up logging, starts the components and waits for a
+//! signal.
 
 use roseshore_core::prelude::*;
 use roseshored::daemon::Daemon;
@@ -7,11 +8,11 @@
 use simplelog::{Config, ConfigBuilder, SimpleLogger};
 use std::process::ExitCode;
 
-/// The exit status for wrong settings.
-const WRONG: u8 = 2;
+/// Exit status for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
-    if std::env::args().nth(1).is_some_and(|word| word == entry::SUBCOMMAND) {
+    if std::env::args().nth(1).is_some_and(|arg| arg == entry::SUBCOMMAND) {
         return entry::main(std::env::args().skip(2));
     }
     let settings = match Settings::read(std::env::args()) {
@@ -19,7 +20,7 @@
         Err(SettingsError::Usage(err)) => err.exit(),
         Err(err) => {
             eprintln!("{} {err}", Event::BadSettings);
-            return ExitCode::from(WRONG);
+            return ExitCode::from(INVALID_SETTINGS);
         }
     };
     if settings.check {
@@ -27,7 +28,7 @@
         return ExitCode::SUCCESS;
     }
     init_log(&settings);
-    watch_panics();
+    log_panics();
     match run(&settings) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
@@ -56,12 +57,12 @@
     } else {
         Config::default()
     };
-    // A logger that is already there is the embedder's own choice.
+    // An error means that a logger is already installed, which is kept.
     let _ = SimpleLogger::init(settings.log_level, config);
 }
 
-/// Logs each panic with its thread, as no panic may end unseen.
-fn watch_panics() {
+/// Logs every panic with the name of its thread, so that none goes unnoticed.
+fn log_panics() {
     std::panic::set_hook(Box::new(|info| {
         let thread = std::thread::current();
         event!(Event::ThreadLost, "thread={} {info}", thread.name().unwrap_or("?"));
--- a/crates/roseshored/src/settings.rs
+++ b/crates/roseshored/src/settings.rs
@@ -1,8 +1,7 @@
-//! The daemon's settings, by flags and environment variables.
+//! The daemon's settings, from flags and environment variables.
 //!
-//! One table gives each setting its flag, its variable `ROSESHORE_…`, its default, its bounds and
-//! its line of help. All of them are read before anything starts, and one message names every one
-//! that is wrong.
+//! One table gives each setting its flag, variable (`ROSESHORE_…`), default, range and help text.
+//! All settings are read before anything starts, and one error message names all invalid ones.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use quick_error::quick_error;
@@ -11,21 +10,21 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// What a setting may be.
+/// The type of a setting's value.
 enum Kind {
-    /// A name of letters, digits, `-`, `_` and `.`.
+    /// 1 to 64 letters, digits, `-`, `_` and `.`.
     Name,
     /// `IP:PORT`.
     Addr,
-    /// Several of `IP:PORT`, with commas between them.
+    /// `IP:PORT` addresses, separated by commas.
     Addrs,
-    /// A whole number.
+    /// A whole number in a range.
     Count(RangeInclusive<u64>),
-    /// One of a few words.
+    /// One of the given words.
     Choice(&'static [&'static str]),
 }
 
-/// One row of the table.
+/// One row of [`TABLE`].
 struct Setting {
     flag: &'static str,
     default: Option<&'static str>,
@@ -34,7 +33,7 @@
     help: &'static str,
 }
 
-const fn row(
+const fn optional(
     flag: &'static str,
     default: Option<&'static str>,
     kind: Kind,
@@ -43,89 +42,140 @@
     Setting { flag, default, required: false, kind, help }
 }
 
-const fn must(flag: &'static str, kind: Kind, help: &'static str) -> Setting {
+const fn required(flag: &'static str, kind: Kind, help: &'static str) -> Setting {
     Setting { flag, default: None, required: true, kind, help }
 }
 
+/// One hour, in milliseconds.
 const HOUR: u64 = 3_600_000;
 const LEVELS: &[&str] = &["error", "warn", "info", "debug", "trace"];
 const FORMATS: &[&str] = &["full", "bare"];
 
 const TABLE: &[Setting] = &[
-    must("host", Kind::Name, "This machine, as the host list names it"),
-    must("data-centre", Kind::Name, "The data centre it is in"),
-    row("listen", Some("0.0.0.0:8080"), Kind::Addr, "Where callers are heard, IP:PORT"),
-    must("peer", Kind::Addr, "Where daemons reach this one, UDP and TCP, IP:PORT"),
-    row("seeds", None, Kind::Addrs, "Other daemons' --peer, for a start without the host list"),
-    must("log", Kind::Addr, "The platform's log service, IP:PORT"),
-    row("host-list", None, Kind::Addr, "The platform's host list, IP:PORT [that of --log]"),
-    row("weight-store", None, Kind::Addr, "The platform's weight store, IP:PORT [that of --log]"),
-    row("connections", Some("1024"), Kind::Count(1..=65_536), "Connections of callers at once"),
-    row("requests", Some("512"), Kind::Count(1..=65_536), "Requests worked on at once"),
-    row("body-bytes", Some("1048576"), Kind::Count(1024..=67_108_864), "Longest body of a request"),
-    row("caller-ms", Some("10000"), Kind::Count(50..=HOUR), "Time to send one whole request"),
-    row("idle-ms", Some("60000"), Kind::Count(50..=HOUR), "Time a kept connection may lie idle"),
-    row("write-ms", Some("10000"), Kind::Count(50..=HOUR), "Time a caller may block one write"),
-    row("drain-ms", Some("600000"), Kind::Count(0..=24 * HOUR), "Longest wait for work in flight"),
-    row(
+    required("host", Kind::Name, "Name of this host in the host list"),
+    required("data-centre", Kind::Name, "Data centre of this host"),
+    optional("listen", Some("0.0.0.0:8080"), Kind::Addr, "Address for callers, IP:PORT"),
+    required("peer", Kind::Addr, "Address for other daemons, UDP and TCP, IP:PORT"),
+    optional(
+        "seeds",
+        None,
+        Kind::Addrs,
+        "Other daemons' --peer addresses, for a start without the host list",
+    ),
+    required("log", Kind::Addr, "The platform's log service, IP:PORT"),
+    optional("host-list", None, Kind::Addr, "The platform's host list, IP:PORT [that of --log]"),
+    optional(
+        "weight-store",
+        None,
+        Kind::Addr,
+        "The platform's weight store, IP:PORT [that of --log]",
+    ),
+    optional(
+        "connections",
+        Some("1024"),
+        Kind::Count(1..=65_536),
+        "Maximum concurrent connections",
+    ),
+    optional("requests", Some("512"), Kind::Count(1..=65_536), "Maximum concurrent requests"),
+    optional(
+        "body-bytes",
+        Some("1048576"),
+        Kind::Count(1024..=67_108_864),
+        "Maximum size of a request body, bytes",
+    ),
+    optional(
+        "caller-ms",
+        Some("10000"),
+        Kind::Count(50..=HOUR),
+        "Maximum time for a caller to send a request",
+    ),
+    optional("idle-ms", Some("60000"), Kind::Count(50..=HOUR), "Maximum idle time of a connection"),
+    optional(
+        "write-ms",
+        Some("10000"),
+        Kind::Count(50..=HOUR),
+        "Maximum time a write to a caller may block",
+    ),
+    optional(
+        "drain-ms",
+        Some("600000"),
+        Kind::Count(0..=24 * HOUR),
+        "Maximum wait for requests in flight during a drain",
+    ),
+    optional(
         "grace-ms",
         Some("1000"),
         Kind::Count(0..=HOUR),
-        "Shortest time refusals are given when leaving",
+        "Minimum time to answer with refusals during a drain",
     ),
-    row(
+    optional(
         "heartbeat-ms",
         Some("200"),
         Kind::Count(20..=10_000),
-        "Between heartbeats to other daemons",
+        "Interval between heartbeats to other daemons",
     ),
-    row(
+    optional(
         "host-list-ms",
         Some("500"),
         Kind::Count(20..=60_000),
-        "Between readings of the platform's host list",
+        "Interval between reads of the platform's host list",
+    ),
+    optional(
+        "poll-ms",
+        Some("250"),
+        Kind::Count(20..=60_000),
+        "Interval between polls of a target's load",
+    ),
+    optional(
+        "traces",
+        Some("1024"),
+        Kind::Count(0..=65_536),
+        "Number of requests whose spans are kept",
+    ),
+    optional("log-level", Some("info"), Kind::Choice(LEVELS), "Lowest level that is logged"),
+    optional(
+        "log-format",
+        Some("full"),
+        Kind::Choice(FORMATS),
+        "Log lines with time and level (full) or without (bare)",
     ),
-    row("poll-ms", Some("250"), Kind::Count(20..=60_000), "Between polls of a target's load"),
-    row("traces", Some("1024"), Kind::Count(0..=65_536), "Requests whose spans are kept"),
-    row("log-level", Some("info"), Kind::Choice(LEVELS), "What is logged"),
-    row("log-format", Some("full"), Kind::Choice(FORMATS), "Lines with time and level, or bare"),
 ];
 
 quick_error! {
-    /// Why the daemon does not start.
+    /// Why the settings cannot be used.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// One or more settings are wrong.
+        /// One or more settings are invalid.
         Invalid(all: Vec<InvalidSetting>) {
             display("{}", list(all))
         }
-        /// Help, the version, or a flag that does not exist.
+        /// A request for help or the version, or an unknown flag.
         Usage(err: clap::Error) {
             display("{err}")
         }
     }
 }
 
-/// A setting that cannot be used.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The flag, without dashes.
+    /// The flag, without leading dashes.
     pub flag: &'static str,
-    /// What was given, `None` for nothing.
+    /// The given value, or `None` if a required setting is missing.
     pub given: Option<String>,
-    /// What is allowed.
+    /// A description of the allowed values.
     pub allowed: String,
 }
 
 fn list(all: &[InvalidSetting]) -> String {
     let mut text = format!("{} of the settings cannot be used:", all.len());
-    for wrong in all {
-        let given = wrong.given.as_ref().map_or("nothing".to_owned(), |it| format!("`{it}`"));
-        let variable = variable(wrong.flag);
+    for invalid in all {
+        let given = invalid.given.as_ref().map_or("nothing".to_owned(), |it| format!("`{it}`"));
+        let variable = variable(invalid.flag);
         let _ = write!(
             text,
             "\n  `--{}` or `{variable}`: given {given}, allowed {}",
-            wrong.flag, wrong.allowed
+            invalid.flag, invalid.allowed
         );
     }
     text
@@ -134,64 +184,65 @@
 /// The settings of one daemon.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This machine.
+    /// This host, as the host list names it.
     pub host: HostId,
-    /// Where it is.
+    /// The data centre of this host.
     pub data_centre: DataCentreId,
-    /// Where callers are heard.
+    /// The address on which callers connect.
     pub listen: SocketAddr,
-    /// Where daemons reach this one, UDP and TCP.
+    /// The address at which other daemons reach this one, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Daemons known before the host list has been read.
+    /// Addresses of daemons to contact before the host list has been read.
     pub seeds: Vec<SocketAddr>,
-    /// The log service.
+    /// The address of the log service.
     pub log: SocketAddr,
-    /// The host list.
+    /// The address of the host list.
     pub host_list: SocketAddr,
-    /// The weight store.
+    /// The address of the weight store.
     pub weight_store: SocketAddr,
-    /// Connections of callers at once.
+    /// Most concurrent connections of callers.
     pub connections: usize,
-    /// Requests worked on at once.
+    /// Most requests processed concurrently.
     pub requests: usize,
-    /// Longest body of a request, bytes.
+    /// Longest request body, bytes.
     pub body_bytes: usize,
-    /// Time to send one whole request.
+    /// Longest time for a caller to send one request.
     pub read_timeout: Duration,
-    /// Time a kept connection may lie idle.
+    /// Longest idle time of a kept connection.
     pub idle_timeout: Duration,
-    /// Time a caller may block one write.
+    /// Longest time one write to a caller may block.
     pub write_timeout: Duration,
-    /// Longest wait for work in flight when leaving.
+    /// Longest wait for requests in flight during a drain.
     pub drain_timeout: Duration,
-    /// Shortest time in which refusals are given when leaving.
+    /// Minimum time during a drain in which new requests are still answered with a refusal.
     pub grace: Duration,
-    /// Between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Between readings of the host list.
+    /// Interval between reads of the host list.
     pub list_interval: Duration,
-    /// Between polls of a target.
+    /// Interval between polls of a target.
     pub poll: Duration,
-    /// Requests whose spans are kept.
+    /// Number of requests whose spans are kept.
     pub traces: usize,
-    /// What is logged.
+    /// The lowest level that is logged.
     pub log_level: log::LevelFilter,
-    /// Whether lines are logged without time and level.
+    /// Whether log lines omit time and level.
     pub bare_log: bool,
-    /// Whether only the settings are to be checked.
+    /// Whether to check the settings only and exit.
     pub check: bool,
 }
 
 impl Settings {
-    /// Reads flags (the program's name first) and, for those not given, environment variables.
+    /// Reads the settings from `args`, the program's name first, and from environment variables for
+    /// flags that are not given.
     ///
     /// # Errors
-    /// Every wrong setting at once, or what `clap` has to say.
+    /// All invalid settings together, or the usage error of `clap`.
     pub fn read<I: IntoIterator<Item = String>>(args: I) -> Result<Settings, SettingsError> {
         let matches = command().try_get_matches_from(args).map_err(SettingsError::Usage)?;
-        let wrong = check(&matches);
-        if !wrong.is_empty() {
-            return Err(SettingsError::Invalid(wrong));
+        let invalid = find_invalid(&matches);
+        if !invalid.is_empty() {
+            return Err(SettingsError::Invalid(invalid));
         }
         Ok(Settings::collect(&Values { matches }))
     }
@@ -228,7 +279,7 @@
 
 const UNSET: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// Values that [`check`] has passed.
+/// Parsed values that [`find_invalid`] has accepted.
 struct Values {
     matches: ArgMatches,
 }
@@ -265,12 +316,12 @@
     let check = Arg::new("check")
         .long("check")
         .action(ArgAction::SetTrue)
-        .help("Check the settings and end: 0 if they can be used, 2 if not");
+        .help("Check the settings and exit with 0 if they can be used, 2 if not");
     Command::new("roseshored")
         .version(clap::crate_version!())
         .args_override_self(true)
         .about("Routes requests to model pipelines, lookup and plain services")
-        .after_help("Ends with 0 after a drain, 1 when it cannot start, 2 for wrong settings.")
+        .after_help("Ends with 0 after a drain, 1 when it cannot start, 2 for invalid settings.")
         .args(TABLE.iter().map(arg))
         .arg(check)
 }
@@ -279,7 +330,7 @@
     let arg = Arg::new(setting.flag)
         .long(setting.flag)
         .env(variable(setting.flag))
-        .value_name(shape(&setting.kind))
+        .value_name(value_name(&setting.kind))
         .help(setting.help);
     match setting.default {
         Some(default) => arg.default_value(default),
@@ -292,7 +343,7 @@
     format!("ROSESHORE_{}", flag.replace('-', "_").to_uppercase())
 }
 
-fn shape(kind: &Kind) -> &'static str {
+fn value_name(kind: &Kind) -> &'static str {
     match kind {
         Kind::Name => "NAME",
         Kind::Addr => "IP:PORT",
@@ -302,8 +353,8 @@
     }
 }
 
-fn check(matches: &ArgMatches) -> Vec<InvalidSetting> {
-    let mut wrong = Vec::new();
+fn find_invalid(matches: &ArgMatches) -> Vec<InvalidSetting> {
+    let mut invalid = Vec::new();
     for setting in TABLE {
         let given = matches.get_one::<String>(setting.flag);
         let fits = match given {
@@ -312,10 +363,10 @@
         };
         if !fits {
             let allowed = allowed(&setting.kind);
-            wrong.push(InvalidSetting { flag: setting.flag, given: given.cloned(), allowed });
+            invalid.push(InvalidSetting { flag: setting.flag, given: given.cloned(), allowed });
         }
     }
-    wrong
+    invalid
 }
 
 fn fits(kind: &Kind, text: &str) -> bool {
--- a/crates/roseshored/tests/drain.rs
+++ b/crates/roseshored/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: nothing in flight is cut off, nothing new is begun.
+//! Drain: requests in flight finish, and new ones are refused.
 
 #[path = "support/fakes.rs"]
 mod fakes;
@@ -10,9 +10,9 @@
 use roseshore_core::prelude::*;
 use std::thread;
 
-/// Streams and calls in flight end whole; whatever comes after is refused as not run.
+/// Streams and calls in flight finish completely; later requests are refused as not run.
 #[test]
-fn in_flight_ends_whole() {
+fn in_flight_requests_finish() {
     let daemon = daemon(&["--drain-ms=60000"]);
     let give = by_hand(&daemon);
     let mut held = Caller::new(daemon.addr);
@@ -35,7 +35,7 @@
     }
     kept.post(CHAT, "", &chat("chat", true));
     assert_eq!(kept.response().refusal(), "RS204 not_run");
-    assert!(kept.closed(), "a kept connection is given up");
+    assert!(kept.closed(), "a kept connection is closed");
     give.send(token(&ask, 1)).expect("a listener");
     give.send(done(&ask, 2)).expect("a listener");
     assert!(held.rest(top).body.ends_with("data: [DONE]\n\n"));
@@ -43,9 +43,9 @@
     assert_eq!(daemon.engine.opened.lock().len(), 1);
 }
 
-/// Work that outlives the bound is counted as cut off.
+/// Requests that outlast the drain limit are counted as cut off.
 #[test]
-fn bound() {
+fn drain_limit() {
     let daemon = daemon(&["--drain-ms=0"]);
     let _give = by_hand(&daemon);
     let mut held = Caller::new(daemon.addr);
@@ -54,22 +54,27 @@
     assert_eq!(daemon.running.finish(), 1);
 }
 
-struct Ended {
+struct SignalCase {
     name: &'static str,
     grace: &'static str,
     sent: &'static [&'static str],
     status: i32,
 }
 
-/// One signal drains and ends with 0, a second one ends at once.
+/// One signal drains and exits with 0, a second one ends the process at once.
 #[test]
 fn signals() {
     let cases = [
-        Ended { name: "term", grace: "--grace-ms=0", sent: &["TERM"], status: 0 },
-        Ended { name: "int", grace: "--grace-ms=0", sent: &["INT"], status: 0 },
-        Ended { name: "twice", grace: "--grace-ms=600000", sent: &["TERM", "TERM"], status: 1 },
-        Ended {
-            name: "frozen first",
+        SignalCase { name: "term", grace: "--grace-ms=0", sent: &["TERM"], status: 0 },
+        SignalCase { name: "int", grace: "--grace-ms=0", sent: &["INT"], status: 0 },
+        SignalCase {
+            name: "twice",
+            grace: "--grace-ms=600000",
+            sent: &["TERM", "TERM"],
+            status: 1,
+        },
+        SignalCase {
+            name: "suspended first",
             grace: "--grace-ms=0",
             sent: &["STOP", "CONT", "TERM"],
             status: 0,
@@ -90,15 +95,16 @@
     }
 }
 
-/// A daemon that was frozen serves on, connections made meanwhile included.
+/// A daemon that was suspended continues to serve, including connections made while it was
+/// suspended.
 #[test]
-fn frozen_and_thawed() {
+fn suspended_and_resumed() {
     let process = Process::start(&["--grace-ms=0"]);
     for _ in 0..3 {
         process.signal("STOP");
         let mut caller = Caller::new(process.addr);
         caller.send("GET /healthz HTTP/1.1\r\n\r\n");
-        // Longer than the acceptor's tick.
+        // Longer than the interval at which the acceptor checks for connections.
         thread::sleep(Duration::from_millis(250));
         process.signal("CONT");
         assert_eq!(caller.response().status, 200);
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! An answer whose version goes while it is routed or under way: it is of one version.
+//! A version change while an answer is routed or streamed: each answer is of one version.
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
@@ -12,13 +12,13 @@
 
 const TOKENS: u32 = 12;
 
-/// Knows one chain of each version, and gives the old one out once only: it is gone after that.
-struct Changing {
+/// Knows one chain of each version; returns the old one only once, as it is gone afterwards.
+struct ChangingRouter {
     old: Mutex<Option<Stage>>,
     new: Stage,
 }
 
-impl Router for Changing {
+impl Router for ChangingRouter {
     fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let new = (need.version == "v2").then(|| self.new.clone());
         let stage = new.or_else(|| self.old.lock().take());
@@ -52,7 +52,7 @@
 
 struct Case {
     name: &'static str,
-    /// What the target of the old chain holds by now.
+    /// The version that the target of the old chain holds when it is called.
     holds: &'static str,
     faults: EngineFaults,
     version: &'static str,
@@ -99,9 +99,9 @@
     for case in cases() {
         let (old, new) = (engine("old", case.holds), engine("new", "v2"));
         old.faults().set(case.faults);
-        let router = Changing { old: Mutex::new(Some(old.stage())), new: new.stage() };
+        let router = ChangingRouter { old: Mutex::new(Some(old.stage())), new: new.stage() };
         let engine = Arc::new(EngineClient::new());
-        let parts = AnswerDeps {
+        let deps = AnswerDeps {
             router: Arc::new(router),
             engine,
             budgets: Arc::default(),
@@ -128,7 +128,7 @@
             cost: TOKENS,
         };
         let mut sink = Tokens::default();
-        let got = run_with(&parts, &ask, work, &mut sink);
+        let got = run_with(&deps, &ask, work, &mut sink);
         let expected = text::expected("m", case.version, None, &prompt, TOKENS);
         assert_eq!(sink.0, expected[..case.tokens], "{}: {got:?}", case.name);
         match got {
--- a/crates/roseshored/tests/settings.rs
+++ b/crates/roseshored/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings by flags and variables, as the process takes them.
+//! Settings from flags and environment variables, as the process reads them.
 
 use std::process::{Command, Output};
 
@@ -7,21 +7,21 @@
     flags: &'static [&'static str],
     variables: &'static [(&'static str, &'static str)],
     status: i32,
-    says: &'static [&'static str],
+    output: &'static [&'static str],
 }
 
 const HOST: &str = "--host=h1";
-const ZONE: &str = "--data-centre=a";
+const DATA_CENTRE: &str = "--data-centre=a";
 const PEER: &str = "--peer=127.0.0.1:9";
 const LOG: &str = "--log=127.0.0.1:9";
 
 const CASES: &[Case] = &[
     Case {
         name: "flags",
-        flags: &[HOST, ZONE, PEER, LOG],
+        flags: &[HOST, DATA_CENTRE, PEER, LOG],
         variables: &[],
         status: 0,
-        says: &["can be used"],
+        output: &["can be used"],
     },
     Case {
         name: "variables",
@@ -35,21 +35,21 @@
             ("REQUESTS", "7"),
         ],
         status: 0,
-        says: &["can be used"],
+        output: &["can be used"],
     },
     Case {
         name: "a flag goes before its variable",
-        flags: &[HOST, ZONE, PEER, LOG, "--poll-ms=100"],
+        flags: &[HOST, DATA_CENTRE, PEER, LOG, "--poll-ms=100"],
         variables: &[("POLL_MS", "soon")],
         status: 0,
-        says: &["can be used"],
+        output: &["can be used"],
     },
     Case {
         name: "nothing",
         flags: &[],
         variables: &[],
         status: 2,
-        says: &[
+        output: &[
             "E104 4 of",
             "`--host` or `ROSESHORE_HOST`: given nothing",
             "--data-centre",
@@ -58,7 +58,13 @@
     },
     Case {
         name: "all wrong at once",
-        flags: &["--host=a b", ZONE, "--listen=localhost:80", "--caller-ms=1", "--log-level=loud"],
+        flags: &[
+            "--host=a b",
+            DATA_CENTRE,
+            "--listen=localhost:80",
+            "--caller-ms=1",
+            "--log-level=loud",
+        ],
         variables: &[
             ("LOG", "nowhere"),
             ("SEEDS", "one,two"),
@@ -66,7 +72,7 @@
             ("BODY_BYTES", "1e6"),
         ],
         status: 2,
-        says: &[
+        output: &[
             "E104 9 of",
             "given `a b`, allowed 1 to 64 letters",
             "`localhost:80`, allowed an IP number and a port",
@@ -84,14 +90,14 @@
         flags: &["--speed=1"],
         variables: &[],
         status: 2,
-        says: &["--speed"],
+        output: &["--speed"],
     },
     Case {
         name: "help",
         flags: &["--help"],
         variables: &[],
         status: 0,
-        says: &["ROSESHORE_DRAIN_MS", "Ends with 0"],
+        output: &["ROSESHORE_DRAIN_MS", "Ends with 0"],
     },
 ];
 
@@ -111,7 +117,7 @@
         let text = [output.stdout, output.stderr].concat();
         let text = String::from_utf8_lossy(&text);
         assert_eq!(output.status.code(), Some(case.status), "{}: {text}", case.name);
-        for part in case.says {
+        for part in case.output {
             assert!(text.contains(part), "{}: no `{part}` in {text}", case.name);
         }
     }
