--- a/crates/roseshore_adapters/src/agent.rs
+++ b/crates/roseshore_adapters/src/agent.rs
@@ -1,10 +1,10 @@
-//! The HTTP client of engines and service replicas, over `ureq`.
+//! HTTP agent for calls to engines and service replicas, based on `ureq`.
 //!
-//! Two parts of `ureq` are replaced. The connector marks an error that came before there was a
-//! connection, so that "not reached" is certain and is not guessed from the kind of the error. The
-//! resolver takes the address as it is: with a timeout in force, the library's own starts a thread
-//! for each request, kept connections and IP numbers included; that was the larger part of a
-//! lookup's cost (`docs/design/services.md`).
+//! Two parts of `ureq` are replaced. The connector marks errors that occur before a connection
+//! exists, so that [`CallError::Unreached`] is certain and not inferred from the kind of error. The
+//! resolver only parses socket addresses: with a timeout set, the resolver of `ureq` starts a
+//! thread for each request, even for IP addresses and reused connections, which was the larger
+//! part of the cost of a lookup (`docs/design/services.md`).
 
 use quick_error::quick_error;
 use roseshore_core::prelude::*;
@@ -18,43 +18,48 @@
 };
 use ureq::{Agent, Error};
 
-/// Bytes of each of the two buffers that a connection holds for as long as it is kept. With the
-/// library's 128 KiB they were nearly all the memory that a polled target costs.
-const BUFFER: usize = 16 << 10;
+/// Size of the input and of the output buffer that each connection holds, also while it is idle.
+/// With the 128 KiB that `ureq` uses by default, these buffers were nearly all of the memory used
+/// for a polled target.
+const BUFFER_BYTES: usize = 16 << 10;
 
-/// How many connections are kept without use, and how long.
+/// How many idle connections are kept open, and for how long.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Kept {
-    pub(crate) each: usize,
-    pub(crate) all: usize,
-    pub(crate) age: Duration,
+pub(crate) struct PoolLimits {
+    pub(crate) per_addr: usize,
+    pub(crate) total: usize,
+    pub(crate) max_age: Duration,
 }
 
-impl Kept {
-    /// Each call has a connection of its own.
-    pub(crate) const NONE: Kept = Kept { each: 0, all: 0, age: Duration::ZERO };
+impl PoolLimits {
+    /// Keeps no idle connections, so that each call opens a new one.
+    pub(crate) const NONE: PoolLimits =
+        PoolLimits { per_addr: 0, total: 0, max_age: Duration::ZERO };
 }
 
-/// An agent that follows no redirects, asks no proxy, and gives every status as a reply.
-pub(crate) fn agent(kept: Kept) -> Agent {
+/// Creates an agent that follows no redirects, uses no proxy and returns a response of any status
+/// as `Ok`.
+pub(crate) fn agent(pool: PoolLimits) -> Agent {
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
         .max_redirects_will_error(false)
         .proxy(None)
-        .max_idle_connections(kept.all)
-        .max_idle_connections_per_host(kept.each)
-        .max_idle_age(kept.age)
-        .input_buffer_size(BUFFER)
-        .output_buffer_size(BUFFER)
+        .max_idle_connections(pool.total)
+        .max_idle_connections_per_host(pool.per_addr)
+        .max_idle_age(pool.max_age)
+        .input_buffer_size(BUFFER_BYTES)
+        .output_buffer_size(BUFFER_BYTES)
         .build();
-    Agent::with_parts(config, Dial, NumericResolver)
+    Agent::with_parts(config, MarkingConnector, NumericResolver)
 }
 
-/// What a failure proves.
-pub(crate) fn failure(error: Error) -> CallError {
+/// Converts an error to the [`CallError`] that tells whether the call may have run.
+pub(crate) fn call_error(error: Error) -> CallError {
     match error {
-        Error::Other(other) if other.is::<DialError>() => CallError::Unreached(other.to_string()),
+        Error::Other(other) if other.is::<ConnectError>() => {
+            CallError::Unreached(other.to_string())
+        }
         Error::BadUri(_) | Error::Http(_) | Error::HostNotFound => {
             CallError::Unreached(error.to_string())
         }
@@ -65,11 +70,12 @@
     }
 }
 
-/// Makes TCP connections and marks what fails before there is one.
+/// Opens TCP connections and wraps errors that occur before the connection exists in a
+/// [`ConnectError`].
 #[derive(Debug)]
-struct Dial;
+struct MarkingConnector;
 
-impl Connector<()> for Dial {
+impl Connector<()> for MarkingConnector {
     type Out = Box<dyn Transport>;
 
     fn connect(
@@ -79,22 +85,22 @@
     ) -> Result<Option<Box<dyn Transport>>, Error> {
         let made = TcpConnector::default().connect(details, chained);
         let transport =
-            made.map_err(|e| Error::Other(Box::new(DialError::Failed(e.to_string()))))?;
+            made.map_err(|e| Error::Other(Box::new(ConnectError::Failed(e.to_string()))))?;
         Ok(transport.map(|transport| Box::new(transport) as Box<dyn Transport>))
     }
 }
 
 quick_error! {
-    /// Why there is no connection.
+    /// An error while a connection was being opened. Nothing has been sent.
     #[derive(Debug)]
-    enum DialError {
+    enum ConnectError {
         Failed(why: String) {
             display("{why}")
         }
     }
 }
 
-/// Reads the address that the URI names by its numbers.
+/// Parses the URI's authority as an IP address and port, without DNS.
 #[derive(Debug)]
 struct NumericResolver;
 
--- a/crates/roseshore_adapters/src/call.rs
+++ b/crates/roseshore_adapters/src/call.rs
@@ -1,10 +1,10 @@
-//! One HTTP request over a connection of its own, and what its failure proves.
+//! HTTP requests over a new connection each, with errors that tell whether the call may have run.
 //!
-//! `minreq` reads a reply that breaks off as a whole one: without a status line it makes up a
-//! `503`, and a body shorter than announced is handed on. Both would turn "may have run" into
-//! "not run" or a cut answer into a whole one, so [`send`] takes a reply only with a status line
-//! that came over the wire and with the announced length of body. Only a refused connection is
-//! known not to have carried the request.
+//! `minreq` accepts truncated replies: if the status line is missing it invents a `503`, and it
+//! returns a body that is shorter than its `Content-Length`. This would report a call that may have
+//! run as not run, or a truncated reply as complete. [`send`] therefore accepts a reply only if its
+//! status line was received and its body has the announced length. Only a refused connection
+//! guarantees that the request was not sent.
 
 use roseshore_core::prelude::*;
 use roseshore_core::retry;
@@ -12,15 +12,16 @@
 use serde::de::DeserializeOwned;
 use std::io::ErrorKind;
 
-/// The reason that `minreq` makes up when there was no status line.
+/// Reason phrase that `minreq` invents if no status line was received.
 const NO_STATUS_LINE: &str = "Server did not provide a status line";
-/// The statuses by which an outside system says that it did nothing.
+/// Statuses with which an external system replies that it did not carry out the call.
 const REFUSALS: [u16; 2] = [429, 503];
 
-/// Sends a request and waits up to `limit`, in whole seconds, for its whole reply.
+/// Sends a request and waits up to `limit`, rounded up to whole seconds, for the complete reply.
 ///
 /// # Errors
-/// [`CallError::Unreached`] when the connection was refused, [`CallError::Lost`] after that.
+/// [`CallError::Unreached`] if the connection was refused, [`CallError::Lost`] for any other
+/// failure.
 pub fn send(request: minreq::Request, limit: Duration) -> CallResult<minreq::Response> {
     let seconds = limit.as_millis().div_ceil(1000).max(1) as u64;
     let request = request
@@ -28,13 +29,13 @@
         .with_follow_redirects(false)
         .with_timeout(seconds);
     match request.send() {
-        Ok(reply) if whole(&reply) => Ok(reply),
+        Ok(reply) if is_complete(&reply) => Ok(reply),
         Ok(_) => Err(CallError::Lost("the reply broke off".to_owned())),
-        Err(error) => Err(failure(&error)),
+        Err(error) => Err(call_error(&error)),
     }
 }
 
-/// Sends a request and reads the JSON of its `200`.
+/// Sends a request and parses the JSON body of a `200` reply.
 ///
 /// # Errors
 /// Those of [`send`]; [`CallError::Refused`] for `429` and `503`; [`CallError::Garbled`] for any
@@ -43,10 +44,10 @@
     read_json(&send(request, limit)?)
 }
 
-/// Reads the JSON of a `200`.
+/// Parses the JSON body of a `200` reply.
 ///
 /// # Errors
-/// As for [`send_json`].
+/// [`CallError::Refused`] for `429` and `503`; [`CallError::Garbled`] for any other reply.
 pub fn read_json<T: DeserializeOwned>(reply: &minreq::Response) -> CallResult<T> {
     let status = reply.status_code;
     if REFUSALS.contains(&status) {
@@ -59,7 +60,7 @@
     serde_json::from_slice(reply.as_bytes()).map_err(|e| CallError::Garbled(e.to_string()))
 }
 
-fn whole(reply: &minreq::Response) -> bool {
+fn is_complete(reply: &minreq::Response) -> bool {
     if reply.reason_phrase == NO_STATUS_LINE {
         return false;
     }
@@ -79,7 +80,7 @@
     retry::parse_retry_after(header(reply, "retry-after")?)
 }
 
-fn failure(error: &minreq::Error) -> CallError {
+fn call_error(error: &minreq::Error) -> CallError {
     match error {
         minreq::Error::IoError(e) if e.kind() == ErrorKind::ConnectionRefused => {
             CallError::Unreached(e.to_string())
--- a/crates/roseshore_adapters/src/clock.rs
+++ b/crates/roseshore_adapters/src/clock.rs
@@ -1,38 +1,38 @@
-//! The system's clock that counts suspended time.
+//! System clock that includes the time during which the host is suspended.
 //!
-//! [`Instant::now`] reads the steady clock, which stands still while the machine is suspended. All that a
-//! host holds then looks as fresh after it as before: a lease on the configuration that ran out, a key taken
-//! away meanwhile, a neighbour that is gone.
+//! [`Instant::now`] reads the monotonic clock, which stops while the host is suspended. After
+//! resuming, all state of the host would look as fresh as before: an expired configuration lease, a
+//! key that has been taken over in the meantime, a peer that has left.
 
 use roseshore_ports::clock::Clock;
 use rustix::time::{ClockId, clock_gettime};
 use std::time::{Duration, Instant, SystemTime};
 
-/// Time since the machine was started, suspended time included.
-fn since_boot() -> Duration {
+/// Time since the host booted, including suspended time.
+fn boottime() -> Duration {
     let at = clock_gettime(ClockId::Boottime);
-    // Neither part of a time since the start is negative.
+    // Neither part is negative, since the clock starts from zero at boot.
     Duration::new(at.tv_sec.unsigned_abs(), at.tv_nsec.unsigned_abs() as u32)
 }
 
-/// The time since the machine's start as instants: those of the steady clock at its making, moved on by
-/// what has passed since.
+/// Clock that returns the [`Instant`] of its creation plus the time since boot that has passed since
+/// then, including suspended time.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
-    made: Instant,
-    made_at: Duration,
-    read: fn() -> Duration,
+    start: Instant,
+    start_since_boot: Duration,
+    since_boot: fn() -> Duration,
 }
 
 impl BootClock {
-    /// The system's.
+    /// Creates a clock that reads the boot time of the operating system.
     pub fn new() -> BootClock {
-        BootClock::reading(since_boot)
+        BootClock::with_source(boottime)
     }
 
-    /// One that reads the time since the start elsewhere.
-    pub fn reading(read: fn() -> Duration) -> BootClock {
-        BootClock { made: Instant::now(), made_at: read(), read }
+    /// Creates a clock that calls `since_boot` for the time since boot.
+    pub fn with_source(since_boot: fn() -> Duration) -> BootClock {
+        BootClock { start: Instant::now(), start_since_boot: since_boot(), since_boot }
     }
 }
 
@@ -44,7 +44,7 @@
 
 impl Clock for BootClock {
     fn now(&self) -> Instant {
-        self.made + (self.read)().saturating_sub(self.made_at)
+        self.start + (self.since_boot)().saturating_sub(self.start_since_boot)
     }
 
     fn wall(&self) -> SystemTime {
--- a/crates/roseshore_adapters/src/engine.rs
+++ b/crates/roseshore_adapters/src/engine.rs
@@ -1,9 +1,9 @@
-//! Model engines over HTTP.
+//! HTTP client for model engines.
 //!
-//! Every call goes through `ureq`. It keeps connections for polls, has timeouts finer than a second,
-//! and can be shut down from another thread. `minreq` is not used: it turns a reply without a status
-//! line, and a connection that was closed without any reply, into status 503, by which an engine
-//! says that nothing ran.
+//! All calls use `ureq`: it reuses connections for polls, supports timeouts of less than a second,
+//! and lets another thread shut down a connection. `minreq` is not suitable, because it reports a
+//! reply without a status line, or a connection closed without a reply, as status 503, which for an
+//! engine means that nothing ran.
 
 mod client;
 mod status;
@@ -17,10 +17,10 @@
 use std::net::SocketAddr;
 use stream::Streams;
 
-/// The engines of a fleet.
+/// Client for the engines of a fleet.
 pub struct EngineClient {
-    kept: Client,
-    fresh: Client,
+    pooled: Client,
+    unpooled: Client,
     streams: Streams,
 }
 
@@ -31,16 +31,16 @@
 }
 
 impl EngineClient {
-    /// A client without connections; starts the thread that ends abandoned streams.
+    /// Creates a client and starts the thread that closes streams whose receiver was dropped.
     pub fn new() -> EngineClient {
-        let (kept, fresh) = (Client::pooled(), Client::fresh());
-        EngineClient { kept, fresh, streams: Streams::start() }
+        let (pooled, unpooled) = (Client::pooled(), Client::unpooled());
+        EngineClient { pooled, unpooled, streams: Streams::start() }
     }
 }
 
 impl Engine for EngineClient {
     fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<Load> {
-        parse(&self.kept.get(addr, "/v1/load", limit)?)
+        parse(&self.pooled.get(addr, "/v1/load", limit)?)
     }
 
     fn generate(
@@ -53,27 +53,27 @@
     }
 
     fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()> {
-        self.fresh.post(addr, "/v1/cancel", body(ask)?, limit).map(drop)
+        self.unpooled.post(addr, "/v1/cancel", body(ask)?, limit).map(drop)
     }
 
     fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv> {
-        parse(&self.fresh.post(addr, "/v1/kv/export", body(ask)?, limit)?)
+        parse(&self.unpooled.post(addr, "/v1/kv/export", body(ask)?, limit)?)
     }
 
     fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()> {
-        self.fresh.post(addr, "/v1/kv/import", body(kv)?, limit).map(drop)
+        self.unpooled.post(addr, "/v1/kv/import", body(kv)?, limit).map(drop)
     }
 
     fn cache(&self, addr: SocketAddr, from: u64, limit: Duration) -> CallResult<CacheEvents> {
-        parse(&self.kept.get(addr, &format!("/v1/cache?from={from}"), limit)?)
+        parse(&self.pooled.get(addr, &format!("/v1/cache?from={from}"), limit)?)
     }
 
     fn order(&self, addr: SocketAddr, order: &Order, limit: Duration) -> CallResult<Holding> {
-        parse(&self.fresh.post(addr, "/v1/order", body(order)?, limit)?)
+        parse(&self.unpooled.post(addr, "/v1/order", body(order)?, limit)?)
     }
 }
 
-/// A message that cannot be coded was never sent.
+/// Serializes a request body. A failure is [`CallError::Unreached`], since nothing was sent.
 fn body<T: serde::Serialize>(message: &T) -> CallResult<Vec<u8>> {
     serde_json::to_vec(message).map_err(|e| CallError::Unreached(e.to_string()))
 }
--- a/crates/roseshore_adapters/src/engine/client.rs
+++ b/crates/roseshore_adapters/src/engine/client.rs
@@ -1,47 +1,50 @@
-//! Short calls through `ureq`.
+//! Calls to engines other than streams.
 //!
-//! Polls go over connections that are kept. Calls that change something get a connection each: one
-//! that was kept may have been closed by the engine just now, and then nobody knows whether the
-//! call was read.
+//! Polls reuse idle connections. Calls with side effects use a new connection each: the engine may
+//! be closing an idle connection while the call is written to it, and then it is unknown whether
+//! the engine has read the call.
 
 use super::status::Reply;
-use crate::agent::{Kept, agent, failure};
+use crate::agent::{PoolLimits, agent, call_error};
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::CallResult;
 use std::net::SocketAddr;
 use ureq::{Agent, Body, Error};
 
-/// The longest reply of a short call, bytes.
-const MAX_REPLY: u64 = 8 << 20;
-/// The longest time for the making of a connection.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
-/// Two connections for each engine; in all one for each replica of the largest fleet and some more.
-const KEPT: Kept = Kept { each: 2, all: 4096, age: Duration::from_secs(15) };
+/// Limit for the size of a reply body.
+const MAX_REPLY_BYTES: u64 = 8 << 20;
+/// Upper bound for opening a connection.
+const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle connections for polls. The total leaves room for one connection to each replica of the
+/// largest fleet, with a margin.
+const POLL_POOL: PoolLimits =
+    PoolLimits { per_addr: 2, total: 4096, max_age: Duration::from_secs(15) };
 
-/// Short calls.
+/// Client for short calls.
 pub(super) struct Client {
     agent: Agent,
 }
 
 impl Client {
-    /// A client that keeps connections.
+    /// Creates a client that reuses idle connections.
     pub(super) fn pooled() -> Client {
-        Client { agent: agent(KEPT) }
+        Client { agent: agent(POLL_POOL) }
     }
 
-    /// A client that opens a connection for each call.
-    pub(super) fn fresh() -> Client {
-        Client { agent: agent(Kept::NONE) }
+    /// Creates a client that opens a new connection for each call.
+    pub(super) fn unpooled() -> Client {
+        Client { agent: agent(PoolLimits::NONE) }
     }
 
-    /// Calls without a body.
+    /// Sends a `GET` request and returns the body of a `200` reply.
     pub(super) fn get(&self, addr: SocketAddr, path: &str, limit: Duration) -> CallResult<Vec<u8>> {
         let request = self.agent.get(url(addr, path)).config();
-        let request = request.timeout_global(Some(limit)).timeout_connect(Some(connect(limit)));
-        finish(request.build().call())
+        let request =
+            request.timeout_global(Some(limit)).timeout_connect(Some(connect_timeout(limit)));
+        read_body(request.build().call())
     }
 
-    /// Calls with a JSON body.
+    /// Sends a `POST` request with a JSON body and returns the body of a `200` reply.
     pub(super) fn post(
         &self,
         addr: SocketAddr,
@@ -51,32 +54,32 @@
     ) -> CallResult<Vec<u8>> {
         let request = self.agent.post(url(addr, path)).content_type("application/json");
         let request = request.header("Connection", "close").config();
-        let request = request.timeout_global(Some(limit)).timeout_connect(Some(connect(limit)));
-        finish(request.build().send(&body))
+        let request =
+            request.timeout_global(Some(limit)).timeout_connect(Some(connect_timeout(limit)));
+        read_body(request.build().send(&body))
     }
 }
 
-/// How long the making of a connection may take within a call's limit. It is shorter than the
-/// limit, so that a timeout says in which part of the call it struck.
-pub(super) fn connect(limit: Duration) -> Duration {
-    CONNECT_LIMIT.min(limit / 2)
+/// Timeout for opening a connection within a call that may take `limit`. It is shorter than the
+/// limit, so that the error tells in which phase of the call the timeout occurred.
+pub(super) fn connect_timeout(limit: Duration) -> Duration {
+    MAX_CONNECT_TIMEOUT.min(limit / 2)
 }
 
-/// The URL of a call.
 pub(super) fn url(addr: SocketAddr, path: &str) -> String {
     format!("http://{addr}{path}")
 }
 
-/// Reads a whole reply.
-pub(super) fn finish(outcome: Result<ureq::http::Response<Body>, Error>) -> CallResult<Vec<u8>> {
-    reply(outcome.map_err(failure)?)?.accept()
+/// Reads a complete reply and returns its body if the status is `200`.
+pub(super) fn read_body(outcome: Result<ureq::http::Response<Body>, Error>) -> CallResult<Vec<u8>> {
+    read_reply(outcome.map_err(call_error)?)?.into_body()
 }
 
-/// Reads the body of a reply.
-pub(super) fn reply(mut response: ureq::http::Response<Body>) -> CallResult<Reply> {
+/// Reads the status, the `Retry-After` header and the complete body of a response.
+pub(super) fn read_reply(mut response: ureq::http::Response<Body>) -> CallResult<Reply> {
     let status = response.status().as_u16();
-    let after = response.headers().get("retry-after");
-    let after = after.and_then(|value| value.to_str().ok()).map(str::to_owned);
-    let body = response.body_mut().with_config().limit(MAX_REPLY).read_to_vec();
-    Ok(Reply { status, after, body: body.map_err(failure)? })
+    let retry_after = response.headers().get("retry-after");
+    let retry_after = retry_after.and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let body = response.body_mut().with_config().limit(MAX_REPLY_BYTES).read_to_vec();
+    Ok(Reply { status, retry_after, body: body.map_err(call_error)? })
 }
--- a/crates/roseshore_adapters/src/engine/stream.rs
+++ b/crates/roseshore_adapters/src/engine/stream.rs
@@ -1,11 +1,11 @@
-//! Token streams: one connection and one reader thread for each.
+//! Token streams. Each has its own connection and reader thread.
 //!
-//! The reader hands lines on as they come. It may sit in a read for as long as the deadline
-//! allows, so it cannot see that its receiver is gone; one watcher for all streams looks for that
-//! and shuts the connection down, which ends the read.
+//! The reader forwards lines as they arrive. It may block in a read until the deadline and does not
+//! notice meanwhile that its receiver was dropped. A single watcher thread polls all streams for
+//! dropped receivers and shuts down their connections, which ends the read.
 
 use super::client;
-use crate::agent::{Kept, agent, failure};
+use crate::agent::{PoolLimits, agent, call_error};
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::{CallError, CallResult, StreamItem};
 use roseshore_wire::engine::{Generate, Output};
@@ -14,35 +14,36 @@
 use std::thread;
 use ureq::Agent;
 
-/// How often the watcher looks for streams whose receiver is gone.
-const WATCH_EVERY: Duration = Duration::from_millis(50);
-/// Items that wait for the receiver before the reader does, and with it the engine.
-const AHEAD: usize = 256;
-/// The longest line, bytes.
-const MAX_LINE: u64 = 1 << 20;
-/// The stack of a reader, bytes; there are hundreds.
-const STACK: usize = 256 << 10;
+/// How often the watcher checks for streams whose receiver was dropped.
+const WATCH_INTERVAL: Duration = Duration::from_millis(50);
+/// Items buffered for the receiver. If the buffer is full, the reader blocks and the engine sees
+/// backpressure.
+const MAX_BUFFERED_ITEMS: usize = 256;
+/// Limit for the length of a line.
+const MAX_LINE_BYTES: u64 = 1 << 20;
+/// Stack size of a reader thread, kept small because there are hundreds of them.
+const STACK_BYTES: usize = 256 << 10;
 
-/// The open streams.
+/// Opens streams and closes those whose receiver was dropped.
 pub(super) struct Streams {
-    watched: flume::Sender<Watched>,
+    opened: flume::Sender<OpenStream>,
 }
 
-/// A stream that may be abandoned.
-struct Watched {
+/// What the watcher needs to close a stream whose receiver was dropped.
+struct OpenStream {
     items: flume::WeakSender<StreamItem>,
     agent: Agent,
 }
 
 impl Streams {
-    /// Starts the watcher; it ends when this is dropped and the last stream has ended.
+    /// Starts the watcher thread. It ends once this value is dropped and the last stream has ended.
     pub(super) fn start() -> Streams {
-        let (watched, incoming) = flume::unbounded();
+        let (opened, incoming) = flume::unbounded();
         thread::spawn(move || watch(&incoming));
-        Streams { watched }
+        Streams { opened }
     }
 
-    /// Opens a stream and returns once its head has come.
+    /// Opens a stream and returns once the response head has arrived.
     pub(super) fn open(
         &self,
         addr: SocketAddr,
@@ -54,12 +55,14 @@
         if limit.is_zero() {
             return Err(CallError::Unreached("the deadline passed".to_owned()));
         }
-        let agent = agent(Kept::NONE);
+        let agent = agent(PoolLimits::NONE);
         let response = post(&agent, addr, ask, &body, limit)?;
-        let (sender, receiver) = flume::bounded(AHEAD);
-        let _ = self.watched.send(Watched { items: sender.downgrade(), agent });
-        let reader = thread::Builder::new().name("engine-stream".to_owned()).stack_size(STACK);
-        let spawned = reader.spawn(move || read(response.into_body().into_reader(), &sender));
+        let (sender, receiver) = flume::bounded(MAX_BUFFERED_ITEMS);
+        let _ = self.opened.send(OpenStream { items: sender.downgrade(), agent });
+        let reader =
+            thread::Builder::new().name("engine-stream".to_owned()).stack_size(STACK_BYTES);
+        let spawned =
+            reader.spawn(move || forward_lines(response.into_body().into_reader(), &sender));
         spawned.map_err(|e| CallError::Lost(e.to_string()))?;
         Ok(receiver)
     }
@@ -80,28 +83,28 @@
         request = request.header("traceparent", trace);
     }
     let request = request.config().timeout_global(Some(limit));
-    let request = request.timeout_connect(Some(client::connect(limit))).build();
-    let response = request.send(body).map_err(failure)?;
+    let request = request.timeout_connect(Some(client::connect_timeout(limit))).build();
+    let response = request.send(body).map_err(call_error)?;
     if response.status().as_u16() == 200 {
         return Ok(response);
     }
-    let refusal = client::reply(response)?.accept();
+    let refusal = client::read_reply(response)?.into_body();
     Err(refusal.err().unwrap_or_else(|| CallError::Garbled("no stream".to_owned())))
 }
 
-/// Forwards lines until the stream ends; the end itself is always forwarded.
-fn read(body: impl Read, items: &flume::Sender<StreamItem>) {
+/// Forwards lines until the stream ends, followed by [`StreamItem::Ended`].
+fn forward_lines(body: impl Read, items: &flume::Sender<StreamItem>) {
     let mut lines = BufReader::new(body);
-    let mut whole = false;
+    let mut complete = false;
     let end = loop {
-        match line(&mut lines) {
+        match read_line(&mut lines) {
             Ok(Some(output)) => {
-                whole = matches!(output, Output::Done { .. } | Output::Lost { .. });
+                complete = matches!(output, Output::Done { .. } | Output::Lost { .. });
                 if items.send(StreamItem::Output(output)).is_err() {
                     return;
                 }
             }
-            Ok(None) if whole => break Ok(()),
+            Ok(None) if complete => break Ok(()),
             Ok(None) => break Err(CallError::Lost("the stream was cut".to_owned())),
             Err(error) => break Err(error),
         }
@@ -109,9 +112,10 @@
     let _ = items.send(StreamItem::Ended(end));
 }
 
-fn line(lines: &mut impl BufRead) -> CallResult<Option<Output>> {
+/// Reads the next line; `None` at the end of the stream.
+fn read_line(lines: &mut impl BufRead) -> CallResult<Option<Output>> {
     let mut bytes = Vec::new();
-    let read = lines.take(MAX_LINE).read_until(b'\n', &mut bytes);
+    let read = lines.take(MAX_LINE_BYTES).read_until(b'\n', &mut bytes);
     read.map_err(|e| CallError::Lost(e.to_string()))?;
     if bytes.is_empty() {
         return Ok(None);
@@ -122,11 +126,12 @@
     super::parse(&bytes).map(Some)
 }
 
-fn watch(incoming: &flume::Receiver<Watched>) {
-    let mut open: Vec<Watched> = Vec::new();
+/// Shuts down the connections of streams whose receiver was dropped.
+fn watch(incoming: &flume::Receiver<OpenStream>) {
+    let mut open: Vec<OpenStream> = Vec::new();
     let mut more = true;
     while more || !open.is_empty() {
-        more = wait(incoming, &mut open);
+        more = receive_opened(incoming, &mut open);
         open.retain(|stream| {
             let Some(items) = stream.items.upgrade() else { return false };
             if items.is_disconnected() {
@@ -138,14 +143,15 @@
     }
 }
 
-/// Takes new streams in for one round; `false` when no more can come.
-fn wait(incoming: &flume::Receiver<Watched>, open: &mut Vec<Watched>) -> bool {
+/// Waits for one poll interval, or for the first stream if none is open, and adds the streams
+/// opened meanwhile. Returns `false` once no more can be opened.
+fn receive_opened(incoming: &flume::Receiver<OpenStream>, open: &mut Vec<OpenStream>) -> bool {
     if open.is_empty() {
         let first = incoming.recv();
         open.extend(first.ok());
         return !open.is_empty();
     }
-    thread::sleep(WATCH_EVERY);
+    thread::sleep(WATCH_INTERVAL);
     open.extend(incoming.try_iter());
     !incoming.is_disconnected()
 }
--- a/crates/roseshore_adapters/src/lib.rs
+++ b/crates/roseshore_adapters/src/lib.rs
@@ -1,7 +1,7 @@
-//! Sockets behind the traits of [`roseshore_ports::outside`].
+//! Network implementations of the traits in [`roseshore_ports::outside`].
 //!
-//! An adapter decides nothing: it carries a call over and says by the kind of its error what a
-//! failure proves.
+//! An adapter makes no decisions. It performs the call and maps each failure to the kind of error
+//! that tells whether the call may have run.
 
 mod agent;
 pub mod call;
--- a/crates/roseshore_adapters/src/peer.rs
+++ b/crates/roseshore_adapters/src/peer.rs
@@ -1,24 +1,24 @@
-//! The links to the other daemons.
+//! Communication with other daemons.
 //!
-//! [`TcpPeers`] asks over one connection per pair, [`serve`] answers, [`UdpSocket`] carries
-//! heartbeats. Questions and replies carry a number, so that any number of threads share a
-//! connection and a late reply never reaches another question.
+//! [`TcpPeers`] sends requests over one TCP connection per peer, [`serve`] answers them, and
+//! [`UdpSocket`] carries heartbeats. Requests and replies carry a number, so that many threads can
+//! share a connection and a late reply is never matched to another request.
 
 mod client;
 mod server;
 mod udp;
 
-pub use client::{Limits, TcpPeers};
+pub use client::{PeerLimits, TcpPeers};
 pub use server::{Server, serve};
 pub use udp::UdpSocket;
 
 use serde::{Deserialize, Serialize};
 
-/// A message with the number of its question.
+/// A request or reply with the number that matches them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Numbered<T> {
-    /// The number, unique on one connection.
+    /// Number of the request, unique within a connection.
     pub number: u64,
-    /// The question or reply.
+    /// The request or reply itself.
     pub body: T,
 }
--- a/crates/roseshore_adapters/src/peer/client.rs
+++ b/crates/roseshore_adapters/src/peer/client.rs
@@ -1,9 +1,9 @@
-//! Asks peers over TCP, one connection per pair.
+//! Sends requests to peers over TCP, with one connection per peer.
 //!
-//! A connection is made when it is first needed and again after it broke, but not before a rest
-//! that doubles with every failure: a peer that is down costs its askers nothing. A reader thread
-//! hands each reply to the question with its number; a question given up on takes its number
-//! along, and its late reply is dropped.
+//! A connection is opened on first use and reopened after a failure, with exponential backoff, so
+//! that requests to an unavailable peer fail at once. A reader thread passes each reply to the
+//! request with its number. A request that times out removes its number, and its late reply is
+//! dropped.
 
 use super::Numbered;
 use parking_lot::Mutex;
@@ -17,104 +17,106 @@
 use std::sync::Arc;
 use std::thread;
 
-/// The bounds of the client.
+/// Limits of [`TcpPeers`].
 #[derive(Clone, Debug)]
-pub struct Limits {
-    /// How long a connection may take to be made.
-    pub connect: Duration,
-    /// The rest after the first failure; it doubles with each.
-    pub rest: Duration,
-    /// The longest rest.
-    pub longest: Duration,
-    /// Questions that may wait for replies on one connection.
-    pub pending: usize,
+pub struct PeerLimits {
+    /// Timeout for opening a connection.
+    pub connect_timeout: Duration,
+    /// Backoff after the first failure. It doubles with each further one.
+    pub initial_backoff: Duration,
+    /// Upper bound of the backoff.
+    pub max_backoff: Duration,
+    /// Requests that may await replies on one connection.
+    pub max_pending: usize,
 }
 
-impl Default for Limits {
-    fn default() -> Limits {
-        Limits {
-            connect: Duration::from_millis(300),
-            rest: Duration::from_millis(50),
-            longest: Duration::from_secs(1),
-            pending: 256,
+impl Default for PeerLimits {
+    fn default() -> PeerLimits {
+        PeerLimits {
+            connect_timeout: Duration::from_millis(300),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(1),
+            max_pending: 256,
         }
     }
 }
 
-/// Bounds the exponent of the rest, far above what [`Limits::longest`] lets through.
-const MAX_DOUBLINGS: u32 = 16;
-/// Replies missed one after the other, after which a connection is taken for dead.
-const MAX_MISSED: u32 = 3;
+/// Bounds the exponent of the backoff, far above the point where [`PeerLimits::max_backoff`] applies.
+const MAX_BACKOFF_DOUBLINGS: u32 = 16;
+/// Number of consecutive request timeouts after which a connection is considered dead.
+const MAX_TIMEOUTS: u32 = 3;
 
-/// The links to all peers.
+/// Client for requests to all peers.
 pub struct TcpPeers {
-    limits: Limits,
+    limits: PeerLimits,
     links: Mutex<HashMap<SocketAddr, Arc<Mutex<Link>>>>,
 }
 
-/// The way to one peer.
+/// The connection to one peer and its backoff.
 #[derive(Default)]
 struct Link {
-    line: Option<Arc<Line>>,
+    connection: Option<Arc<Connection>>,
     failures: u32,
-    rest: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
 /// One open connection.
-struct Line {
+struct Connection {
     stream: TcpStream,
-    state: Mutex<Waiting>,
+    state: Mutex<ConnectionState>,
+    /// Held while a frame is written, so that frames do not interleave.
     writing: Mutex<()>,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct ConnectionState {
     next: u64,
     replies: HashMap<u64, flume::Sender<CallResult<PeerReply>>>,
     broken: bool,
     answered: bool,
-    missed: u32,
+    timeouts: u32,
 }
 
 impl TcpPeers {
-    /// No connections yet.
-    pub fn new(limits: Limits) -> TcpPeers {
+    /// Creates a client without open connections.
+    pub fn new(limits: PeerLimits) -> TcpPeers {
         TcpPeers { limits, links: Mutex::new(HashMap::new()) }
     }
 
-    fn line(&self, addr: SocketAddr, deadline: Instant) -> CallResult<Arc<Line>> {
+    /// Returns the open connection to `addr`, or opens one unless the backoff is still running.
+    fn connection(&self, addr: SocketAddr, deadline: Instant) -> CallResult<Arc<Connection>> {
         let shared = self.links.lock().entry(addr).or_default().clone();
         let Some(mut link) = shared.try_lock_until(deadline) else {
             return Err(CallError::Unreached(format!("`{addr}` is still being connected to")));
         };
-        if let Some(line) = link.line.clone() {
-            let state = line.state.lock();
+        if let Some(connection) = link.connection.clone() {
+            let state = connection.state.lock();
             if !state.broken {
                 if state.answered {
                     link.failures = 0;
                 }
                 drop(state);
-                return Ok(line);
+                return Ok(connection);
             }
-            let useless = !state.answered;
+            let unanswered = !state.answered;
             drop(state);
-            link.line = None;
-            if useless {
-                link.failed(&self.limits);
+            link.connection = None;
+            if unanswered {
+                link.back_off(&self.limits);
             }
         }
         let now = Instant::now();
-        if link.rest.is_some_and(|rest| now < rest) {
+        if link.retry_at.is_some_and(|at| now < at) {
             return Err(CallError::Unreached(format!("`{addr}` failed just now")));
         }
-        let limit = self.limits.connect.min(deadline.saturating_duration_since(now));
-        match Line::open(addr, limit) {
+        let limit = self.limits.connect_timeout.min(deadline.saturating_duration_since(now));
+        match Connection::open(addr, limit) {
             Ok(open) => {
-                link.line = Some(open.clone());
+                link.connection = Some(open.clone());
                 Ok(open)
             }
             Err(e) => {
-                link.failed(&self.limits);
+                link.back_off(&self.limits);
                 Err(CallError::Unreached(e.to_string()))
             }
         }
@@ -122,9 +124,10 @@
 }
 
 impl Link {
-    fn failed(&mut self, limits: &Limits) {
-        let rest = limits.rest * 2u32.saturating_pow(self.failures.min(MAX_DOUBLINGS));
-        self.rest = Some(Instant::now() + rest.min(limits.longest));
+    fn back_off(&mut self, limits: &PeerLimits) {
+        let backoff =
+            limits.initial_backoff * 2u32.saturating_pow(self.failures.min(MAX_BACKOFF_DOUBLINGS));
+        self.retry_at = Some(Instant::now() + backoff.min(limits.max_backoff));
         self.failures += 1;
     }
 }
@@ -132,8 +135,8 @@
 impl Peers for TcpPeers {
     fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply> {
         let deadline = Instant::now() + limit;
-        let line = self.line(addr, deadline)?;
-        let reply = line.ask(ask, deadline, self.limits.pending);
+        let connection = self.connection(addr, deadline)?;
+        let reply = connection.ask(ask, deadline, self.limits.max_pending);
         if let Err(e) = &reply {
             metrics::counter!("roseshore_peer_asks_failed_total").increment(1);
             log::debug!("peer `{addr}`: {e}");
@@ -142,24 +145,29 @@
     }
 }
 
-impl Line {
-    fn open(addr: SocketAddr, limit: Duration) -> std::io::Result<Arc<Line>> {
+impl Connection {
+    fn open(addr: SocketAddr, limit: Duration) -> std::io::Result<Arc<Connection>> {
         if limit.is_zero() {
             return Err(std::io::ErrorKind::TimedOut.into());
         }
         let stream = TcpStream::connect_timeout(&addr, limit)?;
         stream.set_nodelay(true)?;
         let input = stream.try_clone()?;
-        let state = Mutex::new(Waiting::default());
-        let line = Arc::new(Line { stream, state, writing: Mutex::new(()) });
-        let reader = line.clone();
+        let state = Mutex::new(ConnectionState::default());
+        let connection = Arc::new(Connection { stream, state, writing: Mutex::new(()) });
+        let reader = connection.clone();
         thread::Builder::new().name("peer-reply".into()).spawn(move || reader.read(&input))?;
-        Ok(line)
+        Ok(connection)
     }
 
-    fn ask(&self, ask: &PeerRequest, deadline: Instant, pending: usize) -> CallResult<PeerReply> {
+    fn ask(
+        &self,
+        ask: &PeerRequest,
+        deadline: Instant,
+        max_pending: usize,
+    ) -> CallResult<PeerReply> {
         let (send, reply) = flume::bounded(1);
-        let number = self.enrol(send, pending)?;
+        let number = self.register(send, max_pending)?;
         let message = frame::encode(&Numbered { number, body: ask }, frame::MAX_FRAME);
         let Ok(bytes) = message else {
             self.state.lock().replies.remove(&number);
@@ -169,15 +177,17 @@
             self.state.lock().replies.remove(&number);
             return Err(e);
         }
-        reply.recv_deadline(deadline).unwrap_or_else(|_| Err(self.give_up(number)))
+        reply.recv_deadline(deadline).unwrap_or_else(|_| Err(self.time_out(number)))
     }
 
-    fn give_up(&self, number: u64) -> CallError {
+    /// Removes a request that was not answered in time. Closes the connection if too many in a row
+    /// were not.
+    fn time_out(&self, number: u64) -> CallError {
         let why = CallError::Lost("no reply in time".into());
         let mut state = self.state.lock();
         state.replies.remove(&number);
-        state.missed += 1;
-        let dead = state.missed >= MAX_MISSED;
+        state.timeouts += 1;
+        let dead = state.timeouts >= MAX_TIMEOUTS;
         drop(state);
         if dead {
             self.fail(&why);
@@ -185,12 +195,16 @@
         why
     }
 
-    fn enrol(&self, send: flume::Sender<CallResult<PeerReply>>, pending: usize) -> CallResult<u64> {
+    fn register(
+        &self,
+        send: flume::Sender<CallResult<PeerReply>>,
+        max_pending: usize,
+    ) -> CallResult<u64> {
         let mut state = self.state.lock();
         if state.broken {
             return Err(CallError::Unreached("the connection broke".into()));
         }
-        if state.replies.len() >= pending {
+        if state.replies.len() >= max_pending {
             return Err(CallError::Unreached("too many questions wait for replies".into()));
         }
         let number = state.next;
@@ -212,38 +226,40 @@
         let _ = self.stream.set_write_timeout(Some(left));
         let written = out.write_all(&[&len, bytes].concat());
         written.map_err(|e| {
-            // Part of a frame may be out: nothing more can be said on this connection.
+            // Part of a frame may have been sent, so the connection cannot be used any more.
             self.fail(&CallError::Lost(e.to_string()));
             CallError::Lost(e.to_string())
         })
     }
 
+    /// Delivers replies until the connection fails.
     fn read(&self, input: &TcpStream) {
         let mut input = BufReader::new(input);
         loop {
             match frame::read::<Numbered<PeerReply>>(&mut input) {
-                Ok(reply) => self.hand(reply),
+                Ok(reply) => self.deliver(reply),
                 Err(FrameError::Io(e)) => return self.fail(&CallError::Lost(e.to_string())),
                 Err(e) => return self.fail(&CallError::Garbled(e.to_string())),
             }
         }
     }
 
-    fn hand(&self, reply: Numbered<PeerReply>) {
+    fn deliver(&self, reply: Numbered<PeerReply>) {
         let mut state = self.state.lock();
         state.answered = true;
-        state.missed = 0;
+        state.timeouts = 0;
         match state.replies.remove(&reply.number) {
-            Some(asker) => drop(asker.send(Ok(reply.body))),
+            Some(waiter) => drop(waiter.send(Ok(reply.body))),
             None => metrics::counter!("roseshore_peer_replies_late_total").increment(1),
         }
     }
 
+    /// Closes the connection and fails all requests that await replies.
     fn fail(&self, why: &CallError) {
         let mut state = self.state.lock();
         state.broken = true;
-        for (_, asker) in state.replies.drain() {
-            let _ = asker.send(Err(why.clone()));
+        for (_, waiter) in state.replies.drain() {
+            let _ = waiter.send(Err(why.clone()));
         }
         let _ = self.stream.shutdown(Shutdown::Both);
     }
@@ -252,8 +268,8 @@
 impl Drop for TcpPeers {
     fn drop(&mut self) {
         for link in self.links.lock().values() {
-            if let Some(line) = &link.lock().line {
-                let _ = line.stream.shutdown(Shutdown::Both);
+            if let Some(connection) = &link.lock().connection {
+                let _ = connection.stream.shutdown(Shutdown::Both);
             }
         }
     }
--- a/crates/roseshore_adapters/src/peer/server.rs
+++ b/crates/roseshore_adapters/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers questions of peers over TCP.
+//! Answers requests of peers over TCP.
 
 use super::Numbered;
 use parking_lot::Mutex;
@@ -13,44 +13,44 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// Connections held at once; further ones are closed at once.
+/// Maximum number of open connections. Further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 256;
-/// How long a connection may say nothing, or stop within a frame.
-const MAX_SILENCE: Duration = Duration::from_secs(30);
-/// How long a peer may take to read a reply.
-const MAX_WRITE: Duration = Duration::from_secs(2);
-/// How long accepting rests after an error such as a lack of descriptors.
-const ACCEPT_REST: Duration = Duration::from_millis(50);
+/// How long a connection may be idle, or pause within a frame, before it is closed.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long writing a reply may block because the peer does not read.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay before the next `accept` after an error, such as too many open file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A running server; it ends when dropped.
+/// A running server. Dropping it stops the server and closes its connections.
 pub struct Server {
     shared: Arc<Shared>,
     addr: SocketAddr,
 }
 
 struct Shared {
-    answers: Vec<Arc<dyn PeerHandler>>,
-    open: Mutex<HashMap<u64, TcpStream>>,
+    handlers: Vec<Arc<dyn PeerHandler>>,
+    connections: Mutex<HashMap<u64, TcpStream>>,
     stopped: AtomicBool,
 }
 
-/// Serves peers on a listener; every part is asked in turn until one answers.
+/// Serves peers on a listener. Each request is passed to the handlers in order until one answers it.
 ///
-/// Questions of one connection are answered one after the other, so an answer must not wait.
+/// Requests of one connection are answered sequentially, so a handler must not block.
 ///
 /// # Errors
-/// When the listener does not say its address or the thread cannot be started.
-pub fn serve(listener: TcpListener, answers: Vec<Arc<dyn PeerHandler>>) -> io::Result<Server> {
+/// If the listener's address cannot be read or the accept thread cannot be started.
+pub fn serve(listener: TcpListener, handlers: Vec<Arc<dyn PeerHandler>>) -> io::Result<Server> {
     let addr = listener.local_addr()?;
-    let open = Mutex::new(HashMap::new());
-    let shared = Arc::new(Shared { answers, open, stopped: AtomicBool::new(false) });
+    let connections = Mutex::new(HashMap::new());
+    let shared = Arc::new(Shared { handlers, connections, stopped: AtomicBool::new(false) });
     let server = Server { shared: shared.clone(), addr };
     thread::Builder::new().name("peer-accept".into()).spawn(move || shared.accept(&listener))?;
     Ok(server)
 }
 
 impl Server {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -59,11 +59,11 @@
 impl Drop for Server {
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
-        for stream in self.shared.open.lock().values() {
+        for stream in self.shared.connections.lock().values() {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        // A connection to itself wakes the accepting thread.
-        let _ = TcpStream::connect_timeout(&self.addr, ACCEPT_REST);
+        // A connection to the listener wakes the accept thread.
+        let _ = TcpStream::connect_timeout(&self.addr, ACCEPT_RETRY_DELAY);
     }
 }
 
@@ -75,38 +75,38 @@
                 return;
             }
             match accepted {
-                Ok((stream, _)) => self.start(number, stream),
-                Err(_) => thread::sleep(ACCEPT_REST),
+                Ok((stream, _)) => self.spawn_connection(number, stream),
+                Err(_) => thread::sleep(ACCEPT_RETRY_DELAY),
             }
         }
     }
 
-    fn start(self: &Arc<Shared>, number: u64, stream: TcpStream) {
+    fn spawn_connection(self: &Arc<Shared>, number: u64, stream: TcpStream) {
         let Ok(handle) = stream.try_clone() else { return };
-        let mut open = self.open.lock();
-        if open.len() >= MAX_CONNECTIONS {
+        let mut connections = self.connections.lock();
+        if connections.len() >= MAX_CONNECTIONS {
             metrics::counter!("roseshore_peer_refused_total").increment(1);
             return;
         }
-        open.insert(number, handle);
-        drop(open);
+        connections.insert(number, handle);
+        drop(connections);
         let shared = self.clone();
         let spawned = thread::Builder::new().name("peer-answer".into()).spawn(move || {
-            let closed = Closed { shared: &shared, number };
-            if let Err(e) = shared.converse(&stream) {
-                log::debug!("peer link closed: {e}");
+            let guard = ConnectionGuard { shared: &shared, number };
+            if let Err(e) = shared.serve_connection(&stream) {
+                log::debug!("peer connection closed: {e}");
             }
-            drop(closed);
+            drop(guard);
         });
         if spawned.is_err() {
-            self.open.lock().remove(&number);
+            self.connections.lock().remove(&number);
         }
     }
 
-    fn converse(&self, stream: &TcpStream) -> Result<(), frame::FrameError> {
+    fn serve_connection(&self, stream: &TcpStream) -> Result<(), frame::FrameError> {
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(MAX_SILENCE))?;
-        stream.set_write_timeout(Some(MAX_WRITE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
+        stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let mut input = BufReader::new(stream);
         let mut out = stream;
         while !self.stopped.load(Ordering::SeqCst) {
@@ -118,20 +118,20 @@
     }
 
     fn answer(&self, ask: &PeerRequest) -> PeerReply {
-        let known = self.answers.iter().find_map(|part| part.answer(ask));
-        known.unwrap_or_else(|| PeerReply::Unable { reason: "no part knows this question".into() })
+        let reply = self.handlers.iter().find_map(|handler| handler.answer(ask));
+        reply.unwrap_or_else(|| PeerReply::Unable { reason: "no part knows this question".into() })
     }
 }
 
-/// Gives the connection's place back, after a panic of an answer too.
-struct Closed<'a> {
+/// Removes the connection from the open ones when dropped, also if a handler panics.
+struct ConnectionGuard<'a> {
     shared: &'a Shared,
     number: u64,
 }
 
-impl Drop for Closed<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
-        if let Some(stream) = self.shared.open.lock().remove(&self.number) {
+        if let Some(stream) = self.shared.connections.lock().remove(&self.number) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
--- a/crates/roseshore_adapters/src/peer/udp.rs
+++ b/crates/roseshore_adapters/src/peer/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams over UDP.
+//! Sends and receives [`Datagram`]s over UDP.
 
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
@@ -8,39 +8,39 @@
 use std::io;
 use std::net::{self, SocketAddr};
 
-/// The shortest wait the socket is given; zero would mean for ever.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// Lower bound of the socket's read timeout, since the socket does not accept a timeout of zero.
+const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 
 /// A socket that sends and receives [`Datagram`]s.
 pub struct UdpSocket {
     socket: net::UdpSocket,
-    wait: Mutex<Duration>,
+    read_timeout: Mutex<Duration>,
 }
 
 impl UdpSocket {
-    /// Listens on `addr`.
+    /// Binds a socket to `addr`.
     ///
     /// # Errors
-    /// When the address cannot be had.
+    /// If the address cannot be bound.
     pub fn bind(addr: SocketAddr) -> io::Result<UdpSocket> {
         let socket = net::UdpSocket::bind(addr)?;
-        Ok(UdpSocket { socket, wait: Mutex::new(Duration::ZERO) })
+        Ok(UdpSocket { socket, read_timeout: Mutex::new(Duration::ZERO) })
     }
 
-    /// Where it listens.
+    /// The address to which the socket is bound.
     ///
     /// # Errors
-    /// When the socket does not say.
+    /// If the address cannot be read.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    fn set_wait(&self, limit: Duration) -> io::Result<()> {
-        let mut wait = self.wait.lock();
-        let limit = limit.max(SHORTEST_WAIT);
-        if *wait != limit {
+    fn set_read_timeout(&self, limit: Duration) -> io::Result<()> {
+        let mut read_timeout = self.read_timeout.lock();
+        let limit = limit.max(MIN_READ_TIMEOUT);
+        if *read_timeout != limit {
             self.socket.set_read_timeout(Some(limit))?;
-            *wait = limit;
+            *read_timeout = limit;
         }
         Ok(())
     }
@@ -57,7 +57,7 @@
     }
 
     fn receive(&self, limit: Duration) -> Option<ReceivedDatagram> {
-        self.set_wait(limit).ok()?;
+        self.set_read_timeout(limit).ok()?;
         let mut bytes = [0; MAX_DATAGRAM + 1];
         let (len, from) = self.socket.recv_from(&mut bytes).ok()?;
         metrics::counter!("roseshore_datagram_bytes_total", "way" => "in").increment(len as u64);
--- a/crates/roseshore_adapters/src/platform.rs
+++ b/crates/roseshore_adapters/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client for the platform.
 
 use crate::call;
 use roseshore_core::prelude::*;
@@ -6,10 +6,10 @@
 use roseshore_wire::platform::{Append, Appended, Hosts, Records, Trimmed, Weights};
 use std::net::SocketAddr;
 
-/// The status of a read whose records are no longer kept.
-const GONE: u16 = 410;
+/// Status of a read from an offset that has been trimmed.
+const STATUS_GONE: u16 = 410;
 
-/// The log service, the host list and the weight store behind one address.
+/// Client for the log service, the host list and the weight store at one address.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     addr: SocketAddr,
@@ -17,7 +17,7 @@
 }
 
 impl HttpPlatform {
-    /// The platform at an address, whose replies are waited for up to `limit`, in whole seconds.
+    /// Creates a client that waits up to `limit` for a reply, rounded up to whole seconds.
     pub fn new(addr: SocketAddr, limit: Duration) -> HttpPlatform {
         HttpPlatform { addr, limit }
     }
@@ -42,19 +42,20 @@
         let query = format!("from={from}&max={max}&wait_ms={wait_ms}");
         let url = self.url(&format!("/v1/streams/{stream}/records?{query}"));
         let reply = call::send(minreq::get(url), wait + self.limit)?;
-        if reply.status_code == GONE {
+        if reply.status_code == STATUS_GONE {
             let trimmed: Trimmed = serde_json::from_slice(reply.as_bytes())
                 .map_err(|e| CallError::Garbled(e.to_string()))?;
             return Err(CallError::Trimmed(trimmed.oldest, trimmed.end));
         }
         let records: Records = call::read_json(&reply)?;
-        check(&records, from)?;
+        check_offsets(&records, from)?;
         Ok(records)
     }
 }
 
-/// Holds a read against the protocol: from the asked offset on, without holes.
-fn check(records: &Records, from: Offset) -> CallResult<()> {
+/// Checks that the records start at the requested offset and are contiguous, as the protocol
+/// requires.
+fn check_offsets(records: &Records, from: Offset) -> CallResult<()> {
     let offsets = records.records.iter().map(|r| r.offset);
     if offsets.zip(from..).any(|(found, wanted)| found != wanted) {
         return Err(CallError::Garbled("the records have a hole".to_owned()));
--- a/crates/roseshore_adapters/src/service.rs
+++ b/crates/roseshore_adapters/src/service.rs
@@ -1,11 +1,11 @@
-//! Replicas of plain and lookup services over HTTP.
+//! HTTP client for the replicas of plain and lookup services.
 //!
-//! Lookups come in floods and may be repeated, so they go over connections that are kept. A
-//! connection that the replica closes just as a request is written on it fails in a way that
-//! proves nothing; for a lookup another attempt settles that, but for a call it would turn many a
-//! clean start into "may have run". Calls therefore have a connection of their own each.
+//! Lookups are frequent and idempotent, so they reuse idle connections. If a replica closes an idle
+//! connection while a request is written to it, it is unknown whether the request ran. A lookup can
+//! be retried, but a call would be reported as "may have run" although it did not start. Each call
+//! therefore uses a new connection.
 
-use crate::agent::{Kept, agent, failure};
+use crate::agent::{PoolLimits, agent, call_error};
 use roseshore_core::prelude::*;
 use roseshore_ports::outside::{CallContext, CallError, CallResult, ServiceReply, Services};
 use roseshore_wire::service::{
@@ -15,22 +15,23 @@
 use ureq::http::{Request, Response, request::Builder};
 use ureq::{Agent, Body};
 
-/// The longest body that is read, bytes.
-const MAX_BODY: u64 = 16 << 20;
-/// Connections kept without use, for each replica and in all.
-const KEPT: Kept = Kept { each: 64, all: 1024, age: Duration::from_secs(10) };
-const UNAVAILABLE: u16 = 503;
+/// Limit for the size of a reply body.
+const MAX_BODY_BYTES: u64 = 16 << 20;
+/// Idle connections for lookups and load reports.
+const LOOKUP_POOL: PoolLimits =
+    PoolLimits { per_addr: 64, total: 1024, max_age: Duration::from_secs(10) };
+const STATUS_UNAVAILABLE: u16 = 503;
 
-/// Replicas reached over HTTP.
+/// Client for service replicas.
 #[derive(Clone, Debug)]
 pub struct HttpServices {
-    kept: Agent,
-    fresh: Agent,
+    pooled: Agent,
+    unpooled: Agent,
 }
 
 impl Default for HttpServices {
     fn default() -> HttpServices {
-        HttpServices { kept: agent(KEPT), fresh: agent(Kept::NONE) }
+        HttpServices { pooled: agent(LOOKUP_POOL), unpooled: agent(PoolLimits::NONE) }
     }
 }
 
@@ -40,14 +41,16 @@
         addr: SocketAddr,
         source: &str,
         name: &str,
-        hop: &CallContext,
+        context: &CallContext,
     ) -> CallResult<ServiceReply> {
-        let left = left(hop.deadline)?;
+        let remaining = remaining(context.deadline)?;
         let url = format!("http://{addr}/v1/lookup/{source}/{name}");
-        let request = travel(Request::get(url), hop, left).body(()).map_err(unsent)?;
-        let request = self.kept.configure_request(request);
-        let reply = self.kept.run(request.timeout_global(Some(left)).build());
-        read(reply.map_err(failure)?)
+        let request = with_context(Request::get(url), context, remaining)
+            .body(())
+            .map_err(invalid_request)?;
+        let request = self.pooled.configure_request(request);
+        let reply = self.pooled.run(request.timeout_global(Some(remaining)).build());
+        read_reply(reply.map_err(call_error)?)
     }
 
     fn call(
@@ -56,18 +59,19 @@
         service: &str,
         body: &[u8],
         key: Option<&str>,
-        hop: &CallContext,
+        context: &CallContext,
     ) -> CallResult<ServiceReply> {
-        let left = left(hop.deadline)?;
+        let remaining = remaining(context.deadline)?;
         let url = format!("http://{addr}/v1/call/{service}");
-        let mut request = travel(Request::post(url), hop, left).header("connection", "close");
+        let mut request =
+            with_context(Request::post(url), context, remaining).header("connection", "close");
         if let Some(key) = key {
             request = request.header(IDEMPOTENCY_KEY, key);
         }
-        let request = self.fresh.configure_request(request.body(body).map_err(unsent)?);
-        let reply = self.fresh.run(request.timeout_global(Some(left)).build());
-        let reply = read(reply.map_err(failure)?)?;
-        if unstarted(&reply) {
+        let request = self.unpooled.configure_request(request.body(body).map_err(invalid_request)?);
+        let reply = self.unpooled.run(request.timeout_global(Some(remaining)).build());
+        let reply = read_reply(reply.map_err(call_error)?)?;
+        if is_not_run(&reply) {
             let body = String::from_utf8_lossy(&reply.body).into_owned();
             return Err(CallError::Refused(reply.status, None, body));
         }
@@ -75,33 +79,39 @@
     }
 
     fn load(&self, addr: SocketAddr, limit: Duration) -> CallResult<ServiceLoad> {
-        let request = Request::get(format!("http://{addr}/v1/load")).body(()).map_err(unsent)?;
-        let request = self.kept.configure_request(request);
-        let reply = self.kept.run(request.timeout_global(Some(limit)).build());
-        let reply = read(reply.map_err(failure)?)?;
+        let request =
+            Request::get(format!("http://{addr}/v1/load")).body(()).map_err(invalid_request)?;
+        let request = self.pooled.configure_request(request);
+        let reply = self.pooled.run(request.timeout_global(Some(limit)).build());
+        let reply = read_reply(reply.map_err(call_error)?)?;
         serde_json::from_slice(&reply.body).map_err(|e| CallError::Garbled(e.to_string()))
     }
 }
 
-/// The time left, if there is any to begin with.
-fn left(deadline: Instant) -> CallResult<Duration> {
-    let left = deadline.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+/// Returns the time until the deadline.
+///
+/// # Errors
+/// [`CallError::Unreached`] if the deadline has passed, since nothing is sent then.
+fn remaining(deadline: Instant) -> CallResult<Duration> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         return Err(CallError::Unreached("the deadline passed".to_owned()));
     }
-    Ok(left)
+    Ok(remaining)
 }
 
-fn travel(request: Builder, hop: &CallContext, left: Duration) -> Builder {
-    let request =
-        request.header(REQUEST_ID, &hop.request).header(DEADLINE_MS, left.as_millis().to_string());
-    match &hop.trace {
+/// Adds the headers for the request id, the remaining time and the trace.
+fn with_context(request: Builder, context: &CallContext, remaining: Duration) -> Builder {
+    let request = request
+        .header(REQUEST_ID, &context.request)
+        .header(DEADLINE_MS, remaining.as_millis().to_string());
+    match &context.trace {
         Some(trace) => request.header(TRACEPARENT, trace),
         None => request,
     }
 }
 
-fn read(mut reply: Response<Body>) -> CallResult<ServiceReply> {
+fn read_reply(mut reply: Response<Body>) -> CallResult<ServiceReply> {
     let headers = reply.headers();
     let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
     let content = text("content-type").to_owned();
@@ -110,16 +120,18 @@
         return Err(CallError::Lost("the reply has no length".to_owned()));
     }
     let status = reply.status().as_u16();
-    let body = reply.body_mut().with_config().limit(MAX_BODY).read_to_vec().map_err(failure)?;
+    let body =
+        reply.body_mut().with_config().limit(MAX_BODY_BYTES).read_to_vec().map_err(call_error)?;
     Ok(ServiceReply { status, content, body, replayed })
 }
 
-fn unstarted(reply: &ServiceReply) -> bool {
+/// Whether the replica states that it did not run the call.
+fn is_not_run(reply: &ServiceReply) -> bool {
     let said = serde_json::from_slice::<NotStarted>(&reply.body);
-    reply.status == UNAVAILABLE && said.is_ok_and(|u| u.not_run)
+    reply.status == STATUS_UNAVAILABLE && said.is_ok_and(|u| u.not_run)
 }
 
-/// The request could not even be formed.
-fn unsent(error: ureq::http::Error) -> CallError {
+/// Converts the error of a request that could not be built, and so was not sent.
+fn invalid_request(error: ureq::http::Error) -> CallError {
     CallError::Unreached(error.to_string())
 }
--- a/crates/roseshore_adapters/tests/clock.rs
+++ b/crates/roseshore_adapters/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that counts suspended time.
+//! The system clock that includes suspended time.
 
 use roseshore_adapters::clock::BootClock;
 use roseshore_ports::clock::Clock;
@@ -11,28 +11,28 @@
 
 #[test]
 fn it_moves_on_with_the_time_since_the_start() {
-    let clock = BootClock::reading(|| SINCE_BOOT.get());
+    let clock = BootClock::with_source(|| SINCE_BOOT.get());
     let first = clock.now();
     assert_eq!(clock.now(), first);
     SINCE_BOOT.set(Duration::from_secs(107));
     assert_eq!(clock.now() - first, Duration::from_secs(7));
     SINCE_BOOT.set(Duration::from_secs(99));
-    assert_eq!(clock.now(), first, "no time before its making");
+    assert_eq!(clock.now(), first, "the clock does not go back before its creation");
 }
 
 #[test]
 fn the_system_s_time_since_the_start_is_what_the_kernel_tells() {
-    let told = || {
-        let text = std::fs::read_to_string("/proc/uptime").expect("the kernel tells");
+    let uptime = || {
+        let text = std::fs::read_to_string("/proc/uptime").expect("/proc/uptime is readable");
         let first = text.split(' ').next().expect("two numbers");
         Duration::from_secs_f64(first.parse().expect("a number"))
     };
     let clock = BootClock::new();
-    let (before, first) = (told(), clock.now());
+    let (before, first) = (uptime(), clock.now());
     std::thread::sleep(Duration::from_millis(30));
-    let (second, after) = (clock.now(), told());
-    // What the kernel tells in.
-    let hundredth = Duration::from_millis(10);
-    assert!(before + (second - first) <= after + hundredth * 2);
+    let (second, after) = (clock.now(), uptime());
+    // `/proc/uptime` has two decimal places.
+    let resolution = Duration::from_millis(10);
+    assert!(before + (second - first) <= after + resolution * 2);
     assert!(second - first >= Duration::from_millis(30));
 }
--- a/crates/roseshore_adapters/tests/engine.rs
+++ b/crates/roseshore_adapters/tests/engine.rs
@@ -1,4 +1,5 @@
-//! The engine adapter against the stand-in: whole answers, and what each fault is reported as.
+//! Tests the engine client against a fake engine: complete answers, and the error reported for each
+//! fault.
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
@@ -23,37 +24,38 @@
     EngineClient::new().generate(ask.route[0].addr, ask, Instant::now() + limit)
 }
 
-/// What came over one stream.
+/// The items received from one stream.
 #[derive(Debug, Default)]
-struct Heard {
+struct Received {
     tokens: Vec<(Position, String)>,
     lineages: Vec<Vec<Stamp>>,
-    strays: usize,
+    /// Number of tokens of another answer or epoch.
+    foreign: usize,
     last: Option<Output>,
     end: Option<CallResult<()>>,
 }
 
-fn hear(ask: &Generate, stream: &flume::Receiver<StreamItem>) -> Heard {
-    let mut heard = Heard::default();
+fn receive_all(ask: &Generate, stream: &flume::Receiver<StreamItem>) -> Received {
+    let mut received = Received::default();
     while let Ok(item) = stream.recv_timeout(LIMIT) {
         match item {
             StreamItem::Output(Output::Token { answer, epoch, position, text, lineage }) => {
                 if answer != ask.answer || epoch != ask.epoch {
-                    heard.strays += 1;
+                    received.foreign += 1;
                     continue;
                 }
-                heard.tokens.push((position, text));
-                heard.lineages.push(lineage);
+                received.tokens.push((position, text));
+                received.lineages.push(lineage);
             }
-            StreamItem::Output(last) => heard.last = Some(last),
-            StreamItem::Ended(end) => heard.end = Some(end),
+            StreamItem::Output(last) => received.last = Some(last),
+            StreamItem::Ended(end) => received.end = Some(end),
         }
     }
-    heard
+    received
 }
 
-fn texts(heard: &Heard) -> Vec<String> {
-    heard.tokens.iter().map(|(_, text)| text.clone()).collect()
+fn texts(received: &Received) -> Vec<String> {
+    received.tokens.iter().map(|(_, text)| text.clone()).collect()
 }
 
 #[test]
@@ -80,14 +82,16 @@
         ask.prompt = words(case.prompt);
         ask.adapter = case.adapter.map(str::to_owned);
         ask.trace = Some(format!("00-{:032x}-{:016x}-01", 7, 9));
-        let heard = hear(&ask, &open(&ask, LIMIT).expect(case.name));
-        assert_eq!(texts(&heard), whole(&ask), "{}", case.name);
-        assert_eq!(heard.end, Some(Ok(())), "{}", case.name);
-        let Some(Output::Done { count, reason, .. }) = heard.last else { panic!("{}", case.name) };
+        let received = receive_all(&ask, &open(&ask, LIMIT).expect(case.name));
+        assert_eq!(texts(&received), whole(&ask), "{}", case.name);
+        assert_eq!(received.end, Some(Ok(())), "{}", case.name);
+        let Some(Output::Done { count, reason, .. }) = received.last else {
+            panic!("{}", case.name)
+        };
         assert_eq!((count, reason.as_str()), case.end, "{}", case.name);
         let planned = ask.route.iter().map(|s| (&s.target, s.layers, 1));
         let planned: Vec<_> = planned.collect();
-        for lineage in &heard.lineages {
+        for lineage in &received.lineages {
             let ran: Vec<_> = lineage.iter().map(|s| (&s.target, s.layers, s.epoch)).collect();
             assert_eq!(ran, planned, "{}", case.name);
         }
@@ -95,17 +99,18 @@
     }
 }
 
-/// What the adapter reports of a stream.
+/// What the client is expected to report for a stream.
 enum Report {
-    /// These positions with the right texts, so many strays, then the whole answer's end.
-    Whole(Vec<Position>, usize),
-    /// At most these tokens, then an end with this verdict.
+    /// Tokens at these positions with the correct texts, this number of tokens of another answer or
+    /// epoch, then the regular end.
+    Complete(Vec<Position>, usize),
+    /// At most this number of tokens, then an error that satisfies the predicate.
     Broken(usize, fn(&CallError) -> bool),
-    /// At most these tokens, then the engine's word that this stage was lost.
+    /// At most this number of tokens, then the engine's report that this stage was lost.
     Lost(usize, &'static str),
-    /// Nothing ran.
+    /// A refusal with this status and `Retry-After`.
     Refused(u16, Option<Duration>),
-    /// Tokens with stamps that leave a layer out, and with other texts.
+    /// Tokens whose lineage leaves out a layer, and whose texts are different.
     Lineage,
 }
 
@@ -127,7 +132,7 @@
     let but_five = (0..12).filter(|p| *p != 5).collect();
     let seven = Some(Duration::from_secs(7));
     let cases = [
-        case("no fault", 0, Report::Whole(all(), 0), |_| ()),
+        case("no fault", 0, Report::Complete(all(), 0), |_| ()),
         case("first stage dies before a token", 0, broken(0), |f| f.die_after = Some(0)),
         case("first stage dies after 3 tokens", 0, broken(3), |f| f.die_after = Some(3)),
         case("middle stage dies before a token", 1, lost(0, 1), |f| f.die_after = Some(0)),
@@ -140,14 +145,14 @@
         case("stream is cut before a token", 0, broken(0), |f| f.cut_after = Some(0)),
         case("stream is cut after 3 tokens", 0, broken(3), |f| f.cut_after = Some(3)),
         case("line is garbled", 0, garbled, |f| f.garble_after = Some(4)),
-        case("tokens come late", 0, Report::Whole(all(), 0), |f| f.delay_ms = 3),
-        case("steps are slow", 1, Report::Whole(all(), 0), |f| f.slow = 20.0),
-        case("prefill is slow", 1, Report::Whole(all(), 0), |f| f.prefill_slow = 900.0),
-        case("tokens come twice", 0, Report::Whole(twice, 0), |f| f.duplicate = true),
-        case("tokens come out of order", 0, Report::Whole(swapped, 0), |f| f.reorder = true),
-        case("tokens of an old epoch", 0, Report::Whole(all(), 12), |f| f.old_epoch = true),
-        case("tokens of another answer", 0, Report::Whole(all(), 12), |f| f.crossed = true),
-        case("a position is left out", 0, Report::Whole(but_five, 0), |f| f.skip = Some(5)),
+        case("tokens come late", 0, Report::Complete(all(), 0), |f| f.delay_ms = 3),
+        case("steps are slow", 1, Report::Complete(all(), 0), |f| f.slow = 20.0),
+        case("prefill is slow", 1, Report::Complete(all(), 0), |f| f.prefill_slow = 900.0),
+        case("tokens come twice", 0, Report::Complete(twice, 0), |f| f.duplicate = true),
+        case("tokens come out of order", 0, Report::Complete(swapped, 0), |f| f.reorder = true),
+        case("tokens of an old epoch", 0, Report::Complete(all(), 12), |f| f.old_epoch = true),
+        case("tokens of another answer", 0, Report::Complete(all(), 12), |f| f.crossed = true),
+        case("a position is left out", 0, Report::Complete(but_five, 0), |f| f.skip = Some(5)),
         case("a stage leaves a layer out", 1, Report::Lineage, |f| f.wrong_lineage = true),
         case("engine is full", 0, Report::Refused(503, seven), |f| f.refuse = Some(7)),
     ];
@@ -157,7 +162,8 @@
         let frozen = faults.freeze || faults.freeze_after.is_some();
         let rig = rig(3, |settings| settings.hop_timeout = if frozen { SHORT } else { LIMIT });
         rig.stages[case.stage].faults().set(faults);
-        // A frozen first stage is only told by the deadline; all others end by themselves.
+        // If the first stage freezes, only the deadline ends the stream. A frozen later stage is
+        // reported by the stage before it.
         let limit = if frozen && case.stage == 0 { SHORT } else { LIMIT };
         let ask = rig.ask("answer", 1);
         check(case.name, &ask, open(&ask, limit), case.report);
@@ -181,31 +187,33 @@
         }
         (Err(error), _) => panic!("{name}: {error}"),
     };
-    let heard = hear(ask, &stream);
+    let received = receive_all(ask, &stream);
     let right = whole(ask);
-    let sound = heard.tokens.iter().all(|(p, text)| right[*p as usize] == *text);
+    let correct = received.tokens.iter().all(|(p, text)| right[*p as usize] == *text);
     match report {
-        Report::Whole(positions, strays) => {
-            let got: Vec<_> = heard.tokens.iter().map(|(p, _)| *p).collect();
-            assert_eq!((got, heard.strays, sound), (positions, strays, true), "{name}");
-            assert!(matches!(heard.last, Some(Output::Done { count: 12, .. })), "{name}");
-            assert_eq!(heard.end, Some(Ok(())), "{name}");
+        Report::Complete(positions, foreign) => {
+            let got: Vec<_> = received.tokens.iter().map(|(p, _)| *p).collect();
+            assert_eq!((got, received.foreign, correct), (positions, foreign, true), "{name}");
+            assert!(matches!(received.last, Some(Output::Done { count: 12, .. })), "{name}");
+            assert_eq!(received.end, Some(Ok(())), "{name}");
         }
         Report::Broken(most, fits) => {
-            assert!(sound && heard.tokens.len() <= most, "{name}: {heard:?}");
-            let Some(Err(error)) = heard.end else { panic!("{name}: no error") };
+            assert!(correct && received.tokens.len() <= most, "{name}: {received:?}");
+            let Some(Err(error)) = received.end else { panic!("{name}: no error") };
             assert!(fits(&error), "{name}: {error}");
             assert_eq!(error.verdict(), Verdict::MayHaveRun, "{name}");
         }
         Report::Lost(most, target) => {
-            assert!(sound && heard.tokens.len() <= most, "{name}: {heard:?}");
-            let Some(Output::Lost { stage, .. }) = heard.last else { panic!("{name}: {heard:?}") };
+            assert!(correct && received.tokens.len() <= most, "{name}: {received:?}");
+            let Some(Output::Lost { stage, .. }) = received.last else {
+                panic!("{name}: {received:?}")
+            };
             assert_eq!(stage.as_deref(), Some(target), "{name}");
-            assert_eq!(heard.end, Some(Ok(())), "{name}");
+            assert_eq!(received.end, Some(Ok(())), "{name}");
         }
         Report::Lineage => {
-            assert!(heard.lineages.iter().all(|l| l[1].layers == (5, 8)), "{name}");
-            assert_ne!(texts(&heard), right, "{name}");
+            assert!(received.lineages.iter().all(|l| l[1].layers == (5, 8)), "{name}");
+            assert_ne!(texts(&received), right, "{name}");
         }
         Report::Refused(..) => {}
     }
@@ -243,17 +251,20 @@
             let holding: Holding = serde_json::from_str(&body).expect(name);
             assert_eq!(holding.version.as_deref(), Some(VERSION), "{name}");
         } else {
-            let heard = hear(&ask, &opened.expect(name));
-            let Some(Output::Lost { stage: Some(lost), .. }) = heard.last else { panic!("{name}") };
-            assert!(heard.tokens.is_empty() && lost.starts_with("engine-"), "{name}: {lost}");
+            let received = receive_all(&ask, &opened.expect(name));
+            let Some(Output::Lost { stage: Some(lost), .. }) = received.last else {
+                panic!("{name}")
+            };
+            assert!(received.tokens.is_empty() && lost.starts_with("engine-"), "{name}: {lost}");
         }
         let steps: u64 = rig.stages.iter().map(|stage| stage.stats().steps).sum();
         assert_eq!(steps, 0, "{name}");
     }
 }
 
-/// A server that answers one connection with these bytes and closes it, or keeps silent.
-fn answers(bytes: Option<&'static [u8]>) -> SocketAddr {
+/// Starts a server that accepts one connection, then sends these bytes and closes it, or sends
+/// nothing.
+fn serve_once(bytes: Option<&'static [u8]>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -340,7 +351,7 @@
         },
     ];
     for case in cases {
-        for (call, error) in calls(case.reply.map_or(SHORT, |_| LIMIT), || answers(case.reply)) {
+        for (call, error) in calls(case.reply.map_or(SHORT, |_| LIMIT), || serve_once(case.reply)) {
             let error = error.expect_err(case.name);
             assert!((case.kind)(&error), "{} {call}: {error:?}", case.name);
             assert_eq!(error.verdict(), case.verdict, "{} {call}", case.name);
@@ -353,7 +364,7 @@
     }
 }
 
-/// Each kind of call once, every one to a server of its own.
+/// Makes a call of each kind, each to a new server.
 fn calls(limit: Duration, server: impl Fn() -> SocketAddr) -> Vec<(&'static str, CallResult<()>)> {
     let client = EngineClient::new();
     let cancel = Cancel { answer: "answer".to_owned(), epoch: 1, keep_kv: false };
@@ -361,17 +372,17 @@
     let stage = Stage { target: "engine-0".to_owned(), addr, layers: (0, 12), incarnation: 1 };
     let mut ask = Rig { stages: Vec::new() }.ask("answer", 1);
     ask.route.push(stage);
-    // A stream's line is read after its head has come: that fault ends the stream.
+    // Lines of a stream are read after the response head, so a fault in them ends the open stream.
     let streamed = client
         .generate(addr, &ask, Instant::now() + limit)
-        .and_then(|stream| hear(&ask, &stream).end.unwrap_or(Ok(())));
+        .and_then(|stream| receive_all(&ask, &stream).end.unwrap_or(Ok(())));
     let mut outcomes = vec![("generate", streamed)];
     outcomes.push(("load", client.load(server(), limit).map(drop)));
     outcomes.push(("cache", client.cache(server(), 0, limit).map(drop)));
     outcomes.push(("order", client.order(server(), &order(1, VERSION), limit).map(drop)));
     let addr = server();
     let cancelled = client.cancel(addr, &cancel, limit);
-    // A cancel has no body to be read: only what the status and the length say counts.
+    // The body of a cancel's reply is not parsed, so an invalid body is not an error.
     if cancelled.is_err() {
         outcomes.push(("cancel", cancelled));
     }
@@ -401,7 +412,7 @@
     let client = EngineClient::new();
     for stage in &rig.stages {
         let idle = || client.load(stage.addr(), LIMIT).is_ok_and(|load| load.running == 0);
-        wait_until("the stages end their work", idle);
+        wait_until("the stages have stopped", idle);
     }
 }
 
@@ -413,13 +424,13 @@
     let target = "engine-0".to_owned();
     ask.route.push(Stage { target, addr, layers: (0, 12), incarnation: 1 });
     let engine = thread::spawn(move || {
-        let (mut socket, _) = listener.accept().expect("a caller");
+        let (mut socket, _) = listener.accept().expect("a connection");
         let read = socket.read(&mut [0; 16 << 10]);
         socket.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").expect("sent");
         socket.set_read_timeout(Some(LIMIT)).expect("a timeout");
         (read.is_ok(), socket.read(&mut [0; 1 << 10]).map_err(|e| e.kind()))
     });
-    drop(open(&ask, LIMIT * 10).expect("the head has come"));
-    let (read, closed) = engine.join().expect("the engine's side ends");
+    drop(open(&ask, LIMIT * 10).expect("the response head has arrived"));
+    let (read, closed) = engine.join().expect("the engine thread has ended");
     assert!(read && !matches!(closed, Err(ErrorKind::WouldBlock | ErrorKind::TimedOut)));
 }
--- a/crates/roseshore_adapters/tests/engine_orders.rs
+++ b/crates/roseshore_adapters/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders, loads of weights, reports and cache events of an engine.
+//! Tests orders, loading of weights, load reports and cache events of an engine.
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
@@ -36,16 +36,16 @@
 fn fencing() {
     struct Case {
         name: &'static str,
-        checks: bool,
+        checks_fence: bool,
         fault: fn(&mut EngineFaults),
         fences: [Fence; 2],
         refused: bool,
         fence: Option<Fence>,
     }
     let none: fn(&mut EngineFaults) = |_| ();
-    let case = |name, checks, fault, fences, refused, fence| Case {
+    let case = |name, checks_fence, fault, fences, refused, fence| Case {
         name,
-        checks,
+        checks_fence,
         fault,
         fences,
         refused,
@@ -66,7 +66,7 @@
         case("an old number, not looked at", false, none, [5, 4], false, None),
     ];
     for case in cases {
-        let engine = engine(|settings| settings.checks_fence = case.checks);
+        let engine = engine(|settings| settings.checks_fence = case.checks_fence);
         engine.faults().change(case.fault);
         let client = EngineClient::new();
         let first = order(case.fences[0], Some(VERSION));
@@ -122,7 +122,7 @@
     assert!(reason.contains("something else"), "{reason}");
 }
 
-/// A weight store that is out for its first calls.
+/// A weight store that answers its first two calls with 503.
 struct Store {
     calls: AtomicU32,
 }
@@ -187,7 +187,7 @@
     }
     let hour = Duration::from_hours(1);
     let zero = Duration::ZERO;
-    // Three prompts of two blocks; the first block is the same in all.
+    // Three prompts of two blocks each, which share the first block.
     let cases = [
         Case { name: "all", lag: zero, keep: 99, lost: 9, from: 0, seen: (0, 4) },
         Case { name: "from the third on", lag: zero, keep: 99, lost: 9, from: 2, seen: (2, 4) },
@@ -222,9 +222,9 @@
             }
             hashes.push(CacheEvent::Stored { hash: prefix_hash(&ask.prompt), tokens: 4 });
             let stream = client.generate(rig.addr(), &ask, Instant::now() + LIMIT).expect("open");
-            let told =
+            let has_cached_count =
                 |i| matches!(i, StreamItem::Output(Output::Done { cached: c, .. }) if c == cached);
-            assert!(stream.iter().any(told), "{}", case.name);
+            assert!(stream.iter().any(has_cached_count), "{}", case.name);
         }
         let got = client.cache(rig.addr(), case.from, LIMIT).expect(case.name);
         assert_eq!((got.first, got.next), case.seen, "{}", case.name);
--- a/crates/roseshore_adapters/tests/engine_resume.rs
+++ b/crates/roseshore_adapters/tests/engine_resume.rs
@@ -1,4 +1,4 @@
-//! Answers that go on over another route: epochs, cancels, KV export and import.
+//! Tests answers that are resumed on another route: epochs, cancels, KV export and import.
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
@@ -22,8 +22,8 @@
     EngineClient::new().generate(ask.route[0].addr, ask, deadline).expect("open")
 }
 
-/// The next tokens, at most `most`, and the last line if it came.
-fn hear(stream: &Stream, most: usize) -> (Vec<String>, Option<Output>) {
+/// Receives up to `most` tokens, and the final line if it arrives.
+fn receive(stream: &Stream, most: usize) -> (Vec<String>, Option<Output>) {
     let (mut texts, mut last) = (Vec::new(), None);
     while texts.len() < most
         && let Ok(StreamItem::Output(output)) = stream.recv_timeout(LIMIT)
@@ -39,15 +39,15 @@
     (texts, last)
 }
 
-fn all(ask: &Generate) -> (Vec<String>, Option<Output>) {
-    hear(&open(ask), usize::MAX)
+fn receive_all(ask: &Generate) -> (Vec<String>, Option<Output>) {
+    receive(&open(ask), usize::MAX)
 }
 
 fn is_done(last: Option<&Output>) -> bool {
     matches!(last, Some(Output::Done { .. }))
 }
 
-fn lost(last: Option<Output>) -> String {
+fn lost_reason(last: Option<Output>) -> String {
     let Some(Output::Lost { reason, .. }) = last else { panic!("not lost: {last:?}") };
     reason
 }
@@ -80,13 +80,13 @@
         let rig = rig(stages, |_| ());
         let mut ask = rig.ask(ANSWER, 1);
         rig.stages[0].faults().change(|f| f.cut_after = Some(after as u32));
-        let (mut texts, last) = all(&ask);
+        let (mut texts, last) = receive_all(&ask);
         assert_eq!((texts.len(), is_done(last.as_ref())), (after, after == 12), "{name}");
         rig.stages[0].faults().clear();
         ask.epoch = 2;
         ask.done.clone_from(&texts);
         ask.warm = warm;
-        let (rest, last) = all(&ask);
+        let (rest, last) = receive_all(&ask);
         assert!(is_done(last.as_ref()), "{name}: {last:?}");
         texts.extend(rest);
         assert_eq!(texts, whole(&ask), "{name}");
@@ -100,12 +100,12 @@
         change: fn(&mut Generate, &Rig),
         reason: &'static str,
     }
-    let free: fn(&mut Generate, &Rig) = |_, rig| {
+    let free_kv: fn(&mut Generate, &Rig) = |_, rig| {
         let addr = rig.stages[1].addr();
         EngineClient::new().cancel(addr, &cancel(1, false), LIMIT).expect("cancel");
     };
     let cases = [
-        Case { name: "KV cache freed", change: free, reason: "no KV cache" },
+        Case { name: "KV cache freed", change: free_kv, reason: "no KV cache" },
         Case {
             name: "another prompt",
             change: |ask, _| ask.prompt[0].push('x'),
@@ -136,12 +136,12 @@
         let rig = rig(3, |_| ());
         let mut ask = rig.ask(ANSWER, 1);
         rig.stages[0].faults().change(|f| f.cut_after = Some(5));
-        ask.done = all(&ask).0;
+        ask.done = receive_all(&ask).0;
         rig.stages[0].faults().clear();
         (ask.epoch, ask.warm) = (2, true);
         (case.change)(&mut ask, &rig);
-        let (texts, last) = all(&ask);
-        let reason = lost(last);
+        let (texts, last) = receive_all(&ask);
+        let reason = lost_reason(last);
         assert!(texts.is_empty() && reason.contains(case.reason), "{}: {reason}", case.name);
     }
 }
@@ -166,7 +166,7 @@
         let mut ask = rig.ask(ANSWER, 3);
         ask.max_tokens = 1_000_000;
         let stream = open(&ask);
-        assert_eq!(hear(&stream, 2).0, whole_start(&ask, 2), "{name}");
+        assert_eq!(receive(&stream, 2).0, expected_prefix(&ask, 2), "{name}");
         if let Some(frozen) = frozen {
             rig.stages[frozen].faults().change(|f| f.freeze_after = Some(0));
         }
@@ -177,14 +177,14 @@
         client.cancel(hit.addr(), &cancel(3, keep_kv), LIMIT).expect(name);
         let load = client.load(hit.addr(), LIMIT).expect(name);
         assert_eq!((load.running, load.kv_used > 0), (0, keep_kv), "{name}");
-        lost(hear(&stream, usize::MAX).1);
+        lost_reason(receive(&stream, usize::MAX).1);
         let steps = hit.stats().steps;
-        assert!(lost(all(&ask).1).contains("not newer") || stage > 0, "{name}");
-        assert_eq!(hit.stats().steps, steps, "{name}: nothing more runs");
+        assert!(lost_reason(receive_all(&ask).1).contains("not newer") || stage > 0, "{name}");
+        assert_eq!(hit.stats().steps, steps, "{name}: no further steps run");
     }
 }
 
-fn whole_start(ask: &Generate, count: u32) -> Vec<String> {
+fn expected_prefix(ask: &Generate, count: u32) -> Vec<String> {
     let short = Generate { max_tokens: count, ..ask.clone() };
     whole(&short)
 }
@@ -195,15 +195,15 @@
     let mut ask = rig.ask(ANSWER, 1);
     ask.max_tokens = 40;
     let old = open(&ask);
-    let mut texts = hear(&old, 3).0;
+    let mut texts = receive(&old, 3).0;
     (ask.epoch, ask.done, ask.warm) = (2, texts.clone(), false);
-    let (rest, last) = all(&ask);
+    let (rest, last) = receive_all(&ask);
     assert!(is_done(last.as_ref()), "{last:?}");
     texts.extend(rest);
     assert_eq!(texts, whole(&ask));
-    let (late, last) = hear(&old, usize::MAX);
-    lost(last);
-    assert_eq!(late, whole(&ask)[3..3 + late.len()], "late tokens of the old epoch are true ones");
+    let (late, last) = receive(&old, usize::MAX);
+    lost_reason(last);
+    assert_eq!(late, whole(&ask)[3..3 + late.len()], "late tokens of the old epoch are correct");
     wait_until("nothing runs", || rig.stages.iter().all(|s| load(s).running == 0));
 }
 
@@ -219,30 +219,30 @@
         change: fn(&mut Kv),
         import: Option<fn(&CallError) -> bool>,
     }
-    let status = |_: &mut EngineFaults| ();
+    let no_fault = |_: &mut EngineFaults| ();
     let cases = [
-        Case { name: "whole", fault: status, change: |_| (), import: None },
+        Case { name: "whole", fault: no_fault, change: |_| (), import: None },
         Case {
             name: "content changed",
-            fault: status,
+            fault: no_fault,
             change: |kv| kv.content.replace_range(..2, "AB"),
             import: Some(|e| refused(e, 400)),
         },
         Case {
             name: "digest changed",
-            fault: status,
+            fault: no_fault,
             change: |kv| kv.digest ^= 1,
             import: Some(|e| refused(e, 400)),
         },
         Case {
             name: "other layers",
-            fault: status,
+            fault: no_fault,
             change: |kv| kv.layers = (0, 4),
             import: Some(|e| refused(e, 409)),
         },
         Case {
             name: "other weights",
-            fault: status,
+            fault: no_fault,
             change: |kv| kv.version = "v0".to_owned(),
             import: Some(|e| refused(e, 409)),
         },
@@ -257,7 +257,7 @@
         let rig = rig(3, |_| ());
         let mut ask = rig.ask(ANSWER, 1);
         rig.stages[0].faults().change(|f| f.cut_after = Some(5));
-        ask.done = all(&ask).0;
+        ask.done = receive_all(&ask).0;
         rig.stages[0].faults().clear();
         let client = EngineClient::new();
         let export = KvExport { answer: ANSWER.to_owned() };
@@ -272,11 +272,11 @@
         let imported = client.import(spare.addr(), &kv, LIMIT);
         ask.route[1] = spare.stage();
         (ask.epoch, ask.warm) = (2, true);
-        let (rest, last) = all(&ask);
-        if let Some(fits) = case.import {
+        let (rest, last) = receive_all(&ask);
+        if let Some(is_expected) = case.import {
             let error = imported.expect_err(case.name);
-            assert!(fits(&error), "{}: {error:?}", case.name);
-            assert!(lost(last).contains("no KV cache"), "{}", case.name);
+            assert!(is_expected(&error), "{}: {error:?}", case.name);
+            assert!(lost_reason(last).contains("no KV cache"), "{}", case.name);
             continue;
         }
         assert_eq!((imported, is_done(last.as_ref())), (Ok(()), true), "{}", case.name);
@@ -308,9 +308,9 @@
 fn a_full_kv_cache_is_told() {
     let rig = rig(1, |settings| settings.kv_cap = 8);
     let mut ask = rig.ask(ANSWER, 1);
-    let (texts, last) = all(&ask);
+    let (texts, last) = receive_all(&ask);
     assert_eq!(texts, whole(&ask)[..texts.len()]);
-    assert!(lost(last).contains("full") && texts.len() == 6, "{texts:?}");
+    assert!(lost_reason(last).contains("full") && texts.len() == 6, "{texts:?}");
     ask.prompt = words("one two three four five six seven eight nine");
     let refusal = EngineClient::new().generate(rig.addr(), &ask, Instant::now() + LIMIT);
     assert!(matches!(refusal, Err(CallError::Refused(503, Some(_), _))));
@@ -321,11 +321,14 @@
     let rig = rig(3, |_| ());
     for stage in &rig.stages {
         let answer = format!("cancelled at {}", stage.stage().target);
-        let bar = Cancel { answer: answer.clone(), epoch: 1, keep_kv: false };
-        EngineClient::new().cancel(stage.addr(), &bar, LIMIT).expect("cancel");
-        let (texts, last) = all(&rig.ask(&answer, 1));
-        let reason = lost(last);
+        let cancel = Cancel { answer: answer.clone(), epoch: 1, keep_kv: false };
+        EngineClient::new().cancel(stage.addr(), &cancel, LIMIT).expect("cancel");
+        let (texts, last) = receive_all(&rig.ask(&answer, 1));
+        let reason = lost_reason(last);
         assert!(texts.is_empty() && reason.contains("cancelled"), "{answer}: {reason}");
-        assert!(is_done(all(&rig.ask(&answer, 2)).1.as_ref()), "{answer}: a newer epoch runs");
+        assert!(
+            is_done(receive_all(&rig.ask(&answer, 2)).1.as_ref()),
+            "{answer}: a newer epoch runs"
+        );
     }
 }
--- a/crates/roseshore_adapters/tests/peer.rs
+++ b/crates/roseshore_adapters/tests/peer.rs
@@ -1,6 +1,6 @@
-//! Contract of the peer links: TCP questions and UDP datagrams, with faults in tables.
+//! Tests the communication between peers: requests over TCP and datagrams over UDP, with faults.
 
-use roseshore_adapters::peer::{Limits, Numbered, TcpPeers, UdpSocket, serve};
+use roseshore_adapters::peer::{Numbered, PeerLimits, TcpPeers, UdpSocket, serve};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::PeerHandler;
 use roseshore_ports::outside::{CallError, Datagrams, Peers};
@@ -23,7 +23,7 @@
     PeerReply::Outcome { outcome: Some(key.into()) }
 }
 
-/// Answers each key with itself.
+/// Handler that replies to each request for an outcome with the key itself.
 struct Echo;
 
 impl PeerHandler for Echo {
@@ -35,31 +35,33 @@
     }
 }
 
-/// A peer that treats its `n`th connection as the test says; returns how many it had.
-fn peer(
-    treat: impl Fn(usize, TcpStream) + Send + Sync + 'static,
+/// Starts a peer that passes its `n`th connection to `handle`. Returns its address and the number of
+/// connections it has accepted.
+fn spawn_peer(
+    handle: impl Fn(usize, TcpStream) + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = listener.local_addr().expect("its address");
     let count = Arc::new(AtomicUsize::new(0));
-    let (seen, treat) = (count.clone(), Arc::new(treat));
+    let (seen, handle) = (count.clone(), Arc::new(handle));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let n = seen.fetch_add(1, Ordering::SeqCst);
-            let treat = treat.clone();
-            thread::spawn(move || treat(n, stream));
+            let handle = handle.clone();
+            thread::spawn(move || handle(n, stream));
         }
     });
     (addr, count)
 }
 
-fn read(stream: &mut TcpStream) -> Option<(u64, PeerReply)> {
+/// Reads a request, and returns its number and the reply that an [`Echo`] would send.
+fn read_request(stream: &mut TcpStream) -> Option<(u64, PeerReply)> {
     let ask: Numbered<PeerRequest> = frame::read(stream).ok()?;
     let PeerRequest::Outcome { key } = ask.body else { return None };
     Some((ask.number, outcome(&key)))
 }
 
-fn reply(stream: &mut TcpStream, number: u64, body: PeerReply) {
+fn send_reply(stream: &mut TcpStream, number: u64, body: PeerReply) {
     let _ = frame::write(stream, &Numbered { number, body });
 }
 
@@ -67,21 +69,21 @@
 fn client_faults() {
     struct Case {
         name: &'static str,
-        treat: fn(TcpStream),
+        handle: fn(TcpStream),
         verdict: Verdict,
         garbled: bool,
     }
     let cases = [
         Case {
             name: "closed before the reply",
-            treat: |mut s| drop(read(&mut s)),
+            handle: |mut s| drop(read_request(&mut s)),
             verdict: Verdict::MayHaveRun,
             garbled: false,
         },
         Case {
             name: "cut in the middle of a frame",
-            treat: |mut s| {
-                read(&mut s);
+            handle: |mut s| {
+                read_request(&mut s);
                 let _ = s.write_all(&[0, 0, 0, 40, frame::VERSION, 0]);
             },
             verdict: Verdict::MayHaveRun,
@@ -89,8 +91,8 @@
         },
         Case {
             name: "another version",
-            treat: |mut s| {
-                read(&mut s);
+            handle: |mut s| {
+                read_request(&mut s);
                 let _ = s.write_all(&[0, 0, 0, 3, frame::VERSION + 1, 0, 3]);
                 thread::sleep(LIMIT);
             },
@@ -99,8 +101,8 @@
         },
         Case {
             name: "a frame beyond the bound",
-            treat: |mut s| {
-                read(&mut s);
+            handle: |mut s| {
+                read_request(&mut s);
                 let _ = s.write_all(&u32::MAX.to_be_bytes());
                 thread::sleep(LIMIT);
             },
@@ -109,8 +111,8 @@
         },
         Case {
             name: "bytes that are no reply",
-            treat: |mut s| {
-                read(&mut s);
+            handle: |mut s| {
+                read_request(&mut s);
                 let _ = s.write_all(&[0, 0, 0, 3, frame::VERSION, 0, 99]);
                 thread::sleep(LIMIT);
             },
@@ -119,16 +121,16 @@
         },
         Case {
             name: "silent",
-            treat: |_s| thread::sleep(LIMIT),
+            handle: |_s| thread::sleep(LIMIT),
             verdict: Verdict::MayHaveRun,
             garbled: false,
         },
     ];
     for case in cases {
-        let treat = case.treat;
-        let (addr, _) = peer(move |_, stream| treat(stream));
+        let handle = case.handle;
+        let (addr, _) = spawn_peer(move |_, stream| handle(stream));
         let limit = if case.name == "silent" { SHORT } else { LIMIT };
-        let got = TcpPeers::new(Limits::default()).ask(addr, &ask("k"), limit);
+        let got = TcpPeers::new(PeerLimits::default()).ask(addr, &ask("k"), limit);
         let error = got.expect_err(case.name);
         assert_eq!(error.verdict(), case.verdict, "{}: {error}", case.name);
         assert_eq!(matches!(error, CallError::Garbled(_)), case.garbled, "{}: {error}", case.name);
@@ -137,30 +139,30 @@
 
 #[test]
 fn refused_is_not_run_and_rests() {
-    // A port below those given out, so that no other test's listener can take it meanwhile.
+    // A port below the ephemeral range, so that no listener of another test can be bound to it.
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
-    let limits = Limits { rest: LIMIT, longest: LIMIT, ..Limits::default() };
+    let limits = PeerLimits { initial_backoff: LIMIT, max_backoff: LIMIT, ..PeerLimits::default() };
     let peers = TcpPeers::new(limits);
-    let first = peers.ask(addr, &ask("k"), LIMIT).expect_err("nobody listens");
+    let first = peers.ask(addr, &ask("k"), LIMIT).expect_err("no listener");
     assert_eq!(first.verdict(), Verdict::NotRun);
-    let second = peers.ask(addr, &ask("k"), LIMIT).expect_err("within the rest");
+    let second = peers.ask(addr, &ask("k"), LIMIT).expect_err("within the backoff");
     assert_eq!(second, CallError::Unreached(format!("`{addr}` failed just now")));
 }
 
 #[test]
 fn a_late_reply_never_reaches_another_question() {
-    let (addr, count) = peer(|_, mut stream| {
-        let (late, old) = read(&mut stream).expect("the first question");
-        let (number, new) = read(&mut stream).expect("the second question");
-        reply(&mut stream, late, old);
-        reply(&mut stream, 77, outcome("never asked"));
-        reply(&mut stream, number, new);
-        reply(&mut stream, number, outcome("told twice"));
-        while let Some((number, body)) = read(&mut stream) {
-            reply(&mut stream, number, body);
+    let (addr, count) = spawn_peer(|_, mut stream| {
+        let (late, old) = read_request(&mut stream).expect("the first question");
+        let (number, new) = read_request(&mut stream).expect("the second question");
+        send_reply(&mut stream, late, old);
+        send_reply(&mut stream, 77, outcome("never asked"));
+        send_reply(&mut stream, number, new);
+        send_reply(&mut stream, number, outcome("told twice"));
+        while let Some((number, body)) = read_request(&mut stream) {
+            send_reply(&mut stream, number, body);
         }
     });
-    let peers = TcpPeers::new(Limits::default());
+    let peers = TcpPeers::new(PeerLimits::default());
     assert!(peers.ask(addr, &ask("old"), SHORT).is_err());
     assert_eq!(peers.ask(addr, &ask("new"), LIMIT), Ok(outcome("new")));
     assert_eq!(peers.ask(addr, &ask("next"), LIMIT), Ok(outcome("next")));
@@ -169,14 +171,14 @@
 
 #[test]
 fn replies_in_any_order_reach_their_questions() {
-    let (addr, count) = peer(|_, mut stream| {
-        let asked: Vec<_> = (0..8).filter_map(|_| read(&mut stream)).collect();
+    let (addr, count) = spawn_peer(|_, mut stream| {
+        let asked: Vec<_> = (0..8).filter_map(|_| read_request(&mut stream)).collect();
         for (number, body) in asked.into_iter().rev() {
-            reply(&mut stream, number, body);
+            send_reply(&mut stream, number, body);
         }
         thread::sleep(LIMIT);
     });
-    let peers = TcpPeers::new(Limits::default());
+    let peers = TcpPeers::new(PeerLimits::default());
     thread::scope(|scope| {
         for i in 0..8 {
             let (peers, key) = (&peers, format!("k{i}"));
@@ -188,27 +190,28 @@
 
 #[test]
 fn a_dead_connection_is_made_anew() {
-    let (addr, count) = peer(|n, mut stream| {
-        while let Some((number, body)) = read(&mut stream) {
+    let (addr, count) = spawn_peer(|n, mut stream| {
+        while let Some((number, body)) = read_request(&mut stream) {
             if n > 0 {
-                reply(&mut stream, number, body);
+                send_reply(&mut stream, number, body);
             }
         }
     });
-    let peers = TcpPeers::new(Limits { rest: Duration::ZERO, ..Limits::default() });
+    let peers =
+        TcpPeers::new(PeerLimits { initial_backoff: Duration::ZERO, ..PeerLimits::default() });
     let answered = (0..5).any(|_| peers.ask(addr, &ask("k"), SHORT * 5) == Ok(outcome("k")));
-    assert!(answered, "missed replies end the connection");
+    assert!(answered, "the connection is reopened after timeouts");
     assert_eq!(count.load(Ordering::SeqCst), 2);
 }
 
 #[test]
 fn waiting_questions_are_bounded() {
-    let (addr, _) = peer(|_, stream| {
+    let (addr, _) = spawn_peer(|_, stream| {
         thread::sleep(LIMIT);
         drop(stream);
     });
-    let peers = TcpPeers::new(Limits { pending: 0, ..Limits::default() });
-    let error = peers.ask(addr, &ask("k"), SHORT).expect_err("no place");
+    let peers = TcpPeers::new(PeerLimits { max_pending: 0, ..PeerLimits::default() });
+    let error = peers.ask(addr, &ask("k"), SHORT).expect_err("too many pending requests");
     assert_eq!(error.verdict(), Verdict::NotRun);
 }
 
@@ -233,13 +236,13 @@
         let got = frame::read::<Numbered<PeerReply>>(&mut stream).expect_err(case.name);
         let frame::FrameError::Io(e) = got else { panic!("{}: {got}", case.name) };
         assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "{}: left open", case.name);
-        let peers = TcpPeers::new(Limits::default());
+        let peers = TcpPeers::new(PeerLimits::default());
         assert_eq!(peers.ask(server.addr(), &ask("k"), LIMIT), Ok(outcome("k")), "{}", case.name);
     }
-    let other = PeerRequest::Query { query: String::new() };
-    let peers = TcpPeers::new(Limits::default());
-    let got = peers.ask(server.addr(), &other, LIMIT);
-    assert!(matches!(got, Ok(PeerReply::Unable { .. })), "no part knows it: {got:?}");
+    let unhandled = PeerRequest::Query { query: String::new() };
+    let peers = TcpPeers::new(PeerLimits::default());
+    let got = peers.ask(server.addr(), &unhandled, LIMIT);
+    assert!(matches!(got, Ok(PeerReply::Unable { .. })), "no handler answers it: {got:?}");
 }
 
 #[test]
@@ -249,7 +252,7 @@
         bytes: Vec<u8>,
     }
     let text = |len| "x".repeat(len);
-    let beat = |host: String| Datagram::Beat {
+    let heartbeat = |host: String| Datagram::Beat {
         heartbeat: Heartbeat {
             host,
             data_centre: "d".into(),
@@ -261,16 +264,19 @@
         },
         notes: Vec::new(),
     };
-    let mut other = frame::encode(&beat("h".into()), 1400).expect("short");
-    other[0] += 1;
+    let mut wrong_version = frame::encode(&heartbeat("h".into()), 1400).expect("short");
+    wrong_version[0] += 1;
     let cases = [
         Case { name: "empty", bytes: vec![] },
         Case { name: "noise", bytes: b"GET / HTTP/1.1\r\n\r\n".to_vec() },
-        Case { name: "another version", bytes: other },
-        Case { name: "beyond the bound", bytes: frame::encode(&beat(text(1500)), 9000).expect("") },
+        Case { name: "another version", bytes: wrong_version },
+        Case {
+            name: "beyond the bound",
+            bytes: frame::encode(&heartbeat(text(1500)), 9000).expect(""),
+        },
         Case {
             name: "cut short",
-            bytes: frame::encode(&beat(text(9)), 9000).expect("")[..9].into(),
+            bytes: frame::encode(&heartbeat(text(9)), 9000).expect("")[..9].into(),
         },
     ];
     let socket = UdpSocket::bind(([127, 0, 0, 1], 0).into()).expect("a port");
@@ -281,8 +287,14 @@
         assert_eq!(socket.receive(SHORT), None, "{}", case.name);
     }
     let from = UdpSocket::bind(([127, 0, 0, 1], 0).into()).expect("a port");
-    from.send(to, &beat("h".into())).expect("sent");
-    let got = socket.receive(LIMIT).expect("the good one after the bad ones");
-    assert_eq!((got.from, got.datagram), (from.addr().expect("its address"), beat("h".into())));
-    assert!(from.send(to, &beat(text(1500))).is_err(), "beyond the bound is not sent");
+    from.send(to, &heartbeat("h".into())).expect("sent");
+    let got = socket.receive(LIMIT).expect("the valid datagram arrives after the invalid ones");
+    assert_eq!(
+        (got.from, got.datagram),
+        (from.addr().expect("its address"), heartbeat("h".into()))
+    );
+    assert!(
+        from.send(to, &heartbeat(text(1500))).is_err(),
+        "a datagram beyond the size limit is not sent"
+    );
 }
--- a/crates/roseshore_adapters/tests/platform.rs
+++ b/crates/roseshore_adapters/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The contract of the log, the host list and the weight store, with their faults.
+//! Tests the client for the log, the host list and the weight store, with their faults.
 
 use roseshore_adapters::platform::HttpPlatform;
 use roseshore_core::prelude::*;
@@ -13,7 +13,7 @@
 use std::thread;
 
 const LIMIT: Duration = Duration::from_secs(2);
-const BOUND: Duration = Duration::from_secs(20);
+const LONG: Duration = Duration::from_secs(20);
 
 fn start(settings: PlatformSettings) -> (PlatformFake, HttpPlatform) {
     let fake = PlatformFake::start(settings).unwrap();
@@ -30,10 +30,10 @@
     Host { host: name.to_owned(), data_centre, state: HostState::Live, peer: None }
 }
 
-/// What an append or read is known to have done.
+/// The result of a call by the kind of its error.
 #[derive(Debug, PartialEq)]
-enum Told {
-    Fine,
+enum Outcome {
+    Ok,
     Unreached,
     Lost,
     Refused(u16),
@@ -41,14 +41,14 @@
     Trimmed,
 }
 
-fn told<T>(called: Result<T, CallError>) -> Told {
+fn outcome<T>(called: Result<T, CallError>) -> Outcome {
     match called {
-        Ok(_) => Told::Fine,
-        Err(CallError::Unreached(_)) => Told::Unreached,
-        Err(CallError::Lost(_)) => Told::Lost,
-        Err(CallError::Refused(status, ..)) => Told::Refused(status),
-        Err(CallError::Garbled(_)) => Told::Garbled,
-        Err(CallError::Trimmed(..)) => Told::Trimmed,
+        Ok(_) => Outcome::Ok,
+        Err(CallError::Unreached(_)) => Outcome::Unreached,
+        Err(CallError::Lost(_)) => Outcome::Lost,
+        Err(CallError::Refused(status, ..)) => Outcome::Refused(status),
+        Err(CallError::Garbled(_)) => Outcome::Garbled,
+        Err(CallError::Trimmed(..)) => Outcome::Trimmed,
     }
 }
 
@@ -57,89 +57,89 @@
     struct Case {
         name: &'static str,
         faults: PlatformFaults,
-        append: Told,
+        append: Outcome,
         appended: bool,
-        read: Told,
+        read: Outcome,
     }
     let none = PlatformFaults::default;
     let cases = [
         Case {
             name: "no fault",
             faults: none(),
-            append: Told::Fine,
+            append: Outcome::Ok,
             appended: true,
-            read: Told::Fine,
+            read: Outcome::Ok,
         },
         Case {
             name: "log out",
             faults: PlatformFaults { log_out: true, ..none() },
-            append: Told::Lost,
+            append: Outcome::Lost,
             appended: false,
-            read: Told::Lost,
+            read: Outcome::Lost,
         },
         Case {
             name: "appends out",
             faults: PlatformFaults { appends_out: true, ..none() },
-            append: Told::Refused(503),
+            append: Outcome::Refused(503),
             appended: false,
-            read: Told::Fine,
+            read: Outcome::Ok,
         },
         Case {
             name: "appends over the rate",
             faults: PlatformFaults { appends_limited: true, ..none() },
-            append: Told::Refused(429),
+            append: Outcome::Refused(429),
             appended: false,
-            read: Told::Fine,
+            read: Outcome::Ok,
         },
         Case {
             name: "reads out",
             faults: PlatformFaults { reads_out: true, ..none() },
-            append: Told::Fine,
+            append: Outcome::Ok,
             appended: true,
-            read: Told::Refused(503),
+            read: Outcome::Refused(503),
         },
         Case {
             name: "reply lost after the append took effect",
             faults: PlatformFaults { lose_replies: 1, ..none() },
-            append: Told::Lost,
+            append: Outcome::Lost,
             appended: true,
-            read: Told::Fine,
+            read: Outcome::Ok,
         },
         Case {
             name: "replies lost on another stream only",
             faults: PlatformFaults { lose_replies: 1, lose_stream: "other".into(), ..none() },
-            append: Told::Fine,
+            append: Outcome::Ok,
             appended: true,
-            read: Told::Fine,
+            read: Outcome::Ok,
         },
         Case {
             name: "garbled replies",
             faults: PlatformFaults { garbled: true, ..none() },
-            append: Told::Garbled,
+            append: Outcome::Garbled,
             appended: true,
-            read: Told::Garbled,
+            read: Outcome::Garbled,
         },
         Case {
             name: "slower than the limit",
             faults: PlatformFaults { slow_ms: 3000, ..none() },
-            append: Told::Lost,
+            append: Outcome::Lost,
             appended: true,
-            read: Told::Lost,
+            read: Outcome::Lost,
         },
         Case {
             name: "trimmed",
             faults: PlatformFaults { trim_to: Some(0), ..none() },
-            append: Told::Fine,
+            append: Outcome::Ok,
             appended: true,
-            read: Told::Trimmed,
+            read: Outcome::Trimmed,
         },
     ];
     for case in cases {
         let (fake, log) = start(PlatformSettings::default());
         log.append("s", &texts(1)).unwrap();
         fake.faults.set(case.faults);
-        assert_eq!(told(log.append("s", &texts(1))), case.append, "append, {}", case.name);
-        assert_eq!(told(log.read("s", 0, 10, Duration::ZERO)), case.read, "read, {}", case.name);
+        assert_eq!(outcome(log.append("s", &texts(1))), case.append, "append, {}", case.name);
+        assert_eq!(outcome(log.read("s", 0, 10, Duration::ZERO)), case.read, "read, {}", case.name);
         fake.faults.clear();
         let end = |log: &HttpPlatform| log.read("s", 9, 1, Duration::ZERO).unwrap().end;
         let wanted = if case.appended { 2 } else { 1 };
@@ -151,13 +151,13 @@
 fn a_platform_that_does_not_listen_was_not_reached() {
     let closed = Closed::start().unwrap();
     let platform = HttpPlatform::new(closed.addr(), LIMIT);
-    assert_eq!(told(platform.append("s", &texts(1))), Told::Unreached);
-    assert_eq!(told(platform.read("s", 0, 1, Duration::ZERO)), Told::Unreached);
-    assert_eq!(told(platform.hosts()), Told::Unreached);
-    assert_eq!(told(platform.weights()), Told::Unreached);
+    assert_eq!(outcome(platform.append("s", &texts(1))), Outcome::Unreached);
+    assert_eq!(outcome(platform.read("s", 0, 1, Duration::ZERO)), Outcome::Unreached);
+    assert_eq!(outcome(platform.hosts()), Outcome::Unreached);
+    assert_eq!(outcome(platform.weights()), Outcome::Unreached);
 }
 
-/// Answers every connection with some bytes, whatever was asked.
+/// Starts a server that answers every connection with these bytes, whatever the request.
 fn scripted(reply: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -176,41 +176,45 @@
     struct Case {
         name: &'static str,
         reply: &'static [u8],
-        told: Told,
+        outcome: Outcome,
     }
     let cases = [
-        Case { name: "closed without a byte", reply: b"", told: Told::Lost },
-        Case { name: "cut in the status line", reply: b"HTTP/1.1 50", told: Told::Lost },
-        Case { name: "cut in a refusal's head", reply: b"HTTP/1.1 503 X\r\n", told: Told::Lost },
+        Case { name: "closed without a byte", reply: b"", outcome: Outcome::Lost },
+        Case { name: "cut in the status line", reply: b"HTTP/1.1 50", outcome: Outcome::Lost },
+        Case {
+            name: "cut in a refusal's head",
+            reply: b"HTTP/1.1 503 X\r\n",
+            outcome: Outcome::Lost,
+        },
         Case {
             name: "cut in a refusal's body",
             reply: b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nnoth",
-            told: Told::Lost,
+            outcome: Outcome::Lost,
         },
         Case {
             name: "cut in the body",
             reply: b"HTTP/1.1 200 X\r\nContent-Length: 11\r\n\r\n{\"first\":1",
-            told: Told::Lost,
+            outcome: Outcome::Lost,
         },
         Case {
             name: "a redirect is not followed",
             reply: b"HTTP/1.1 307 X\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
-            told: Told::Garbled,
+            outcome: Outcome::Garbled,
         },
         Case {
             name: "whole refusal",
             reply: b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n",
-            told: Told::Refused(503),
+            outcome: Outcome::Refused(503),
         },
         Case {
             name: "whole reply",
             reply: b"HTTP/1.1 200 X\r\nContent-Length: 11\r\n\r\n{\"first\":1}",
-            told: Told::Fine,
+            outcome: Outcome::Ok,
         },
     ];
     for case in cases {
         let log = HttpPlatform::new(scripted(case.reply), LIMIT);
-        assert_eq!(told(log.append("s", &texts(1))), case.told, "{}", case.name);
+        assert_eq!(outcome(log.append("s", &texts(1))), case.outcome, "{}", case.name);
     }
 }
 
@@ -242,7 +246,7 @@
     let (_fake, log) = start(PlatformSettings::default());
     let reader = thread::spawn({
         let log = log.clone();
-        move || log.read("s", 0, 9, BOUND).unwrap()
+        move || log.read("s", 0, 9, LONG).unwrap()
     });
     thread::sleep(Duration::from_millis(20));
     log.append("s", &texts(1)).unwrap();
@@ -253,7 +257,7 @@
 fn appends_are_limited_over_all_streams_and_many_records_count_once() {
     let (fake, log) = start(PlatformSettings { appends: 0.001, ..PlatformSettings::default() });
     log.append("a", &texts(500)).unwrap();
-    assert_eq!(told(log.append("b", &texts(1))), Told::Refused(429));
+    assert_eq!(outcome(log.append("b", &texts(1))), Outcome::Refused(429));
     assert_eq!(fake.appends(), 1);
 }
 
@@ -262,7 +266,7 @@
     struct Case {
         name: &'static str,
         faults: PlatformFaults,
-        shown: Result<HostState, Told>,
+        shown: Result<HostState, Outcome>,
     }
     let none = PlatformFaults::default;
     let hour = Some(3_600_000);
@@ -281,19 +285,19 @@
         Case {
             name: "out",
             faults: PlatformFaults { hosts_out: true, ..none() },
-            shown: Err(Told::Lost),
+            shown: Err(Outcome::Lost),
         },
     ];
     for case in cases {
         let hosts = vec![host("h1"), host("h2")];
         let (fake, list) = start(PlatformSettings { hosts, ..PlatformSettings::default() });
         fake.faults.set(case.faults);
-        // The list froze, if it did, when it was first asked after the fault.
+        // With `hosts_frozen`, the list freezes when it is first read after the fault is set.
         let _ = list.hosts();
         assert!(fake.leave("h2"));
         assert!(!fake.leave("unknown"));
         let shown = list.hosts();
-        let state = shown.map(|s| s.hosts[1].state).map_err(|e| told::<()>(Err(e)));
+        let state = shown.map(|s| s.hosts[1].state).map_err(|e| outcome::<()>(Err(e)));
         assert_eq!(state, case.shown, "{}", case.name);
         fake.faults.clear();
         assert_eq!(list.hosts().unwrap().hosts[1].state, HostState::Leaving, "{}", case.name);
@@ -309,5 +313,5 @@
     wait_until("a backlog", || store.weights().unwrap().backlog > 900_000);
     assert_eq!(store.weights().unwrap().rate, 1000);
     fake.faults.change(|f| f.weights_out = true);
-    assert_eq!(told(store.weights()), Told::Lost);
+    assert_eq!(outcome(store.weights()), Outcome::Lost);
 }
--- a/crates/roseshore_adapters/tests/service.rs
+++ b/crates/roseshore_adapters/tests/service.rs
@@ -1,4 +1,4 @@
-//! The contract of replicas of lookup and plain services, with their faults.
+//! Tests the client for replicas of lookup and plain services, with their faults.
 
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::prelude::*;
@@ -20,13 +20,14 @@
     ServiceFake::start(settings).unwrap()
 }
 
-fn hop(limit: Duration) -> CallContext {
+fn context(limit: Duration) -> CallContext {
     let trace = Some("00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01".to_owned());
     CallContext { deadline: Instant::now() + limit, trace, request: "r1".to_owned() }
 }
 
+/// The kind of a call's result: the status of the reply, or the kind of the error.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum Kind {
     Status(u16),
     Unreached,
     Lost,
@@ -34,13 +35,13 @@
     Garbled,
 }
 
-fn told(called: &CallResult<ServiceReply>) -> Told {
+fn kind(called: &CallResult<ServiceReply>) -> Kind {
     match called {
-        Ok(reply) => Told::Status(reply.status),
-        Err(CallError::Unreached(_)) => Told::Unreached,
-        Err(CallError::Lost(_)) => Told::Lost,
-        Err(CallError::Refused(..)) => Told::Refused,
-        Err(CallError::Garbled(_) | CallError::Trimmed(..)) => Told::Garbled,
+        Ok(reply) => Kind::Status(reply.status),
+        Err(CallError::Unreached(_)) => Kind::Unreached,
+        Err(CallError::Lost(_)) => Kind::Lost,
+        Err(CallError::Refused(..)) => Kind::Refused,
+        Err(CallError::Garbled(_) | CallError::Trimmed(..)) => Kind::Garbled,
     }
 }
 
@@ -50,91 +51,91 @@
         name: &'static str,
         faults: ServiceFaults,
         limit: Duration,
-        call: Told,
+        call: Kind,
         ran: u64,
-        lookup: Told,
+        lookup: Kind,
     }
     let none = ServiceFaults::default;
     let short = Duration::from_millis(300);
     let case =
         |name, faults, limit, call, ran, lookup| Case { name, faults, limit, call, ran, lookup };
     let cases = [
-        case("no fault", none(), BOUND, Told::Status(200), 1, Told::Status(200)),
+        case("no fault", none(), BOUND, Kind::Status(200), 1, Kind::Status(200)),
         case(
             "error after the run",
             ServiceFaults { error: true, ..none() },
             BOUND,
-            Told::Status(500),
+            Kind::Status(500),
             1,
-            Told::Status(500),
+            Kind::Status(500),
         ),
         case(
             "garbled",
             ServiceFaults { garbled: true, ..none() },
             BOUND,
-            Told::Garbled,
+            Kind::Garbled,
             1,
-            Told::Garbled,
+            Kind::Garbled,
         ),
         case(
             "cut in the body",
             ServiceFaults { cut_body: true, ..none() },
             short,
-            Told::Lost,
+            Kind::Lost,
             1,
-            Told::Lost,
+            Kind::Lost,
         ),
         case(
             "not run",
             ServiceFaults { not_run: true, ..none() },
             BOUND,
-            Told::Refused,
+            Kind::Refused,
             0,
-            Told::Status(503),
+            Kind::Status(503),
         ),
         case(
             "reply lost after the run",
             ServiceFaults { lose_replies: 2, ..none() },
             short,
-            Told::Lost,
+            Kind::Lost,
             1,
-            Told::Lost,
+            Kind::Lost,
         ),
         case(
             "source cannot say",
             ServiceFaults { unknown: true, ..none() },
             BOUND,
-            Told::Status(200),
+            Kind::Status(200),
             1,
-            Told::Status(500),
+            Kind::Status(500),
         ),
-        case("gone", ServiceFaults { die: true, ..none() }, short, Told::Lost, 0, Told::Lost),
-        case("frozen", ServiceFaults { freeze: true, ..none() }, short, Told::Lost, 0, Told::Lost),
+        case("gone", ServiceFaults { die: true, ..none() }, short, Kind::Lost, 0, Kind::Lost),
+        case("frozen", ServiceFaults { freeze: true, ..none() }, short, Kind::Lost, 0, Kind::Lost),
         case(
             "slower than the deadline",
             ServiceFaults { slow_ms: 2000, ..none() },
             short,
-            Told::Lost,
+            Kind::Lost,
             1,
-            Told::Lost,
+            Kind::Lost,
         ),
     ];
     for case in cases {
         let fake = start(false);
         let services = HttpServices::default();
         fake.faults.set(case.faults);
-        let call = services.call(fake.addr(), "notes", b"x", Some("k"), &hop(case.limit));
-        assert_eq!(told(&call), case.call, "call, {}", case.name);
+        let call = services.call(fake.addr(), "notes", b"x", Some("k"), &context(case.limit));
+        assert_eq!(kind(&call), case.call, "call, {}", case.name);
         let end = Instant::now() + BOUND;
         while fake.ran().total < case.ran && Instant::now() < end {
             thread::sleep(Duration::from_millis(5));
         }
         assert_eq!(fake.ran().total, case.ran, "runs, {}", case.name);
-        let lookup = services.lookup(fake.addr(), "certs", "weld-9", &hop(case.limit));
-        assert_eq!(told(&lookup), case.lookup, "lookup, {}", case.name);
+        let lookup = services.lookup(fake.addr(), "certs", "weld-9", &context(case.limit));
+        assert_eq!(kind(&lookup), case.lookup, "lookup, {}", case.name);
         if let Err(error) = call {
             let ran = error.verdict() == Verdict::NotRun && case.ran > 0;
-            assert!(!ran, "`not run` is not true, {}", case.name);
+            assert!(!ran, "reported as not run although it ran, {}", case.name);
         }
     }
 }
@@ -143,17 +144,17 @@
 fn a_replica_that_does_not_listen_was_not_reached() {
     let closed = Closed::start().unwrap();
     let services = HttpServices::default();
-    let call = services.call(closed.addr(), "notes", b"x", None, &hop(BOUND));
-    assert_eq!(told(&call), Told::Unreached);
-    let lookup = services.lookup(closed.addr(), "certs", "weld-9", &hop(BOUND));
-    assert_eq!(told(&lookup), Told::Unreached);
+    let call = services.call(closed.addr(), "notes", b"x", None, &context(BOUND));
+    assert_eq!(kind(&call), Kind::Unreached);
+    let lookup = services.lookup(closed.addr(), "certs", "weld-9", &context(BOUND));
+    assert_eq!(kind(&lookup), Kind::Unreached);
 }
 
 #[test]
 fn nothing_is_sent_after_the_deadline() {
     let fake = start(false);
-    let call = HttpServices::default().call(fake.addr(), "n", b"x", None, &hop(Duration::ZERO));
-    assert_eq!(told(&call), Told::Unreached);
+    let call = HttpServices::default().call(fake.addr(), "n", b"x", None, &context(Duration::ZERO));
+    assert_eq!(kind(&call), Kind::Unreached);
     assert_eq!(fake.ran().total, 0);
 }
 
@@ -161,15 +162,15 @@
 fn lookups_tell_records_from_missing_names() {
     let fake = start(false);
     let services = HttpServices::default();
-    let found = services.lookup(fake.addr(), "certs", "weld-9", &hop(BOUND)).unwrap();
+    let found = services.lookup(fake.addr(), "certs", "weld-9", &context(BOUND)).unwrap();
     assert_eq!((found.status, found.body.as_slice()), (200, b"{\"card\":9}".as_slice()));
-    let generated = services.lookup(fake.addr(), "certs", "pkg-7", &hop(BOUND)).unwrap();
+    let generated = services.lookup(fake.addr(), "certs", "pkg-7", &context(BOUND)).unwrap();
     assert_eq!(generated.status, 200);
-    let missing = services.lookup(fake.addr(), "certs", "none", &hop(BOUND)).unwrap();
+    let missing = services.lookup(fake.addr(), "certs", "none", &context(BOUND)).unwrap();
     let said: Missing = serde_json::from_slice(&missing.body).unwrap();
     let wanted = Missing { source: "certs".to_owned(), missing: "none".to_owned() };
     assert_eq!((missing.status, said), (404, wanted));
-    let other = services.lookup(fake.addr(), "elsewhere", "weld-9", &hop(BOUND)).unwrap();
+    let other = services.lookup(fake.addr(), "elsewhere", "weld-9", &context(BOUND)).unwrap();
     assert_eq!(other.status, 500);
 }
 
@@ -177,7 +178,7 @@
 fn a_target_that_remembers_answers_a_repeat_with_the_first_result() {
     let fake = start(true);
     let services = HttpServices::default();
-    let call = |body: &[u8]| services.call(fake.addr(), "notes", body, Some("k"), &hop(BOUND));
+    let call = |body: &[u8]| services.call(fake.addr(), "notes", body, Some("k"), &context(BOUND));
     let first = call(b"one").unwrap();
     let again = call(b"two").unwrap();
     assert_eq!((first.replayed, again.replayed), (false, true));
@@ -196,7 +197,8 @@
     assert_eq!((report.leaving, report.incarnation, report.slots), (true, 1, 64));
 }
 
-/// Reads one request of each connection, tells its head, answers with some bytes and closes.
+/// Starts a server that reads one request per connection, sends its head to the returned channel,
+/// answers with these bytes and closes the connection.
 fn scripted(reply: &'static [u8]) -> (SocketAddr, flume::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -212,7 +214,7 @@
     (addr, seen)
 }
 
-/// The head of a request, whose body (of the length it gives) is read and dropped.
+/// Reads a request and returns its head in lower case. The body is discarded.
 fn head(reader: &mut BufReader<&std::net::TcpStream>) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") && reader.read_line(&mut head).is_ok_and(|n| n > 0) {}
@@ -228,37 +230,37 @@
     struct Case {
         name: &'static str,
         reply: &'static [u8],
-        told: Told,
+        kind: Kind,
     }
     let cases = [
-        Case { name: "closed without a byte", reply: b"", told: Told::Lost },
-        Case { name: "cut in the head", reply: b"HTTP/1.1 503 X\r\nConte", told: Told::Lost },
+        Case { name: "closed without a byte", reply: b"", kind: Kind::Lost },
+        Case { name: "cut in the head", reply: b"HTTP/1.1 503 X\r\nConte", kind: Kind::Lost },
         Case {
             name: "cut in the body of a 'not run'",
             reply: b"HTTP/1.1 503 X\r\nContent-Length: 20\r\n\r\n{\"not_run\":true}",
-            told: Told::Lost,
+            kind: Kind::Lost,
         },
-        Case { name: "of no length", reply: b"HTTP/1.1 200 X\r\n\r\nhalf", told: Told::Lost },
+        Case { name: "of no length", reply: b"HTTP/1.1 200 X\r\n\r\nhalf", kind: Kind::Lost },
         Case {
             name: "503 that says nothing of running",
             reply: b"HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\n{}",
-            told: Told::Status(503),
+            kind: Kind::Status(503),
         },
         Case {
             name: "redirect",
             reply: b"HTTP/1.1 307 X\r\nLocation: http://127.0.0.1:1/\r\nContent-Length: 0\r\n\r\n",
-            told: Told::Status(307),
+            kind: Kind::Status(307),
         },
         Case {
             name: "'not run'",
             reply: b"HTTP/1.1 503 X\r\nContent-Length: 16\r\n\r\n{\"not_run\":true}",
-            told: Told::Refused,
+            kind: Kind::Refused,
         },
     ];
     for case in cases {
         let (addr, seen) = scripted(case.reply);
-        let call = HttpServices::default().call(addr, "notes", b"x", Some("k"), &hop(BOUND));
-        assert_eq!(told(&call), case.told, "{}", case.name);
+        let call = HttpServices::default().call(addr, "notes", b"x", Some("k"), &context(BOUND));
+        assert_eq!(kind(&call), case.kind, "{}", case.name);
         assert_eq!(seen.len(), 1, "sent more than once, {}", case.name);
     }
 }
@@ -266,12 +268,13 @@
 #[test]
 fn a_call_never_goes_over_a_kept_connection() {
     let reply = b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\nok";
-    // The server closes after each reply without saying so, as one that was idle too long would.
+    // The server closes the connection after each reply without a `Connection: close` header, as
+    // it does for a connection that has been idle too long.
     let (addr, seen) = scripted(reply);
     let services = HttpServices::default();
     for turn in 0..20 {
-        let call = services.call(addr, "notes", b"x", None, &hop(BOUND));
-        assert_eq!(told(&call), Told::Status(200), "call {turn}");
+        let call = services.call(addr, "notes", b"x", None, &context(BOUND));
+        assert_eq!(kind(&call), Kind::Status(200), "call {turn}");
     }
     assert_eq!(seen.len(), 20);
 }
@@ -293,8 +296,8 @@
     });
     let services = HttpServices::default();
     for _ in 0..10 {
-        let reply = services.lookup(addr, "certs", "n", &hop(BOUND));
-        assert_eq!(told(&reply), Told::Status(200));
+        let reply = services.lookup(addr, "certs", "n", &context(BOUND));
+        assert_eq!(kind(&reply), Kind::Status(200));
     }
     assert_eq!(connections.len(), 1);
 }
@@ -302,10 +305,10 @@
 #[test]
 fn trace_key_request_and_deadline_travel() {
     let (addr, seen) = scripted(b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n");
-    let hop = hop(BOUND);
-    HttpServices::default().call(addr, "notes", b"x", Some("k9"), &hop).unwrap();
+    let context = context(BOUND);
+    HttpServices::default().call(addr, "notes", b"x", Some("k9"), &context).unwrap();
     let head = seen.recv().unwrap();
-    let trace = format!("traceparent: {}", hop.trace.unwrap());
+    let trace = format!("traceparent: {}", context.trace.unwrap());
     for wanted in ["idempotency-key: k9", "x-request-id: r1", "x-deadline-ms: 1", &trace] {
         assert!(head.contains(wanted), "`{wanted}` is not in {head}");
     }
--- a/crates/roseshored/src/daemon/external.rs
+++ b/crates/roseshored/src/daemon/external.rs
@@ -4,7 +4,7 @@
 use crate::members;
 use crate::settings::Settings;
 use roseshore_adapters::engine::EngineClient;
-use roseshore_adapters::peer::{Limits, TcpPeers, UdpSocket};
+use roseshore_adapters::peer::{PeerLimits, TcpPeers, UdpSocket};
 use roseshore_adapters::platform::HttpPlatform;
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::membership::{self, Heartbeat};
@@ -40,7 +40,7 @@
             weights: platform(settings.weight_store),
             engine: Arc::new(EngineClient::new()),
             services: Arc::new(HttpServices::default()),
-            peers: Arc::new(TcpPeers::new(Limits::default())),
+            peers: Arc::new(TcpPeers::new(PeerLimits::default())),
         }
     }
 }
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -6,7 +6,7 @@
 mod cluster;
 
 use cluster::*;
-use roseshore_adapters::peer::{Limits, Server, TcpPeers, serve};
+use roseshore_adapters::peer::{PeerLimits, Server, TcpPeers, serve};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{MemberState, Members, Report, ReportContent, ReportStore};
 use roseshore_ports::outside::{CallError, CallResult, Peers};
@@ -166,7 +166,7 @@
     reports.store(Report { target: "t".into(), seen: Instant::now(), content });
     let parts = peers::PeerConfig {
         members: daemon.driver.clone(),
-        peers: Arc::new(Wire { peers: TcpPeers::new(Limits::default()), cut: cut.clone() }),
+        peers: Arc::new(Wire { peers: TcpPeers::new(PeerLimits::default()), cut: cut.clone() }),
         reports,
         settings: settings(),
     };
