--- a/crates/roseshore/src/ask.rs
+++ b/crates/roseshore/src/ask.rs
@@ -1,20 +1,25 @@
-//! Showing what the system says of itself.
+//! Queries about requests and daemons, and draining of daemons.
 
-use crate::cli::{self, Scope};
+use crate::cli::{self, GlobalArgs};
 use crate::client::{self, Client};
 use crate::show::{self, Trace};
-use crate::{Done, Exit};
+use crate::{CommandOutput, ExitStatus};
 use clap::ArgMatches;
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
 use roseshore_wire::admin::{Drained, Status};
 use roseshore_wire::query::{Filter, Query, Topic};
 
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const WEEK: Duration = Duration::from_hours(7 * 24);
 
 /// Runs `running`, `late`, `refused` and `account`.
-pub fn rows(client: &dyn Client, scope: &Scope, topic: &str, args: &ArgMatches) -> Done {
+pub fn rows(
+    client: &dyn Client,
+    globals: &GlobalArgs,
+    topic: &str,
+    args: &ArgMatches,
+) -> CommandOutput {
     let topic = match topic {
         "running" => Topic::Running,
         "late" => Topic::Late,
@@ -24,23 +29,24 @@
     let words = args.get_many::<String>("FILTER").unwrap_or_default();
     let mut filter = match filter(words, SystemTime::now()) {
         Ok(filter) => filter,
-        Err(message) => return Done::failed(Exit::Usage, &message),
+        Err(message) => return CommandOutput::failed(ExitStatus::Usage, &message),
     };
     if topic == Topic::Account && args.get_flag("week") {
-        filter.since_ms = Some(before(SystemTime::now(), WEEK));
+        filter.since_ms = Some(millis_before(SystemTime::now(), WEEK));
     }
     let body = serde_json::to_string(&Query { topic, filter }).unwrap_or_default();
-    let reply = client::first(client, &scope.hosts, "/v1/admin/query", Some(&body), LIMIT);
+    let reply =
+        client::first_answer(client, &globals.hosts, "/v1/admin/query", Some(&body), TIMEOUT);
     match reply {
-        Ok(reply) => show::rows(&reply, scope.json),
-        Err(message) => Done::failed(Exit::Unreachable, &message),
+        Ok(reply) => show::rows(&reply, globals.json),
+        Err(message) => CommandOutput::failed(ExitStatus::Unreachable, &message),
     }
 }
 
-/// Reads words such as `service=NAME` and `since=1h`.
+/// Parses filter arguments such as `service=NAME` and `since=1h`.
 ///
 /// # Errors
-/// A message that names the word that is wrong.
+/// A message that names the invalid argument.
 pub fn filter<'a>(
     words: impl Iterator<Item = &'a String>,
     now: SystemTime,
@@ -54,7 +60,7 @@
             "service" => out.service = Some(given),
             "organisation" => out.organisation = Some(given),
             "data-centre" => out.data_centre = Some(given),
-            "since" => out.since_ms = Some(before(now, cli::duration(&given)?)),
+            "since" => out.since_ms = Some(millis_before(now, cli::parse_duration(&given)?)),
             _ => {
                 return Err(format!(
                     "`{name}` is no filter; use `service`, `organisation`, `data-centre` or `since`"
@@ -65,43 +71,51 @@
     Ok(out)
 }
 
-fn before(now: SystemTime, ago: Duration) -> u64 {
+/// The Unix time in milliseconds that lies `ago` before `now`.
+fn millis_before(now: SystemTime, ago: Duration) -> u64 {
     wall::millis(now).saturating_sub(ago.as_millis() as u64)
 }
 
-/// Runs `explain`: asks every host, since only the one that took the request knows it.
-pub fn explain(client: &dyn Client, scope: &Scope, request: &str) -> Done {
+/// Runs `explain`. Queries the hosts in order, since only the one that accepted the request has its
+/// spans.
+pub fn explain(client: &dyn Client, globals: &GlobalArgs, request: &str) -> CommandOutput {
     let path = format!("/v1/trace/{request}");
-    match client::first::<Trace>(client, &scope.hosts, &path, None, LIMIT) {
-        Ok(trace) => Done::new(Exit::Good, scope.json, &trace, show::tree(&trace.spans)),
+    match client::first_answer::<Trace>(client, &globals.hosts, &path, None, TIMEOUT) {
+        Ok(trace) => {
+            CommandOutput::new(ExitStatus::Success, globals.json, &trace, show::tree(&trace.spans))
+        }
         Err(message) => {
             let message = format!("no host asked knows request `{request}`:\n{message}");
-            Done::failed(Exit::Unknown, &message)
+            CommandOutput::failed(ExitStatus::Unknown, &message)
         }
     }
 }
 
 /// Runs `status`.
-pub fn status(client: &dyn Client, scope: &Scope) -> Done {
-    match client::first::<Status>(client, &scope.hosts, "/v1/admin/status", None, LIMIT) {
-        Ok(status) => Done::new(Exit::Good, scope.json, &status, show::status(&status)),
-        Err(message) => Done::failed(Exit::Unreachable, &message),
+pub fn status(client: &dyn Client, globals: &GlobalArgs) -> CommandOutput {
+    match client::first_answer::<Status>(client, &globals.hosts, "/v1/admin/status", None, TIMEOUT)
+    {
+        Ok(status) => {
+            CommandOutput::new(ExitStatus::Success, globals.json, &status, show::status(&status))
+        }
+        Err(message) => CommandOutput::failed(ExitStatus::Unreachable, &message),
     }
 }
 
 /// Runs `drain`.
-pub fn drain(client: &dyn Client, scope: &Scope, host: &str) -> Done {
-    let host = match cli::host(host) {
+pub fn drain(client: &dyn Client, globals: &GlobalArgs, host: &str) -> CommandOutput {
+    let host = match cli::parse_host(host) {
         Ok(host) => host,
-        Err(message) => return Done::failed(Exit::Usage, &message),
+        Err(message) => return CommandOutput::failed(ExitStatus::Usage, &message),
     };
     let body = String::new();
-    match client::first::<Drained>(client, &[host], "/v1/admin/drain", Some(&body), LIMIT) {
+    match client::first_answer::<Drained>(client, &[host], "/v1/admin/drain", Some(&body), TIMEOUT)
+    {
         Ok(drained) => {
             let text =
                 format!("`{}` takes no new work and finishes what is in flight", drained.host);
-            Done::new(Exit::Good, scope.json, &drained, text)
+            CommandOutput::new(ExitStatus::Success, globals.json, &drained, text)
         }
-        Err(message) => Done::failed(Exit::Unreachable, &message),
+        Err(message) => CommandOutput::failed(ExitStatus::Unreachable, &message),
     }
 }
--- a/crates/roseshore/src/client.rs
+++ b/crates/roseshore/src/client.rs
@@ -1,4 +1,4 @@
-//! The way to the entry hosts, and what a failure on it proves.
+//! Calls to entry hosts, with errors that tell whether a request may have been sent.
 
 use quick_error::quick_error;
 use serde::de::DeserializeOwned;
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why an entry host gave no answer.
+    /// Why a call to an entry host failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum CallError {
-        /// Nothing was sent.
+        /// The connection was refused. Nothing was sent.
         Unreached(why: String) {
             display("not reached: {why}")
         }
-        /// Something was sent, and no whole answer came.
+        /// The request may have been sent, but no complete answer arrived.
         Lost(why: String) {
             display("no whole answer: {why}")
         }
@@ -23,17 +23,17 @@
 /// An HTTP answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// The body of a good answer, read.
+    /// Parses the JSON body of an answer with status 200.
     ///
     /// # Errors
-    /// The host's message, or what is wrong with its answer.
+    /// The host's refusal code and message, or why the answer could not be parsed.
     pub fn read<T: DeserializeOwned>(&self) -> Result<T, String> {
         if self.status != 200 {
             let problem: Result<roseshore_wire::admin::Problem, _> =
@@ -47,12 +47,12 @@
     }
 }
 
-/// Calls entry hosts.
+/// Client for entry hosts.
 pub trait Client {
-    /// Calls one host once.
+    /// Sends one request to one host: a `POST` if there is a body, else a `GET`.
     ///
     /// # Errors
-    /// By what the failure proves.
+    /// [`CallError::Unreached`] only if nothing was sent.
     fn call(
         &self,
         host: SocketAddr,
@@ -62,11 +62,11 @@
     ) -> Result<Answer, CallError>;
 }
 
-/// Calls over HTTP.
+/// [`Client`] over HTTP.
 #[derive(Clone, Copy, Debug)]
-pub struct Http;
+pub struct HttpClient;
 
-impl Client for Http {
+impl Client for HttpClient {
     fn call(
         &self,
         host: SocketAddr,
@@ -80,15 +80,15 @@
             None => minreq::get(url),
         };
         let seconds = limit.as_secs_f64().ceil() as u64;
-        // A redirected POST would be a second send.
+        // Following the redirect of a `POST` would send it twice.
         let request = request.with_follow_redirects(false).with_timeout(seconds.max(1));
-        let answer = request.send().map_err(|err| fault(&err))?;
+        let answer = request.send().map_err(|err| call_error(&err))?;
         Ok(Answer { status: answer.status_code as u16, body: answer.into_bytes() })
     }
 }
 
-/// Only a refused connection proves that nothing was sent.
-fn fault(err: &minreq::Error) -> CallError {
+/// Only a refused connection guarantees that nothing was sent.
+fn call_error(err: &minreq::Error) -> CallError {
     match err {
         minreq::Error::IoError(io) if io.kind() == std::io::ErrorKind::ConnectionRefused => {
             CallError::Unreached(io.to_string())
@@ -97,24 +97,24 @@
     }
 }
 
-/// The answer of the first host that gives one to a harmless question.
+/// Sends an idempotent request to the hosts in order, and returns the first valid answer.
 ///
 /// # Errors
-/// One line for each host that gave none.
-pub fn first<T: DeserializeOwned>(
+/// One line for each host, with the reason why it gave no valid answer.
+pub fn first_answer<T: DeserializeOwned>(
     client: &dyn Client,
     hosts: &[SocketAddr],
     path: &str,
     body: Option<&String>,
     limit: Duration,
 ) -> Result<T, String> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for host in hosts {
         let answer = client.call(*host, path, body.cloned(), limit);
         match answer.map_err(|err| err.to_string()).and_then(|it| it.read()) {
             Ok(value) => return Ok(value),
-            Err(why) => faults.push(format!("host `{host}`: {why}")),
+            Err(why) => errors.push(format!("host `{host}`: {why}")),
         }
     }
-    Err(faults.join("\n"))
+    Err(errors.join("\n"))
 }
--- a/crates/roseshore/src/lib.rs
+++ b/crates/roseshore/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' tool: a small query and command language over any entry host.
+//! The operators' command-line tool, which queries and configures a fleet through any entry host.
 //!
-//! [`cli`] is the language, [`client`] the way to the hosts, [`apply`] brings declarations in
-//! force and [`ask`] shows what the system says. Everything yields a [`Done`]: text for people or
-//! JSON for programs, and an [`Exit`] that scripts can rely on.
+//! [`cli`] defines the command line and [`client`] calls the entry hosts. [`apply`] submits
+//! declarations, [`ask`] runs read-only queries and drains daemons, and [`keys`] inspects and
+//! settles idempotency keys. Each command returns a [`CommandOutput`] with text or JSON and an
+//! [`ExitStatus`] that scripts can rely on.
 
 pub mod apply;
 pub mod ask;
@@ -15,69 +16,78 @@
 use client::Client;
 use serde::Serialize;
 
-/// What the process ends with.
+/// Exit status of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Exit {
-    /// Done; a command is accepted and in force everywhere.
-    Good = 0,
-    /// Rejected; nothing changed.
+pub enum ExitStatus {
+    /// Success. A submitted command was accepted and is in force everywhere.
+    Success = 0,
+    /// The command was rejected. Nothing changed.
     Rejected = 1,
-    /// The command line is wrong; nothing was asked.
+    /// The command line is invalid. No request was sent.
     Usage = 2,
-    /// Whether the command took effect is not known; ask again with its id, or look at the key.
+    /// It is unknown whether the command took effect. Query it by its id, or show the key.
     Unknown = 3,
-    /// No entry host could be reached; nothing was asked.
+    /// No entry host could be reached. No request was sent.
     Unreachable = 4,
-    /// Accepted, but not yet confirmed in every data centre.
+    /// The command was accepted, but not every data centre has confirmed it yet.
     Unconfirmed = 5,
-    /// Answered without the rows of hosts that could not be asked.
+    /// The result lacks the rows of hosts that could not be queried.
     Partial = 6,
 }
 
-/// What a command ends with.
+/// The result of a command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Done {
-    /// How it went.
-    pub exit: Exit,
-    /// For standard output.
+pub struct CommandOutput {
+    /// Exit status of the process.
+    pub exit: ExitStatus,
+    /// Text for standard output.
     pub out: String,
-    /// For standard error.
+    /// Text for standard error.
     pub err: String,
 }
 
-impl Done {
-    /// An end with text for people, or the value for programs.
-    pub fn new(exit: Exit, json: bool, value: &impl Serialize, text: String) -> Done {
+impl CommandOutput {
+    /// Creates a result that prints `value` as JSON if `json` is set, and `text` otherwise.
+    pub fn new(
+        exit: ExitStatus,
+        json: bool,
+        value: &impl Serialize,
+        text: String,
+    ) -> CommandOutput {
         let out = if json {
             let value = serde_json::to_string_pretty(value);
             value.unwrap_or_else(|err| format!("{{\"error\":\"{err}\"}}"))
         } else {
             text
         };
-        Done { exit, out: out.trim_end().to_owned() + "\n", err: String::new() }
+        CommandOutput { exit, out: out.trim_end().to_owned() + "\n", err: String::new() }
     }
 
-    /// An end without a result.
-    pub fn failed(exit: Exit, message: &str) -> Done {
-        Done { exit, out: String::new(), err: format!("roseshore: {}\n", message.trim_end()) }
+    /// Creates a result that prints only an error message.
+    pub fn failed(exit: ExitStatus, message: &str) -> CommandOutput {
+        CommandOutput {
+            exit,
+            out: String::new(),
+            err: format!("roseshore: {}\n", message.trim_end()),
+        }
     }
 }
 
-/// Runs one command line.
-pub fn run(matches: &ArgMatches, client: &dyn Client) -> Done {
-    let scope = match cli::scope(matches) {
-        Ok(scope) => scope,
-        Err(message) => return Done::failed(Exit::Usage, &message),
+/// Runs a parsed command line.
+pub fn run(matches: &ArgMatches, client: &dyn Client) -> CommandOutput {
+    let globals = match cli::global_args(matches) {
+        Ok(globals) => globals,
+        Err(message) => return CommandOutput::failed(ExitStatus::Usage, &message),
     };
     match matches.subcommand() {
-        Some(("apply", args)) => apply::run(client, &scope, args),
-        Some(("command", args)) => apply::report(client, &scope, cli::text(args, "ID")),
-        Some(("explain", args)) => ask::explain(client, &scope, cli::text(args, "REQUEST")),
-        Some(("key", args)) => keys::look(client, &scope, args),
-        Some(("settle", args)) => keys::settle(client, &scope, args),
-        Some(("status", _)) => ask::status(client, &scope),
-        Some(("drain", args)) => ask::drain(client, &scope, cli::text(args, "HOST")),
-        Some((topic, args)) => ask::rows(client, &scope, topic, args),
-        None => Done::failed(Exit::Usage, "name a command; see --help"),
+        Some(("apply", args)) => apply::run(client, &globals, args),
+        Some(("command", args)) => apply::report(client, &globals, cli::text(args, "ID")),
+        Some(("explain", args)) => ask::explain(client, &globals, cli::text(args, "REQUEST")),
+        Some(("key", args)) => keys::show_key(client, &globals, args),
+        Some(("settle", args)) => keys::settle(client, &globals, args),
+        Some(("status", _)) => ask::status(client, &globals),
+        Some(("drain", args)) => ask::drain(client, &globals, cli::text(args, "HOST")),
+        Some((topic, args)) => ask::rows(client, &globals, topic, args),
+        None => CommandOutput::failed(ExitStatus::Usage, "name a command; see --help"),
     }
 }
--- a/crates/roseshore/src/main.rs
+++ b/crates/roseshore/src/main.rs
@@ -1,13 +1,13 @@
-//! The operators' tool.
+//! Entry point of the operators' command-line tool.
 
 use std::io::Write;
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
     let matches = roseshore::cli::command().get_matches();
-    let done = roseshore::run(&matches, &roseshore::client::Http);
-    // A reader that went away, such as `head`, is no failure of the command.
-    let _ = std::io::stdout().write_all(done.out.as_bytes());
-    let _ = std::io::stderr().write_all(done.err.as_bytes());
-    ExitCode::from(done.exit as u8)
+    let output = roseshore::run(&matches, &roseshore::client::HttpClient);
+    // A closed pipe, for example to `head`, is not a failure of the command.
+    let _ = std::io::stdout().write_all(output.out.as_bytes());
+    let _ = std::io::stderr().write_all(output.err.as_bytes());
+    ExitCode::from(output.exit as u8)
 }
--- a/crates/roseshore/src/show.rs
+++ b/crates/roseshore/src/show.rs
@@ -1,6 +1,6 @@
-//! Tables and lines for people.
+//! Formats results as text.
 
-use crate::{Done, Exit};
+use crate::{CommandOutput, ExitStatus};
 use comfy_table::{Table, presets};
 use roseshore_core::declare::Diff;
 use roseshore_core::prelude::*;
@@ -11,18 +11,20 @@
 use serde_json::json;
 use std::fmt::Write as _;
 
-/// A request's spans.
+/// The spans of a request, as the entry host returns them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Trace {
     request: RequestId,
     pub(crate) spans: Span,
 }
 
-/// One span of a request.
+/// A span of a request with its child spans.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Span {
     name: String,
+    /// Start in microseconds since the start of the request.
     start_us: u64,
+    /// Duration in microseconds; `None` while the span is open.
     took_us: Option<u64>,
     #[serde(default)]
     fields: Vec<String>,
@@ -30,8 +32,8 @@
     children: Vec<Span>,
 }
 
-/// A difference that is not sent.
-pub(crate) fn difference(diff: &Diff, json: bool) -> Done {
+/// Formats a difference that was not submitted.
+pub(crate) fn difference(diff: &Diff, json: bool) -> CommandOutput {
     let value = json!({ "changes": diff.changes, "undeclared": diff.undeclared });
     let mut text = diff.lines.join("\n");
     if diff.changes.is_empty() {
@@ -44,11 +46,11 @@
             "\n{count} objects in force are not declared and stay; delete them with `--prune`"
         );
     }
-    Done::new(Exit::Good, json, &value, text)
+    CommandOutput::new(ExitStatus::Success, json, &value, text)
 }
 
-/// What became of a command.
-pub(crate) fn report(report: &Report, json: bool) -> Done {
+/// Formats the outcome of a command.
+pub(crate) fn report(report: &Report, json: bool) -> CommandOutput {
     let id = &report.command;
     let list = |ids: &[DataCentreId]| {
         ids.iter().map(|it| format!("`{it}`")).collect::<Vec<_>>().join(", ")
@@ -66,26 +68,29 @@
                     list(unconfirmed)
                 );
             }
-            (if unconfirmed.is_empty() { Exit::Good } else { Exit::Unconfirmed }, text)
+            (
+                if unconfirmed.is_empty() { ExitStatus::Success } else { ExitStatus::Unconfirmed },
+                text,
+            )
         }
         Outcome::Rejected { code, message, .. } => (
-            Exit::Rejected,
+            ExitStatus::Rejected,
             format!("command `{id}` rejected, nothing changed ({code}): {message}"),
         ),
         Outcome::Unknown { message } => (
-            Exit::Unknown,
+            ExitStatus::Unknown,
             format!(
                 "whether command `{id}` took effect is not known: {message}\nask again with \
                  `roseshore command {id}`"
             ),
         ),
     };
-    Done::new(exit, json, report, text)
+    CommandOutput::new(exit, json, report, text)
 }
 
-/// Rows about requests.
-pub(crate) fn rows(reply: &Reply, json: bool) -> Done {
-    let mut text = table_of(&reply.rows).to_string();
+/// Formats the rows of a query.
+pub(crate) fn rows(reply: &Reply, json: bool) -> CommandOutput {
+    let mut text = rows_table(&reply.rows).to_string();
     if !reply.unasked.is_empty() {
         let hosts: Vec<String> = reply.unasked.iter().map(|it| format!("`{it}`")).collect();
         let _ = write!(text, "\nnot asked, their rows are missing: {}", hosts.join(", "));
@@ -93,10 +98,10 @@
     if reply.cut {
         text.push_str("\nmore rows were left out; narrow the filter");
     }
-    Done::new(completeness(reply), json, reply, text)
+    CommandOutput::new(exit_status(reply), json, reply, text)
 }
 
-fn table_of(rows: &Rows) -> Table {
+fn rows_table(rows: &Rows) -> Table {
     const ORIGIN: [&str; 5] = ["request", "service", "organisation", "data centre", "host"];
     let origin = |it: &Origin| {
         vec![
@@ -107,29 +112,34 @@
             it.host.clone(),
         ]
     };
-    let heads = |more: &[&'static str]| [&ORIGIN[..], more].concat();
+    let headers = |more: &[&'static str]| [&ORIGIN[..], more].concat();
     match rows {
         Rows::Running(rows) => table(
-            &heads(&["begun", "time left"]),
+            &headers(&["begun", "time left"]),
             rows.iter().map(|it| {
-                [origin(&it.origin), vec![time(it.begun_ms), millis(it.left_ms)]].concat()
+                [origin(&it.origin), vec![format_time(it.begun_ms), format_seconds(it.left_ms)]]
+                    .concat()
             }),
         ),
         Rows::Late(rows) => table(
-            &heads(&["ended", "late by", "verdict", "re-routes"]),
+            &headers(&["ended", "late by", "verdict", "re-routes"]),
             rows.iter().map(|it| {
-                let late = millis(it.late_ms.cast_signed());
-                let more =
-                    [time(it.ended_ms), late, it.verdict.name().into(), it.resumed.to_string()];
+                let late = format_seconds(it.late_ms.cast_signed());
+                let more = [
+                    format_time(it.ended_ms),
+                    late,
+                    it.verdict.name().into(),
+                    it.resumed.to_string(),
+                ];
                 [origin(&it.origin), more.to_vec()].concat()
             }),
         ),
         Rows::Refused(rows) => table(
-            &heads(&["ended", "verdict", "code", "why"]),
+            &headers(&["ended", "verdict", "code", "why"]),
             rows.iter().map(|it| {
                 let code = it.code;
                 let more = [
-                    time(it.ended_ms),
+                    format_time(it.ended_ms),
                     it.verdict.name().into(),
                     code.to_string(),
                     code.summary().into(),
@@ -141,9 +151,9 @@
     }
 }
 
-/// Advisory services first; a `*` marks them.
+/// Lists advisory services first, marked with a `*`.
 fn account(rows: &[AccountRow]) -> Table {
-    let heads = [
+    let headers = [
         "week",
         "service",
         "organisation",
@@ -157,17 +167,17 @@
     let mut rows: Vec<&AccountRow> = rows.iter().collect();
     rows.sort_by_key(|it| !it.advisory);
     let cells = |it: &AccountRow| {
-        let mark = if it.advisory { "*" } else { "" };
-        let service = format!("{}{mark}", it.service);
+        let marker = if it.advisory { "*" } else { "" };
+        let service = format!("{}{marker}", it.service);
         let counts = [it.answered, it.late, it.repeated, it.refused, it.unsettled, it.missed];
-        let mut cells = vec![date(it.week_ms), service, it.organisation.clone()];
+        let mut cells = vec![format_date(it.week_ms), service, it.organisation.clone()];
         cells.extend(counts.iter().map(u64::to_string));
         cells
     };
-    table(&heads, rows.into_iter().map(cells))
+    table(&headers, rows.into_iter().map(cells))
 }
 
-/// What is known of a key.
+/// Formats the state of a key.
 pub(crate) fn key(report: &KeyReport) -> String {
     let by =
         |host: &Option<HostId>| host.as_ref().map_or("nobody known".into(), |it| format!("`{it}`"));
@@ -179,11 +189,11 @@
         KeyState::Held { host, since_ms, until_ms } => format!(
             "held by {} since {}, which does not dispatch it after {}",
             by(host),
-            time(*since_ms),
-            time(*until_ms)
+            format_time(*since_ms),
+            format_time(*until_ms)
         ),
         KeyState::Unknown { host, since_ms } => {
-            format!("not known whether it ran; so said {} at {}", by(host), time(*since_ms))
+            format!("not known whether it ran; so said {} at {}", by(host), format_time(*since_ms))
         }
         KeyState::Settled { verdict, offset } => {
             format!("settled at offset {offset}: {}", verdict.name())
@@ -205,27 +215,28 @@
     text
 }
 
-/// What became of a word on a key.
-pub(crate) fn settled(settle: &Settle, settled: &Settled, json: bool) -> Done {
+/// Formats the outcome of settling a key.
+pub(crate) fn settled(settle: &Settle, settled: &Settled, json: bool) -> CommandOutput {
     let (exit, text) = match settled {
         Settled::Taken { offset } if settle.ran => {
-            (Exit::Good, format!("recorded at offset {offset}: `{}` ran", settle.key))
-        }
-        Settled::Taken { offset } => {
-            (Exit::Good, format!("recorded at offset {offset}: `{}` may be sent again", settle.key))
+            (ExitStatus::Success, format!("recorded at offset {offset}: `{}` ran", settle.key))
         }
+        Settled::Taken { offset } => (
+            ExitStatus::Success,
+            format!("recorded at offset {offset}: `{}` may be sent again", settle.key),
+        ),
         Settled::Rejected { code, message } => {
-            (Exit::Rejected, format!("rejected, nothing changed: {code}: {message}"))
+            (ExitStatus::Rejected, format!("rejected, nothing changed: {code}: {message}"))
         }
         Settled::Unknown { message } => (
-            Exit::Unknown,
+            ExitStatus::Unknown,
             format!("not known whether it took effect: {message}; look with `roseshore key`"),
         ),
     };
-    Done::new(exit, json, settled, text)
+    CommandOutput::new(exit, json, settled, text)
 }
 
-/// The daemons.
+/// Formats the table of daemons.
 pub(crate) fn status(status: &Status) -> String {
     let daemons = table(
         &["host", "data centre", "state", "config", "digest"],
@@ -244,52 +255,53 @@
     format!("{daemons}\nas seen by `{}`; the log service {log} there", status.host)
 }
 
-/// A request's spans, each with its start and length.
+/// Formats the spans of a request as a tree, each with its start and duration.
 pub(crate) fn tree(span: &Span) -> String {
     let mut out = String::new();
-    branch(&mut out, span, "", "");
+    write_span(&mut out, span, "", "");
     out
 }
 
-fn branch(out: &mut String, span: &Span, head: &str, below: &str) {
-    let took = span.took_us.map_or_else(|| "open".into(), micros);
+/// Writes a span and its children. `head` precedes the span itself, `below` its children.
+fn write_span(out: &mut String, span: &Span, head: &str, below: &str) {
+    let took = span.took_us.map_or_else(|| "open".into(), format_millis);
     let fields = span.fields.join(" ");
-    let start = micros(span.start_us);
+    let start = format_millis(span.start_us);
     let _ = writeln!(out, "{head}{} at {start} took {took} {fields}", span.name);
     for (index, child) in span.children.iter().enumerate() {
         let last = index + 1 == span.children.len();
         let (fork, rail) = if last { ("└─ ", "   ") } else { ("├─ ", "│  ") };
-        branch(out, child, &format!("{below}{fork}"), &format!("{below}{rail}"));
+        write_span(out, child, &format!("{below}{fork}"), &format!("{below}{rail}"));
     }
 }
 
-fn table(heads: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Table {
+fn table(headers: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Table {
     let mut table = Table::new();
     table.load_style(presets::UTF8_HORIZONTAL_ONLY);
-    table.set_header(heads.to_vec());
+    table.set_header(headers.to_vec());
     for row in rows {
         table.add_row(row);
     }
     table
 }
 
-fn micros(us: u64) -> String {
+fn format_millis(us: u64) -> String {
     format!("{:.3} ms", us as f64 / 1000.0)
 }
 
-fn millis(ms: i64) -> String {
+fn format_seconds(ms: i64) -> String {
     format!("{:.3} s", ms as f64 / 1000.0)
 }
 
-fn time(ms: u64) -> String {
+fn format_time(ms: u64) -> String {
     humantime::format_rfc3339_millis(wall::time(ms)).to_string()
 }
 
-fn date(ms: u64) -> String {
-    time(ms).chars().take(10).collect()
+fn format_date(ms: u64) -> String {
+    format_time(ms).chars().take(10).collect()
 }
 
-/// How complete an answer is.
-fn completeness(reply: &Reply) -> Exit {
-    if reply.unasked.is_empty() { Exit::Good } else { Exit::Partial }
+/// [`ExitStatus::Partial`] if some hosts could not be queried.
+fn exit_status(reply: &Reply) -> ExitStatus {
+    if reply.unasked.is_empty() { ExitStatus::Success } else { ExitStatus::Partial }
 }
--- a/crates/roseshore/tests/cli.rs
+++ b/crates/roseshore/tests/cli.rs
@@ -1,13 +1,13 @@
-//! The command language: exit codes, filters, and what people and programs are shown.
+//! Tests the command line: exit codes, filters, and output as text and as JSON.
 
 use roseshore::client::{Answer, CallError, Client};
 use roseshore_core::prelude::*;
 use std::net::SocketAddr;
 
-/// Answers every path with one body, or not at all.
-struct Canned(Option<&'static str>);
+/// Client that answers every path with one body, or refuses the connection.
+struct FixedAnswer(Option<&'static str>);
 
-impl Client for Canned {
+impl Client for FixedAnswer {
     fn call(
         &self,
         _: SocketAddr,
@@ -50,7 +50,7 @@
 const SETTLE: &[&str] =
     &["settle", "o", "s", "k", "--not-run", "--note", "looked", "--operator", "op"];
 
-// One case a line.
+// One case per line.
 #[rustfmt::skip]
 const CASES: &[Case] = &[
     Case { name: "late rows", args: &["late", "service=advisories", "since=1h"], answer: Some(LATE), exit: 6, says: "2.500 s" },
@@ -85,7 +85,7 @@
     for case in CASES {
         let args = ["roseshore"].iter().chain(case.args);
         let matches = roseshore::cli::command().try_get_matches_from(args).expect(case.name);
-        let done = roseshore::run(&matches, &Canned(case.answer));
+        let done = roseshore::run(&matches, &FixedAnswer(case.answer));
         let all = format!("{}{}", done.out, done.err);
         assert_eq!(done.exit as u8, case.exit, "{}: {all}", case.name);
         assert!(all.contains(case.says), "{}: {all}", case.name);
@@ -100,7 +100,8 @@
     assert!((0..=6).all(|exit| help.contains(&format!("\n  {exit}  "))), "{help}");
 }
 
-/// Takes a word and loses the reply; the key is then in `state`, by the word of `operator`.
+/// Client that loses the reply to `settle`. It then reports the key in the state of the first field,
+/// by a decision of the operator in the second.
 struct Lost(&'static str, &'static str);
 
 impl Client for Lost {
@@ -150,7 +151,7 @@
 fn advisory_services_come_first_in_the_account() {
     let matches =
         roseshore::cli::command().try_get_matches_from(["roseshore", "account", "--week"]);
-    let done = roseshore::run(&matches.expect("a command"), &Canned(Some(ADVISORY)));
+    let done = roseshore::run(&matches.expect("a command"), &FixedAnswer(Some(ADVISORY)));
     let places = ["missed", "z-advisories*", "a-notes"].map(|it| done.out.find(it));
     assert!(places[0].is_some() && places.is_sorted(), "{places:?}: {}", done.out);
 }
