--- a/crates/roseshore/src/lib.rs
+++ b/crates/roseshore/src/lib.rs
@@ -1,15 +1,15 @@
 //! The operators' command-line tool, which queries and configures a fleet through any entry host.
 //!
 //! [`cli`] defines the command line and [`client`] calls the entry hosts. [`apply`] submits
-//! declarations, [`ask`] runs read-only queries and drains daemons, and [`keys`] inspects and
+//! declarations, [`query`] runs read-only queries and drains daemons, and [`keys`] inspects and
 //! settles idempotency keys. Each command returns a [`CommandOutput`] with text or JSON and an
 //! [`ExitStatus`] that scripts can rely on.
 
 pub mod apply;
-pub mod ask;
 pub mod cli;
 pub mod client;
 pub mod keys;
+pub mod query;
 mod show;
 
 use clap::ArgMatches;
@@ -82,12 +82,12 @@
     match matches.subcommand() {
         Some(("apply", args)) => apply::run(client, &globals, args),
         Some(("command", args)) => apply::report(client, &globals, cli::text(args, "ID")),
-        Some(("explain", args)) => ask::explain(client, &globals, cli::text(args, "REQUEST")),
+        Some(("explain", args)) => query::explain(client, &globals, cli::text(args, "REQUEST")),
         Some(("key", args)) => keys::show_key(client, &globals, args),
         Some(("settle", args)) => keys::settle(client, &globals, args),
-        Some(("status", _)) => ask::status(client, &globals),
-        Some(("drain", args)) => ask::drain(client, &globals, cli::text(args, "HOST")),
-        Some((topic, args)) => ask::rows(client, &globals, topic, args),
+        Some(("status", _)) => query::status(client, &globals),
+        Some(("drain", args)) => query::drain(client, &globals, cli::text(args, "HOST")),
+        Some((topic, args)) => query::rows(client, &globals, topic, args),
         None => CommandOutput::failed(ExitStatus::Usage, "name a command; see --help"),
     }
 }
