--- a/crates/roseshore_ports/src/entry.rs
+++ b/crates/roseshore_ports/src/entry.rs
@@ -206,7 +206,7 @@
     /// If a required field is missing or invalid.
     fn read_request(&self, fields: &[Field]) -> Result<RequestFields, WireError>;
     /// Returns the header fields of the request to a target.
-    fn forwarded_headers(&self, fields: &[Field], carried: &ForwardedFields<'_>) -> Vec<Field>;
+    fn forwarded_headers(&self, fields: &[Field], added: &ForwardedFields<'_>) -> Vec<Field>;
     /// Parses the header fields of a target's response.
     fn read_response(&self, fields: &[Field]) -> ResponseFields;
     /// Returns the header fields of a response that are forwarded to the caller.
--- a/crates/roseshore_ports/src/inside.rs
+++ b/crates/roseshore_ports/src/inside.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// A refusal with [`Verdict::NotRun`] and, where useful, the time after which to retry.
-    fn admit(&self, ask: &RequestInfo) -> Result<Permit, Refusal>;
+    fn admit(&self, request: &RequestInfo) -> Result<Permit, Refusal>;
 }
 
 /// A guard for a slot in use; dropping it releases the slot.
@@ -273,7 +273,7 @@
 /// The record of running and ended requests.
 pub trait Ledger: Send + Sync {
     /// Records that a request has arrived.
-    fn begun(&self, ask: &RequestInfo);
+    fn begun(&self, request: &RequestInfo);
 
     /// Records the final verdict of a request.
     fn ended(&self, end: &RequestEnd);
--- a/crates/roseshore_ports/src/outside.rs
+++ b/crates/roseshore_ports/src/outside.rs
@@ -118,7 +118,7 @@
     fn generate(
         &self,
         addr: SocketAddr,
-        ask: &Generate,
+        request: &Generate,
         deadline: Instant,
     ) -> CallResult<flume::Receiver<StreamItem>>;
 
@@ -126,13 +126,13 @@
     ///
     /// # Errors
     /// If the engine does not answer within `limit`.
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()>;
+    fn cancel(&self, addr: SocketAddr, request: &Cancel, limit: Duration) -> CallResult<()>;
 
     /// Exports the KV cache of an answer from a stage.
     ///
     /// # Errors
     /// [`CallError::Refused`] if the stage no longer has it.
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv>;
+    fn export(&self, addr: SocketAddr, request: &KvExport, limit: Duration) -> CallResult<Kv>;
 
     /// Imports the KV cache of an answer into a stage.
     ///
@@ -217,7 +217,12 @@
     ///
     /// # Errors
     /// If it does not answer within `limit`.
-    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply>;
+    fn ask(
+        &self,
+        addr: SocketAddr,
+        request: &PeerRequest,
+        limit: Duration,
+    ) -> CallResult<PeerReply>;
 }
 
 /// A received datagram with its sender.
