--- a/crates/roseshored/tests/advisory.rs
+++ b/crates/roseshored/tests/advisory.rs
@@ -1,4 +1,5 @@
-//! Advisory work is never dropped silently: every kind of end, seen in the log, ledger and metrics.
+//! Requests of advisory services are never dropped silently: each kind of end is checked in the log,
+//! the ledger and the metrics.
 
 #[path = "support/fakes.rs"]
 mod fakes;
@@ -10,14 +11,14 @@
 use roseshore_ports::outside::CallError;
 use std::thread;
 
-const CALL: &str = "x-request-id: told\r\n";
+const ID_HEADER: &str = "x-request-id: advisory\r\n";
 
-/// The log lines of this process.
-struct Lines(Mutex<Vec<String>>);
+/// Collects the log lines of this process.
+struct LogLines(Mutex<Vec<String>>);
 
-static LINES: Lines = Lines(Mutex::new(Vec::new()));
+static LINES: LogLines = LogLines(Mutex::new(Vec::new()));
 
-impl log::Log for Lines {
+impl log::Log for LogLines {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         true
     }
@@ -30,20 +31,20 @@
     fn flush(&self) {}
 }
 
-fn take(event: Event) -> Vec<String> {
-    let of = format!(" {event} ");
-    LINES.0.lock().iter().filter(|it| it.contains(&of)).cloned().collect()
+fn lines_of(event: Event) -> Vec<String> {
+    let number = format!(" {event} ");
+    LINES.0.lock().iter().filter(|it| it.contains(&number)).cloned().collect()
 }
 
-/// The end of the request that the case is about; it comes after the caller has its answer.
-fn ended(daemon: &Daemon) -> RequestEnd {
-    let limit = Instant::now() + PATIENCE;
+/// Waits for the end of the tested request; the ledger has it only after the caller has got the answer.
+fn wait_for_end(daemon: &Daemon) -> RequestEnd {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let ends = daemon.ledger.wait(1);
-        if let Some(end) = ends.into_iter().find(|it| it.ask.request.starts_with("told~")) {
+        if let Some(end) = ends.into_iter().find(|it| it.ask.request.starts_with("advisory~")) {
             return end;
         }
-        assert!(Instant::now() < limit, "the request never ended");
+        assert!(Instant::now() < deadline, "the request never ended");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -51,128 +52,130 @@
 struct Case {
     name: &'static str,
     flags: &'static [&'static str],
-    act: fn(&Daemon) -> Got,
-    /// Code and verdict of the one warning, if there must be one.
-    told: Option<&'static str>,
+    run: fn(&Daemon) -> HttpResponse,
+    /// A part of the one warning; `None` if there must be none.
+    warning: Option<&'static str>,
 }
 
-fn ask(daemon: &Daemon, headers: &str, stream: bool) -> Got {
-    post(daemon.addr, CHAT, &format!("{CALL}{headers}"), &chat("advice", stream))
+fn request(daemon: &Daemon, headers: &str, stream: bool) -> HttpResponse {
+    post(daemon.addr, CHAT, &format!("{ID_HEADER}{headers}"), &chat("advice", stream))
 }
 
-fn play(daemon: &Daemon, play: Play, stream: bool) -> Got {
-    *daemon.engine.play.lock() = play;
-    ask(daemon, "x-deadline-ms: 4000\r\n", stream)
+fn run_script(daemon: &Daemon, script: EngineScript, stream: bool) -> HttpResponse {
+    *daemon.engine.script.lock() = script;
+    request(daemon, "x-deadline-ms: 4000\r\n", stream)
 }
 
-fn look(daemon: &Daemon, name: &str) -> Got {
+fn look_up(daemon: &Daemon, name: &str) -> HttpResponse {
     let mut caller = Caller::new(daemon.addr);
-    let head = format!("GET /v1/lookup/bulletins/{name} HTTP/1.1\r\nhost: a\r\n{CALL}");
+    let head = format!("GET /v1/lookup/bulletins/{name} HTTP/1.1\r\nhost: a\r\n{ID_HEADER}");
     caller.send(&format!("{head}x-organisation: acme\r\n\r\n"));
     caller.response()
 }
 
-/// An answer that is told after its deadline.
-fn late(daemon: &Daemon) -> Got {
+/// An answer that comes after its deadline.
+fn answer_late(daemon: &Daemon) -> HttpResponse {
     let key = "idempotency-key: k\r\n";
     post(daemon.addr, CHAT, key, &chat("advice", false));
-    let Key1::Settled(outcome) = daemon.claims.key.lock().clone() else { panic!("not settled") };
-    *daemon.claims.key.lock() = Key1::Late(outcome);
-    ask(daemon, &format!("{key}x-deadline-ms: 5\r\n"), false)
+    let KeyState::Settled(outcome) = daemon.claims.key.lock().clone() else {
+        panic!("not settled")
+    };
+    *daemon.claims.key.lock() = KeyState::Late(outcome);
+    request(daemon, &format!("{key}x-deadline-ms: 5\r\n"), false)
 }
 
-fn leave(daemon: &Daemon) -> Got {
-    let give = by_hand(daemon);
+fn leave_early(daemon: &Daemon) -> HttpResponse {
+    let items = manual_stream(daemon);
     let mut caller = Caller::new(daemon.addr);
-    caller.post(CHAT, CALL, &chat("advice", true));
-    let ask = opened(daemon);
-    give.send(token(&ask, 0)).expect("a listener");
+    caller.post(CHAT, ID_HEADER, &chat("advice", true));
+    let generate = wait_for_stream(daemon);
+    items.send(token(&generate, 0)).expect("an open stream");
     let head = caller.head();
     drop(caller);
     thread::spawn(move || {
-        // Written until the closed socket tells.
+        // The daemon notices the closed socket only when it writes.
         (1..20_000).find(|it| {
             thread::sleep(Duration::from_millis(1));
-            give.send(token(&ask, *it)).is_err()
+            items.send(token(&generate, *it)).is_err()
         })
     });
     head
 }
 
-/// One request fills the host; the next one is refused before it is read.
-fn full(daemon: &Daemon) -> Got {
-    let give = by_hand(daemon);
-    let mut held = Caller::new(daemon.addr);
-    held.post(CHAT, "", &chat("chat", true));
-    let first = opened(daemon);
-    let got = ask(daemon, "", false);
-    give.send(done(&first, 0)).expect("a listener");
-    held.response();
+/// One request uses the host's only place; the next one is refused before it is read.
+fn overload(daemon: &Daemon) -> HttpResponse {
+    let items = manual_stream(daemon);
+    let mut busy_caller = Caller::new(daemon.addr);
+    busy_caller.post(CHAT, "", &chat("chat", true));
+    let first = wait_for_stream(daemon);
+    let got = request(daemon, "", false);
+    items.send(done(&first, 0)).expect("an open stream");
+    busy_caller.response();
     got
 }
 
-fn lost() -> Play {
-    Play::Fail(CallError::Lost("x".to_owned()))
+fn lost() -> EngineScript {
+    EngineScript::Fail(CallError::Lost("x".to_owned()))
 }
 
-// One case a line.
+// One case per line.
 #[rustfmt::skip]
 const CASES: &[Case] = &[
-    Case { name: "whole, in time", flags: &[], act: |d| ask(d, "", false), told: None },
-    Case { name: "not found", flags: &[], act: |d| look(d, "missing"), told: None },
-    Case { name: "another service", flags: &[], act: |d| { d.drain.start(); post(d.addr, CHAT, CALL, &chat("chat", false)) }, told: None },
-    Case { name: "late", flags: &[], act: late, told: Some("verdict=answered code=") },
-    Case { name: "caller left", flags: &[], act: leave, told: Some("verdict=may_have_run") },
-    Case { name: "target refused", flags: &[], act: |d| play(d, Play::Fail(CallError::Refused(503, None, String::new())), false), told: Some("verdict=not_run") },
-    Case { name: "target lost", flags: &[], act: |d| play(d, lost(), false), told: Some("verdict=may_have_run") },
-    Case { name: "cut in the stream", flags: &[], act: |d| play(d, Play::Cut(2), true), told: Some("verdict=may_have_run") },
-    Case { name: "panic", flags: &[], act: |d| play(d, Play::Panic, false), told: Some("verdict=may_have_run") },
-    Case { name: "admission panics", flags: &[], act: |d| { *d.admission.panics.lock() = true; ask(d, "", false) }, told: Some("verdict=not_run code=RS503") },
-    Case { name: "key refused", flags: &[], act: |d| { *d.claims.key.lock() = Key1::Refuse(Refusal::may_have_run(Code::KeyUnknown, "x")); ask(d, "idempotency-key: k\r\n", false) }, told: Some("verdict=may_have_run code=RS402") },
-    Case { name: "source silent", flags: &[], act: |d| look(d, "other"), told: Some("code=RS602") },
-    Case { name: "host leaving", flags: &[], act: |d| { d.drain.start(); ask(d, "", false) }, told: Some("verdict=not_run code=RS204") },
-    Case { name: "host leaving, lookup", flags: &[], act: |d| { d.drain.start(); look(d, "other") }, told: Some("service=bulletins verdict=not_run code=RS204") },
-    Case { name: "host full", flags: &["--requests=1"], act: full, told: Some("verdict=not_run code=RS202") },
-    Case { name: "no connection free", flags: &["--connections=1"], act: full, told: Some("verdict=not_run code=RS202") },
-    Case { name: "bad header", flags: &[], act: |d| ask(d, "x-priority: 10\r\n", false), told: Some("verdict=not_run code=RS109") },
-    Case { name: "unknown organisation", flags: &[], act: |d| { let (org, body) = ("x-organisation: q", chat("advice", false)); let mut c = Caller::new(d.addr); c.send(&format!("POST {CHAT} HTTP/1.1\r\nhost: a\r\n{CALL}{org}\r\ncontent-length: {}\r\n\r\n{body}", body.len())); c.response() }, told: Some("organisation=* service=advice verdict=not_run code=RS106") },
+    Case { name: "answered in time", flags: &[], run: |d| request(d, "", false), warning: None },
+    Case { name: "not found", flags: &[], run: |d| look_up(d, "missing"), warning: None },
+    Case { name: "another service", flags: &[], run: |d| { d.drain.start(); post(d.addr, CHAT, ID_HEADER, &chat("chat", false)) }, warning: None },
+    Case { name: "late", flags: &[], run: answer_late, warning: Some("verdict=answered code=") },
+    Case { name: "caller left", flags: &[], run: leave_early, warning: Some("verdict=may_have_run") },
+    Case { name: "target refused", flags: &[], run: |d| run_script(d, EngineScript::Fail(CallError::Refused(503, None, String::new())), false), warning: Some("verdict=not_run") },
+    Case { name: "target lost", flags: &[], run: |d| run_script(d, lost(), false), warning: Some("verdict=may_have_run") },
+    Case { name: "cut in the stream", flags: &[], run: |d| run_script(d, EngineScript::Cut(2), true), warning: Some("verdict=may_have_run") },
+    Case { name: "panic", flags: &[], run: |d| run_script(d, EngineScript::Panic, false), warning: Some("verdict=may_have_run") },
+    Case { name: "admission panics", flags: &[], run: |d| { *d.admission.panics.lock() = true; request(d, "", false) }, warning: Some("verdict=not_run code=RS503") },
+    Case { name: "key refused", flags: &[], run: |d| { *d.claims.key.lock() = KeyState::Refuse(Refusal::may_have_run(Code::KeyUnknown, "x")); request(d, "idempotency-key: k\r\n", false) }, warning: Some("verdict=may_have_run code=RS402") },
+    Case { name: "source silent", flags: &[], run: |d| look_up(d, "other"), warning: Some("code=RS602") },
+    Case { name: "host leaving", flags: &[], run: |d| { d.drain.start(); request(d, "", false) }, warning: Some("verdict=not_run code=RS204") },
+    Case { name: "host leaving, lookup", flags: &[], run: |d| { d.drain.start(); look_up(d, "other") }, warning: Some("service=bulletins verdict=not_run code=RS204") },
+    Case { name: "host full", flags: &["--requests=1"], run: overload, warning: Some("verdict=not_run code=RS202") },
+    Case { name: "no connection free", flags: &["--connections=1"], run: overload, warning: Some("verdict=not_run code=RS202") },
+    Case { name: "bad header", flags: &[], run: |d| request(d, "x-priority: 10\r\n", false), warning: Some("verdict=not_run code=RS109") },
+    Case { name: "unknown organisation", flags: &[], run: |d| { let (org, body) = ("x-organisation: q", chat("advice", false)); let mut c = Caller::new(d.addr); c.send(&format!("POST {CHAT} HTTP/1.1\r\nhost: a\r\n{ID_HEADER}{org}\r\ncontent-length: {}\r\n\r\n{body}", body.len())); c.response() }, warning: Some("organisation=* service=advice verdict=not_run code=RS106") },
 ];
 
 #[test]
-fn every_kind_of_end_is_told() {
+fn every_missed_request_is_logged() {
     log::set_logger(&LINES).expect("one test in this process");
     log::set_max_level(log::LevelFilter::Trace);
     for case in CASES {
         LINES.0.lock().clear();
         let daemon = daemon(case.flags);
-        let got = (case.act)(&daemon);
-        // Other services' refusals at the door are in no ledger.
+        let got = (case.run)(&daemon);
+        // Early refusals of services that are not advisory are not in the ledger.
         if case.name != "another service" {
-            let end = ended(&daemon);
-            assert_eq!(end.missed(), case.told.is_some(), "{}: {end:?}", case.name);
+            let end = wait_for_end(&daemon);
+            assert_eq!(end.missed(), case.warning.is_some(), "{}: {end:?}", case.name);
             if got.header("x-attempt") == Some("not_run") {
                 assert!(got.header("retry-after").is_some(), "{}: {got:?}", case.name);
             }
         }
-        let lines = take(Event::AdvisoryMissed);
-        assert_eq!(lines.len(), usize::from(case.told.is_some()), "{}: {lines:?}", case.name);
-        if let (Some(told), [line]) = (case.told, lines.as_slice()) {
-            let fits = line.starts_with("WARN E205 request=told~") && line.contains(told);
+        let lines = lines_of(Event::AdvisoryMissed);
+        assert_eq!(lines.len(), usize::from(case.warning.is_some()), "{}: {lines:?}", case.name);
+        if let (Some(warning), [line]) = (case.warning, lines.as_slice()) {
+            let fits = line.starts_with("WARN E205 request=advisory~") && line.contains(warning);
             assert!(fits, "{}: {line}", case.name);
         }
     }
     not_found_is_an_answer();
 }
 
-/// In the log it is neither refused nor, when it comes in time, late.
+/// "Not found" counts as an answer: it is logged neither as refused nor, in time, as missed.
 fn not_found_is_an_answer() {
     LINES.0.lock().clear();
     let daemon = daemon(&[]);
-    let got = look(&daemon, "missing");
+    let got = look_up(&daemon, "missing");
     assert_eq!((got.status, got.refusal().as_str()), (404, "RS601 answered"));
     let end = &daemon.ledger.wait(1)[0];
     assert_eq!((end.verdict, end.code), (Verdict::Answered, Some(Code::NotFound)));
-    assert_eq!(take(Event::RequestRefused), Vec::<String>::new());
+    assert_eq!(lines_of(Event::RequestRefused), Vec::<String>::new());
     let metrics = Caller::new(daemon.addr).get("/metrics").body;
     let answered = |it: &str| {
         it.starts_with("roseshore_requests_total")
--- a/crates/roseshored/tests/calls.rs
+++ b/crates/roseshored/tests/calls.rs
@@ -4,7 +4,8 @@
 mod fakes;
 
 use fakes::{
-    Alone, FakeAdmission, FakeClaims, FakeEngine, FakeLedger, FirstFit, Key1, Play, StaticFleets,
+    EngineScript, FakeAdmission, FakeClaims, FakeEngine, FakeLedger, FirstFitRouter, KeyState,
+    SingleMember, StaticConfig,
 };
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
@@ -91,7 +92,7 @@
     name: &'static str,
     idempotent: bool,
     /// The result of claiming the key; `None` for a call without a key.
-    key: Option<Key1>,
+    key: Option<KeyState>,
     /// The replicas' behaviour in the order of the calls, all of which must be made.
     script: &'static [Behaviour],
     expected: &'static str,
@@ -114,7 +115,7 @@
 
 fn keyed(
     name: &'static str,
-    key: Key1,
+    key: KeyState,
     script: &'static [Behaviour],
     expected: &'static str,
     claim: &'static [&'static str],
@@ -155,44 +156,44 @@
         ),
         keyed(
             "key: answered",
-            Key1::Win,
+            KeyState::Win,
             &[Answers],
             "200",
             &["begin k", "dispatch", "settle answered"],
         ),
         keyed(
             "key: lost",
-            Key1::Win,
+            KeyState::Win,
             &[Loses],
             "RS303 may_have_run",
             &["begin k", "dispatch", "settle may_have_run"],
         ),
         keyed(
             "key: unreached, then answered",
-            Key1::Win,
+            KeyState::Win,
             &[Unreachable, Answers],
             "200",
             &["begin k", "dispatch", "settle answered"],
         ),
         keyed(
             "key: no replica started it",
-            Key1::Win,
+            KeyState::Win,
             &[Refuses, Refuses, Refuses],
             "RS304 not_run",
             &["begin k", "dispatch", "settle not_run"],
         ),
         keyed(
             "key: panic",
-            Key1::Win,
+            KeyState::Win,
             &[Panics],
             "panic",
             &["begin k", "dispatch", "settle may_have_run"],
         ),
-        keyed("key: claim lapsed", Key1::Lapse, &[], "RS206 not_run", &["begin k", "dispatch"]),
-        keyed("key: repeated", Key1::Settled(recorded()), &[], "201 repeated", &["begin k"]),
-        keyed("key: refused", Key1::Refuse(refusal), &[], "RS402 may_have_run", &["begin k"]),
+        keyed("key: claim lapsed", KeyState::Lapse, &[], "RS206 not_run", &["begin k", "dispatch"]),
+        keyed("key: repeated", KeyState::Settled(recorded()), &[], "201 repeated", &["begin k"]),
+        keyed("key: refused", KeyState::Refuse(refusal), &[], "RS402 may_have_run", &["begin k"]),
         Case {
-            key: Some(Key1::Win),
+            key: Some(KeyState::Win),
             claim: &[],
             ..idempotent("key of an idempotent service claims nothing", &[Answers], "200")
         },
@@ -205,7 +206,7 @@
         let service = format!("s{at}");
         let script = Mutex::new(case.script.iter().copied().collect());
         let replicas = Arc::new(Replicas { script, keys: Mutex::default() });
-        let key = Mutex::new(case.key.clone().unwrap_or(Key1::Win));
+        let key = Mutex::new(case.key.clone().unwrap_or(KeyState::Win));
         let claims = Arc::new(FakeClaims { key, calls: Mutex::default() });
         let app = app(&service, case.idempotent, claims.clone(), replicas.clone());
         let key = case.key.is_some().then(|| Key::from("k"));
@@ -229,7 +230,8 @@
     let attempts = |calls: usize| {
         let script = Mutex::new(VecDeque::from(vec![Behaviour::Loses; 3 * calls]));
         let replicas = Arc::new(Replicas { script, keys: Mutex::default() });
-        let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
+        let claims =
+            Arc::new(FakeClaims { key: Mutex::new(KeyState::Win), calls: Mutex::default() });
         let app = app("shared", true, claims, replicas.clone());
         for _ in 0..calls {
             calls::run(&app, &request("shared"), b"", None, 7, None)
@@ -243,7 +245,7 @@
 
 #[test]
 fn a_call_past_its_deadline_is_not_sent() {
-    let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
+    let claims = Arc::new(FakeClaims { key: Mutex::new(KeyState::Win), calls: Mutex::default() });
     let replicas = Arc::new(Replicas { script: Mutex::default(), keys: Mutex::default() });
     let app = app("late", false, claims.clone(), replicas);
     let late = RequestInfo { deadline: Instant::now(), ..request("late") };
@@ -266,15 +268,18 @@
 }
 
 fn app(service: &str, idempotent: bool, claims: Arc<FakeClaims>, services: Arc<Replicas>) -> App {
-    let fleets = Arc::new(StaticFleets::new(Some(fleet(service, idempotent))));
+    let fleets = Arc::new(StaticConfig::new(Some(fleet(service, idempotent))));
     App {
-        router: Arc::new(FirstFit::new(fleets.clone())),
+        router: Arc::new(FirstFitRouter::new(fleets.clone())),
         fleets,
         admission: Arc::new(FakeAdmission::default()),
         claims,
         ledger: Arc::new(FakeLedger::default()),
-        members: Arc::new(Alone::new(&fakes::settings(&[]))),
-        engine: Arc::new(FakeEngine { play: Mutex::new(Play::Whole(1)), opened: Mutex::default() }),
+        members: Arc::new(SingleMember::new(&fakes::settings(&[]))),
+        engine: Arc::new(FakeEngine {
+            script: Mutex::new(EngineScript::Complete(1)),
+            opened: Mutex::default(),
+        }),
         services,
         budgets: Arc::default(),
         drain: Arc::new(Drain::default()),
--- a/crates/roseshored/tests/drain.rs
+++ b/crates/roseshored/tests/drain.rs
@@ -14,10 +14,10 @@
 #[test]
 fn in_flight_ends_whole() {
     let daemon = daemon(&["--drain-ms=60000"]);
-    let give = by_hand(&daemon);
+    let give = manual_stream(&daemon);
     let mut held = Caller::new(daemon.addr);
     held.post(CHAT, "", &chat("chat", true));
-    let ask = opened(&daemon);
+    let ask = wait_for_stream(&daemon);
     give.send(token(&ask, 0)).expect("a listener");
     let top = held.head();
     let mut kept = Caller::new(daemon.addr);
@@ -47,10 +47,10 @@
 #[test]
 fn bound() {
     let daemon = daemon(&["--drain-ms=0"]);
-    let _give = by_hand(&daemon);
+    let _give = manual_stream(&daemon);
     let mut held = Caller::new(daemon.addr);
     held.post(CHAT, "", &chat("chat", true));
-    opened(&daemon);
+    wait_for_stream(&daemon);
     assert_eq!(daemon.running.finish(), 1);
 }
 
@@ -86,7 +86,7 @@
             }
             process.signal(signal);
         }
-        assert_eq!(process.end().code(), Some(case.status), "{}", case.name);
+        assert_eq!(process.wait_for_exit().code(), Some(case.status), "{}", case.name);
     }
 }
 
--- a/crates/roseshored/tests/http.rs
+++ b/crates/roseshored/tests/http.rs
@@ -1,4 +1,4 @@
-//! The callers' contract, against a daemon in this process with fakes behind it.
+//! The HTTP API for callers, tested on a daemon in this process with fake components.
 
 #[path = "support/fakes.rs"]
 mod fakes;
@@ -10,7 +10,7 @@
 use std::sync::atomic::Ordering;
 use std::thread;
 
-struct Refused {
+struct BadInput {
     name: &'static str,
     raw: String,
     status: u16,
@@ -28,41 +28,42 @@
     raw("POST /v1/chat/completions", &format!("{org}{headers}content-length: {len}\r\n"), body)
 }
 
-fn case(name: &'static str, raw: String, status: u16, refusal: &'static str) -> Refused {
-    Refused { name, raw, status, refusal }
+fn case(name: &'static str, raw: String, status: u16, refusal: &'static str) -> BadInput {
+    BadInput { name, raw, status, refusal }
 }
 
-fn refused_cases() -> Vec<Refused> {
+fn bad_input_cases() -> Vec<BadInput> {
     let good = &chat("chat", false);
     let big = "x".repeat(3000);
     let chunk = format!("bb8\r\n{big}\r\n0\r\n\r\n");
-    // Neither of these heads ends: without its bound, each would be waited for.
+    // Neither of these heads ends; without the size limits the daemon would wait for the rest.
     let long_head = format!("POST / HTTP/1.1\r\na: {}", "y".repeat(20_000));
     let many = format!("POST / HTTP/1.1\r\n{}", "a: b\r\n".repeat(200));
     let long_key = format!("idempotency-key: {}\r\n", "k".repeat(201));
-    let with = |field: &str| good.replacen('{', &format!("{{{field},"), 1);
+    let with_field = |field: &str| good.replacen('{', &format!("{{{field},"), 1);
     let post = "POST /v1/chat/completions";
     let org = "x-organisation: acme\r\n";
     let chunked = &format!("{org}transfer-encoding: chunked\r\n");
-    let (gone, bad, header) = ("RS108 not_run", "RS101 not_run", "RS109 not_run");
+    let (unknown_path, bad_request, bad_header) =
+        ("RS108 not_run", "RS101 not_run", "RS109 not_run");
     vec![
-        case("unknown path", raw("GET /v2/x", "", ""), 404, gone),
-        case("wrong method", raw("PUT /v1/chat/completions", "", ""), 404, gone),
+        case("unknown path", raw("GET /v2/x", "", ""), 404, unknown_path),
+        case("wrong method", raw("PUT /v1/chat/completions", "", ""), 404, unknown_path),
         case("unknown model", chat_raw("", &chat("nope", false)), 404, "RS104 not_run"),
         case("lookup service as model", chat_raw("", &chat("cards", false)), 404, "RS104 not_run"),
         case("unknown adapter", chat_raw("", &chat("chat:x", false)), 404, "RS107 not_run"),
         case("unknown service", raw("GET /v1/lookup/nope/a", org, ""), 404, "RS105 not_run"),
-        case("name with dots", raw("GET /v1/lookup/cards/../x", org, ""), 400, bad),
+        case("name with dots", raw("GET /v1/lookup/cards/../x", org, ""), 400, bad_request),
         case("unknown organisation", chat_raw("x-organisation: q\r\n", good), 403, "RS106 not_run"),
-        case("no organisation", raw(post, "content-length: 0\r\n", ""), 400, bad),
-        case("broken json", chat_raw("", "{\"model\":"), 400, bad),
-        case("several answers", chat_raw("", &with("\"n\":2")), 400, bad),
-        case("stop words", chat_raw("", &with("\"stop\":[\"x\"]")), 400, bad),
-        case("no tokens", chat_raw("", &with("\"max_tokens\":0")), 400, bad),
+        case("no organisation", raw(post, "content-length: 0\r\n", ""), 400, bad_request),
+        case("broken json", chat_raw("", "{\"model\":"), 400, bad_request),
+        case("several answers", chat_raw("", &with_field("\"n\":2")), 400, bad_request),
+        case("stop words", chat_raw("", &with_field("\"stop\":[\"x\"]")), 400, bad_request),
+        case("zero max_tokens", chat_raw("", &with_field("\"max_tokens\":0")), 400, bad_request),
         case("body far over bound", chat_raw("", &"x".repeat(300_000)), 413, "RS102 not_run"),
         case("length over bound", chat_raw("", &big), 413, "RS102 not_run"),
         case(
-            "length that ends tiny_http",
+            "length that aborts tiny_http",
             raw(post, "content-length: 1000000000000000\r\n", "abc"),
             413,
             "RS102 not_run",
@@ -71,33 +72,33 @@
             "length past u64",
             raw(post, "content-length: 99999999999999999999\r\n", ""),
             400,
-            header,
+            bad_header,
         ),
-        case("negative length", raw(post, "content-length: -1\r\n", ""), 400, header),
+        case("negative length", raw(post, "content-length: -1\r\n", ""), 400, bad_header),
         case("chunks over bound", raw(post, chunked, &chunk), 413, "RS102 not_run"),
-        case("broken chunk", raw(post, chunked, "zz\r\n"), 400, bad),
+        case("broken chunk", raw(post, chunked, "zz\r\n"), 400, bad_request),
         case(
             "both lengths",
             raw(post, "content-length: 1\r\ntransfer-encoding: chunked\r\n", ""),
             400,
-            header,
+            bad_header,
         ),
-        case("unknown encoding", raw(post, "transfer-encoding: gzip\r\n", ""), 400, header),
-        case("long head", long_head, 400, bad),
-        case("many headers", many, 400, bad),
-        case("folded header", raw(post, "a: b\r\n c\r\n", ""), 400, header),
-        case("header without colon", raw(post, "abc\r\n", ""), 400, header),
-        case("other protocol", "\u{16}\u{3}\u{1}\n".to_owned(), 400, bad),
-        case("other version", "GET / HTTP/2.0\r\n\r\n".to_owned(), 400, bad),
-        case("deadline of words", chat_raw("x-deadline-ms: soon\r\n", good), 400, header),
-        case("deadline of nothing", chat_raw("x-deadline-ms: 0\r\n", good), 400, header),
-        case("priority too high", chat_raw("x-priority: 10\r\n", good), 400, header),
-        case("key too long", chat_raw(&long_key, good), 400, header),
+        case("unknown encoding", raw(post, "transfer-encoding: gzip\r\n", ""), 400, bad_header),
+        case("long head", long_head, 400, bad_request),
+        case("many headers", many, 400, bad_request),
+        case("folded header", raw(post, "a: b\r\n c\r\n", ""), 400, bad_header),
+        case("header without colon", raw(post, "abc\r\n", ""), 400, bad_header),
+        case("other protocol", "\u{16}\u{3}\u{1}\n".to_owned(), 400, bad_request),
+        case("other version", "GET / HTTP/2.0\r\n\r\n".to_owned(), 400, bad_request),
+        case("deadline not a number", chat_raw("x-deadline-ms: soon\r\n", good), 400, bad_header),
+        case("zero deadline", chat_raw("x-deadline-ms: 0\r\n", good), 400, bad_header),
+        case("priority too high", chat_raw("x-priority: 10\r\n", good), 400, bad_header),
+        case("key too long", chat_raw(&long_key, good), 400, bad_header),
         case(
             "key twice",
             chat_raw("idempotency-key: a\r\nidempotency-key: b\r\n", good),
             400,
-            header,
+            bad_header,
         ),
         case(
             "keyed, unknown service",
@@ -105,7 +106,7 @@
             404,
             "RS104 may_have_run",
         ),
-        case("keyed, broken json", chat_raw("idempotency-key: a\r\n", "{"), 400, bad),
+        case("keyed, broken json", chat_raw("idempotency-key: a\r\n", "{"), 400, bad_request),
         case("silent", String::new(), 408, "RS103 not_run"),
         case("half a head", "POST /v1/ch".to_owned(), 408, "RS103 not_run"),
         case("half a body", raw(post, "content-length: 9\r\n", "abc"), 408, "RS103 not_run"),
@@ -118,11 +119,11 @@
     ]
 }
 
-/// Every bad input is refused within its bound, with a code, and nothing is dispatched.
+/// Bad input is refused with a code, within the limits, and nothing is dispatched.
 #[test]
 fn bad_input() {
     let daemon = daemon(&["--caller-ms=300"]);
-    for case in refused_cases() {
+    for case in bad_input_cases() {
         let mut caller = Caller::new(daemon.addr);
         caller.send(&case.raw);
         let got = caller.response();
@@ -141,36 +142,72 @@
     assert_eq!(Caller::new(daemon.addr).get("/healthz").status, 200);
 }
 
-struct Ended {
+struct EndCase {
     name: &'static str,
-    play: Play,
+    script: EngineScript,
     stream: bool,
     verdict: Verdict,
 }
 
-/// What the caller is told, by how the engine behaves.
+/// The response and the recorded verdict for each behaviour of the engine.
 #[test]
-fn ends() {
-    let refuse = |status| Play::Fail(CallError::Refused(status, None, String::new()));
-    let unreached = Play::Fail(CallError::Unreached("x".to_owned()));
-    let lost = Play::Fail(CallError::Lost("x".to_owned()));
-    let (not, may, whole) = (Verdict::NotRun, Verdict::MayHaveRun, Verdict::Answered);
+fn results_by_engine_behaviour() {
+    let refused = |status| EngineScript::Fail(CallError::Refused(status, None, String::new()));
+    let unreachable = EngineScript::Fail(CallError::Unreached("x".to_owned()));
+    let lost = EngineScript::Fail(CallError::Lost("x".to_owned()));
+    let (not_run, may_have_run, answered) =
+        (Verdict::NotRun, Verdict::MayHaveRun, Verdict::Answered);
     let cases = [
-        Ended { name: "whole", play: Play::Whole(3), stream: false, verdict: whole },
-        Ended { name: "whole stream", play: Play::Whole(3), stream: true, verdict: whole },
-        Ended { name: "empty stream", play: Play::Whole(0), stream: true, verdict: whole },
-        Ended { name: "other holding", play: refuse(409), stream: true, verdict: not },
-        Ended { name: "full engine", play: refuse(503), stream: false, verdict: not },
-        Ended { name: "unreached", play: unreached, stream: false, verdict: not },
-        Ended { name: "head lost", play: lost, stream: false, verdict: may },
-        Ended { name: "cut before a token", play: Play::Cut(0), stream: true, verdict: may },
-        Ended { name: "cut, not streamed", play: Play::Cut(2), stream: false, verdict: may },
-        Ended { name: "cut in the stream", play: Play::Cut(2), stream: true, verdict: may },
-        Ended { name: "panic after dispatch", play: Play::Panic, stream: true, verdict: may },
+        EndCase {
+            name: "complete",
+            script: EngineScript::Complete(3),
+            stream: false,
+            verdict: answered,
+        },
+        EndCase {
+            name: "complete stream",
+            script: EngineScript::Complete(3),
+            stream: true,
+            verdict: answered,
+        },
+        EndCase {
+            name: "empty stream",
+            script: EngineScript::Complete(0),
+            stream: true,
+            verdict: answered,
+        },
+        EndCase { name: "other holding", script: refused(409), stream: true, verdict: not_run },
+        EndCase { name: "full engine", script: refused(503), stream: false, verdict: not_run },
+        EndCase { name: "unreached", script: unreachable, stream: false, verdict: not_run },
+        EndCase { name: "head lost", script: lost, stream: false, verdict: may_have_run },
+        EndCase {
+            name: "cut before a token",
+            script: EngineScript::Cut(0),
+            stream: true,
+            verdict: may_have_run,
+        },
+        EndCase {
+            name: "cut, not streamed",
+            script: EngineScript::Cut(2),
+            stream: false,
+            verdict: may_have_run,
+        },
+        EndCase {
+            name: "cut in the stream",
+            script: EngineScript::Cut(2),
+            stream: true,
+            verdict: may_have_run,
+        },
+        EndCase {
+            name: "panic after dispatch",
+            script: EngineScript::Panic,
+            stream: true,
+            verdict: may_have_run,
+        },
     ];
     for case in cases {
         let daemon = daemon(&[]);
-        *daemon.engine.play.lock() = case.play;
+        *daemon.engine.script.lock() = case.script;
         let headers = "x-request-id: r-1\r\nx-deadline-ms: 4000\r\n";
         let got = post(daemon.addr, CHAT, headers, &chat("verdicts", case.stream));
         let end = &daemon.ledger.wait(1)[0];
@@ -178,7 +215,7 @@
         assert_eq!(got.header("x-request-id"), Some("r-1"), "{}", case.name);
         let done = got.body.ends_with("data: [DONE]\n\n");
         let stream = got.header("content-type") == Some("text/event-stream");
-        assert_eq!(done, case.stream && case.verdict == whole, "{}: {got:?}", case.name);
+        assert_eq!(done, case.stream && case.verdict == answered, "{}: {got:?}", case.name);
         match (case.verdict, stream) {
             (Verdict::Answered, _) => assert_eq!(got.status, 200, "{}", case.name),
             (_, true) => {
@@ -189,14 +226,14 @@
             (verdict, false) => {
                 assert!(got.status >= 500, "{}", case.name);
                 assert_eq!(got.header("x-verdict"), Some(verdict.name()), "{}", case.name);
-                let stay = (verdict == may).then_some("false");
-                assert_eq!(got.header("x-should-retry"), stay, "{}", case.name);
+                let should_retry = (verdict == may_have_run).then_some("false");
+                assert_eq!(got.header("x-should-retry"), should_retry, "{}", case.name);
             }
         }
     }
 }
 
-/// A panic says "not run" only before anything was dispatched, and the daemon goes on.
+/// A panic is reported as "not run" only if nothing was dispatched, and the daemon keeps serving.
 #[test]
 fn panics() {
     let daemon = daemon(&[]);
@@ -204,9 +241,9 @@
     let got = post(daemon.addr, CHAT, "", &chat("verdicts", true));
     assert_eq!((got.status, got.refusal().as_str()), (500, "RS503 not_run"));
     *daemon.admission.panics.lock() = false;
-    // The first chain is refused by its engine, the choice of the second one panics.
+    // The first chain's engine refuses; the choice of the second chain panics.
     daemon.router.panics_from.store(1, Ordering::SeqCst);
-    *daemon.engine.play.lock() = Play::Fail(CallError::Refused(503, None, String::new()));
+    *daemon.engine.script.lock() = EngineScript::Fail(CallError::Refused(503, None, String::new()));
     let got = post(daemon.addr, CHAT, "", &chat("verdicts", true));
     assert_eq!((got.status, got.refusal().as_str()), (500, "RS503 may_have_run"));
     assert_eq!(got.header("x-should-retry"), Some("false"));
@@ -216,76 +253,77 @@
     let calls = ["begin acme/verdicts/k1", "dispatch", "settle may_have_run"];
     assert_eq!(*daemon.claims.calls.lock(), calls);
     daemon.router.panics_from.store(usize::MAX, Ordering::SeqCst);
-    *daemon.engine.play.lock() = Play::Whole(3);
+    *daemon.engine.script.lock() = EngineScript::Complete(3);
     assert_eq!(post(daemon.addr, CHAT, "", &chat("chat", false)).status, 200);
     let ends = daemon.ledger.wait(4);
     let mut verdicts: Vec<Verdict> = ends.iter().map(|it| it.verdict).collect();
-    // A request ends in the ledger after its caller has its answer, so their order is free.
+    // A request ends in the ledger after its caller has got the answer, so the order may vary.
     verdicts.sort_unstable();
-    let may = Verdict::MayHaveRun;
-    assert_eq!(verdicts, [Verdict::NotRun, may, may, Verdict::Answered]);
+    let may_have_run = Verdict::MayHaveRun;
+    assert_eq!(verdicts, [Verdict::NotRun, may_have_run, may_have_run, Verdict::Answered]);
 }
 
-/// The engine gives token n + 1 only after the caller has read token n.
+/// The engine sends token n + 1 only after the caller has read token n, so a daemon that buffers tokens
+/// fails here.
 #[test]
 fn tokens_reach_the_caller_one_by_one() {
     let daemon = daemon(&[]);
-    let give = by_hand(&daemon);
+    let items = manual_stream(&daemon);
     let mut caller = Caller::new(daemon.addr);
     caller.post(CHAT, "", &chat("chat", true));
-    let ask = opened(&daemon);
+    let request = wait_for_stream(&daemon);
     for position in 0..5 {
-        give.send(token(&ask, position)).expect("a listener");
+        items.send(token(&request, position)).expect("an open stream");
         if position == 0 {
             assert_eq!(caller.head().status, 200);
         }
         let chunk = caller.chunk();
         assert!(chunk.contains(&format!(r#""content":"t{position} ""#)), "{chunk}");
     }
-    give.send(done(&ask, 5)).expect("a listener");
-    give.send(StreamItem::Ended(Ok(()))).expect("a listener");
+    items.send(done(&request, 5)).expect("an open stream");
+    items.send(StreamItem::Ended(Ok(()))).expect("an open stream");
     assert!(caller.chunk().contains(r#""finish_reason":"stop""#));
     assert_eq!(caller.chunk(), "data: [DONE]\n\n");
     assert_eq!(caller.chunk(), "");
-    assert_eq!(caller.get("/healthz").status, 200, "the connection serves on");
+    assert_eq!(caller.get("/healthz").status, 200, "the connection must stay usable");
 }
 
-/// Whole answers and streams in both forms, as stock clients read them.
+/// Complete answers and streams of both APIs, read like OpenAI-compatible clients do.
 #[test]
-fn forms() {
-    struct Form {
+fn response_formats() {
+    struct Format {
         name: &'static str,
         path: &'static str,
-        ask: &'static str,
+        input: &'static str,
         object: &'static str,
         text: &'static str,
     }
     let cases = [
-        Form {
+        Format {
             name: "chat",
             path: CHAT,
-            ask: r#""messages":[{"role":"user","content":[{"type":"text","text":"a b"}]}]"#,
+            input: r#""messages":[{"role":"user","content":[{"type":"text","text":"a b"}]}]"#,
             object: "chat.completion",
             text: "/choices/0/message/content",
         },
-        Form {
+        Format {
             name: "text",
             path: TEXT,
-            ask: r#""prompt":"a b c""#,
+            input: r#""prompt":"a b c""#,
             object: "text_completion",
             text: "/choices/0/text",
         },
-        Form {
+        Format {
             name: "one text of a list",
             path: TEXT,
-            ask: r#""prompt":["a b c"],"temperature":0.2"#,
+            input: r#""prompt":["a b c"],"temperature":0.2"#,
             object: "text_completion",
             text: "/choices/0/text",
         },
     ];
     let daemon = daemon(&[]);
     for case in cases {
-        let body = format!(r#"{{"model":"chat:tuned",{}}}"#, case.ask);
+        let body = format!(r#"{{"model":"chat:tuned",{}}}"#, case.input);
         let got = post(daemon.addr, case.path, "", &body).json();
         assert_eq!(got["object"], case.object, "{}", case.name);
         assert_eq!(
@@ -322,10 +360,10 @@
     assert!(opened.iter().all(|it| it.trace.is_some()));
 }
 
-struct Keyed {
+struct KeyCase {
     name: &'static str,
-    key: Key1,
-    play: Play,
+    key: KeyState,
+    script: EngineScript,
     calls: &'static [&'static str],
     refusal: &'static str,
 }
@@ -335,63 +373,69 @@
     Outcome { verdict, status: 200, content: String::new(), body }
 }
 
-/// A key is claimed before its dispatch and ended once, whatever happens in between.
+/// A key is claimed before dispatch, and its claim is ended exactly once in every case.
 #[test]
-fn keys() {
+fn claims_by_result() {
     const BEGIN: &str = "begin acme/verdicts/k1";
     let busy = Refusal::may_have_run(Code::KeyInProgress, "x");
-    let unreached = Play::Fail(CallError::Unreached("x".to_owned()));
-    let kept = Key1::Settled(outcome(Verdict::Answered));
-    let unknown = Key1::Settled(outcome(Verdict::MayHaveRun));
-    let whole = || Play::Whole(3);
+    let unreachable = EngineScript::Fail(CallError::Unreached("x".to_owned()));
+    let recorded = KeyState::Settled(outcome(Verdict::Answered));
+    let unknown = KeyState::Settled(outcome(Verdict::MayHaveRun));
+    let complete = || EngineScript::Complete(3);
     let cases = [
-        Keyed {
+        KeyCase {
             name: "won",
-            key: Key1::Win,
-            play: whole(),
+            key: KeyState::Win,
+            script: complete(),
             calls: &[BEGIN, "dispatch", "settle answered"],
             refusal: "- answered",
         },
-        Keyed {
+        KeyCase {
             name: "lapsed",
-            key: Key1::Lapse,
-            play: whole(),
+            key: KeyState::Lapse,
+            script: complete(),
             calls: &[BEGIN, "dispatch"],
             refusal: "RS401 not_run",
         },
-        Keyed { name: "kept", key: kept, play: whole(), calls: &[BEGIN], refusal: "- answered" },
-        Keyed {
+        KeyCase {
+            name: "recorded",
+            key: recorded,
+            script: complete(),
+            calls: &[BEGIN],
+            refusal: "- answered",
+        },
+        KeyCase {
             name: "unknown",
             key: unknown,
-            play: whole(),
+            script: complete(),
             calls: &[BEGIN],
             refusal: "RS402 may_have_run",
         },
-        Keyed {
+        KeyCase {
             name: "busy",
-            key: Key1::Refuse(busy),
-            play: whole(),
+            key: KeyState::Refuse(busy),
+            script: complete(),
             calls: &[BEGIN],
             refusal: "RS401 may_have_run",
         },
-        Keyed {
+        KeyCase {
             name: "unreached",
-            key: Key1::Win,
-            play: unreached,
+            key: KeyState::Win,
+            script: unreachable,
             calls: &[BEGIN, "dispatch", "settle not_run"],
             refusal: "RS301 not_run",
         },
-        Keyed {
+        KeyCase {
             name: "cut",
-            key: Key1::Win,
-            play: Play::Cut(1),
+            key: KeyState::Win,
+            script: EngineScript::Cut(1),
             calls: &[BEGIN, "dispatch", "settle may_have_run"],
             refusal: "RS303 may_have_run",
         },
-        Keyed {
+        KeyCase {
             name: "engine panics",
-            key: Key1::Win,
-            play: Play::Panic,
+            key: KeyState::Win,
+            script: EngineScript::Panic,
             calls: &[BEGIN, "dispatch", "settle may_have_run"],
             refusal: "RS303 may_have_run",
         },
@@ -399,7 +443,7 @@
     for case in cases {
         let daemon = daemon(&[]);
         *daemon.claims.key.lock() = case.key;
-        *daemon.engine.play.lock() = case.play;
+        *daemon.engine.script.lock() = case.script;
         let headers = "idempotency-key: k1\r\nx-deadline-ms: 4000\r\n";
         let got = post(daemon.addr, CHAT, headers, &chat("verdicts", false));
         assert_eq!(*daemon.claims.calls.lock(), case.calls, "{}", case.name);
@@ -407,9 +451,9 @@
     }
 }
 
-/// A repeat of a key is answered from the record, whole or as a stream, and nothing is dispatched.
+/// A repeated request with a key is answered from the record, whole or as a stream, without dispatch.
 #[test]
-fn repeats() {
+fn recorded_answers_are_replayed() {
     let daemon = daemon(&[]);
     let key = "idempotency-key: k1\r\n";
     let first = post(daemon.addr, CHAT, key, &chat("verdicts", true));
@@ -427,32 +471,32 @@
     assert_eq!(repeated, [false, true, true]);
 }
 
-struct Full {
+struct Overload {
     name: &'static str,
     flag: &'static str,
     headers: &'static str,
     refusal: &'static str,
 }
 
-/// Past its bounds the daemon refuses at once, and says "not run" only where no key is in play.
+/// At its limits the daemon refuses at once, and reports "not run" only for requests without a key.
 #[test]
-fn no_room() {
+fn refusals_at_the_limits() {
     let key = "idempotency-key: k\r\n";
     let cases = [
-        Full { name: "requests", flag: "--requests=1", headers: "", refusal: "RS202 not_run" },
-        Full {
+        Overload { name: "requests", flag: "--requests=1", headers: "", refusal: "RS202 not_run" },
+        Overload {
             name: "requests, keyed",
             flag: "--requests=1",
             headers: key,
             refusal: "RS202 may_have_run",
         },
-        Full {
+        Overload {
             name: "connections",
             flag: "--connections=1",
             headers: "",
             refusal: "RS202 not_run",
         },
-        Full {
+        Overload {
             name: "connections, keyed",
             flag: "--connections=1",
             headers: key,
@@ -461,46 +505,46 @@
     ];
     for case in cases {
         let daemon = daemon(&[case.flag]);
-        let give = by_hand(&daemon);
-        let mut held = Caller::new(daemon.addr);
-        held.post(CHAT, "", &chat("chat", true));
-        let ask = opened(&daemon);
+        let items = manual_stream(&daemon);
+        let mut busy_caller = Caller::new(daemon.addr);
+        busy_caller.post(CHAT, "", &chat("chat", true));
+        let request = wait_for_stream(&daemon);
         let got = post(daemon.addr, CHAT, case.headers, &chat("chat", false));
         assert_eq!((got.status, got.refusal().as_str()), (503, case.refusal), "{}", case.name);
         assert!(got.header("retry-after").is_some(), "{}", case.name);
-        give.send(done(&ask, 0)).expect("a listener");
-        assert!(held.response().body.ends_with("data: [DONE]\n\n"), "{}", case.name);
+        items.send(done(&request, 0)).expect("an open stream");
+        assert!(busy_caller.response().body.ends_with("data: [DONE]\n\n"), "{}", case.name);
         assert_eq!(daemon.engine.opened.lock().len(), 1, "{}", case.name);
     }
 }
 
-/// A caller that leaves ends the engine's work, and the ledger says so.
+/// When a caller leaves, the engine's stream is closed and the ledger records it.
 #[test]
 fn caller_leaves() {
     let daemon = daemon(&[]);
-    let give = by_hand(&daemon);
+    let items = manual_stream(&daemon);
     let mut caller = Caller::new(daemon.addr);
     caller.post(CHAT, "", &chat("chat", true));
-    let ask = opened(&daemon);
-    give.send(token(&ask, 0)).expect("a listener");
+    let request = wait_for_stream(&daemon);
+    items.send(token(&request, 0)).expect("an open stream");
     caller.head();
     drop(caller);
-    let ender = thread::spawn(move || {
-        // Written until the closed socket tells.
+    let writer = thread::spawn(move || {
+        // The daemon notices the closed socket only when it writes.
         (1..1_000_000).find(|it| {
             thread::sleep(Duration::from_millis(1));
-            give.send(token(&ask, *it)).is_err() || give.is_disconnected()
+            items.send(token(&request, *it)).is_err() || items.is_disconnected()
         })
     });
     let end = &daemon.ledger.wait(1)[0];
     assert!(end.caller_left);
     assert_eq!(end.verdict, Verdict::MayHaveRun);
-    // The fake's own copy of the stream must go before the daemon's can be seen to be gone.
-    *daemon.engine.play.lock() = Play::Whole(0);
-    assert!(ender.join().expect("join").is_some(), "the engine's stream was let go");
+    // The fake holds a receiver too; it must be dropped to see that the daemon has dropped its own.
+    *daemon.engine.script.lock() = EngineScript::Complete(0);
+    assert!(writer.join().expect("join").is_some(), "the engine's stream must be closed");
 }
 
-/// One caller's id twice at once stays two requests behind the front.
+/// Two requests with the same id from callers have different ids towards the engines.
 #[test]
 fn same_request_id() {
     let daemon = daemon(&[]);
@@ -512,66 +556,83 @@
     assert_ne!(opened[0].answer, opened[1].answer);
 }
 
-/// What can be seen of the daemon, with and without a configuration.
+/// Status requests, with and without a configuration.
 #[test]
-fn sight() {
-    struct Seen {
+fn status_requests() {
+    struct StatusCase {
         name: &'static str,
         path: &'static str,
         status: u16,
         text: &'static str,
-        bare: u16,
+        without_config: u16,
     }
     let cases = [
-        Seen { name: "health", path: "/healthz", status: 200, text: "ok", bare: 200 },
-        Seen { name: "readiness", path: "/readyz", status: 200, text: "ready", bare: 503 },
-        Seen {
+        StatusCase {
+            name: "health",
+            path: "/healthz",
+            status: 200,
+            text: "ok",
+            without_config: 200,
+        },
+        StatusCase {
+            name: "readiness",
+            path: "/readyz",
+            status: 200,
+            text: "ready",
+            without_config: 503,
+        },
+        StatusCase {
             name: "models",
             path: "/v1/models",
             status: 200,
             text: r#""id":"chat:tuned""#,
-            bare: 503,
+            without_config: 503,
         },
-        Seen {
+        StatusCase {
             name: "unknown request",
             path: "/v1/requests/nope",
             status: 404,
             text: "unknown",
-            bare: 404,
+            without_config: 404,
         },
-        Seen {
+        StatusCase {
             name: "metrics",
             path: "/metrics",
             status: 200,
             text: "roseshore_requests_total",
-            bare: 200,
+            without_config: 200,
         },
-        Seen {
+        StatusCase {
             name: "spans",
             path: "/v1/trace/seen",
             status: 200,
             text: r#""name":"admit""#,
-            bare: 200,
+            without_config: 200,
         },
-        Seen {
+        StatusCase {
             name: "caller's trace",
             path: "/v1/trace/seen",
             status: 200,
             text: "trace=0af7651916cd43dd8448eb211c80319c",
-            bare: 200,
+            without_config: 200,
         },
     ];
     let daemon = daemon(&[]);
-    let bare = daemon_with(&[], None);
+    let unconfigured = daemon_with(&[], None);
     let trace = "traceparent: 00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01\r\n";
     let got =
         post(daemon.addr, CHAT, &format!("x-request-id: seen\r\n{trace}"), &chat("chat", false));
     assert_eq!(got.status, 200);
-    assert_eq!(post(bare.addr, CHAT, "", &chat("chat", false)).refusal(), "RS501 not_run");
+    assert_eq!(post(unconfigured.addr, CHAT, "", &chat("chat", false)).refusal(), "RS501 not_run");
     for case in cases {
         let got = Caller::new(daemon.addr).get(case.path);
         assert_eq!(got.status, case.status, "{}", case.name);
         assert!(got.body.contains(case.text), "{}: {}", case.name, got.body);
-        assert_eq!(Caller::new(bare.addr).get(case.path).status, case.bare, "{}", case.name);
+        assert_eq!(
+            Caller::new(unconfigured.addr).get(case.path).status,
+            case.without_config,
+            "{}",
+            case.name
+        );
     }
 }
--- a/crates/roseshored/tests/path.rs
+++ b/crates/roseshored/tests/path.rs
@@ -1,11 +1,11 @@
-//! The whole path: an operator's command through the log, a caller's request over two stages.
+//! End to end: an operator's command through the log, then callers' requests over two stages.
 
 #[path = "support/fakes.rs"]
 mod fakes;
 #[path = "support/process.rs"]
 mod process;
 
-use fakes::{CHAT, Caller, PATIENCE, chat, post};
+use fakes::{CHAT, Caller, TEST_TIMEOUT, chat, post};
 use roseshore_core::config::{Change, Command, FORMAT};
 use roseshore_core::prelude::*;
 use roseshore_core::wall;
@@ -37,16 +37,16 @@
 [targets]
 "#;
 
-/// A platform, two stages and a daemon, each with its own sockets.
-struct Path {
+/// A fake platform, two fake engines and a daemon, connected over sockets.
+struct Deployment {
     platform: PlatformFake,
     stages: Vec<EngineFake>,
     parts: Daemon,
     running: Running,
 }
 
-impl Path {
-    fn start() -> Path {
+impl Deployment {
+    fn start() -> Deployment {
         let platform = PlatformFake::start(PlatformSettings::default()).expect("platform");
         let log = format!("--log={}", platform.addr());
         let settings = fakes::settings(&[&log, "--poll-ms=20"]);
@@ -57,7 +57,7 @@
             let name = format!("e{}", layers.0);
             EngineFake::start(EngineSettings::holding(&name, "m", "v1", layers)).expect("engine")
         });
-        Path { platform, stages: holding.into(), parts, running }
+        Deployment { platform, stages: holding.into(), parts, running }
     }
 
     fn addr(&self) -> SocketAddr {
@@ -92,8 +92,8 @@
         self.parts.stop();
     }
 
-    /// Waits until the daemon has heard of every stage.
-    fn wait(&self) {
+    /// Waits until the daemon has load reports of every stage.
+    fn wait_for_stages(&self) {
         wait_for_stages(self.addr());
     }
 }
@@ -103,7 +103,7 @@
     wait_until("the stages are in use", served);
 }
 
-/// Opens a stream, says so, and reads it to its end.
+/// Opens a stream, signals that, and reads the stream to its end.
 fn stream(addr: SocketAddr, opened: &flume::Sender<()>) -> String {
     let mut caller = Caller::new(addr);
     caller.post(CHAT, "", &chat("chat", true));
@@ -113,18 +113,18 @@
     caller.rest(top).body
 }
 
-/// Without a configuration nothing is served; with one, an answer passes both stages.
+/// Without a configuration nothing is served; with one, an answer runs over both stages.
 #[test]
 fn from_command_to_answer() {
-    let path = Path::start();
-    let before = post(path.addr(), CHAT, "", &chat("chat", false));
+    let deployment = Deployment::start();
+    let before = post(deployment.addr(), CHAT, "", &chat("chat", false));
     assert_eq!(before.refusal(), "RS501 not_run");
-    path.apply();
-    path.wait();
-    let whole = post(path.addr(), CHAT, "x-request-id: w\r\n", &chat("chat", false)).json();
+    deployment.apply();
+    deployment.wait_for_stages();
+    let whole = post(deployment.addr(), CHAT, "x-request-id: w\r\n", &chat("chat", false)).json();
     let text = whole["choices"][0]["message"]["content"].as_str().expect("text").to_owned();
     assert!(!text.is_empty());
-    let streamed = post(path.addr(), CHAT, "x-request-id: s\r\n", &chat("chat", true));
+    let streamed = post(deployment.addr(), CHAT, "x-request-id: s\r\n", &chat("chat", true));
     assert!(streamed.body.ends_with("data: [DONE]\n\n"));
     let parts = streamed.body.lines().filter_map(|it| it.strip_prefix("data: {"));
     let parts = parts.map(|it| serde_json::from_str(&format!("{{{it}")).expect("json"));
@@ -132,50 +132,51 @@
     let token =
         |it: &serde_json::Value| it["choices"][0]["delta"]["content"].as_str().map(str::to_owned);
     assert_eq!(parts.iter().filter_map(token).collect::<String>(), text);
-    let spans = Caller::new(path.addr()).get("/v1/trace/s").body;
+    let spans = Caller::new(deployment.addr()).get("/v1/trace/s").body;
     for hop in ["admit", "answer", "route", "prefill"] {
         assert!(spans.contains(&format!(r#""name":"{hop}""#)), "no span `{hop}` in {spans}");
     }
-    let fate = Caller::new(path.addr()).get("/v1/requests/s").json();
+    let fate = Caller::new(deployment.addr()).get("/v1/requests/s").json();
     assert_eq!((&fate["state"], &fate["verdict"]), (&"ended".into(), &"answered".into()));
-    path.stop();
+    deployment.stop();
 }
 
-/// A key is claimed in the log, and its repeat gets the recorded answer.
+/// A key is claimed in the log, and a repeated request with it gets the recorded answer.
 #[test]
 fn once_over_the_log() {
-    let path = Path::start();
-    path.apply();
-    path.wait();
+    let deployment = Deployment::start();
+    deployment.apply();
+    deployment.wait_for_stages();
     let key = format!("idempotency-key: plate-7@{}\r\n", wall::millis(SystemTime::now()));
-    let first = post(path.addr(), CHAT, &key, &chat("verdicts", false));
+    let first = post(deployment.addr(), CHAT, &key, &chat("verdicts", false));
     assert_eq!(first.status, 200, "{first:?}");
-    let again = post(path.addr(), CHAT, &key, &chat("verdicts", false));
+    let again = post(deployment.addr(), CHAT, &key, &chat("verdicts", false));
     assert_eq!(again.header("idempotency-replayed"), Some("true"), "{again:?}");
-    let text = |it: &fakes::Got| it.json()["choices"].clone();
+    let text = |it: &fakes::HttpResponse| it.json()["choices"].clone();
     assert_eq!(text(&again), text(&first));
-    let other = post(path.addr(), CHAT, &key, &chat("verdicts", false).replace("hello", "bye"));
+    let other =
+        post(deployment.addr(), CHAT, &key, &chat("verdicts", false).replace("hello", "bye"));
     assert_eq!(other.header("x-code"), Some("RS405"), "{other:?}");
-    path.stop();
+    deployment.stop();
 }
 
-/// Operators look at keys and settle them over the interface of the daemon.
+/// Operators query and settle keys over the daemon's admin API.
 #[test]
-fn operators_settle_a_key_and_see_the_account() {
-    let path = Path::start();
-    path.apply();
-    path.wait();
+fn operators_settle_a_key_and_query_the_account() {
+    let deployment = Deployment::start();
+    deployment.apply();
+    deployment.wait_for_stages();
     let key = "plate/8&1";
     let show = || {
         let query = "organisation=acme&service=verdicts&key=plate%2F8%261";
-        let got = Caller::new(path.addr()).get(&format!("/v1/admin/keys?{query}"));
+        let got = Caller::new(deployment.addr()).get(&format!("/v1/admin/keys?{query}"));
         got.json()["state"]["state"].as_str().map(str::to_owned)
     };
     let settle = |ran: bool, note: &str| {
         let body = format!(
             r#"{{"organisation":"acme","service":"verdicts","key":"{key}","ran":{ran},"note":"{note}","operator":"op"}}"#
         );
-        post(path.addr(), "/v1/admin/keys/settle", "", &body)
+        post(deployment.addr(), "/v1/admin/keys/settle", "", &body)
     };
     assert_eq!(show().as_deref(), Some("free"));
     assert_eq!(settle(true, "").status, 400, "without a note");
@@ -183,32 +184,32 @@
     assert_eq!(settle(true, "looked").json()["outcome"], "taken");
     assert_eq!(show().as_deref(), Some("ran"));
     let headers = format!("idempotency-key: {key}\r\n");
-    let repeat = post(path.addr(), CHAT, &headers, &chat("verdicts", false));
+    let repeat = post(deployment.addr(), CHAT, &headers, &chat("verdicts", false));
     assert_eq!((repeat.status, repeat.refusal().as_str()), (410, "RS406 may_have_run"));
-    // The request ends in the ledger after its caller has the answer.
-    let limit = Instant::now() + PATIENCE;
+    // The request ends in the ledger only after its caller has got the answer.
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let query = r#"{"topic":"account","filter":{}}"#;
-        let rows = post(path.addr(), "/v1/admin/query", "", query).json();
-        let told = |row: &serde_json::Value| {
+        let rows = post(deployment.addr(), "/v1/admin/query", "", query).json();
+        let is_missed = |row: &serde_json::Value| {
             row["service"] == "verdicts" && row["missed"] == 1 && row["advisory"] == true
         };
-        if rows["rows"]["account"].as_array().expect("rows").iter().any(told) {
+        if rows["rows"]["account"].as_array().expect("rows").iter().any(is_missed) {
             break;
         }
-        assert!(Instant::now() < limit, "{rows}");
+        assert!(Instant::now() < deadline, "{rows}");
     }
-    path.stop();
+    deployment.stop();
 }
 
-/// A daemon's process is stopped again and again with streams in flight; none is cut off.
+/// Stops a daemon's process repeatedly with open streams; each stream must complete.
 #[test]
 fn restarts_cut_nothing() {
     const RESTARTS: usize = 10;
     const STREAMS: usize = 4;
-    let path = Path::start();
-    path.apply();
-    let log = format!("--log={}", path.platform.addr());
+    let deployment = Deployment::start();
+    deployment.apply();
+    let log = format!("--log={}", deployment.platform.addr());
     for restart in 0..RESTARTS {
         let mut process = Process::start(&["--host=h2", "--grace-ms=0", "--poll-ms=20", &log]);
         let addr = process.addr;
@@ -219,14 +220,14 @@
             .map(|opened| thread::spawn(move || stream(addr, &opened)))
             .collect();
         for _ in 0..STREAMS {
-            open.recv_timeout(PATIENCE).expect("an open stream");
+            open.recv_timeout(TEST_TIMEOUT).expect("an open stream");
         }
         process.signal("TERM");
         for stream in streams {
             let body = stream.join().expect("a whole stream");
             assert!(body.ends_with("data: [DONE]\n\n"), "restart {restart}: {body}");
         }
-        assert_eq!(process.end().code(), Some(0), "restart {restart}");
+        assert_eq!(process.wait_for_exit().code(), Some(0), "restart {restart}");
     }
-    path.stop();
+    deployment.stop();
 }
--- a/crates/roseshored/tests/support/fakes.rs
+++ b/crates/roseshored/tests/support/fakes.rs
@@ -1,6 +1,6 @@
-//! In-memory parts of a daemon, a raw caller, and a fleet for both.
+//! In-memory fakes of a daemon's components, an HTTP client on a raw socket, and a test configuration.
 
-// Each test file includes this one and uses its own part of it.
+// Each test file includes this module and uses a part of it.
 #![allow(dead_code, unreachable_pub)]
 
 use flume::{Receiver, Sender};
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const FLEET: &str = r#"
 [data_centres.a]
@@ -66,43 +66,43 @@
 layers = [0, 4]
 "#;
 
-/// What the engine does with each stream that is opened.
+/// How the engine responds to each stream that is opened.
 #[derive(Clone)]
-pub enum Play {
-    /// The test gives each item itself.
-    By(Receiver<StreamItem>),
-    /// So many tokens, then the end.
-    Whole(u32),
-    /// So many tokens, then silence and a cut.
+pub enum EngineScript {
+    /// The test sends each item.
+    Manual(Receiver<StreamItem>),
+    /// This many tokens, then the end.
+    Complete(u32),
+    /// This many tokens, then a lost connection.
     Cut(u32),
     Fail(CallError),
     Panic,
 }
 
 pub struct FakeEngine {
-    pub play: Mutex<Play>,
+    pub script: Mutex<EngineScript>,
     pub opened: Mutex<Vec<Generate>>,
 }
 
-pub fn token(ask: &Generate, position: Position) -> StreamItem {
-    let lineage = ask.route.iter().map(|it| Stamp {
+pub fn token(request: &Generate, position: Position) -> StreamItem {
+    let lineage = request.route.iter().map(|it| Stamp {
         target: it.target.clone(),
         incarnation: it.incarnation,
         layers: it.layers,
-        epoch: ask.epoch,
-        version: ask.version.clone(),
+        epoch: request.epoch,
+        version: request.version.clone(),
     });
     StreamItem::Output(Output::Token {
-        answer: ask.answer.clone(),
-        epoch: ask.epoch,
+        answer: request.answer.clone(),
+        epoch: request.epoch,
         position,
         text: format!("t{position} "),
         lineage: lineage.collect(),
     })
 }
 
-pub fn done(ask: &Generate, count: u32) -> StreamItem {
-    let (answer, epoch) = (ask.answer.clone(), ask.epoch);
+pub fn done(request: &Generate, count: u32) -> StreamItem {
+    let (answer, epoch) = (request.answer.clone(), request.epoch);
     StreamItem::Output(Output::Done { answer, epoch, count, reason: "stop".to_owned(), cached: 0 })
 }
 
@@ -114,31 +114,31 @@
     fn generate(
         &self,
         _: SocketAddr,
-        ask: &Generate,
+        request: &Generate,
         _: Instant,
     ) -> CallResult<Receiver<StreamItem>> {
-        self.opened.lock().push(ask.clone());
-        let (give, take) = flume::unbounded();
+        self.opened.lock().push(request.clone());
+        let (sender, items) = flume::unbounded();
         let tokens = |count| {
-            for position in ask.done.len() as u32..count {
-                let _ = give.send(token(ask, position));
+            for position in request.done.len() as u32..count {
+                let _ = sender.send(token(request, position));
             }
         };
-        match self.play.lock().clone() {
-            Play::By(items) => return Ok(items),
-            Play::Whole(count) => {
+        match self.script.lock().clone() {
+            EngineScript::Manual(items) => return Ok(items),
+            EngineScript::Complete(count) => {
                 tokens(count);
-                let _ = give.send(done(ask, count));
-                let _ = give.send(StreamItem::Ended(Ok(())));
+                let _ = sender.send(done(request, count));
+                let _ = sender.send(StreamItem::Ended(Ok(())));
             }
-            Play::Cut(count) => {
+            EngineScript::Cut(count) => {
                 tokens(count);
-                let _ = give.send(StreamItem::Ended(Err(CallError::Lost("cut".to_owned()))));
+                let _ = sender.send(StreamItem::Ended(Err(CallError::Lost("cut".to_owned()))));
             }
-            Play::Fail(err) => return Err(err),
-            Play::Panic => panic!("asked for by the test"),
+            EngineScript::Fail(err) => return Err(err),
+            EngineScript::Panic => panic!("requested by the test"),
         }
-        Ok(take)
+        Ok(items)
     }
 
     fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
@@ -162,21 +162,21 @@
     }
 }
 
-/// How a key begins.
+/// The result of claiming a key.
 #[derive(Clone, Debug)]
-pub enum Key1 {
+pub enum KeyState {
     Win,
-    /// Wins, but may not dispatch any more.
+    /// Won, but the dispatch is refused.
     Lapse,
     Settled(Outcome),
-    /// Settled, but told after the deadline.
+    /// Settled, but reported only after the deadline.
     Late(Outcome),
     Refuse(Refusal),
 }
 
-/// Records what was done with each claim.
+/// Records the calls on claims, and keeps an answer as the key's outcome.
 pub struct FakeClaims {
-    pub key: Mutex<Key1>,
+    pub key: Mutex<KeyState>,
     pub calls: Mutex<Vec<String>>,
 }
 
@@ -184,27 +184,29 @@
     fn begin(&self, key: &Key, _digest: u64, deadline: Instant) -> ClaimResult {
         self.calls.lock().push(format!("begin {key}"));
         match self.key.lock().clone() {
-            Key1::Win | Key1::Lapse => ClaimResult::Won(Claim { key: key.clone(), offset: 7 }),
-            Key1::Settled(outcome) => ClaimResult::Settled(outcome),
-            Key1::Late(outcome) => {
+            KeyState::Win | KeyState::Lapse => {
+                ClaimResult::Won(Claim { key: key.clone(), offset: 7 })
+            }
+            KeyState::Settled(outcome) => ClaimResult::Settled(outcome),
+            KeyState::Late(outcome) => {
                 while Instant::now() <= deadline {
                     std::thread::sleep(Duration::from_millis(1));
                 }
                 ClaimResult::Settled(outcome)
             }
-            Key1::Refuse(refusal) => ClaimResult::Refused(refusal),
+            KeyState::Refuse(refusal) => ClaimResult::Refused(refusal),
         }
     }
 
     fn dispatch(&self, _claim: &Claim) -> bool {
         self.calls.lock().push("dispatch".to_owned());
-        !matches!(*self.key.lock(), Key1::Lapse)
+        !matches!(*self.key.lock(), KeyState::Lapse)
     }
 
     fn settle(&self, _claim: &Claim, outcome: Outcome) {
         self.calls.lock().push(format!("settle {}", outcome.verdict.name()));
         if outcome.verdict == Verdict::Answered {
-            *self.key.lock() = Key1::Settled(outcome);
+            *self.key.lock() = KeyState::Settled(outcome);
         }
     }
 
@@ -213,7 +215,7 @@
     }
 }
 
-/// Admits everybody, or panics.
+/// Admits every request, or panics.
 #[derive(Default)]
 pub struct FakeAdmission {
     pub panics: Mutex<bool>,
@@ -221,22 +223,22 @@
 
 impl AdmissionControl for FakeAdmission {
     fn admit(&self, _: &RequestInfo) -> Result<Permit, Refusal> {
-        assert!(!*self.panics.lock(), "asked for by the test");
+        assert!(!*self.panics.lock(), "requested by the test");
         Ok(Permit::new(|| {}))
     }
 }
 
-/// Keeps every end, and lets tests wait for one.
+/// Records the end of each request; tests can wait for a number of them.
 #[derive(Default)]
 pub struct FakeLedger {
     ends: Mutex<Vec<RequestEnd>>,
-    more: Condvar,
+    added: Condvar,
 }
 
 impl FakeLedger {
     pub fn wait(&self, count: usize) -> Vec<RequestEnd> {
         let mut ends = self.ends.lock();
-        self.more.wait_while_for(&mut ends, |it| it.len() < count, PATIENCE);
+        self.added.wait_while_for(&mut ends, |it| it.len() < count, TEST_TIMEOUT);
         assert!(ends.len() >= count, "only {} requests ended", ends.len());
         ends.clone()
     }
@@ -247,38 +249,42 @@
 
     fn ended(&self, end: &RequestEnd) {
         self.ends.lock().push(end.clone());
-        self.more.notify_all();
+        self.added.notify_all();
     }
 }
 
-/// A fleet that never changes.
-pub struct StaticFleets(Option<ActiveConfig>);
+/// A configuration that never changes.
+pub struct StaticConfig(Option<ActiveConfig>);
 
-impl StaticFleets {
-    pub fn new(fleet: Option<Fleet>) -> StaticFleets {
+impl StaticConfig {
+    pub fn new(fleet: Option<Fleet>) -> StaticConfig {
         let fleet = fleet.map(Arc::new);
-        StaticFleets(fleet.map(|fleet| ActiveConfig { fleet, offset: 0, digest: 0 }))
+        StaticConfig(fleet.map(|fleet| ActiveConfig { fleet, offset: 0, digest: 0 }))
     }
 }
 
-impl ConfigSource for StaticFleets {
+impl ConfigSource for StaticConfig {
     fn current(&self) -> Option<ActiveConfig> {
         self.0.clone()
     }
 }
 
-/// Takes the first declared targets that fit.
-pub struct FirstFit {
+/// Chooses the first declared targets that fit.
+pub struct FirstFitRouter {
     /// Panics in this and every later choice of a chain, counted from 0.
     pub panics_from: AtomicUsize,
-    chosen: AtomicUsize,
+    choices: AtomicUsize,
     fleets: Arc<dyn ConfigSource>,
 }
 
-impl FirstFit {
-    /// Chooses among the targets of a fleet.
-    pub fn new(fleets: Arc<dyn ConfigSource>) -> FirstFit {
-        FirstFit { panics_from: AtomicUsize::new(usize::MAX), chosen: AtomicUsize::new(0), fleets }
+impl FirstFitRouter {
+    /// Creates a router over the targets of a configuration.
+    pub fn new(fleets: Arc<dyn ConfigSource>) -> FirstFitRouter {
+        FirstFitRouter {
+            panics_from: AtomicUsize::new(usize::MAX),
+            choices: AtomicUsize::new(0),
+            fleets,
+        }
     }
 }
 
@@ -286,22 +292,22 @@
     Refusal::not_run(Code::NoRoute, text)
 }
 
-impl Router for FirstFit {
-    fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
-        let chosen = self.chosen.fetch_add(1, Ordering::SeqCst);
-        assert!(chosen < self.panics_from.load(Ordering::SeqCst), "asked for by the test");
+impl Router for FirstFitRouter {
+    fn chain(&self, needs: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
+        let choice = self.choices.fetch_add(1, Ordering::SeqCst);
+        assert!(choice < self.panics_from.load(Ordering::SeqCst), "requested by the test");
         let fleet = self.fleets.current().map(|it| it.fleet).unwrap_or_default();
         let mut stages: Vec<Stage> = Vec::new();
         let mut next = 0;
-        while next < need.layers {
+        while next < needs.layers {
             let fits = |it: &(&TargetId, &Target)| {
-                let begins = it.1.layers.is_some_and(|(from, to)| from == next && to > from);
-                begins && it.1.model.as_ref() == Some(&need.model) && !need.avoid.contains(it.0)
+                let adjacent = it.1.layers.is_some_and(|(from, to)| from == next && to > from);
+                adjacent && it.1.model.as_ref() == Some(&needs.model) && !needs.avoid.contains(it.0)
             };
             let Some((id, target)) = fleet.targets.iter().find(fits) else {
-                return Err(no_route(format!("no target holds layer {next} of `{}`", need.model)));
+                return Err(no_route(format!("no target holds layer {next} of `{}`", needs.model)));
             };
-            let layers = target.layers.unwrap_or((next, need.layers));
+            let layers = target.layers.unwrap_or((next, needs.layers));
             stages.push(Stage { target: id.clone(), addr: target.addr, layers, incarnation: 0 });
             next = layers.1;
         }
@@ -326,14 +332,14 @@
     fn record_latency(&self, _target: &TargetId, _took: Duration) {}
 }
 
-/// Targets that cannot be reached, except for one that holds nothing of the name `missing`.
-pub struct Absent;
+/// Targets that cannot be reached, except that a lookup of `missing` is answered as not found.
+pub struct UnreachableServices;
 
-fn absent<T>() -> CallResult<T> {
+fn unreachable<T>() -> CallResult<T> {
     Err(CallError::Unreached("no adapter".to_owned()))
 }
 
-impl Services for Absent {
+impl Services for UnreachableServices {
     fn lookup(
         &self,
         _addr: SocketAddr,
@@ -347,7 +353,7 @@
             let content = "application/json".to_owned();
             return Ok(ServiceReply { status: 404, content, body, replayed: false });
         }
-        absent()
+        unreachable()
     }
 
     fn call(
@@ -358,19 +364,19 @@
         _key: Option<&str>,
         _hop: &CallContext,
     ) -> CallResult<ServiceReply> {
-        absent()
+        unreachable()
     }
 
     fn load(&self, _addr: SocketAddr, _limit: Duration) -> CallResult<ServiceLoad> {
-        absent()
+        unreachable()
     }
 }
-/// Knows of no other daemon.
-pub struct Alone(Member);
+/// A member list with only this daemon.
+pub struct SingleMember(Member);
 
-impl Alone {
-    pub fn new(settings: &Settings) -> Alone {
-        Alone(Member {
+impl SingleMember {
+    pub fn new(settings: &Settings) -> SingleMember {
+        SingleMember(Member {
             host: settings.host.clone(),
             data_centre: settings.data_centre.clone(),
             peer: settings.peer,
@@ -382,7 +388,7 @@
     }
 }
 
-impl Members for Alone {
+impl Members for SingleMember {
     fn own(&self) -> Member {
         self.0.clone()
     }
@@ -400,14 +406,14 @@
     }
 }
 
-/// A daemon in this process with its fakes.
+/// A daemon in this process and its fakes.
 pub struct Daemon {
     pub running: Running,
     pub addr: SocketAddr,
     pub engine: Arc<FakeEngine>,
     pub claims: Arc<FakeClaims>,
     pub admission: Arc<FakeAdmission>,
-    pub router: Arc<FirstFit>,
+    pub router: Arc<FirstFitRouter>,
     pub ledger: Arc<FakeLedger>,
     pub drain: Arc<Drain>,
 }
@@ -423,30 +429,32 @@
     toml::from_str(FLEET).expect("fleet of the test")
 }
 
-/// A daemon; its engine plays `Whole(3)` and its keys win until the test says otherwise.
+/// Starts a daemon whose engine runs `Complete(3)` and whose claims are won, until a test changes that.
 pub fn daemon(flags: &[&str]) -> Daemon {
     daemon_with(flags, Some(fleet()))
 }
 
 pub fn daemon_with(flags: &[&str], fleet: Option<Fleet>) -> Daemon {
     let settings = settings(flags);
-    let fleets = Arc::new(StaticFleets::new(fleet));
-    let engine =
-        Arc::new(FakeEngine { play: Mutex::new(Play::Whole(3)), opened: Mutex::default() });
-    let claims = Arc::new(FakeClaims { key: Mutex::new(Key1::Win), calls: Mutex::default() });
+    let fleets = Arc::new(StaticConfig::new(fleet));
+    let engine = Arc::new(FakeEngine {
+        script: Mutex::new(EngineScript::Complete(3)),
+        opened: Mutex::default(),
+    });
+    let claims = Arc::new(FakeClaims { key: Mutex::new(KeyState::Win), calls: Mutex::default() });
     let admission = Arc::new(FakeAdmission::default());
     let ledger = Arc::new(FakeLedger::default());
     let drain = Arc::new(Drain::default());
-    let router = Arc::new(FirstFit::new(fleets.clone()));
+    let router = Arc::new(FirstFitRouter::new(fleets.clone()));
     let app = App {
         router: router.clone(),
         fleets,
         admission: admission.clone(),
         claims: claims.clone(),
         ledger: ledger.clone(),
-        members: Arc::new(Alone::new(&settings)),
+        members: Arc::new(SingleMember::new(&settings)),
         engine: engine.clone(),
-        services: Arc::new(Absent),
+        services: Arc::new(UnreachableServices),
         budgets: Arc::default(),
         drain: drain.clone(),
     };
@@ -455,19 +463,19 @@
     Daemon { running, addr, engine, claims, admission, router, ledger, drain }
 }
 
-/// A stream of the engine that the test feeds.
-pub fn by_hand(daemon: &Daemon) -> Sender<StreamItem> {
-    let (give, take) = flume::unbounded();
-    *daemon.engine.play.lock() = Play::By(take);
-    give
+/// Lets the test send the items of the engine's stream.
+pub fn manual_stream(daemon: &Daemon) -> Sender<StreamItem> {
+    let (sender, items) = flume::unbounded();
+    *daemon.engine.script.lock() = EngineScript::Manual(items);
+    sender
 }
 
-/// The first stream that was opened, once it is.
-pub fn opened(daemon: &Daemon) -> Generate {
-    let end = Instant::now() + PATIENCE;
+/// Waits for the first opened stream; returns its request.
+pub fn wait_for_stream(daemon: &Daemon) -> Generate {
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(ask) = daemon.engine.opened.lock().first() {
-            return ask.clone();
+        if let Some(request) = daemon.engine.opened.lock().first() {
+            return request.clone();
         }
         assert!(Instant::now() < end, "no stream was opened");
         std::thread::yield_now();
@@ -480,15 +488,15 @@
     chunked: bool,
 }
 
-/// A whole response.
+/// A response with its body.
 #[derive(Debug)]
-pub struct Got {
+pub struct HttpResponse {
     pub status: u16,
     pub head: String,
     pub body: String,
 }
 
-impl Got {
+impl HttpResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().filter_map(|it| it.split_once(": "));
         lines.into_iter().find(|it| it.0 == name).map(|it| it.1)
@@ -498,7 +506,7 @@
         serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no JSON: {self:?}"))
     }
 
-    /// `CODE verdict`, as the headers say.
+    /// The headers' refusal code and verdict, as `CODE verdict`.
     pub fn refusal(&self) -> String {
         let code = self.header("x-code").unwrap_or("-");
         format!("{code} {}", self.header("x-verdict").unwrap_or("-"))
@@ -508,7 +516,7 @@
 impl Caller {
     pub fn new(addr: SocketAddr) -> Caller {
         let stream = TcpStream::connect(addr).expect("connect");
-        stream.set_read_timeout(Some(PATIENCE)).expect("timeout");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("timeout");
         Caller { input: BufReader::new(stream), chunked: false }
     }
 
@@ -524,7 +532,7 @@
         ));
     }
 
-    pub fn get(&mut self, path: &str) -> Got {
+    pub fn get(&mut self, path: &str) -> HttpResponse {
         self.send(&format!("GET {path} HTTP/1.1\r\nhost: a\r\nx-organisation: acme\r\n\r\n"));
         self.response()
     }
@@ -535,7 +543,7 @@
         line
     }
 
-    pub fn head(&mut self) -> Got {
+    pub fn head(&mut self) -> HttpResponse {
         let mut head = String::new();
         loop {
             let line = self.line();
@@ -546,7 +554,7 @@
         }
         self.chunked = head.contains("transfer-encoding: chunked");
         let status = head.split(' ').nth(1).and_then(|it| it.parse().ok()).unwrap_or(0);
-        Got { status, head, body: String::new() }
+        HttpResponse { status, head, body: String::new() }
     }
 
     /// The next chunk; empty at the end.
@@ -558,38 +566,38 @@
         String::from_utf8(bytes[..len].to_vec()).expect("text")
     }
 
-    pub fn response(&mut self) -> Got {
-        let got = self.head();
-        self.rest(got)
+    pub fn response(&mut self) -> HttpResponse {
+        let head = self.head();
+        self.rest(head)
     }
 
-    /// The body that is left after `got`, the head.
-    pub fn rest(&mut self, mut got: Got) -> Got {
-        let len = got.header("content-length").and_then(|it| it.parse().ok()).unwrap_or(0);
+    /// Reads the body that follows a head.
+    pub fn rest(&mut self, mut response: HttpResponse) -> HttpResponse {
+        let len = response.header("content-length").and_then(|it| it.parse().ok()).unwrap_or(0);
         if self.chunked {
             loop {
                 let chunk = self.chunk();
                 if chunk.is_empty() {
                     break;
                 }
-                got.body += &chunk;
+                response.body += &chunk;
             }
         } else {
             let mut bytes = vec![0; len];
             self.input.read_exact(&mut bytes).expect("a whole body");
-            got.body = String::from_utf8(bytes).expect("text");
+            response.body = String::from_utf8(bytes).expect("text");
         }
-        got
+        response
     }
 
-    /// Whether the daemon has closed the connection and sent nothing more.
+    /// Whether the daemon has closed the connection without sending more.
     pub fn closed(&mut self) -> bool {
         matches!(self.input.read(&mut [0]), Ok(0))
     }
 }
 
-/// One request on its own connection.
-pub fn post(addr: SocketAddr, path: &str, headers: &str, body: &str) -> Got {
+/// Sends one request on its own connection.
+pub fn post(addr: SocketAddr, path: &str, headers: &str, body: &str) -> HttpResponse {
     let mut caller = Caller::new(addr);
     caller.post(path, headers, body);
     caller.response()
