--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -6,7 +6,7 @@
 mod cluster;
 
 use cluster::*;
-use roseshore_adapters::peer::{Limits, Server, TcpPeers, serve};
+use roseshore_adapters::peer::{PeerLimits, Server, TcpPeers, serve};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{MemberState, Members, Report, ReportContent, ReportStore};
 use roseshore_ports::outside::{CallError, CallResult, Peers};
@@ -168,7 +168,7 @@
     let config = peers::PeerConfig {
         members: daemon.driver.clone(),
         peers: Arc::new(CuttablePeers {
-            peers: TcpPeers::new(Limits::default()),
+            peers: TcpPeers::new(PeerLimits::default()),
             cut: cut.clone(),
         }),
         reports,
