--- a/crates/roseshore/tests/apply.rs
+++ b/crates/roseshore/tests/apply.rs
@@ -63,14 +63,14 @@
     }
 
     fn report(&self, id: &str, fallback: Outcome) -> Answer {
-        let outcome = match self.state.settled(id) {
-            Some(Settled::Accepted(version)) => {
+        let outcome = match self.state.command_result(id) {
+            Some(CommandResult::Accepted(version)) => {
                 Outcome::Accepted { version, in_force: vec!["korangi".into()], unconfirmed: vec![] }
             }
-            Some(Settled::Rejected(code, reason, message)) => {
+            Some(CommandResult::Rejected(code, reason, message)) => {
                 Outcome::Rejected { code, reason, message }
             }
-            Some(Settled::Unknown(message)) => Outcome::Unknown { message },
+            Some(CommandResult::Unknown(message)) => Outcome::Unknown { message },
             None => fallback,
         };
         ok_answer(&Report { command: id.into(), outcome })
--- a/crates/roseshore_core/src/config.rs
+++ b/crates/roseshore_core/src/config.rs
@@ -30,7 +30,7 @@
 pub use state::{
     Author, Decision, FoldedRecord, Meta, Outcome, Reason, State, WINDOW, record_digest,
 };
-pub use submit::{AppendOutcome, Settled, Step, Submission};
+pub use submit::{AppendOutcome, CommandResult, Step, Submission};
 
 /// Log stream of commands.
 pub const STREAM: &str = "config";
--- a/crates/roseshore_core/src/config/submit.rs
+++ b/crates/roseshore_core/src/config/submit.rs
@@ -28,7 +28,7 @@
 
 /// Final result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum CommandResult {
     /// The command was accepted at this offset.
     Accepted(Offset),
     /// The command has no effect and never will; the reason is present if the fold decided so.
@@ -47,7 +47,7 @@
     /// Wait until then.
     Wait(Instant),
     /// Report the result to the operator.
-    Done(Settled),
+    Done(CommandResult),
 }
 
 /// Submission of one command.
@@ -120,56 +120,61 @@
         self.must_read = false;
     }
 
-    fn decided(&self, state: &State) -> Option<Settled> {
+    fn decided(&self, state: &State) -> Option<CommandResult> {
         if let Some((offset, digest, decision)) = state.decision(&self.id) {
             return Some(outcome_of(&self.id, offset, digest == self.digest, decision));
         }
         let offset = self.appended_at.filter(|it| *it < state.offset())?;
         if state.offset() - offset > WINDOW {
-            return Some(Settled::Unknown("it is no longer remembered".into()));
+            return Some(CommandResult::Unknown("it is no longer remembered".into()));
         }
         let message = "the record cannot be read as a command of this format".to_owned();
-        Some(Settled::Rejected(Code::CommandInvalid, None, message))
+        Some(CommandResult::Rejected(Code::CommandInvalid, None, message))
     }
 
-    fn undecided(&self) -> Settled {
+    fn undecided(&self) -> CommandResult {
         if let Some(offset) = self.appended_at {
-            return Settled::Unknown(format!(
+            return CommandResult::Unknown(format!(
                 "it lies at offset {offset} of the log, which could not be read up to there in time"
             ));
         }
         if self.reply_lost {
-            return Settled::Unknown(format!(
+            return CommandResult::Unknown(format!(
                 "the log service's reply was lost: {}",
                 self.last_error
             ));
         }
         let why = if self.last_error.is_empty() { "no time was left" } else { &self.last_error };
         let message = format!("nothing was appended to the log: {why}");
-        Settled::Rejected(Code::LogUnreachable, None, message)
+        CommandResult::Rejected(Code::LogUnreachable, None, message)
     }
 }
 
 /// Returns the result for the sender of a record; `same` tells whether the record equals the one
 /// that the decision was made on.
-pub(super) fn outcome_of(id: &str, offset: Offset, same: bool, decision: &Decision) -> Settled {
+pub(super) fn outcome_of(
+    id: &str,
+    offset: Offset,
+    same: bool,
+    decision: &Decision,
+) -> CommandResult {
     if !same {
         let message = format!(
             "the id `{id}` belongs to another command, at offset {offset}; choose a new id"
         );
         let reason = Reason::Invalid { key: None, message: message.clone() };
-        return Settled::Rejected(Code::CommandInvalid, Some(reason), message);
+        return CommandResult::Rejected(Code::CommandInvalid, Some(reason), message);
     }
     match decision {
-        Decision::Accepted => Settled::Accepted(offset),
+        Decision::Accepted => CommandResult::Accepted(offset),
         Decision::Rejected(reason) => {
             let code = match reason {
                 Reason::Conflict { .. } => Code::CommandConflict,
                 Reason::Invalid { .. } => Code::CommandInvalid,
             };
-            Settled::Rejected(code, Some(reason.clone()), reason.to_string())
+            CommandResult::Rejected(code, Some(reason.clone()), reason.to_string())
         }
-        Decision::TooOld => Settled::Unknown(format!(
+        Decision::TooOld => CommandResult::Unknown(format!(
             "the copy at offset {offset} is too old to be told from a first one and changed \
              nothing; an earlier copy may have been accepted: look at the difference"
         )),
@@ -179,7 +184,7 @@
 /// Results of commands by id.
 impl State {
     /// Returns the result of a remembered command; `None` if it is not remembered.
-    pub fn settled(&self, id: &str) -> Option<Settled> {
+    pub fn command_result(&self, id: &str) -> Option<CommandResult> {
         self.decision(id).map(|(offset, _, decision)| outcome_of(id, offset, true, decision))
     }
 }
--- a/crates/roseshore_core/src/declare.rs
+++ b/crates/roseshore_core/src/declare.rs
@@ -2,7 +2,7 @@
 //!
 //! [`parse`] reads one or more files into one [`Fleet`] and validates it as the configuration fold
 //! does, so that most faults are reported with file, line and column before anything is sent.
-//! [`diff`] compares a declared fleet with the configuration in force and returns the changes for
+//! [`diff()`] compares a declared fleet with the configuration in force and returns the changes for
 //! one command.
 
 mod diff;
--- a/crates/roseshore_core/tests/config_submit.rs
+++ b/crates/roseshore_core/tests/config_submit.rs
@@ -67,7 +67,7 @@
     }
 
     /// Submits one command as the driver does, with a simulated clock.
-    fn run(&mut self, data: &str) -> Settled {
+    fn run(&mut self, data: &str) -> CommandResult {
         let start = Instant::now();
         let mut now = start;
         let mut state = State::default();
@@ -175,9 +175,9 @@
         let settled = log.run(&record(ID, "null", if valid { "1" } else { "0" }));
         let actual = log.final_decision();
         match settled {
-            Settled::Accepted(_) => prop_assert_eq!(actual, Some(Decision::Accepted)),
-            Settled::Rejected(..) => prop_assert_ne!(actual, Some(Decision::Accepted)),
-            Settled::Unknown(_) => {}
+            CommandResult::Accepted(_) => prop_assert_eq!(actual, Some(Decision::Accepted)),
+            CommandResult::Rejected(..) => prop_assert_ne!(actual, Some(Decision::Accepted)),
+            CommandResult::Unknown(_) => {}
         }
     }
 }
--- a/crates/roseshored/src/admin.rs
+++ b/crates/roseshored/src/admin.rs
@@ -7,7 +7,7 @@
 
 use crate::app::Drain;
 use crate::fleets::FleetDriver;
-use roseshore_core::config::{Command, FORMAT, Settled};
+use roseshore_core::config::{Command, CommandResult, FORMAT};
 use roseshore_core::prelude::*;
 use roseshore_ports::inside::{Keys, Member, MemberState, Members, QueryHandler};
 use roseshore_wire::admin::{Config, Daemon, Drained, Outcome, Problem, Report, Status, Versioned};
@@ -143,26 +143,28 @@
     }
 
     fn report(&self, id: &str) -> Answer {
-        let settled = self.fleets.inspect(|state| state.settled(id));
+        let settled = self.fleets.inspect(|state| state.command_result(id));
         let settled = settled.unwrap_or_else(|| {
             // Reads the log to its end once, because this daemon may be behind.
             let log_read = self.fleets.catch_up();
-            let again = self.fleets.inspect(|state| state.settled(id));
-            again.unwrap_or_else(|| Settled::Unknown(unknown_reason(log_read)))
+            let again = self.fleets.inspect(|state| state.command_result(id));
+            again.unwrap_or_else(|| CommandResult::Unknown(unknown_reason(log_read)))
         });
         let outcome = self.outcome(settled, Instant::now());
         answer(200, &Report { command: id.to_owned(), outcome })
     }
 
-    fn outcome(&self, settled: Settled, until: Instant) -> Outcome {
+    fn outcome(&self, settled: CommandResult, until: Instant) -> Outcome {
         match settled {
-            Settled::Accepted(version) => {
+            CommandResult::Accepted(version) => {
                 let confirmation = self.fleets.wait_confirmed(&*self.members, version, until);
                 let (in_force, unconfirmed) = (confirmation.in_force, confirmation.unconfirmed);
                 Outcome::Accepted { version, in_force, unconfirmed }
             }
-            Settled::Rejected(code, reason, message) => Outcome::Rejected { code, reason, message },
-            Settled::Unknown(message) => Outcome::Unknown { message },
+            CommandResult::Rejected(code, reason, message) => {
+                Outcome::Rejected { code, reason, message }
+            }
+            CommandResult::Unknown(message) => Outcome::Unknown { message },
         }
     }
 
--- a/crates/roseshored/src/fleets/submit.rs
+++ b/crates/roseshored/src/fleets/submit.rs
@@ -2,7 +2,7 @@
 
 use super::FleetDriver;
 use roseshore_core::config::{
-    AppendOutcome, Command, Confirmation, Progress, Settled, Step, Submission, confirmation,
+    AppendOutcome, Command, CommandResult, Confirmation, Progress, Step, Submission, confirmation,
     record_digest,
 };
 use roseshore_core::prelude::*;
@@ -16,11 +16,11 @@
 
 impl FleetDriver {
     /// Appends a command and waits, at most to `until`, until it is accepted or rejected.
-    pub fn submit(&self, command: &Command, until: Instant) -> Settled {
+    pub fn submit(&self, command: &Command, until: Instant) -> CommandResult {
         let data = match serde_json::to_string(command) {
             Ok(data) => data,
             Err(err) => {
-                return Settled::Rejected(Code::CommandInvalid, None, err.to_string());
+                return CommandResult::Rejected(Code::CommandInvalid, None, err.to_string());
             }
         };
         let id = command.id.clone();
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::config::{
-    Command, ReaderLimits, SNAPSHOTS, STREAM, Settled, SnapshotLimits, State,
+    Command, CommandResult, ReaderLimits, SNAPSHOTS, STREAM, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
 use roseshore_fakes::wait::wait_until as eventually;
@@ -263,7 +263,7 @@
     command
 }
 
-fn submit(node: &Node, command: &Command, wait: Duration) -> Settled {
+fn submit(node: &Node, command: &Command, wait: Duration) -> CommandResult {
     node.driver.submit(command, Instant::now() + wait)
 }
 
@@ -285,7 +285,7 @@
 fn an_accepted_command_is_in_force_everywhere() {
     let (cluster, nodes) = Cluster::full();
     assert!(nodes.iter().all(|it| it.driver.current().is_none()), "nothing is declared yet");
-    assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), Settled::Accepted(0));
+    assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
     eventually("every daemon has it", || nodes.iter().all(|it| rate(it) == Some(5.0)));
     let view = &cluster.views[&nodes[4].host];
     let confirmation = nodes[4].driver.wait_confirmed(&**view, 0, Instant::now() + BOUND);
@@ -302,9 +302,10 @@
         std::thread::spawn(move || submit(&node, &command(&format!("c{index}"), None, 1), BOUND))
     });
     let racers: Vec<_> = racers.collect();
-    let ends: Vec<Settled> = racers.into_iter().map(|it| it.join().expect("an end")).collect();
-    let won = ends.iter().filter(|it| matches!(it, Settled::Accepted(_))).count();
-    let named = |it: &&Settled| matches!(it, Settled::Rejected(Code::CommandConflict, Some(_), why) if why.contains("changed it with command"));
+    let ends: Vec<CommandResult> =
+        racers.into_iter().map(|it| it.join().expect("an end")).collect();
+    let won = ends.iter().filter(|it| matches!(it, CommandResult::Accepted(_))).count();
+    let named = |it: &&CommandResult| matches!(it, CommandResult::Rejected(Code::CommandConflict, Some(_), why) if why.contains("changed it with command"));
     assert_eq!((won, ends.iter().filter(named).count()), (1, nodes.len() - 1), "{ends:?}");
 }
 
@@ -312,10 +313,10 @@
 fn a_lost_reply_is_settled_by_reading() {
     let (cluster, nodes) = Cluster::full();
     cluster.world().faults.lock().lose = 1;
-    assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), Settled::Accepted(0));
+    assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
     assert_eq!(
         submit(&nodes[1], &command("a", None, 5), BOUND),
-        Settled::Accepted(0),
+        CommandResult::Accepted(0),
         "sent again"
     );
     eventually("everywhere", || nodes.iter().all(|it| rate(it) == Some(5.0)));
@@ -354,12 +355,12 @@
     ];
     for case in cases {
         let (cluster, nodes) = Cluster::full();
-        assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), Settled::Accepted(0));
+        assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
         eventually("the first everywhere", || nodes.iter().all(|it| rate(it) == Some(5.0)));
         cut(&cluster, case.platform, case.peers);
         assert_eq!(
             submit(&nodes[0], &command("b", Some(0), 6), BOUND),
-            Settled::Accepted(1),
+            CommandResult::Accepted(1),
             "{}",
             case.name
         );
@@ -373,7 +374,7 @@
         }
         if !case.platform.is_empty() {
             let end = submit(&nodes[2], &command("c", Some(0), 7), BOUND);
-            let plain = matches!(end, Settled::Rejected(Code::LogUnreachable, None, _));
+            let plain = matches!(end, CommandResult::Rejected(Code::LogUnreachable, None, _));
             assert!(plain, "{}: {end:?}", case.name);
         }
         cut(&cluster, &[], &[]);
@@ -443,7 +444,7 @@
     for case in cases {
         let mut cluster = Cluster::new();
         let old = cluster.start(CENTRES[0]);
-        assert_eq!(submit(&old, &command("a", None, 5), BOUND), Settled::Accepted(0));
+        assert_eq!(submit(&old, &command("a", None, 5), BOUND), CommandResult::Accepted(0));
         cluster.world().add(STREAM, &noise(case.records));
         let end = case.records as Offset + 1;
         eventually("the first daemon has all records", || old.driver.inspect(State::offset) == end);
