--- a/crates/roseshored/examples/lookup_paths.rs
+++ b/crates/roseshored/examples/lookup_paths.rs
@@ -101,7 +101,7 @@
     let lookups = Lookups::new(256);
     Box::new(move || {
         let arrived = Instant::now();
-        let ask = RequestInfo {
+        let request = RequestInfo {
             request: "r".to_owned(),
             organisation: "o".to_owned(),
             service: "cards".to_owned(),
@@ -110,7 +110,7 @@
             priority: 4,
             cost: 1,
         };
-        assert_eq!(lookups.run(&deps, &ask, "pkg-7", None).unwrap().status, 200);
+        assert_eq!(lookups.run(&deps, &request, "pkg-7", None).unwrap().status, 200);
     })
 }
 
--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -55,9 +55,9 @@
     let mine = size.targets as f64 / size.daemons as f64;
 
     let beat = bytes(&Datagram::Beat { heartbeat: heartbeat(1, 9), notes: vec![] });
-    let whole = note_bytes(size, false);
+    let full = note_bytes(size, false);
     let brief = note_bytes(size, true);
-    let each = mine * (brief as f64 / poll + whole as f64 / FULL_REPORT_SECONDS);
+    let each = mine * (brief as f64 / poll + full as f64 / FULL_REPORT_SECONDS);
     let way = peers as f64 * ((beat + HEADERS) as f64 / period + each);
     let digest = digest_bytes(&view, now) as f64;
     let centres = (size.centres - 1) as f64;
@@ -69,7 +69,7 @@
         "\n{} data centres of {} daemons and {} targets",
         size.centres, size.daemons, size.targets
     );
-    println!("  heartbeat {beat} B, whole note {whole} B, short note {brief} B, digest {digest} B");
+    println!("  heartbeat {beat} B, whole note {full} B, short note {brief} B, digest {digest} B");
     println!("  every {:.0} ms; polls every {:.0} ms, {mine:.1} targets", period * 1e3, poll * 1e3);
     println!("  heartbeats and notes: {way:.0} B/s out, {way:.0} B/s in");
     println!("  digests: {spoken:.0} B/s spoken, {relayed:.0} B/s relayed, out and in together");
@@ -79,7 +79,7 @@
     let beats = peers as f64 / period;
     let notes = (size.targets as f64 - mine) / poll;
     let parts = [
-        ("heartbeats heard", beats, costs.heard),
+        ("heartbeats heard", beats, costs.handle),
         ("heartbeats received and decoded", beats, costs.receive),
         ("heartbeats sent", beats, costs.send),
         ("ticks of membership", 10.0, costs.tick),
@@ -191,8 +191,8 @@
         members: view.digest(now),
         summaries: (0..MODELS).map(summary).collect(),
     };
-    let ask = PeerRequest::Digests { digests: vec![digest], speaker: true };
-    frame::encode(&ask, MAX_FRAME).expect("below the bound").len()
+    let request = PeerRequest::Digests { digests: vec![digest], speaker: true };
+    frame::encode(&request, MAX_FRAME).expect("below the bound").len()
 }
 
 fn bytes(datagram: &Datagram) -> usize {
@@ -201,7 +201,7 @@
 
 /// Microseconds per call of each operation.
 struct Costs {
-    heard: f64,
+    handle: f64,
     receive: f64,
     send: f64,
     tick: f64,
@@ -219,7 +219,7 @@
 }
 
 fn costs(size: &Size, view: &mut Membership, now: Instant) -> Costs {
-    let heard = time(|round| drop(view.on_heartbeat(addr(0, 1), heartbeat(1, round), now)));
+    let handle = time(|round| drop(view.on_heartbeat(addr(0, 1), heartbeat(1, round), now)));
     let tick = time(|_| drop(view.tick(now)));
     let (send, receive) = sockets(size);
     let mut polling = Polling::new(roseshore_core::polling::Settings::default());
@@ -239,7 +239,7 @@
     let pack = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
     let note = encoder.encode(&id, &load(7), now);
     let unpack = time(|_| drop(black_box(decoder.decode(note.clone()))));
-    Costs { heard, receive, send, tick, poll, unpack, pack }
+    Costs { handle, receive, send, tick, poll, unpack, pack }
 }
 
 /// Microseconds to encode and send one datagram, and to receive and decode it.
--- a/crates/roseshored/src/admin/keys.rs
+++ b/crates/roseshored/src/admin/keys.rs
@@ -29,19 +29,20 @@
 
 /// `POST /v1/admin/keys/settle`.
 pub(super) fn settle(keys: &dyn Keys, body: &[u8]) -> Answer {
-    let ask: Settle = match serde_json::from_slice(body) {
-        Ok(ask) => ask,
+    let request: Settle = match serde_json::from_slice(body) {
+        Ok(request) => request,
         Err(err) => return problem(Code::BadRequest, format!("no settle: {err}")),
     };
-    let key = match join(&ask.organisation, &ask.service, &ask.key) {
+    let key = match join(&request.organisation, &request.service, &request.key) {
         Ok(key) => key,
         Err(message) => return problem(Code::BadRequest, message),
     };
-    if ask.operator.is_empty() || ask.note.is_empty() || ask.note.len() > MAX_NOTE {
+    if request.operator.is_empty() || request.note.is_empty() || request.note.len() > MAX_NOTE {
         let text = "name `operator`, and what you looked at in `note`, 1 to 1000 bytes";
         return problem(Code::BadRequest, text);
     }
-    let decision = OperatorDecision { operator: ask.operator, note: ask.note, ran: ask.ran };
+    let decision =
+        OperatorDecision { operator: request.operator, note: request.note, ran: request.ran };
     let settled = match keys.settle_by_operator(&key, decision, Instant::now() + DEFAULT_WAIT) {
         SettleResult::Applied(offset) => Settled::Taken { offset },
         SettleResult::Rejected(refusal) => {
--- a/crates/roseshored/src/daemon.rs
+++ b/crates/roseshored/src/daemon.rs
@@ -101,7 +101,7 @@
 
     /// Starts polling targets and sharing their reports.
     fn loads(&self, settings: &Settings, routing: &Arc<Routing>) -> io::Result<LoadDriver> {
-        let period = settings.poll;
+        let period = settings.poll_interval;
         LoadDriver::start(loads::LoadConfig {
             members: self.member_driver.clone(),
             fleets: self.fleets.clone(),
--- a/crates/roseshored/src/daemon/external.rs
+++ b/crates/roseshored/src/daemon/external.rs
@@ -60,7 +60,7 @@
 
 /// The timing of membership, shared by the member driver and the digest exchange.
 pub(super) fn membership_settings(settings: &Settings) -> membership::Settings {
-    membership::Settings { period: settings.heartbeat, ..membership::Settings::default() }
+    membership::Settings { period: settings.heartbeat_interval, ..membership::Settings::default() }
 }
 
 /// The configuration of the member driver.
--- a/crates/roseshored/src/drain.rs
+++ b/crates/roseshored/src/drain.rs
@@ -47,7 +47,7 @@
     let context = ServerContext {
         app,
         admin_api,
-        spans: spans::install(settings.traces),
+        spans: spans::install(settings.max_traces),
         metrics: recorder(),
     };
     let server = HttpServer::start(settings, context, &ApiRoutes)?;
@@ -58,7 +58,7 @@
         settings.host,
         settings.data_centre
     );
-    Ok(Running { addr, server, drain, grace: settings.grace, limit: settings.drain_timeout })
+    Ok(Running { addr, server, drain, grace: settings.grace_period, limit: settings.drain_timeout })
 }
 
 /// The metrics recorder of this process, installed on the first call; `None` if that fails.
--- a/crates/roseshored/src/fleets.rs
+++ b/crates/roseshored/src/fleets.rs
@@ -101,9 +101,9 @@
         self.healthy.load(Ordering::SeqCst)
     }
 
-    /// Calls `look` with the folded state, which may be ahead of the published one.
-    pub fn inspect<T>(&self, look: impl FnOnce(&State) -> T) -> T {
-        look(self.folding.lock().follower.state())
+    /// Calls `read` with the folded state, which may be ahead of the published one.
+    pub fn inspect<T>(&self, read: impl FnOnce(&State) -> T) -> T {
+        read(self.folding.lock().follower.state())
     }
 
     /// Sets the offset to reach before publishing, if no source has responded before.
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -138,8 +138,8 @@
                 }
             }
             logged.retain(|(_, at)| *at == offset);
-            let ask = selector.next(offset, &seen);
-            let member = ask.and_then(|ask| all.iter().find(|it| it.host == ask.host));
+            let choice = selector.next(offset, &seen);
+            let member = choice.and_then(|peer| all.iter().find(|it| it.host == peer.host));
             let advanced = member.map(|it| self.pull(peers, it.peer));
             if let Some(advanced) = advanced {
                 selector.record(advanced);
--- a/crates/roseshored/src/fleets/source.rs
+++ b/crates/roseshored/src/fleets/source.rs
@@ -142,8 +142,9 @@
         stream: &str,
         from: Offset,
     ) -> Option<(Vec<Record>, Offset)> {
-        let ask = PeerRequest::Records { stream: stream.to_owned(), from };
-        let PeerReply::Records { records, end } = peers.ask(addr, &ask, self.settings.peer).ok()?
+        let request = PeerRequest::Records { stream: stream.to_owned(), from };
+        let PeerReply::Records { records, end } =
+            peers.ask(addr, &request, self.settings.peer).ok()?
         else {
             return None;
         };
@@ -153,8 +154,8 @@
 }
 
 impl PeerHandler for FleetDriver {
-    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
-        let PeerRequest::Records { stream, from } = ask else { return None };
+    fn answer(&self, request: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Records { stream, from } = request else { return None };
         let mut folding = self.folding.lock();
         match stream.as_str() {
             STREAM => Some(folding.records(*from)),
--- a/crates/roseshored/src/http.rs
+++ b/crates/roseshored/src/http.rs
@@ -74,7 +74,7 @@
         let listener = listen(settings.listen)?;
         let addr = listener.local_addr()?;
         let limits = Limits {
-            body: settings.body_bytes,
+            body: settings.max_body,
             request: settings.read_timeout,
             idle: settings.idle_timeout,
         };
@@ -83,12 +83,12 @@
             handler,
             limits,
             write_limit: settings.write_timeout,
-            in_flight: InFlight::new(settings.requests),
+            in_flight: InFlight::new(settings.max_requests),
             closing: AtomicBool::new(false),
             next_id: AtomicU64::new(0),
             connections: Mutex::default(),
         });
-        let acceptor = Acceptor::new(listener, state.clone(), settings.connections);
+        let acceptor = Acceptor::new(listener, state.clone(), settings.max_connections);
         let acceptor =
             thread::Builder::new().name("accept".to_owned()).spawn(move || acceptor.run())?;
         Ok(HttpServer { addr, state, acceptor })
--- a/crates/roseshored/src/ledger.rs
+++ b/crates/roseshored/src/ledger.rs
@@ -1,8 +1,8 @@
 //! Records requests and answers operators' queries about them.
 //!
 //! [`LedgerDriver`] implements the `Ledger` port and answers peers' queries about this daemon;
-//! [`QueryFanout`] asks every daemon and merges the rows; [`account`] writes this
-//! daemon's deltas of the weekly account to the log and reads the account back from there.
+//! [`QueryFanout`] queries every daemon and merges the rows; [`account`] writes this daemon's deltas
+//! of the weekly account to the log and reads the account back from there.
 
 pub mod account;
 mod rows;
@@ -51,11 +51,11 @@
 }
 
 impl Ledger for LedgerDriver {
-    fn begun(&self, ask: &RequestInfo) {
+    fn begun(&self, request: &RequestInfo) {
         let running = RunningRequest {
-            meta: request_meta(ask),
-            started: wall_time(ask.arrived),
-            deadline: wall_time(ask.deadline),
+            meta: request_meta(request),
+            started: wall_time(request.arrived),
+            deadline: wall_time(request.deadline),
         };
         self.history.lock().begin(running);
     }
@@ -82,8 +82,8 @@
 }
 
 impl PeerHandler for LedgerDriver {
-    fn answer(&self, ask: &peer::PeerRequest) -> Option<peer::PeerReply> {
-        let peer::PeerRequest::Query { query } = ask else { return None };
+    fn answer(&self, request: &peer::PeerRequest) -> Option<peer::PeerReply> {
+        let peer::PeerRequest::Query { query } = request else { return None };
         let reply = match serde_json::from_str::<Query>(query) {
             Ok(query) => serde_json::to_string(&self.local(&query)),
             Err(err) => return Some(peer::PeerReply::Unable { reason: err.to_string() }),
@@ -126,7 +126,7 @@
     /// Queries the members concurrently, so that unresponsive ones do not cost one timeout each.
     fn query_all(&self, query: &Query, others: Vec<Member>) -> Vec<(HostId, Option<Reply>)> {
         let Ok(text) = serde_json::to_string(query) else { return Vec::new() };
-        let ask = peer::PeerRequest::Query { query: text };
+        let request = peer::PeerRequest::Query { query: text };
         let (jobs, queue) = flume::unbounded::<Member>();
         let (results, replies) = flume::unbounded();
         let threads = QUERY_THREADS.min(others.len());
@@ -137,10 +137,10 @@
         drop(jobs);
         thread::scope(|scope| {
             for _ in 0..threads {
-                let (queue, results, ask) = (queue.clone(), results.clone(), &ask);
+                let (queue, results, request) = (queue.clone(), results.clone(), &request);
                 scope.spawn(move || {
                     for member in queue {
-                        let reply = self.peers.ask(member.peer, ask, QUERY_TIMEOUT);
+                        let reply = self.peers.ask(member.peer, request, QUERY_TIMEOUT);
                         drop(results.send((member.host, reply.ok().and_then(parse_rows))));
                     }
                 });
@@ -175,11 +175,11 @@
     }
 }
 
-fn request_meta(ask: &RequestInfo) -> RequestMeta {
+fn request_meta(request: &RequestInfo) -> RequestMeta {
     RequestMeta {
-        request: ask.request.clone(),
-        service: ask.service.clone(),
-        organisation: ask.organisation.clone(),
+        request: request.request.clone(),
+        service: request.service.clone(),
+        organisation: request.organisation.clone(),
     }
 }
 
--- a/crates/roseshored/src/peers.rs
+++ b/crates/roseshored/src/peers.rs
@@ -124,8 +124,9 @@
     }
 
     fn exchange(&self, call: DigestCall) {
-        let ask = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
-        if let Ok(PeerReply::Digests { digests }) = self.peers.ask(call.to.peer, &ask, PEER_TIMEOUT)
+        let request = PeerRequest::Digests { digests: vec![self.digest()], speaker: true };
+        if let Ok(PeerReply::Digests { digests }) =
+            self.peers.ask(call.to.peer, &request, PEER_TIMEOUT)
         {
             self.accept(digests);
             return;
@@ -164,9 +165,9 @@
                 let local = member.data_centre == own.data_centre && member.host != own.host;
                 if local && member.state != MemberState::Suspect {
                     let digests = add_age(&digests, received_at.elapsed());
-                    let ask = PeerRequest::Digests { digests, speaker: false };
+                    let request = PeerRequest::Digests { digests, speaker: false };
                     // A lost relay is not retried: the next digest replaces it.
-                    let _ = self.peers.ask(member.peer, &ask, PEER_TIMEOUT);
+                    let _ = self.peers.ask(member.peer, &request, PEER_TIMEOUT);
                 }
             }
         }
@@ -182,8 +183,8 @@
 }
 
 impl PeerHandler for PeerDriver {
-    fn answer(&self, ask: &PeerRequest) -> Option<PeerReply> {
-        let PeerRequest::Digests { digests, speaker } = ask else { return None };
+    fn answer(&self, request: &PeerRequest) -> Option<PeerReply> {
+        let PeerRequest::Digests { digests, speaker } = request else { return None };
         if !speaker {
             self.apply(digests, Instant::now());
             return Some(PeerReply::Done);
--- a/crates/roseshored/src/settings.rs
+++ b/crates/roseshored/src/settings.rs
@@ -201,11 +201,11 @@
     /// The address of the weight store.
     pub weight_store: SocketAddr,
     /// Most concurrent connections of callers.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Most requests processed concurrently.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Longest request body, bytes.
-    pub body_bytes: usize,
+    pub max_body: usize,
     /// Longest time for a caller to send one request.
     pub read_timeout: Duration,
     /// Longest idle time of a kept connection.
@@ -215,15 +215,15 @@
     /// Longest wait for requests in flight during a drain.
     pub drain_timeout: Duration,
     /// Minimum time during a drain in which new requests are still answered with a refusal.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Interval between heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Interval between reads of the host list.
     pub list_interval: Duration,
     /// Interval between polls of a target.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Number of requests whose spans are kept.
-    pub traces: usize,
+    pub max_traces: usize,
     /// The lowest level that is logged.
     pub log_level: log::LevelFilter,
     /// Whether log lines omit time and level.
@@ -258,18 +258,18 @@
             log,
             host_list: values.addr("host-list").unwrap_or(log),
             weight_store: values.addr("weight-store").unwrap_or(log),
-            connections: values.count("connections") as usize,
-            requests: values.count("requests") as usize,
-            body_bytes: values.count("body-bytes") as usize,
+            max_connections: values.count("connections") as usize,
+            max_requests: values.count("requests") as usize,
+            max_body: values.count("body-bytes") as usize,
             read_timeout: values.millis("caller-ms"),
             idle_timeout: values.millis("idle-ms"),
             write_timeout: values.millis("write-ms"),
             drain_timeout: values.millis("drain-ms"),
-            grace: values.millis("grace-ms"),
-            heartbeat: values.millis("heartbeat-ms"),
+            grace_period: values.millis("grace-ms"),
+            heartbeat_interval: values.millis("heartbeat-ms"),
             list_interval: values.millis("host-list-ms"),
-            poll: values.millis("poll-ms"),
-            traces: values.count("traces") as usize,
+            poll_interval: values.millis("poll-ms"),
+            max_traces: values.count("traces") as usize,
             log_level: values.text("log-level").parse().unwrap_or(log::LevelFilter::Info),
             bare_log: values.text("log-format") == "bare",
             check: values.matches.get_flag("check"),
--- a/crates/roseshored/tests/drain.rs
+++ b/crates/roseshored/tests/drain.rs
@@ -14,12 +14,12 @@
 #[test]
 fn in_flight_requests_finish() {
     let daemon = daemon(&["--drain-ms=60000"]);
-    let give = manual_stream(&daemon);
-    let mut held = Caller::new(daemon.addr);
-    held.post(CHAT, "", &chat("chat", true));
-    let ask = wait_for_stream(&daemon);
-    give.send(token(&ask, 0)).expect("a listener");
-    let top = held.head();
+    let tokens = manual_stream(&daemon);
+    let mut streaming = Caller::new(daemon.addr);
+    streaming.post(CHAT, "", &chat("chat", true));
+    let request = wait_for_stream(&daemon);
+    tokens.send(token(&request, 0)).expect("a listener");
+    let head = streaming.head();
     let mut kept = Caller::new(daemon.addr);
     assert_eq!(kept.get("/readyz").status, 200);
     daemon.running.drain();
@@ -36,9 +36,9 @@
     kept.post(CHAT, "", &chat("chat", true));
     assert_eq!(kept.response().refusal(), "RS204 not_run");
     assert!(kept.closed(), "a kept connection is closed");
-    give.send(token(&ask, 1)).expect("a listener");
-    give.send(done(&ask, 2)).expect("a listener");
-    assert!(held.rest(top).body.ends_with("data: [DONE]\n\n"));
+    tokens.send(token(&request, 1)).expect("a listener");
+    tokens.send(done(&request, 2)).expect("a listener");
+    assert!(streaming.rest(head).body.ends_with("data: [DONE]\n\n"));
     assert_eq!(finish.join().expect("join"), 0);
     assert_eq!(daemon.engine.opened.lock().len(), 1);
 }
@@ -47,9 +47,9 @@
 #[test]
 fn drain_limit() {
     let daemon = daemon(&["--drain-ms=0"]);
-    let _give = manual_stream(&daemon);
-    let mut held = Caller::new(daemon.addr);
-    held.post(CHAT, "", &chat("chat", true));
+    let _tokens = manual_stream(&daemon);
+    let mut streaming = Caller::new(daemon.addr);
+    streaming.post(CHAT, "", &chat("chat", true));
     wait_for_stream(&daemon);
     assert_eq!(daemon.running.finish(), 1);
 }
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -123,7 +123,7 @@
 #[derive(Default)]
 struct Network {
     nodes: Mutex<Vec<Arc<Node>>>,
-    world: Arc<SharedState>,
+    state: Arc<SharedState>,
 }
 
 struct View {
@@ -134,7 +134,7 @@
 
 impl Network {
     fn connected(&self, a: &str, b: &str) -> bool {
-        let faults = self.world.faults.lock();
+        let faults = self.state.faults.lock();
         a == b || !(faults.peers.contains(a) || faults.peers.contains(b))
     }
 
@@ -182,13 +182,13 @@
 }
 
 impl Peers for View {
-    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
+    fn ask(&self, addr: SocketAddr, request: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
         let own = self.net.node(&self.own);
         let nodes = self.net.nodes.lock().clone();
-        let asked = nodes.iter().find(|it| it.addr == addr);
-        let asked = asked.filter(|it| self.net.connected(&own.centre, &it.centre));
-        let asked = asked.ok_or_else(|| CallError::Unreached("cut off".into()))?;
-        asked.driver.answer(ask).ok_or_else(|| CallError::Lost("no answer".into()))
+        let peer = nodes.iter().find(|it| it.addr == addr);
+        let peer = peer.filter(|it| self.net.connected(&own.centre, &it.centre));
+        let peer = peer.ok_or_else(|| CallError::Unreached("cut off".into()))?;
+        peer.driver.answer(request).ok_or_else(|| CallError::Lost("no answer".into()))
     }
 }
 
@@ -203,14 +203,14 @@
         Cluster { net: Arc::new(Network::default()), views: BTreeMap::new() }
     }
 
-    fn world(&self) -> &SharedState {
-        &self.net.world
+    fn state(&self) -> &SharedState {
+        &self.net.state
     }
 
     fn start(&mut self, centre: &str) -> Arc<Node> {
         let index = self.views.len();
         let host = format!("{centre}-{index}");
-        let log = Arc::new(DataCentreLog(Arc::clone(&self.net.world), centre.into()));
+        let log = Arc::new(DataCentreLog(Arc::clone(&self.net.state), centre.into()));
         let ms = Duration::from_millis;
         let settings = FleetSettings {
             reader: ReaderLimits {
@@ -272,12 +272,12 @@
 }
 
 fn cut(cluster: &Cluster, platform: &[&str], peers: &[&str]) {
-    let mut faults = cluster.world().faults.lock();
+    let mut faults = cluster.state().faults.lock();
     faults.platform = platform.iter().map(|it| (*it).to_owned()).collect();
     faults.peers = peers.iter().map(|it| (*it).to_owned()).collect();
 }
 
-fn noise(count: usize) -> Vec<String> {
+fn invalid_records(count: usize) -> Vec<String> {
     vec!["noise".into(); count]
 }
 
@@ -311,7 +311,7 @@
 #[test]
 fn a_lost_reply_is_settled_by_reading() {
     let (cluster, nodes) = Cluster::full();
-    cluster.world().faults.lock().lose = 1;
+    cluster.state().faults.lock().lose = 1;
     assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), Settled::Accepted(0));
     assert_eq!(
         submit(&nodes[1], &command("a", None, 5), BOUND),
@@ -378,7 +378,7 @@
         }
         cut(&cluster, &[], &[]);
         eventually("rejoined", || nodes.iter().all(|it| rate(it) == Some(6.0)));
-        assert_eq!(cluster.world().end(STREAM), 2, "{}: the rejected one never comes", case.name);
+        assert_eq!(cluster.state().end(STREAM), 2, "{}: the rejected one never comes", case.name);
     }
 }
 
@@ -444,17 +444,17 @@
         let mut cluster = Cluster::new();
         let old = cluster.start(CENTRES[0]);
         assert_eq!(submit(&old, &command("a", None, 5), BOUND), Settled::Accepted(0));
-        cluster.world().add(STREAM, &noise(case.records));
+        cluster.state().add(STREAM, &invalid_records(case.records));
         let end = case.records as Offset + 1;
         eventually("the first daemon has all records", || old.driver.inspect(State::offset) == end);
         if case.trimmed {
-            eventually("a snapshot", || cluster.world().end(SNAPSHOTS) > 0);
-            cluster.world().trim(STREAM, case.records);
+            eventually("a snapshot", || cluster.state().end(SNAPSHOTS) > 0);
+            cluster.state().trim(STREAM, case.records);
             // Records that the snapshot may lack are kept; only those before it are trimmed.
             eventually("a late snapshot", || {
-                cluster.world().add(STREAM, &noise(1));
+                cluster.state().add(STREAM, &invalid_records(1));
                 std::thread::sleep(Duration::from_millis(20));
-                cluster.world().end(SNAPSHOTS) > 2
+                cluster.state().end(SNAPSHOTS) > 2
             });
         }
         if !case.peers {
@@ -481,15 +481,15 @@
 fn a_new_daemon_serves_no_state_older_than_its_source() {
     let mut cluster = Cluster::new();
     let text = |it: &Command| serde_json::to_string(it).expect("JSON");
-    cluster.world().add(STREAM, &[text(&command("a", None, 5))]);
-    cluster.world().add(STREAM, &noise(200));
-    cluster.world().add(STREAM, &[text(&command("b", Some(0), 6))]);
-    cluster.world().faults.lock().reads = Some(1);
+    cluster.state().add(STREAM, &[text(&command("a", None, 5))]);
+    cluster.state().add(STREAM, &invalid_records(200));
+    cluster.state().add(STREAM, &[text(&command("b", Some(0), 6))]);
+    cluster.state().faults.lock().reads = Some(1);
     let new = cluster.start(CENTRES[0]);
     eventually("the first part", || new.driver.inspect(State::offset) > 0);
     assert!(new.driver.inspect(State::offset) < 202, "the rest is out of reach");
     assert!(new.driver.current().is_none(), "its state is known to be old");
-    cluster.world().faults.lock().reads = None;
+    cluster.state().faults.lock().reads = None;
     eventually("the log is back", || new.driver.current().is_some());
     assert_eq!(rate(&new), Some(6.0));
 }
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -34,7 +34,7 @@
 struct Targets(Arc<TargetState>);
 
 impl Targets {
-    fn ask(&self, addr: SocketAddr) -> CallResult<u32> {
+    fn poll(&self, addr: SocketAddr) -> CallResult<u32> {
         if *self.0.silent.lock() == Some(addr) {
             return Err(CallError::Lost("no reply in time".into()));
         }
@@ -48,7 +48,7 @@
 
 impl Engine for Targets {
     fn load(&self, addr: SocketAddr, _limit: Duration) -> CallResult<Load> {
-        let queue = self.ask(addr)?;
+        let queue = self.poll(addr)?;
         Ok(Load { queue, ..load() })
     }
     fn generate(
@@ -91,7 +91,7 @@
         unused()
     }
     fn load(&self, addr: SocketAddr, _: Duration) -> CallResult<ServiceLoad> {
-        Ok(ServiceLoad { queue: self.ask(addr)?, ..service_load() })
+        Ok(ServiceLoad { queue: self.poll(addr)?, ..service_load() })
     }
 }
 
@@ -213,11 +213,11 @@
     enum Step {
         /// A report: milliseconds since the last step, its content, whether it is sent in full, and
         /// whether the receiver gets it.
-        Say(u64, ReportContent, bool, bool),
+        Encode(u64, ReportContent, bool, bool),
         /// A daemon joined.
         Join,
     }
-    use Step::{Join, Say};
+    use Step::{Encode, Join};
     struct Case {
         name: &'static str,
         steps: Vec<Step>,
@@ -229,42 +229,46 @@
         Case {
             name: "only the counts are sent",
             steps: vec![
-                Say(0, engine(0, 0), true, true),
-                Say(250, engine(5, 9000), false, true),
-                Say(250, engine(0, 1), false, true),
+                Encode(0, engine(0, 0), true, true),
+                Encode(250, engine(5, 9000), false, true),
+                Encode(250, engine(0, 1), false, true),
             ],
         },
         Case {
             name: "any other change is sent in full",
             steps: vec![
-                Say(0, engine(0, 0), true, true),
-                Say(250, leaving, true, true),
-                Say(250, engine(0, 0), true, true),
+                Encode(0, engine(0, 0), true, true),
+                Encode(250, leaving, true, true),
+                Encode(250, engine(0, 0), true, true),
             ],
         },
         Case {
             name: "sent in full at intervals, in case one was lost",
             steps: vec![
-                Say(0, service(0), true, true),
-                Say(29_900, service(1), false, true),
-                Say(200, service(2), true, true),
+                Encode(0, service(0), true, true),
+                Encode(29_900, service(1), false, true),
+                Encode(200, service(2), true, true),
             ],
         },
         Case {
             name: "sent in full after a join",
-            steps: vec![Say(0, service(0), true, true), Join, Say(250, service(1), true, true)],
+            steps: vec![
+                Encode(0, service(0), true, true),
+                Join,
+                Encode(250, service(1), true, true),
+            ],
         },
         Case {
             name: "counts without their full report are ignored",
-            steps: vec![Say(0, service(0), true, false), Say(250, service(1), false, false)],
+            steps: vec![Encode(0, service(0), true, false), Encode(250, service(1), false, false)],
         },
         Case {
             name: "a silent target needs no full report",
             steps: vec![
-                Say(0, ReportContent::Silent, true, true),
-                Say(250, engine(0, 0), true, true),
-                Say(250, ReportContent::Silent, true, true),
-                Say(250, engine(1, 0), false, true),
+                Encode(0, ReportContent::Silent, true, true),
+                Encode(250, engine(0, 0), true, true),
+                Encode(250, ReportContent::Silent, true, true),
+                Encode(250, engine(1, 0), false, true),
             ],
         },
     ];
@@ -272,14 +276,14 @@
         let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
         let mut now = Instant::now();
         for (i, step) in case.steps.into_iter().enumerate() {
-            let Say(after, content, whole, arrives) = step else {
+            let Encode(after, content, full, arrives) = step else {
                 encoder.reset();
                 continue;
             };
             now += Duration::from_millis(after);
             let note = encoder.encode(&"t".to_owned(), &content, now);
             let short = matches!(note, LoadReport::Brief { .. });
-            assert_eq!(short, !whole, "{}, step {i}", case.name);
+            assert_eq!(short, !full, "{}, step {i}", case.name);
             if arrives || short {
                 let got = decoder.decode(note).map(|u| u.content);
                 assert_eq!(got, arrives.then_some(content), "{}, step {i}", case.name);
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -126,7 +126,7 @@
     Fixture { fakes, router, deps }
 }
 
-fn ask(limit: Duration) -> RequestInfo {
+fn request(limit: Duration) -> RequestInfo {
     let arrived = Instant::now();
     RequestInfo {
         request: "r1".to_owned(),
@@ -168,7 +168,7 @@
     let deps = deps.clone();
     let lookups = Lookups::new(16).with_compare_ratio(compare_ratio);
     thread::spawn(move || {
-        let _ = result_tx.send(outcome(lookups.run(&deps, &ask(DEADLINE), "pkg", None)));
+        let _ = result_tx.send(outcome(lookups.run(&deps, &request(DEADLINE), "pkg", None)));
     });
     result.recv_timeout(BOUND).expect("the outcome is delayed")
 }
@@ -314,7 +314,7 @@
     let fixture =
         fixture(&SOURCES, vec![replica(0, Some("a")), replica(1, None), replica(2, Some("c"))]);
     let lookups = Lookups::new(16).with_compare_ratio(1.0);
-    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
     assert_eq!(outcome, LookupOutcome::Record("a".to_owned()));
     let wanted = "E802 first=packages/first other=packages/third name=pkg";
     wait_until(wanted, || LINES.lock().iter().any(|l| l == wanted));
@@ -341,7 +341,7 @@
     let lookups = Lookups::new(16);
     let (began, count) = (Instant::now(), 200);
     for _ in 0..count {
-        let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+        let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
         assert_eq!(outcome, LookupOutcome::Silent(Verdict::MayHaveRun));
     }
     let extra = fixture.fakes[0].ran().lookups - count;
@@ -355,7 +355,7 @@
     let faults = ServiceFaults { freeze: true, ..ServiceFaults::default() };
     let fixture = fixture(&SOURCES[..1], vec![broken(0, Some("a"), faults)]);
     let lookups = Lookups::new(0);
-    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
     assert_eq!(outcome, LookupOutcome::Silent(Verdict::NotRun));
     assert_eq!(fixture.fakes[0].ran().lookups, 0);
 }
@@ -386,7 +386,7 @@
     for case in cases {
         let deps = LookupDeps { fleets: case.fleets, ..fixture.deps.clone() };
         let refusal =
-            Lookups::new(4).run(&deps, &ask(case.limit), case.name_sought, None).unwrap_err();
+            Lookups::new(4).run(&deps, &request(case.limit), case.name_sought, None).unwrap_err();
         assert_eq!((refusal.code, refusal.verdict), (case.code, Verdict::NotRun), "{}", case.name);
     }
     assert_eq!(fixture.fakes[0].ran().lookups, 0);
@@ -403,9 +403,9 @@
     let replicas = vec![("packages".to_owned(), replica)];
     fixture.deps.router = Arc::new(FixedRouter { replicas, ..FixedRouter::default() });
     let lookups = Lookups::new(4);
-    let found = lookups.run(&fixture.deps, &ask(BOUND), "card-1", None).unwrap();
+    let found = lookups.run(&fixture.deps, &request(BOUND), "card-1", None).unwrap();
     assert_eq!(found.body, b"{}");
-    let missing = lookups.run(&fixture.deps, &ask(BOUND), "card-2", None).unwrap_err();
+    let missing = lookups.run(&fixture.deps, &request(BOUND), "card-2", None).unwrap_err();
     assert_eq!(missing.code, Code::NotFound);
 }
 
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -138,11 +138,16 @@
 }
 
 impl Peers for CuttablePeers {
-    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, limit: Duration) -> CallResult<PeerReply> {
+    fn ask(
+        &self,
+        addr: SocketAddr,
+        request: &PeerRequest,
+        limit: Duration,
+    ) -> CallResult<PeerReply> {
         if self.cut.load(Ordering::SeqCst) {
             return Err(CallError::Unreached("cut".into()));
         }
-        self.peers.ask(addr, ask, limit)
+        self.peers.ask(addr, request, limit)
     }
 }
 
--- a/crates/roseshored/tests/orders.rs
+++ b/crates/roseshored/tests/orders.rs
@@ -190,7 +190,7 @@
             // A router that still relies on its last reports is refused, and gets no wrong answer.
             let deadline = Instant::now() + Duration::from_secs(10);
             let opened =
-                second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
+                second.gate.generate(fixture.engines[0].addr(), &fixture.request("v3"), deadline);
             assert!(matches!(opened, Err(CallError::Refused(409, ..))), "{name}: {opened:?}");
         }
         wait("the holding corrected", || {
@@ -201,7 +201,8 @@
         first.orders.round();
         assert!(first.orders.fence().is_none() && fixture.all("v3"), "{name}");
         let deadline = Instant::now() + Duration::from_secs(10);
-        let stream = second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
+        let stream =
+            second.gate.generate(fixture.engines[0].addr(), &fixture.request("v3"), deadline);
         let items: Vec<StreamItem> = stream.expect("opens").iter().collect();
         assert!(matches!(items.last(), Some(StreamItem::Ended(Ok(())))), "{name}: {items:?}");
     }
--- a/crates/roseshored/tests/orders/fixture.rs
+++ b/crates/roseshored/tests/orders/fixture.rs
@@ -126,18 +126,18 @@
     fn generate(
         &self,
         addr: SocketAddr,
-        ask: &Generate,
+        request: &Generate,
         deadline: Instant,
     ) -> CallResult<flume::Receiver<StreamItem>> {
-        self.client.generate(addr, ask, deadline)
+        self.client.generate(addr, request, deadline)
     }
 
-    fn cancel(&self, addr: SocketAddr, ask: &Cancel, limit: Duration) -> CallResult<()> {
-        self.client.cancel(addr, ask, limit)
+    fn cancel(&self, addr: SocketAddr, request: &Cancel, limit: Duration) -> CallResult<()> {
+        self.client.cancel(addr, request, limit)
     }
 
-    fn export(&self, addr: SocketAddr, ask: &KvExport, limit: Duration) -> CallResult<Kv> {
-        self.client.export(addr, ask, limit)
+    fn export(&self, addr: SocketAddr, request: &KvExport, limit: Duration) -> CallResult<Kv> {
+        self.client.export(addr, request, limit)
     }
 
     fn import(&self, addr: SocketAddr, kv: &Kv, limit: Duration) -> CallResult<()> {
@@ -281,7 +281,7 @@
     }
 
     /// A request over the first chain, as sent by a router that still relies on its last reports.
-    pub(crate) fn ask(&self, version: &str) -> Generate {
+    pub(crate) fn request(&self, version: &str) -> Generate {
         let stage = |at: usize| Stage { layers: RANGES[at], ..self.engines[at].stage() };
         Generate {
             answer: "a".into(),
--- a/crates/roseshored/tests/rollout.rs
+++ b/crates/roseshored/tests/rollout.rs
@@ -57,7 +57,7 @@
     faults: EngineFaults,
     version: &'static str,
     tokens: usize,
-    whole: bool,
+    full: bool,
 }
 
 fn cases() -> Vec<Case> {
@@ -69,7 +69,7 @@
             faults: EngineFaults::default(),
             version: "v2",
             tokens: TOKENS as usize,
-            whole: true,
+            full: true,
         },
         Case {
             name: "the target is lost before the first token",
@@ -77,7 +77,7 @@
             faults: cut(0),
             version: "v2",
             tokens: TOKENS as usize,
-            whole: true,
+            full: true,
         },
         Case {
             name: "the target is lost after some tokens",
@@ -85,7 +85,7 @@
             faults: cut(5),
             version: "v1",
             tokens: 5,
-            whole: false,
+            full: false,
         },
     ]
 }
@@ -118,7 +118,7 @@
             trace: None,
         };
         let now = Instant::now();
-        let ask = RequestInfo {
+        let request = RequestInfo {
             request: case.name.replace(' ', "-"),
             organisation: "o".into(),
             service: "s".into(),
@@ -128,13 +128,13 @@
             cost: TOKENS,
         };
         let mut sink = Tokens::default();
-        let got = run_with(&deps, &ask, work, &mut sink);
+        let got = run_with(&deps, &request, work, &mut sink);
         let expected = text::expected("m", case.version, None, &prompt, TOKENS);
         assert_eq!(sink.0, expected[..case.tokens], "{}: {got:?}", case.name);
         match got {
-            Ok(whole) => assert!(case.whole && whole.text == expected.concat(), "{}", case.name),
+            Ok(answer) => assert!(case.full && answer.text == expected.concat(), "{}", case.name),
             Err(refusal) => {
-                assert!(!case.whole, "{}: {refusal:?}", case.name);
+                assert!(!case.full, "{}: {refusal:?}", case.name);
                 assert_eq!(refusal.verdict, Verdict::MayHaveRun, "{}", case.name);
             }
         }
