--- a/crates/roseshored/src/claims/partition.rs
+++ b/crates/roseshored/src/claims/partition.rs
@@ -121,14 +121,14 @@
     events: &Sender<Event>,
 ) {
     for lines in requests {
-        let began = Instant::now();
+        let started = Instant::now();
         let result = match log.append(stream, &lines) {
             Ok(_) => AppendResult::Done,
             Err(CallError::Refused(429, ..)) => AppendResult::RateLimited,
             Err(err) if err.verdict() == Verdict::NotRun => AppendResult::Unreachable,
             Err(_) => AppendResult::Unconfirmed,
         };
-        metrics::histogram!("roseshore_claims_append_seconds").record(began.elapsed());
+        metrics::histogram!("roseshore_claims_append_seconds").record(started.elapsed());
         metrics::histogram!("roseshore_claims_append_records").record(lines.len() as f64);
         if events.send(Event::Appended(result)).is_err() {
             return;
--- a/crates/roseshored/src/http/exchange.rs
+++ b/crates/roseshored/src/http/exchange.rs
@@ -171,9 +171,9 @@
     fn identify_advisory(&mut self) {
         let (None, Some(request)) = (&self.info, self.request) else { return };
         self.info = self.handler.advisory(self.context, request, &self.id);
-        if let Some(ask) = &self.info {
+        if let Some(info) = &self.info {
             self.advisory = true;
-            self.context.app.ledger.begun(ask);
+            self.context.app.ledger.begun(info);
         }
     }
 
@@ -285,11 +285,11 @@
     attempt: Verdict,
 }
 
-fn count_request(ask: &RequestInfo, verdict: Verdict, code: Option<Code>, left: bool) {
+fn count_request(info: &RequestInfo, verdict: Verdict, code: Option<Code>, left: bool) {
     let code = code.map(|it| it.to_string()).unwrap_or_default();
     metrics::counter!(
         "roseshore_requests_total",
-        "service" => ask.service.clone(),
+        "service" => info.service.clone(),
         "verdict" => verdict.name(),
         "code" => code
     )
