--- a/crates/roseshore_adapters/src/peer/client.rs
+++ b/crates/roseshore_adapters/src/peer/client.rs
@@ -87,7 +87,9 @@
     fn connection(&self, addr: SocketAddr, deadline: Instant) -> CallResult<Arc<Connection>> {
         let shared = self.links.lock().entry(addr).or_default().clone();
         let Some(mut link) = shared.try_lock_until(deadline) else {
-            return Err(CallError::Unreached(format!("`{addr}` is still being connected to")));
+            return Err(CallError::Unreached(format!(
+                "a connection to `{addr}` is still being opened"
+            )));
         };
         if let Some(connection) = link.connection.clone() {
             let state = connection.state.lock();
@@ -107,7 +109,9 @@
         }
         let now = Instant::now();
         if link.retry_at.is_some_and(|at| now < at) {
-            return Err(CallError::Unreached(format!("`{addr}` failed just now")));
+            return Err(CallError::Unreached(format!(
+                "`{addr}` failed recently and its backoff has not ended"
+            )));
         }
         let limit = self.limits.connect_timeout.min(deadline.saturating_duration_since(now));
         match Connection::open(addr, limit) {
@@ -171,7 +175,7 @@
         let message = frame::encode(&Numbered { number, body: ask }, frame::MAX_FRAME);
         let Ok(bytes) = message else {
             self.state.lock().replies.remove(&number);
-            return Err(CallError::Unreached("the question exceeds the bound".into()));
+            return Err(CallError::Unreached("the request exceeds the maximum frame size".into()));
         };
         if let Err(e) = self.write(&bytes, deadline) {
             self.state.lock().replies.remove(&number);
@@ -202,10 +206,12 @@
     ) -> CallResult<u64> {
         let mut state = self.state.lock();
         if state.broken {
-            return Err(CallError::Unreached("the connection broke".into()));
+            return Err(CallError::Unreached("the connection is closed".into()));
         }
         if state.replies.len() >= max_pending {
-            return Err(CallError::Unreached("too many questions wait for replies".into()));
+            return Err(CallError::Unreached(
+                "too many requests are pending on the connection".into(),
+            ));
         }
         let number = state.next;
         state.next += 1;
@@ -215,11 +221,15 @@
 
     fn write(&self, bytes: &[u8], deadline: Instant) -> CallResult<()> {
         let Some(_turn) = self.writing.try_lock_until(deadline) else {
-            return Err(CallError::Unreached("the connection is busy".into()));
+            return Err(CallError::Unreached(
+                "another request is still being written to the connection".into(),
+            ));
         };
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(CallError::Unreached("no time left to write".into()));
+            return Err(CallError::Unreached(
+                "the deadline passed before the request was written".into(),
+            ));
         }
         let len = (bytes.len() as u32).to_be_bytes();
         let mut out = &self.stream;
--- a/crates/roseshore_adapters/tests/peer.rs
+++ b/crates/roseshore_adapters/tests/peer.rs
@@ -146,7 +146,10 @@
     let first = peers.ask(addr, &ask("k"), LIMIT).expect_err("no listener");
     assert_eq!(first.verdict(), Verdict::NotRun);
     let second = peers.ask(addr, &ask("k"), LIMIT).expect_err("within the backoff");
-    assert_eq!(second, CallError::Unreached(format!("`{addr}` failed just now")));
+    assert_eq!(
+        second,
+        CallError::Unreached(format!("`{addr}` failed recently and its backoff has not ended"))
+    );
 }
 
 #[test]
