--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -52,47 +52,53 @@
     let mut view = view(size, now);
     let period = settings.period(peers).as_secs_f64();
     let poll = settings.period(peers).max(Duration::from_millis(250)).as_secs_f64();
-    let mine = size.targets as f64 / size.daemons as f64;
+    let own_targets = size.targets as f64 / size.daemons as f64;
 
     let beat = bytes(&Datagram::Beat { heartbeat: heartbeat(1, 9), notes: vec![] });
-    let full = note_bytes(size, false);
-    let brief = note_bytes(size, true);
-    let each = mine * (brief as f64 / poll + full as f64 / FULL_REPORT_SECONDS);
-    let way = peers as f64 * ((beat + HEADERS) as f64 / period + each);
+    let full = report_bytes(size, false);
+    let delta = report_bytes(size, true);
+    let per_peer = own_targets * (delta as f64 / poll + full as f64 / FULL_REPORT_SECONDS);
+    let rate = peers as f64 * ((beat + HEADERS) as f64 / period + per_peer);
     let digest = digest_bytes(&view, now) as f64;
     let centres = (size.centres - 1) as f64;
     let digests = centres / settings.digest_period(size.centres - 1).as_secs_f64();
-    let spoken = 2.0 * digests * digest / size.daemons as f64;
+    let exchanged = 2.0 * digests * digest / size.daemons as f64;
     let relayed = 2.0 * digests * (digest + TCP_HEADERS as f64);
 
     println!(
         "\n{} data centres of {} daemons and {} targets",
         size.centres, size.daemons, size.targets
     );
-    println!("  heartbeat {beat} B, whole note {full} B, short note {brief} B, digest {digest} B");
-    println!("  every {:.0} ms; polls every {:.0} ms, {mine:.1} targets", period * 1e3, poll * 1e3);
-    println!("  heartbeats and notes: {way:.0} B/s out, {way:.0} B/s in");
-    println!("  digests: {spoken:.0} B/s spoken, {relayed:.0} B/s relayed, out and in together");
-    println!("  all: {:.0} B/s out and in together", 2.0 * way + spoken + relayed);
+    println!("  heartbeat {beat} B, full report {full} B, delta {delta} B, digest {digest} B");
+    println!(
+        "  every {:.0} ms; polls every {:.0} ms, {own_targets:.1} targets",
+        period * 1e3,
+        poll * 1e3
+    );
+    println!("  heartbeats and reports: {rate:.0} B/s out, {rate:.0} B/s in");
+    println!(
+        "  digests: {exchanged:.0} B/s exchanged, {relayed:.0} B/s relayed, out and in together"
+    );
+    println!("  total: {:.0} B/s out and in together", 2.0 * rate + exchanged + relayed);
 
     let costs = costs(size, &mut view, now);
     let beats = peers as f64 / period;
-    let notes = (size.targets as f64 - mine) / poll;
-    let parts = [
-        ("heartbeats heard", beats, costs.handle),
+    let notes = (size.targets as f64 - own_targets) / poll;
+    let operations = [
+        ("heartbeats processed", beats, costs.handle),
         ("heartbeats received and decoded", beats, costs.receive),
         ("heartbeats sent", beats, costs.send),
         ("ticks of membership", 10.0, costs.tick),
         ("ticks of polling", 50.0, costs.poll),
-        ("notes completed", notes, costs.unpack),
-        ("reports shortened", mine / poll, costs.pack),
+        ("reports decoded", notes, costs.decode),
+        ("reports encoded", own_targets / poll, costs.encode),
     ];
     let mut sum = 0.0;
-    for (name, rate, cost) in parts {
+    for (name, rate, cost) in operations {
         sum += rate * cost;
         println!("  {name}: {rate:.0}/s of {cost:.2} us");
     }
-    println!("  together {sum:.0} us/s = {:.3} % of a core", sum / 1e4);
+    println!("  in total {sum:.0} us/s = {:.3} % of a core", sum / 1e4);
 }
 
 fn host(centre: usize, n: usize) -> HostId {
@@ -167,12 +173,12 @@
     })
 }
 
-fn note_bytes(size: &Size, short: bool) -> usize {
+fn report_bytes(size: &Size, delta: bool) -> usize {
     let mut encoder = DeltaEncoder::default();
     let now = Instant::now();
     let id = target(size.targets);
     let mut content = encoder.encode(&id, &load(1), now);
-    if short {
+    if delta {
         content = encoder.encode(&id, &load(200), now);
     }
     frame::encode(&TargetLoad { age_ms: 200, content }, MAX_DATAGRAM).expect("short").len() - 1
@@ -206,8 +212,8 @@
     send: f64,
     tick: f64,
     poll: f64,
-    unpack: f64,
-    pack: f64,
+    decode: f64,
+    encode: f64,
 }
 
 fn time(mut body: impl FnMut(u64)) -> f64 {
@@ -236,10 +242,10 @@
     let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
     let id = target(1);
     decoder.decode(encoder.encode(&id, &load(0), now));
-    let pack = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
+    let encode = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
     let note = encoder.encode(&id, &load(7), now);
-    let unpack = time(|_| drop(black_box(decoder.decode(note.clone()))));
-    Costs { handle, receive, send, tick, poll, unpack, pack }
+    let decode = time(|_| drop(black_box(decoder.decode(note.clone()))));
+    Costs { handle, receive, send, tick, poll, decode, encode }
 }
 
 /// Microseconds to encode and send one datagram, and to receive and decode it.
--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -1,4 +1,4 @@
-//! The two threads of the driver.
+//! The two threads of the driver: one reads the log and writes snapshots, one pulls from peers.
 
 use super::FleetDriver;
 use super::source::ReadProgress;
@@ -33,10 +33,11 @@
             std::thread::Builder::new().name(name.to_owned()).spawn(run)
         };
         let (own, all) = (Arc::clone(self), Arc::clone(&members));
-        let reading = spawn("config-log", Box::new(move || own.log_loop(&*all)))?;
+        let log_thread = spawn("config-log", Box::new(move || own.log_loop(&*all)))?;
         let own = Arc::clone(self);
-        let pulling = spawn("config-peers", Box::new(move || own.peer_loop(&*members, &*peers)))?;
-        Ok(vec![reading, pulling])
+        let peer_thread =
+            spawn("config-peers", Box::new(move || own.peer_loop(&*members, &*peers)))?;
+        Ok(vec![log_thread, peer_thread])
     }
 
     fn running(&self) -> bool {
@@ -65,7 +66,7 @@
                 self.sleep(Instant::now() + self.settings.tick);
                 None
             }
-            Ok(reach) => reader.answered(Instant::now(), reach == ReadProgress::More),
+            Ok(progress) => reader.answered(Instant::now(), progress == ReadProgress::More),
             Err(err) => {
                 let transition = reader.failed(Instant::now(), rand::random());
                 if transition.is_some() {
@@ -126,8 +127,8 @@
         while self.running() {
             let all = others(members);
             let (offset, digest) = self.inspect(|it| (it.offset(), it.digest()));
-            let seen: Vec<Peer> = all.iter().map(|it| as_peer(it, members)).collect();
-            for it in diverged(offset, digest, &seen) {
+            let known: Vec<Peer> = all.iter().map(|it| as_peer(it, members)).collect();
+            for it in diverged(offset, digest, &known) {
                 if logged.insert((it.host.clone(), offset)) {
                     event!(
                         Event::ConfigDiverged,
@@ -138,7 +139,7 @@
                 }
             }
             logged.retain(|(_, at)| *at == offset);
-            let choice = selector.next(offset, &seen);
+            let choice = selector.next(offset, &known);
             let member = choice.and_then(|peer| all.iter().find(|it| it.host == peer.host));
             let advanced = member.map(|it| self.pull(peers, it.peer));
             if let Some(advanced) = advanced {
@@ -157,6 +158,7 @@
     members.ranked(SUBJECT).iter().position(|it| it.host == own)
 }
 
+/// The other daemons whose heartbeats have been received and that are not gone.
 fn others(members: &dyn Members) -> Vec<Member> {
     let own = members.own().host;
     let mut all = members.all();
--- a/crates/roseshored/src/fleets/source.rs
+++ b/crates/roseshored/src/fleets/source.rs
@@ -58,7 +58,7 @@
         loop {
             match self.read_log(Duration::ZERO) {
                 Ok(ReadProgress::More) => {}
-                Ok(reach) => return reach == ReadProgress::End,
+                Ok(progress) => return progress == ReadProgress::End,
                 Err(_) => return false,
             }
         }
