--- a/crates/roseshored/src/fleets/loops.rs
+++ b/crates/roseshored/src/fleets/loops.rs
@@ -158,7 +158,7 @@
     members.ranked(SUBJECT).iter().position(|it| it.host == own)
 }
 
-/// The other daemons whose heartbeats have been received and that are not gone.
+/// The other daemons that are not gone and whose incarnation is known.
 fn others(members: &dyn Members) -> Vec<Member> {
     let own = members.own().host;
     let mut all = members.all();
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -368,7 +368,7 @@
         } else {
             let view = &cluster.views[&nodes[0].host];
             let unconfirmed = || nodes[0].driver.confirmation(&**view, 1).unconfirmed;
-            eventually("only the cut one is behind", || unconfirmed() == ["landhi"]);
+            eventually("only the cut-off data centre is behind", || unconfirmed() == ["landhi"]);
             assert_eq!(rate(&nodes[2]), Some(5.0), "{}: serves what it knew", case.name);
         }
         if !case.platform.is_empty() {
@@ -416,7 +416,7 @@
             ready: true,
         },
         StartCase {
-            name: "the log is out, peers have the records",
+            name: "the log is unavailable, peers have the records",
             records: 3,
             trimmed: false,
             out: true,
@@ -424,7 +424,7 @@
             ready: true,
         },
         StartCase {
-            name: "the log is out, peers have a snapshot only",
+            name: "the log is unavailable, peers have a snapshot only",
             records: 2000,
             trimmed: false,
             out: true,
@@ -432,7 +432,7 @@
             ready: true,
         },
         StartCase {
-            name: "the log is out and no other daemon runs",
+            name: "the log is unavailable and no other daemon runs",
             records: 3,
             trimmed: false,
             out: true,
@@ -472,7 +472,7 @@
             std::thread::sleep(Duration::from_millis(300));
             assert!(new.driver.current().is_none(), "{}", case.name);
             cut(&cluster, &[], &[]);
-            eventually("the log is back", || rate(&new) == Some(5.0));
+            eventually("the log is available again", || rate(&new) == Some(5.0));
         }
     }
 }
@@ -488,8 +488,8 @@
     let new = cluster.start(CENTRES[0]);
     eventually("the first part", || new.driver.inspect(State::offset) > 0);
     assert!(new.driver.inspect(State::offset) < 202, "the rest is out of reach");
-    assert!(new.driver.current().is_none(), "its state is known to be old");
+    assert!(new.driver.current().is_none(), "its state is known to be outdated");
     cluster.state().faults.lock().reads = None;
-    eventually("the log is back", || new.driver.current().is_some());
+    eventually("the log is available again", || new.driver.current().is_some());
     assert_eq!(rate(&new), Some(6.0));
 }
--- a/crates/roseshored/tests/loads.rs
+++ b/crates/roseshored/tests/loads.rs
@@ -181,7 +181,7 @@
     *state.silent.lock() = Some(target_addr(2));
     wait("silent at all daemons", || loads.iter().all(|(_, t)| t.queue("t2").is_none()));
     *state.silent.lock() = None;
-    wait("back at all daemons", || all(&loads, 7));
+    wait("responding at all daemons", || all(&loads, 7));
 
     daemons.remove(0).driver.stop();
     drop(loads.remove(0));
@@ -192,7 +192,7 @@
     list.set(|hosts| hosts.push(host(4, Some(new.peer()))));
     loads.push(poll(&new, &state));
     state.queue.store(9, Ordering::SeqCst);
-    wait("one that joins knows all", || all(&loads, 9));
+    wait("a joining daemon has all reports", || all(&loads, 9));
 }
 
 #[test]
@@ -302,14 +302,14 @@
         want: Option<(u32, u32)>,
     }
     let cases = [
-        Case { name: "nothing", engines: &[], want: None },
+        Case { name: "no engines", engines: &[], want: None },
         Case {
             name: "fewest slots and longest queue of any layer",
             engines: &[(0, 8, 1, 4, false), (0, 8, 2, 4, false), (8, 16, 9, 4, false)],
             want: Some((9, 4)),
         },
         Case {
-            name: "layers that overlap",
+            name: "overlapping layers",
             engines: &[(0, 10, 1, 4, false), (6, 16, 2, 5, false)],
             want: Some((3, 4)),
         },
@@ -343,5 +343,7 @@
     let state = Arc::new(TargetState::default());
     let loads: Vec<_> = daemons.iter().map(|d| poll_full(d, &state, TARGETS + 1)).collect();
     let far = format!("t{TARGETS}");
-    wait("the target elsewhere", || loads.iter().all(|(_, t)| t.queue(&far) == Some(0)));
+    wait("the target in the other data centre", || {
+        loads.iter().all(|(_, t)| t.queue(&far) == Some(0))
+    });
 }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -214,19 +214,19 @@
             None,
         ),
         case(
-            "the only source that could still hold it cannot say",
+            "the only source that could still hold it does not know",
             vec![replica(0, None), replica(1, None), broken(2, None, unknown())],
             LookupOutcome::Silent(unclear),
             None,
         ),
         case(
-            "earlier source cannot say, a later one holds",
+            "an earlier source does not know, a later one holds",
             vec![broken(0, None, unknown()), replica(1, Some("b")), replica(2, None)],
             LookupOutcome::Silent(unclear),
             None,
         ),
         case(
-            "later source cannot say, an earlier one holds",
+            "a later source does not know, an earlier one holds",
             vec![replica(0, Some("a")), broken(1, None, unknown()), replica(2, None)],
             record("a"),
             None,
@@ -239,7 +239,7 @@
         ),
         case("no replica at all", vec![], LookupOutcome::Silent(Verdict::NotRun), None),
         case(
-            "replicas refuse unstarted",
+            "replicas refuse without starting",
             vec![broken(0, Some("a"), ServiceFaults { not_run: true, ..no() })],
             LookupOutcome::Silent(Verdict::NotRun),
             None,
@@ -257,13 +257,13 @@
             Some("t0"),
         ),
         case(
-            "a replica is frozen, another one answers the hedge",
+            "a replica hangs, another one answers the hedge",
             vec![broken(0, None, frozen()), replica(0, Some("a"))],
             record("a"),
             Some("t0"),
         ),
         case(
-            "a source is frozen",
+            "a source hangs",
             vec![broken(0, Some("a"), frozen()), replica(1, Some("b")), replica(2, None)],
             LookupOutcome::Silent(unclear),
             Some("t0"),
@@ -380,7 +380,7 @@
         case("empty name", good(), BOUND, "", Code::BadRequest),
         case("a line break in the name", good(), BOUND, "a\r\nb", Code::BadRequest),
         case("a query in the name", good(), BOUND, "a?b", Code::BadRequest),
-        case("a blank in the name", good(), BOUND, "a b", Code::BadRequest),
+        case("a space in the name", good(), BOUND, "a b", Code::BadRequest),
     ];
     let fixture = fixture(&SOURCES, vec![replica(0, Some("a"))]);
     for case in cases {
@@ -433,7 +433,7 @@
         case("204", reply(204, ""), unclear()),
         case("500", reply(500, ""), unclear()),
         case(
-            "503 unstarted",
+            "503 not started",
             reply(503, r#"{"not_run":true}"#),
             SourceReply::Failed(Verdict::NotRun),
         ),
--- a/crates/roseshored/tests/members.rs
+++ b/crates/roseshored/tests/members.rs
@@ -23,7 +23,7 @@
 fn daemons_find_each_other_and_agree() {
     let (_list, daemons) = cluster();
     let order = |d: &Daemon| d.driver.ranked("x").into_iter().map(|m| m.host).collect::<Vec<_>>();
-    wait("one order", || {
+    wait("the same order at all daemons", || {
         let first = order(&daemons[0]);
         first.len() == 3 && daemons.iter().all(|d| order(d) == first)
     });
@@ -54,7 +54,7 @@
             name: "the host list marked it as leaving and is unavailable since",
             leave: |l, d| {
                 l.set(|h| h[3].state = HostState::Leaving);
-                wait("the notice", || d.iter().all(|d| d.driver.leaving(&"h9".into())));
+                wait("leaving at all daemons", || d.iter().all(|d| d.driver.leaving(&"h9".into())));
                 l.down.store(true, Ordering::SeqCst);
             },
             host: 9,
@@ -205,7 +205,7 @@
         let far = s.driver.remote_loads();
         far.iter().map(|f| (f.data_centre.clone(), f.summaries[0].queue)).collect()
     };
-    wait("all alive to all", || sees(Some(MemberState::Alive)));
+    wait("all daemons see each other alive", || sees(Some(MemberState::Alive)));
     wait("the load of the other data centre, from one of its daemons", || {
         numbers.iter().zip(&all).all(|(n, s)| {
             let loads = queues(s);
--- a/crates/roseshored/tests/orders.rs
+++ b/crates/roseshored/tests/orders.rs
@@ -72,20 +72,20 @@
             engine: losing,
             ..case("two writers at once, every reply lost", lost(u32::MAX))
         },
-        Case { blocked: true, ..case("log out before the lease", log_out()) },
-        Case { blocked: true, held: true, ..case("log out under a lease", log_out()) },
+        Case { blocked: true, ..case("log unavailable before the lease", log_out()) },
+        Case { blocked: true, held: true, ..case("log unavailable under a lease", log_out()) },
         Case {
             blocked: true,
-            ..case("appends out", PlatformFaults { appends_out: true, ..none() })
+            ..case("appends unavailable", PlatformFaults { appends_out: true, ..none() })
         },
         Case {
             blocked: true,
             held: true,
-            ..case("reads out under a lease", PlatformFaults { reads_out: true, ..none() })
+            ..case("reads unavailable under a lease", PlatformFaults { reads_out: true, ..none() })
         },
         Case {
             blocked: true,
-            ..case("weight store out", PlatformFaults { weights_out: true, ..none() })
+            ..case("weight store unavailable", PlatformFaults { weights_out: true, ..none() })
         },
     ]
 }
--- a/crates/roseshored/tests/settings.rs
+++ b/crates/roseshored/tests/settings.rs
@@ -38,14 +38,14 @@
         output: &["can be used"],
     },
     Case {
-        name: "a flag goes before its variable",
+        name: "a flag overrides its variable",
         flags: &[HOST, DATA_CENTRE, PEER, LOG, "--poll-ms=100"],
         variables: &[("POLL_MS", "soon")],
         status: 0,
         output: &["can be used"],
     },
     Case {
-        name: "nothing",
+        name: "no settings given",
         flags: &[],
         variables: &[],
         status: 2,
@@ -57,7 +57,7 @@
         ],
     },
     Case {
-        name: "all wrong at once",
+        name: "several invalid settings",
         flags: &[
             "--host=a b",
             DATA_CENTRE,
@@ -86,7 +86,7 @@
         ],
     },
     Case {
-        name: "no such flag",
+        name: "unknown flag",
         flags: &["--speed=1"],
         variables: &[],
         status: 2,
