--- a/crates/roseshored/tests/orders.rs
+++ b/crates/roseshored/tests/orders.rs
@@ -72,20 +72,20 @@
             engine: losing,
             ..case("two writers at once, every reply lost", lost(u32::MAX))
         },
-        Case { blocked: true, ..case("log out before the lease", log_out()) },
-        Case { blocked: true, held: true, ..case("log out under a lease", log_out()) },
+        Case { blocked: true, ..case("log unavailable before the lease", log_out()) },
+        Case { blocked: true, held: true, ..case("log unavailable under a lease", log_out()) },
         Case {
             blocked: true,
-            ..case("appends out", PlatformFaults { appends_out: true, ..none() })
+            ..case("appends unavailable", PlatformFaults { appends_out: true, ..none() })
         },
         Case {
             blocked: true,
             held: true,
-            ..case("reads out under a lease", PlatformFaults { reads_out: true, ..none() })
+            ..case("reads unavailable under a lease", PlatformFaults { reads_out: true, ..none() })
         },
         Case {
             blocked: true,
-            ..case("weight store out", PlatformFaults { weights_out: true, ..none() })
+            ..case("weight store unavailable", PlatformFaults { weights_out: true, ..none() })
         },
     ]
 }
@@ -190,7 +190,7 @@
             // A router that still relies on its last reports is refused, and gets no wrong answer.
             let deadline = Instant::now() + Duration::from_secs(10);
             let opened =
-                second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
+                second.gate.generate(fixture.engines[0].addr(), &fixture.request("v3"), deadline);
             assert!(matches!(opened, Err(CallError::Refused(409, ..))), "{name}: {opened:?}");
         }
         wait("the holding corrected", || {
@@ -201,7 +201,8 @@
         first.orders.round();
         assert!(first.orders.fence().is_none() && fixture.all("v3"), "{name}");
         let deadline = Instant::now() + Duration::from_secs(10);
-        let stream = second.gate.generate(fixture.engines[0].addr(), &fixture.ask("v3"), deadline);
+        let stream =
+            second.gate.generate(fixture.engines[0].addr(), &fixture.request("v3"), deadline);
         let items: Vec<StreamItem> = stream.expect("opens").iter().collect();
         assert!(matches!(items.last(), Some(StreamItem::Ended(Ok(())))), "{name}: {items:?}");
     }
