--- a/crates/roseshore_harness/src/fleets.rs
+++ b/crates/roseshore_harness/src/fleets.rs
@@ -7,37 +7,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// The model of the small fleets.
+/// Id of the only model in these fleets.
 pub const MODEL: &str = "m";
-/// Its version.
+/// Version of [`MODEL`].
 pub const VERSION: &str = "v1";
-/// Its layers.
+/// Number of layers of [`MODEL`].
 pub const LAYERS: Layer = 8;
 /// An idempotent model service.
 pub const CHAT: &str = "chat";
-/// A model service whose requests may run once.
+/// A model service whose requests are not idempotent: each may run at most once.
 pub const VERDICT: &str = "verdict";
-/// A lookup over [`SOURCES`].
+/// A lookup service over [`SOURCES`].
 pub const CARDS: &str = "cards";
-/// A plain service whose calls may run once.
+/// A plain service whose calls are not idempotent: each may run at most once.
 pub const NOTE: &str = "note";
-/// The sources of [`CARDS`], in declared order.
+/// The sources of [`CARDS`], in the order of their declaration.
 pub const SOURCES: [&str; 3] = ["red", "green", "blue"];
-/// A customer with high limits.
+/// An organisation with limits that tests do not reach.
 pub const CUSTOMER: &str = "acme";
 
-/// The shape of a small fleet.
+/// Size and layout of a small fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Data centres, `north` and `south` and so on.
+    /// Number of data centres, at most four: `north`, `south`, `east`, `west`.
     pub centres: usize,
-    /// Chains in each data centre.
+    /// Number of chains in each data centre. A chain is a row of engines that together hold all layers.
     pub chains: usize,
-    /// Stages of a chain.
+    /// Number of stages (engines) in a chain.
     pub stages: usize,
-    /// The kind of accelerator of the first chain; the next chains take the next kinds.
+    /// Index into [`crate::world::SPEEDS`]: the accelerator kind of the first chain.
     pub kind: usize,
-    /// Whether the kinds differ between chains.
+    /// Whether each further chain takes the next accelerator kind; otherwise all have the same.
     pub mixed: bool,
 }
 
@@ -49,7 +49,8 @@
 
 const CENTRES: [&str; 4] = ["north", "south", "east", "west"];
 
-/// A fleet of a shape: engines, one replica for each source, and a plain service.
+/// Builds a fleet of the given shape. Each data centre has its chains of engines, one replica of
+/// each lookup source and one of the plain service.
 pub fn fleet(shape: Shape) -> Fleet {
     let mut fleet = Fleet::default();
     let model = Model {
@@ -76,14 +77,14 @@
     fleet
 }
 
-/// The text that a whole answer of [`MODEL`] has.
+/// The expected text of a complete answer from [`MODEL`].
 pub fn text(chat: &Chat<'_>) -> String {
     text_of(MODEL, VERSION, chat)
 }
 
-/// The text that a whole answer of a model has.
+/// The expected text of a complete answer from the given model and version.
 pub fn text_of(model: &str, version: &str, chat: &Chat<'_>) -> String {
-    // The front puts a token for the role before a message's words.
+    // The HTTP front end puts a role token before the words of a message.
     let words = chat.prompt.split_whitespace().map(str::to_owned);
     let prompt: Vec<String> = std::iter::once("<user>".to_owned()).chain(words).collect();
     expected(model, version, None, &prompt, chat.tokens).concat()
@@ -108,7 +109,7 @@
     fleet.services.insert(NOTE.into(), service(ServiceKind::Plain, false));
 }
 
-/// The ranges of a model cut into stages.
+/// Splits `layers` into `stages` consecutive half-open ranges of nearly equal size.
 pub fn ranges(layers: Layer, stages: usize) -> Vec<(Layer, Layer)> {
     let cut = |i: usize| (usize::from(layers) * i / stages) as Layer;
     (0..stages).map(|i| (cut(i), cut(i + 1))).collect()
--- a/crates/roseshore_harness/src/process.rs
+++ b/crates/roseshore_harness/src/process.rs
@@ -1,4 +1,4 @@
-//! One started program.
+//! Child processes: programs of the workspace, started and signalled.
 
 use quick_error::quick_error;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,53 +10,54 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long a program has to say where it listens.
+/// Limit for a condition that a started program has to reach; see [`wait_until`].
 const START_LIMIT: Duration = Duration::from_secs(20);
-/// The environment variable that names a directory for the daemons' logs, so that a test which fails once can be
-/// traced.
-const LOGS: &str = "ROSESHORE_TEST_LOGS";
-/// Programs started with a log of their own.
-static STARTED: AtomicU16 = AtomicU16::new(0);
-/// Ports below those that the system gives to outgoing connections, so that nobody else takes one.
-const PORTS: std::ops::Range<u16> = 10_000..20_000;
+/// Environment variable that names a directory for the programs' logs, so that a test failure that
+/// does not recur can be traced.
+const LOG_DIR_VAR: &str = "ROSESHORE_TEST_LOGS";
+/// Number of programs started with a log file; makes the file names unique.
+static LOG_COUNT: AtomicU16 = AtomicU16::new(0);
+/// Ports below the ephemeral range, so that no outgoing connection takes one.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..20_000;
 
 quick_error! {
-    /// Why a program could not be used.
+    /// Errors from starting or calling a program.
     #[derive(Debug)]
     pub enum ProcessError {
-        /// It could not be started.
+        /// The program could not be started.
         Start(program: String, err: std::io::Error) {
             display("`{program}` cannot be started: {err}; build it with `cargo build --workspace --bins`")
         }
-        /// It said nothing of where it listens.
+        /// The program did not print the address it listens on.
         Silent(program: String) {
             display("`{program}` did not print `listening ADDR`")
         }
-        /// It did not come to serve.
+        /// The program or daemon did not become ready within the limit.
         NotReady(what: String) {
             display("{what} did not become ready")
         }
-        /// A call to it failed.
+        /// A call to the program failed.
         Call(why: String) {
             display("{why}")
         }
     }
 }
 
-/// A started program; it is killed when this is dropped.
+/// A child process; it is killed on drop.
 pub struct Process {
     name: String,
     child: Child,
 }
 
 impl Process {
-    /// Starts a program of this workspace; its log is thrown away unless [`LOGS`] names a directory for it.
+    /// Starts a program of this workspace. Its standard output is discarded unless the environment
+    /// variable `ROSESHORE_TEST_LOGS` names a directory for it.
     ///
     /// # Errors
-    /// When it is not built, or the log cannot be written.
+    /// If the program is not built or the log file cannot be opened.
     pub fn start(program: &str, args: &[String]) -> Result<Process, ProcessError> {
-        if let Some(logs) = std::env::var_os(LOGS) {
-            let number = STARTED.fetch_add(1, Ordering::Relaxed);
+        if let Some(logs) = std::env::var_os(LOG_DIR_VAR) {
+            let number = LOG_COUNT.fetch_add(1, Ordering::Relaxed);
             let name = format!("{program}-{}-{number}.log", std::process::id());
             return Process::logged(program, args, &PathBuf::from(logs).join(name));
         }
@@ -65,10 +66,10 @@
         Ok(Process { name: program.to_owned(), child })
     }
 
-    /// Starts a program of this workspace whose log goes to the end of a file.
+    /// Starts a program of this workspace and appends its standard output to a file.
     ///
     /// # Errors
-    /// When it is not built, or the file cannot be written.
+    /// If the program is not built or the file cannot be opened.
     pub fn logged(program: &str, args: &[String], log: &Path) -> Result<Process, ProcessError> {
         let failed = |err| ProcessError::Start(program.to_owned(), err);
         let file = File::options().create(true).append(true).open(log).map_err(failed)?;
@@ -79,7 +80,7 @@
     /// Starts a program that prints `listening ADDR`, and waits for that line.
     ///
     /// # Errors
-    /// When it is not built or ends without the line.
+    /// If the program is not built or exits without printing the line.
     pub fn listening(
         program: &str,
         args: &[String],
@@ -95,39 +96,39 @@
         addr.map(|addr| (process, addr)).ok_or_else(silent)
     }
 
-    /// The program's name.
+    /// The file name of the program.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The process id.
+    /// The operating system's process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it at once and waits for its end.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) {
-        // It may have ended by itself, which is as good.
+        // Fails only if the process has already exited, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to end in an orderly way.
+    /// Sends SIGTERM, which requests an orderly shutdown.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Tells it that its settings changed.
+    /// Sends SIGHUP, which makes the process reload its settings.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Freezes it: it keeps its sockets and answers nothing.
+    /// Sends SIGSTOP: the process keeps its sockets open but answers nothing.
     pub fn freeze(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on after [`Process::freeze`].
+    /// Sends SIGCONT, which resumes the process after [`Process::freeze`].
     pub fn thaw(&self) {
         self.signal(Signal::CONT);
     }
@@ -135,12 +136,12 @@
     fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if let Some(id) = id {
-            // A process that has ended takes no signal; the caller waits for its end anyway.
+            // Signalling fails if the process has exited; the caller waits for its exit anyway.
             let _ = kill_process(id, signal);
         }
     }
 
-    /// Waits for its end; `None` when it still runs after `limit`.
+    /// Waits for the process to exit; `None` if it is still running after `limit`.
     pub fn wait(&mut self, limit: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + limit;
         loop {
@@ -161,10 +162,11 @@
     }
 }
 
-/// Runs a program of this workspace to its end; returns its exit code and standard output.
+/// Runs a program of this workspace until it exits; returns its exit code (-1 if a signal ended it)
+/// and its standard output.
 ///
 /// # Errors
-/// When it is not built.
+/// If the program is not built.
 pub fn run(program: &str, args: &[String]) -> Result<(i32, String), ProcessError> {
     let output = command(program, args).stderr(Stdio::inherit()).output();
     let output = output.map_err(|err| ProcessError::Start(program.to_owned(), err))?;
@@ -173,38 +175,40 @@
 }
 
 fn command(program: &str, args: &[String]) -> Command {
-    let mut command = Command::new(folder().join(program));
+    let mut command = Command::new(program_dir().join(program));
     command.args(args).stdin(Stdio::null()).stderr(Stdio::null());
     command
 }
 
-/// Where the workspace's programs are built: beside this one, or a folder above for tests.
-fn folder() -> PathBuf {
+/// The directory of the workspace's built programs: that of the current executable, or its parent
+/// for tests and examples.
+fn program_dir() -> PathBuf {
     let own = std::env::current_exe().unwrap_or_default();
-    let folder = own.parent().map(PathBuf::from).unwrap_or_default();
-    if folder.ends_with("deps") || folder.ends_with("examples") {
-        return folder.parent().map(PathBuf::from).unwrap_or(folder);
+    let dir = own.parent().map(PathBuf::from).unwrap_or_default();
+    if dir.ends_with("deps") || dir.ends_with("examples") {
+        return dir.parent().map(PathBuf::from).unwrap_or(dir);
     }
-    folder
+    dir
 }
 
-/// A port of this machine on which nobody listens now.
+/// Returns a port of this host on which no process currently listens.
 ///
-/// Two processes that ask at once begin at different places; a port is given once by each.
+/// The search starts at an offset derived from the process id, so that concurrent processes probe
+/// different ports; one process returns each port once until the range is used up.
 pub fn free_port() -> u16 {
     static NEXT: AtomicU16 = AtomicU16::new(0);
-    let span = PORTS.end - PORTS.start;
+    let span = PORT_RANGE.end - PORT_RANGE.start;
     let begin = (std::process::id() % u32::from(span)) as u16;
     loop {
         let step = NEXT.fetch_add(1, Ordering::Relaxed);
-        let port = PORTS.start + begin.wrapping_mul(61).wrapping_add(step) % span;
+        let port = PORT_RANGE.start + begin.wrapping_mul(61).wrapping_add(step) % span;
         if TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok() {
             return port;
         }
     }
 }
 
-/// Waits until a condition holds; `false` when it does not within the start limit.
+/// Polls a condition until it holds; `false` if it does not within 20 s.
 pub fn wait_until(mut holds: impl FnMut() -> bool) -> bool {
     let until = Instant::now() + START_LIMIT;
     while Instant::now() < until {
--- a/crates/roseshore_harness/src/recovery/steady.rs
+++ b/crates/roseshore_harness/src/recovery/steady.rs
@@ -1,4 +1,5 @@
-//! Processes struck under a steady run of short requests: until when is one of them slow?
+//! Injects faults into processes under a steady load of short requests, and measures until when a
+//! request is slow.
 
 use super::{Row, median, world};
 use crate::caller::{Caller, Chat, Got, Marks};
@@ -9,20 +10,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long requests are watched before a fault.
+/// Measurement period before a fault.
 const BEFORE: Duration = Duration::from_millis(400);
-/// How long they are watched after it.
+/// Measurement period after a fault.
 const AFTER: Duration = Duration::from_secs(2);
-/// A request is slow that takes this many times the median without a fault, and [`SLACK`] more.
-const SLOW: u32 = 3;
-/// What the machine's other work may add.
+/// A request is slow if it takes longer than this multiple of the fault-free median plus [`SLACK`].
+const SLOW_FACTOR: u32 = 3;
+/// Allowance for other load on the host.
 const SLACK: Duration = Duration::from_millis(25);
-/// Until what was struck is in use again.
+/// Wait after a fault until the recovered process is in use again.
 const SETTLE: Duration = Duration::from_millis(1300);
-/// Requests of each kind that are sent side by side.
-const SIDE: usize = 4;
+/// Number of concurrent request loops.
+const CONCURRENCY: usize = 4;
 
-/// One request of a steady run.
+/// One request of the steady load.
 #[derive(Clone, Copy)]
 struct Sample {
     begun: Instant,
@@ -30,8 +31,8 @@
     right: bool,
 }
 
-/// What one fault did to a steady run.
-struct Felt {
+/// The effect of one fault on the steady load.
+struct Impact {
     plain: Duration,
     until: Duration,
     worst: Duration,
@@ -50,8 +51,8 @@
     caller.lookup(to, CARDS, &format!("pkg-{number}"), &Marks::of(CUSTOMER))
 }
 
-/// Sends requests to a daemon, strikes meanwhile and tells until when one was slow.
-fn felt(to: SocketAddr, send: Send, strike: impl FnOnce()) -> Felt {
+/// Sends requests to a daemon, injects a fault meanwhile and measures until when a request was slow.
+fn measure(to: SocketAddr, send: Send, inject: impl FnOnce()) -> Impact {
     let begun = Instant::now();
     let end = begun + BEFORE + AFTER;
     let (at, samples) = thread::scope(|scope| {
@@ -60,38 +61,38 @@
             let mut samples = Vec::new();
             while Instant::now() < end {
                 let begun = Instant::now();
-                let number = (samples.len() * SIDE + side) as u64;
+                let number = (samples.len() * CONCURRENCY + side) as u64;
                 let right = send(&caller, to, number).status == 200;
                 samples.push(Sample { begun, took: begun.elapsed(), right });
                 thread::sleep(Duration::from_millis(5));
             }
             samples
         };
-        let runs: Vec<_> = (0..SIDE).map(|side| scope.spawn(move || run(side))).collect();
+        let runs: Vec<_> = (0..CONCURRENCY).map(|side| scope.spawn(move || run(side))).collect();
         thread::sleep(BEFORE);
         let at = Instant::now();
-        strike();
+        inject();
         let samples = runs.into_iter().flat_map(|run| run.join().unwrap_or_default());
         (at, samples.collect::<Vec<_>>())
     });
-    judge(at, &samples)
+    evaluate(at, &samples)
 }
 
-fn judge(at: Instant, samples: &[Sample]) -> Felt {
+fn evaluate(at: Instant, samples: &[Sample]) -> Impact {
     let before = samples.iter().filter(|s| s.begun + s.took < at).map(|s| s.took);
     let plain = median(before.collect());
-    let limit = plain * SLOW + SLACK;
+    let limit = plain * SLOW_FACTOR + SLACK;
     let after = || samples.iter().filter(|s| s.begun + s.took >= at);
     let slow = after().filter(|s| s.took > limit || !s.right);
     let until = slow.map(|s| s.begun + s.took - at).max().unwrap_or_default();
     let worst = after().map(|s| s.took).max().unwrap_or_default();
-    Felt { plain, until, worst, wrong: after().filter(|s| !s.right).count() }
+    Impact { plain, until, worst, wrong: after().filter(|s| !s.right).count() }
 }
 
-fn rows(name: &str, bound: &'static str, felt: &[Felt]) -> Vec<Row> {
-    let plain = median(felt.iter().map(|f| f.plain).collect());
-    let wrong: usize = felt.iter().map(|f| f.wrong).sum();
-    let all = |of: fn(&Felt) -> Duration| felt.iter().map(of).collect::<Vec<_>>();
+fn rows(name: &str, bound: &'static str, impacts: &[Impact]) -> Vec<Row> {
+    let plain = median(impacts.iter().map(|f| f.plain).collect());
+    let wrong: usize = impacts.iter().map(|f| f.wrong).sum();
+    let all = |of: fn(&Impact) -> Duration| impacts.iter().map(of).collect::<Vec<_>>();
     vec![
         Row::new(format!("{name}: until no request is slow"), bound, all(|f| f.until)),
         Row::new(format!("{name}: longest request ({wrong} refused)"), bound, all(|f| f.worst))
@@ -99,7 +100,7 @@
     ]
 }
 
-/// Targets killed and frozen while nothing long runs on them.
+/// Kills and freezes targets while only short requests run on them.
 pub(super) fn targets(repeats: usize) -> Result<Vec<Row>, ProcessError> {
     let shape = Shape { chains: 3, stages: 2, ..Shape::default() };
     let mut world = world(shape, 2)?;
@@ -114,7 +115,7 @@
             for _ in 0..repeats {
                 let to = world.daemons[0].addr;
                 let process = world.targets.get_mut(target).expect("it is declared");
-                seen.push(felt(to, send, || hit(process, frozen)));
+                seen.push(measure(to, send, || inject_fault(process, frozen)));
                 if frozen {
                     world.targets[target].thaw();
                 } else {
@@ -129,11 +130,11 @@
     Ok(all)
 }
 
-fn hit(process: &mut Process, frozen: bool) {
+fn inject_fault(process: &mut Process, frozen: bool) {
     if frozen { process.freeze() } else { process.kill() }
 }
 
-/// A daemon killed and frozen, felt at another one.
+/// Kills and freezes a daemon, and measures the effect on requests to another one.
 pub(super) fn daemons(repeats: usize) -> Result<Vec<Row>, ProcessError> {
     let shape = Shape { chains: 3, stages: 2, ..Shape::default() };
     let mut world = world(shape, 3)?;
@@ -143,7 +144,7 @@
         for round in 0..repeats {
             let to = world.daemons[0].addr;
             let process = &mut world.daemons[2].process;
-            seen.push(felt(to, chat, || hit(process, frozen)));
+            seen.push(measure(to, chat, || inject_fault(process, frozen)));
             if frozen {
                 process.thaw();
             } else {
