--- a/crates/roseshore_bench/src/bin/figures.rs
+++ b/crates/roseshore_bench/src/bin/figures.rs
@@ -10,7 +10,7 @@
 };
 use roseshore_bench::load::tally::Times;
 use roseshore_core::prelude::*;
-use roseshore_harness::caller::{Caller, Marks};
+use roseshore_harness::caller::{Caller, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CUSTOMER, LAYERS, NOTE, SOURCES, Shape};
 use roseshore_harness::process::ProcessError;
 use roseshore_harness::world::{Plan, World};
@@ -91,7 +91,7 @@
 fn plain(world: &World) {
     let direct = Direct::new(Duration::from_secs(5));
     let caller = Caller::new(Duration::from_secs(5));
-    let (daemon, marks) = (world.daemons[0].addr, Marks::of(CUSTOMER));
+    let (daemon, marks) = (world.daemons[0].addr, RequestOptions::of(CUSTOMER));
     let addr = |id: &str| world.addr(&format!("north-{id}")).expect("a declared replica");
     let (source, note) = (addr(SOURCES[0]), addr(NOTE));
     let millis = || SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
--- a/crates/roseshore_bench/src/figures/direct.rs
+++ b/crates/roseshore_bench/src/figures/direct.rs
@@ -4,7 +4,7 @@
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::Stats;
 use roseshore_fakes::engine::text::expected;
-use roseshore_harness::caller::Got;
+use roseshore_harness::caller::ClientReply;
 use roseshore_wire::engine::{Generate, Load, Output, Stage};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     }
 
     /// Asks a chain for an answer and reads it to its end.
-    pub fn stream(&self, chain: &Chain, unique: &str, words: usize, tokens: u32) -> Got {
+    pub fn stream(&self, chain: &Chain, unique: &str, words: usize, tokens: u32) -> ClientReply {
         let begun = Instant::now();
         let text = format!("{ROLE} {}", prompt(unique, words));
         let ask = Generate {
@@ -79,8 +79,8 @@
             trace: None,
         };
         let url = format!("http://{}/v1/generate", chain.head);
-        let Ok(reply) = self.agent.post(url).send_json(&ask) else { return Got::default() };
-        let mut got = Got { status: reply.status().as_u16(), ..Got::default() };
+        let Ok(reply) = self.agent.post(url).send_json(&ask) else { return ClientReply::default() };
+        let mut got = ClientReply { status: reply.status().as_u16(), ..ClientReply::default() };
         let lines = BufReader::new(reply.into_body().into_reader()).lines();
         let mut last = begun;
         let mut texts = Vec::new();
--- a/crates/roseshore_bench/src/figures/rounds.rs
+++ b/crates/roseshore_bench/src/figures/rounds.rs
@@ -6,7 +6,7 @@
 use crate::load::run::{Load, Report, prompt, run};
 use crate::load::tally::Times;
 use roseshore_core::prelude::*;
-use roseshore_harness::caller::{Caller, Chat, Got, Marks};
+use roseshore_harness::caller::{Caller, Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{CHAT, CUSTOMER};
 use roseshore_harness::world::{World, speed};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 }
 
 impl Way {
-    fn add(&mut self, got: &Got) {
+    fn add(&mut self, got: &ClientReply) {
         if !got.whole {
             self.failed += 1;
             return;
@@ -43,7 +43,7 @@
 /// the daemon comes first in the result.
 pub fn latency(world: &World, direct: &Direct, chain: &Chain, rounds: usize) -> [Way; 2] {
     let caller = Caller::default();
-    let (daemon, marks) = (world.daemons[0].addr, Marks::of(CUSTOMER));
+    let (daemon, marks) = (world.daemons[0].addr, RequestOptions::of(CUSTOMER));
     let mut ways = [Way::default(), Way::default()];
     for round in 0..rounds {
         let unique = format!("a{round}");
--- a/crates/roseshore_bench/src/load/run.rs
+++ b/crates/roseshore_bench/src/load/run.rs
@@ -4,7 +4,7 @@
 use super::schedule::{Due, arrivals};
 use super::tally::{End, Tally};
 use roseshore_core::prelude::*;
-use roseshore_harness::caller::{Caller, Chat, Got, Marks};
+use roseshore_harness::caller::{Caller, Chat, ClientReply, RequestOptions};
 use std::fmt;
 use std::net::SocketAddr;
 use std::thread;
@@ -135,9 +135,9 @@
 }
 
 /// Sends one request of a part.
-fn send(caller: &Caller, to: SocketAddr, part: &Part, load: &Load, number: usize) -> Got {
+fn send(caller: &Caller, to: SocketAddr, part: &Part, load: &Load, number: usize) -> ClientReply {
     let unique = format!("{:x}-{number}", load.seed);
-    let mut marks = Marks::of(&part.organisation);
+    let mut marks = RequestOptions::of(&part.organisation);
     marks.deadline = Some(load.deadline.as_millis() as u64);
     let prompt = prompt(&unique, part.prompt);
     let chat = Chat { service: &part.service, prompt: &prompt, tokens: part.tokens };
--- a/crates/roseshore_bench/src/load/tally.rs
+++ b/crates/roseshore_bench/src/load/tally.rs
@@ -1,7 +1,7 @@
 //! What became of the requests of a run.
 
 use hdrhistogram::Histogram;
-use roseshore_harness::caller::Got;
+use roseshore_harness::caller::ClientReply;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -66,7 +66,7 @@
 }
 
 /// How what a caller got is to be counted.
-pub fn end(got: &Got) -> End {
+pub fn end(got: &ClientReply) -> End {
     if let Some(verdict) = &got.verdict
         && verdict != "answered"
     {
@@ -107,7 +107,7 @@
 impl Tally {
     /// Takes a request that was begun `late` after it was due; `counts` when it ended in the time
     /// that goodput is counted in.
-    pub fn add(&mut self, got: &Got, late: Duration, counts: bool) {
+    pub fn add(&mut self, got: &ClientReply, late: Duration, counts: bool) {
         self.sent += 1;
         self.late.add(late);
         let end = end(got);
--- a/crates/roseshore_bench/tests/load.rs
+++ b/crates/roseshore_bench/tests/load.rs
@@ -3,7 +3,7 @@
 use roseshore_bench::load::mixes::{MIXES, mix};
 use roseshore_bench::load::schedule::{arrivals, drawn};
 use roseshore_bench::load::tally::{End, Tally, end};
-use roseshore_harness::caller::Got;
+use roseshore_harness::caller::ClientReply;
 use std::time::Duration;
 
 struct Run {
@@ -98,13 +98,13 @@
         },
     ];
     for case in cases {
-        let got = Got {
+        let got = ClientReply {
             status: case.status,
             verdict: case.verdict.map(str::to_owned),
             code: Some("RS1".to_owned()),
             whole: case.whole,
             gaps: vec![Duration::from_millis(2); 3],
-            ..Got::default()
+            ..ClientReply::default()
         };
         assert_eq!(end(&got), case.end, "{}", case.name);
         let mut tally = Tally::default();
--- a/crates/roseshore_harness/src/caller.rs
+++ b/crates/roseshore_harness/src/caller.rs
@@ -10,7 +10,7 @@
 
 /// What a caller got.
 #[derive(Clone, Debug, Default)]
-pub struct Got {
+pub struct ClientReply {
     /// The HTTP status; 0 when no reply came.
     pub status: u16,
     /// The verdict's name, for refusals.
@@ -35,7 +35,7 @@
     pub took: Duration,
 }
 
-impl Got {
+impl ClientReply {
     /// The text without the blanks between tokens.
     pub fn joined(&self) -> String {
         self.text.split_whitespace().collect()
@@ -44,7 +44,7 @@
 
 /// Whose request it is and how it is to be treated.
 #[derive(Clone, Debug, Default)]
-pub struct Marks {
+pub struct RequestOptions {
     /// The customer.
     pub organisation: Option<String>,
     /// The idempotency key.
@@ -107,21 +107,21 @@
         &self,
         to: SocketAddr,
         chat: &Chat<'_>,
-        marks: &Marks,
+        marks: &RequestOptions,
         mut seen: impl FnMut(usize),
-    ) -> Got {
+    ) -> ClientReply {
         let begun = Instant::now();
         let request = marks.put(self.agent.post(format!("http://{to}/v1/chat/completions")));
         let mut got = match request.send_json(chat.body(true)) {
             Ok(reply) => read_stream(reply, begun, &mut seen),
-            Err(err) => Got { text: err.to_string(), ..Got::default() },
+            Err(err) => ClientReply { text: err.to_string(), ..ClientReply::default() },
         };
         got.took = begun.elapsed();
         got
     }
 
     /// Asks for a chat answer at once.
-    pub fn answer(&self, to: SocketAddr, chat: &Chat<'_>, marks: &Marks) -> Got {
+    pub fn answer(&self, to: SocketAddr, chat: &Chat<'_>, marks: &RequestOptions) -> ClientReply {
         let request = marks.put(self.agent.post(format!("http://{to}/v1/chat/completions")));
         let mut got = finish(Instant::now(), request.send_json(chat.body(false)));
         if got.status == 200 {
@@ -133,13 +133,25 @@
     }
 
     /// Looks a name up.
-    pub fn lookup(&self, to: SocketAddr, service: &str, name: &str, marks: &Marks) -> Got {
+    pub fn lookup(
+        &self,
+        to: SocketAddr,
+        service: &str,
+        name: &str,
+        marks: &RequestOptions,
+    ) -> ClientReply {
         let request = marks.put(self.agent.get(format!("http://{to}/v1/lookup/{service}/{name}")));
         finish(Instant::now(), request.call())
     }
 
     /// Runs a plain call.
-    pub fn call(&self, to: SocketAddr, service: &str, body: &str, marks: &Marks) -> Got {
+    pub fn call(
+        &self,
+        to: SocketAddr,
+        service: &str,
+        body: &str,
+        marks: &RequestOptions,
+    ) -> ClientReply {
         let request = marks.put(self.agent.post(format!("http://{to}/v1/call/{service}")));
         finish(Instant::now(), request.send(body))
     }
@@ -180,15 +192,15 @@
     }
 }
 
-impl Marks {
-    /// Marks of an organisation's request.
-    pub fn of(organisation: &str) -> Marks {
-        Marks { organisation: Some(organisation.to_owned()), ..Marks::default() }
+impl RequestOptions {
+    /// RequestOptions of an organisation's request.
+    pub fn of(organisation: &str) -> RequestOptions {
+        RequestOptions { organisation: Some(organisation.to_owned()), ..RequestOptions::default() }
     }
 
     /// The same with an idempotency key.
     #[must_use]
-    pub fn keyed(mut self, key: &str) -> Marks {
+    pub fn keyed(mut self, key: &str) -> RequestOptions {
         self.key = Some(key.to_owned());
         self
     }
@@ -210,7 +222,7 @@
     }
 }
 
-fn finish(begun: Instant, reply: Result<Response<Body>, ureq::Error>) -> Got {
+fn finish(begun: Instant, reply: Result<Response<Body>, ureq::Error>) -> ClientReply {
     let mut got = match reply {
         Ok(mut reply) => {
             let mut got = head(&reply);
@@ -224,7 +236,7 @@
             }
             got
         }
-        Err(err) => Got { text: err.to_string(), ..Got::default() },
+        Err(err) => ClientReply { text: err.to_string(), ..ClientReply::default() },
     };
     got.took = begun.elapsed();
     got
@@ -237,24 +249,24 @@
     serde_json::from_str(&text).or(Ok(Value::String(text)))
 }
 
-fn head(reply: &Response<Body>) -> Got {
+fn head(reply: &Response<Body>) -> ClientReply {
     let text = |name: &str| {
         let value = reply.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
     };
-    Got {
+    ClientReply {
         status: reply.status().as_u16(),
         verdict: text("x-verdict"),
         code: text("x-code"),
         retry_after: text("retry-after"),
         request: text("x-request-id"),
         replayed: text("idempotency-replayed").is_some(),
-        ..Got::default()
+        ..ClientReply::default()
     }
 }
 
 /// Reads server-sent events up to their end.
-fn read_stream(reply: Response<Body>, begun: Instant, seen: &mut dyn FnMut(usize)) -> Got {
+fn read_stream(reply: Response<Body>, begun: Instant, seen: &mut dyn FnMut(usize)) -> ClientReply {
     let mut got = head(&reply);
     let lines = BufReader::new(reply.into_body().into_reader()).lines();
     let mut last = begun;
--- a/crates/roseshore_harness/src/demo.rs
+++ b/crates/roseshore_harness/src/demo.rs
@@ -4,7 +4,7 @@
 //! result. What is expected of an answer is worked out from the stand-ins' sampling function and
 //! not from an earlier answer of the system.
 
-use crate::caller::{Caller, Chat, Got, Marks};
+use crate::caller::{Caller, Chat, ClientReply, RequestOptions};
 use crate::fleets;
 use crate::process::{self, ProcessError};
 use crate::world::{Plan, World};
@@ -109,8 +109,8 @@
         println!("{mark} {what}: {seen}");
     }
 
-    fn marks(&self) -> Marks {
-        Marks::of(&self.cast.customer)
+    fn marks(&self) -> RequestOptions {
+        RequestOptions::of(&self.cast.customer)
     }
 
     fn daemon(&self, number: usize) -> SocketAddr {
@@ -168,7 +168,7 @@
         let marks = self.marks().keyed("demo-note");
         let hosts = [self.daemon(0), self.last()];
         let call = |host| self.world.caller.call(host, &service, "publish 1.4.0", &marks);
-        let got: Vec<Got> = thread::scope(|scope| {
+        let got: Vec<ClientReply> = thread::scope(|scope| {
             let calls = hosts.map(|host| scope.spawn(move || call(host)));
             calls.into_iter().filter_map(|call| call.join().ok()).collect()
         });
@@ -252,7 +252,7 @@
     caller.get(engine, "/v1/load").is_ok_and(|load| load["running"].as_u64().unwrap_or(0) > 0)
 }
 
-fn line(got: &Got) -> String {
+fn line(got: &ClientReply) -> String {
     let code = got.code.as_deref().unwrap_or("no code");
     format!("status {}, {code}, {:.1} ms", got.status, got.took.as_secs_f64() * 1e3)
 }
--- a/crates/roseshore_harness/src/recovery/control.rs
+++ b/crates/roseshore_harness/src/recovery/control.rs
@@ -1,7 +1,7 @@
 //! What the platform brings about: the log back, hosts leaving, a configuration in force.
 
 use super::{Row, median, world};
-use crate::caller::{Chat, Marks};
+use crate::caller::{Chat, RequestOptions};
 use crate::fleets::{CHAT, CUSTOMER, NOTE, Shape};
 use crate::process::{ProcessError, wait_until};
 use crate::world::World;
@@ -29,7 +29,7 @@
     let mut keyed = || {
         count += 1;
         let begun = Instant::now();
-        let marks = Marks::of(CUSTOMER).keyed(&format!("key-{count}"));
+        let marks = RequestOptions::of(CUSTOMER).keyed(&format!("key-{count}"));
         let got = world.caller.call(addr, NOTE, "note", &marks);
         (got.status == 200).then(|| begun.elapsed())
     };
@@ -73,7 +73,7 @@
 /// The slowest of the answers to one key at every daemon at once, and of its repeats.
 fn doubled(world: &World, repeats: usize) -> (Vec<Duration>, Vec<Duration>) {
     let slowest = |key: &str| {
-        let marks = Marks::of(CUSTOMER).keyed(key);
+        let marks = RequestOptions::of(CUSTOMER).keyed(key);
         thread::scope(|scope| {
             let call = |addr| world.caller.call(addr, NOTE, "note", &marks).took;
             let calls: Vec<_> =
@@ -171,7 +171,7 @@
         count += 1;
         let prompt = format!("w {count}");
         let chat = Chat { service: CHAT, prompt: &prompt, tokens: 2 };
-        world.caller.answer(addr, &chat, &Marks::of(CUSTOMER));
+        world.caller.answer(addr, &chat, &RequestOptions::of(CUSTOMER));
     }
 }
 
--- a/crates/roseshore_harness/src/recovery/steady.rs
+++ b/crates/roseshore_harness/src/recovery/steady.rs
@@ -2,7 +2,7 @@
 //! request is slow.
 
 use super::{Row, median, world};
-use crate::caller::{Caller, Chat, Got, Marks};
+use crate::caller::{Caller, Chat, ClientReply, RequestOptions};
 use crate::fleets::{CARDS, CHAT, CUSTOMER, Shape};
 use crate::process::{Process, ProcessError};
 use crate::world::World;
@@ -39,16 +39,16 @@
     wrong: usize,
 }
 
-type Send = fn(&Caller, SocketAddr, u64) -> Got;
+type Send = fn(&Caller, SocketAddr, u64) -> ClientReply;
 
-fn chat(caller: &Caller, to: SocketAddr, number: u64) -> Got {
+fn chat(caller: &Caller, to: SocketAddr, number: u64) -> ClientReply {
     let prompt = format!("short {number}");
     let chat = Chat { service: CHAT, prompt: &prompt, tokens: 1 };
-    caller.answer(to, &chat, &Marks::of(CUSTOMER))
+    caller.answer(to, &chat, &RequestOptions::of(CUSTOMER))
 }
 
-fn lookup(caller: &Caller, to: SocketAddr, number: u64) -> Got {
-    caller.lookup(to, CARDS, &format!("pkg-{number}"), &Marks::of(CUSTOMER))
+fn lookup(caller: &Caller, to: SocketAddr, number: u64) -> ClientReply {
+    caller.lookup(to, CARDS, &format!("pkg-{number}"), &RequestOptions::of(CUSTOMER))
 }
 
 /// Sends requests to a daemon, injects a fault meanwhile and measures until when a request was slow.
--- a/crates/roseshore_harness/src/recovery/streams.rs
+++ b/crates/roseshore_harness/src/recovery/streams.rs
@@ -1,7 +1,7 @@
 //! Stages struck while an answer is prefilled or decoded.
 
 use super::{Row, median, world};
-use crate::caller::{Chat, Got, Marks};
+use crate::caller::{Chat, ClientReply, RequestOptions};
 use crate::fleets::{self, CHAT, CUSTOMER, Shape};
 use crate::process::ProcessError;
 use crate::world::World;
@@ -79,9 +79,9 @@
     Ok(rows)
 }
 
-fn undisturbed(world: &World, prompt: &str) -> Got {
+fn undisturbed(world: &World, prompt: &str) -> ClientReply {
     let chat = Chat { service: CHAT, prompt, tokens: TOKENS };
-    world.caller.stream(world.daemons[0].addr, &chat, &Marks::of(CUSTOMER), |_| ())
+    world.caller.stream(world.daemons[0].addr, &chat, &RequestOptions::of(CUSTOMER), |_| ())
 }
 
 /// Answers begun by each chain.
@@ -131,7 +131,7 @@
     let (caller, addr, before) = (world.caller.clone(), world.daemons[0].addr, opened(world));
     let mut struck = None;
     let mut tokens = Vec::new();
-    let got = caller.stream(addr, &chat, &Marks::of(CUSTOMER), |count| {
+    let got = caller.stream(addr, &chat, &RequestOptions::of(CUSTOMER), |count| {
         tokens.push(Instant::now());
         if count == AFTER {
             let chain = busy(world, before).unwrap_or(0);
@@ -158,7 +158,7 @@
     let (got, first, struck) = thread::scope(|scope| {
         let stream = scope.spawn(|| {
             let mut first = None;
-            let got = caller.stream(addr, &chat, &Marks::of(CUSTOMER), |_| {
+            let got = caller.stream(addr, &chat, &RequestOptions::of(CUSTOMER), |_| {
                 first.get_or_insert_with(Instant::now);
             });
             (got, first)
@@ -184,7 +184,7 @@
 
 /// Whether an answer went on over another route: chains may share stages, so that the one struck
 /// need not be on the answer's route.
-fn resumed(world: &World, got: &Got) -> bool {
+fn resumed(world: &World, got: &ClientReply) -> bool {
     let id = got.request.clone().unwrap_or_default();
     let fate = world.caller.get(world.daemons[0].addr, &format!("/v1/requests/{id}"));
     fate.is_ok_and(|fate| fate["resumed"].as_u64().unwrap_or(0) > 0)
@@ -198,7 +198,7 @@
     };
     faults(json!({ "cut_after": AFTER }));
     let chat = Chat { service: CHAT, prompt, tokens: TOKENS };
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     let got = world.caller.stream(world.daemons[0].addr, &chat, &marks, |count| {
         if count == AFTER + 1 {
             faults(json!({}));
@@ -208,7 +208,7 @@
     got.gaps.get(AFTER - 1).copied().ok_or_else(|| missed("stream cut"))
 }
 
-fn check(world: &World, got: &Got, chat: &Chat<'_>) -> Result<(), ProcessError> {
+fn check(world: &World, got: &ClientReply, chat: &Chat<'_>) -> Result<(), ProcessError> {
     if got.whole && got.joined() == fleets::text(chat) {
         return Ok(());
     }
--- a/crates/roseshore_harness/src/world.rs
+++ b/crates/roseshore_harness/src/world.rs
@@ -1,6 +1,6 @@
 //! A platform, targets and daemons for a declared fleet.
 
-use crate::caller::{Caller, Chat, Marks};
+use crate::caller::{Caller, Chat, RequestOptions};
 use crate::process::{Process, ProcessError, free_port, wait_until};
 use crate::relay::Relay;
 use roseshore_core::config::{Change, Command, FORMAT, Object, ObjectKey};
@@ -296,7 +296,7 @@
     /// Waits until a daemon has heard of enough targets to answer for every model.
     fn answers(&self, daemon: SocketAddr) -> Result<(), ProcessError> {
         let Some(customer) = self.plan.fleet.organisations.keys().next() else { return Ok(()) };
-        let marks = Marks::of(customer);
+        let marks = RequestOptions::of(customer);
         let services = self.plan.fleet.services.iter();
         for (service, _) in services.filter(|(_, s)| s.kind == ServiceKind::Model && s.idempotent) {
             let chat = Chat { service, prompt: "probe", tokens: 1 };
--- a/crates/roseshore_harness/tests/control.rs
+++ b/crates/roseshore_harness/tests/control.rs
@@ -3,7 +3,7 @@
 
 use roseshore_core::config::{Change, Command, FORMAT, Kind, Object, ObjectKey, Reason};
 use roseshore_core::fleet::Organisation;
-use roseshore_harness::caller::{Chat, Marks};
+use roseshore_harness::caller::{Chat, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CHAT, CUSTOMER, NOTE, Shape};
 use roseshore_harness::process::wait_until;
 use roseshore_harness::world::{Plan, World};
@@ -122,7 +122,7 @@
         let config = world.caller.get(south, "/v1/admin/config").expect("the daemon answers");
         config["offset"].as_u64().unwrap_or(0)
     };
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     let chat = Chat { service: CHAT, prompt: "go on alone", tokens: 12 };
     for round in 0..2 {
         let relay = &world.relays["south"];
@@ -146,7 +146,8 @@
             assert_eq!(got.status, 200, "{got:?}");
         }
         let key = format!("cut-{round}");
-        let keyed = Marks { deadline: Some(2_000), ..Marks::of(CUSTOMER).keyed(&key) };
+        let keyed =
+            RequestOptions { deadline: Some(2_000), ..RequestOptions::of(CUSTOMER).keyed(&key) };
         let refused = world.caller.call(south, NOTE, "note", &keyed);
         assert!(refused.status >= 400 && refused.retry_after.is_some(), "{refused:?}");
         assert_eq!(world.ran(&key).expect("answers"), 0, "{refused:?}");
--- a/crates/roseshore_harness/tests/faults.rs
+++ b/crates/roseshore_harness/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Promises under failure, with separate processes: killed, frozen, stopped in order, cut off from
 //! the platform.
 
-use roseshore_harness::caller::{Chat, Got, Marks};
+use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CHAT, CUSTOMER, NOTE, Shape};
 use roseshore_harness::process::wait_until;
 use roseshore_harness::world::{Plan, World};
@@ -21,8 +21,8 @@
 }
 
 /// Sends the same keyed call to every daemon at once.
-fn everywhere(world: &World, key: &str) -> Vec<Got> {
-    let marks = Marks::of(CUSTOMER).keyed(key);
+fn everywhere(world: &World, key: &str) -> Vec<ClientReply> {
+    let marks = RequestOptions::of(CUSTOMER).keyed(key);
     thread::scope(|scope| {
         let calls: Vec<_> = world
             .daemons
@@ -52,7 +52,7 @@
 #[test]
 fn a_key_outlives_the_host_that_took_it() {
     let mut world = world(Shape::default(), 3);
-    let marks = Marks::of(CUSTOMER).keyed("first");
+    let marks = RequestOptions::of(CUSTOMER).keyed("first");
     let got = world.caller.call(world.daemons[0].addr, NOTE, "note", &marks);
     assert_eq!(got.status, 200, "{got:?}");
     world.daemons[0].process.kill();
@@ -73,21 +73,23 @@
     let addr = world.daemons[0].addr;
     world.platform.freeze();
     let chat = Chat { service: CHAT, prompt: "go on", tokens: 6 };
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     for _ in 0..5 {
         let got = world.caller.stream(addr, &chat, &marks, |_| ());
         assert!(got.whole && got.joined() == fleets::text(&chat), "{got:?}");
         let got = world.caller.lookup(addr, CARDS, "pkg-7", &marks);
         assert_eq!(got.status, 200, "{got:?}");
     }
-    let keyed = Marks { deadline: Some(3_000), ..Marks::of(CUSTOMER).keyed("out") };
+    let keyed =
+        RequestOptions { deadline: Some(3_000), ..RequestOptions::of(CUSTOMER).keyed("out") };
     let refused = world.caller.call(addr, NOTE, "note", &keyed);
     assert!(refused.status >= 400, "{refused:?}");
     assert!(refused.retry_after.is_some(), "{refused:?}");
     world.platform.thaw();
     assert_eq!(world.ran("out").expect("the replicas answer"), 0, "the refused attempt never runs");
     let answered = wait_until(|| {
-        let got = world.caller.call(addr, NOTE, "note", &Marks::of(CUSTOMER).keyed("back"));
+        let got =
+            world.caller.call(addr, NOTE, "note", &RequestOptions::of(CUSTOMER).keyed("back"));
         got.status == 200
     });
     assert!(answered, "keyed work goes on with the platform");
@@ -125,7 +127,7 @@
             assert!(wait_until(gone), "the balancer sees it leave");
             stop.store(true, Ordering::SeqCst);
             let results = streams.into_iter().map(|s| s.join().expect("no panic"));
-            results.flatten().collect::<Vec<Got>>()
+            results.flatten().collect::<Vec<ClientReply>>()
         });
         assert!(cut.is_empty(), "round {round}: {cut:?}");
         let status = world.daemons[struck].process.wait(END).expect("it ends by itself");
@@ -137,7 +139,7 @@
     }
     let chat = Chat { service: CHAT, prompt: "after all restarts", tokens: 4 };
     for daemon in &world.daemons {
-        let got = world.caller.stream(daemon.addr, &chat, &Marks::of(CUSTOMER), |_| ());
+        let got = world.caller.stream(daemon.addr, &chat, &RequestOptions::of(CUSTOMER), |_| ());
         assert!(got.whole && got.joined() == fleets::text(&chat), "{got:?}");
     }
 }
@@ -148,9 +150,9 @@
     addr: SocketAddr,
     stop: &AtomicBool,
     whole: &AtomicUsize,
-) -> Vec<Got> {
+) -> Vec<ClientReply> {
     let chat = Chat { service: CHAT, prompt: "a long answer", tokens: 40 };
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     let mut cut = Vec::new();
     while !stop.load(Ordering::SeqCst) {
         let got = world.caller.stream(addr, &chat, &marks, |_| ());
@@ -166,7 +168,7 @@
 #[test]
 fn a_leaving_target_gets_no_new_work() {
     let world = world(Shape { chains: 2, ..Shape::default() }, 2);
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     // A prompt that was asked for before goes where it is cached as long as there is room, so each
     // request has its own: then nothing but the load decides.
     let asked = AtomicUsize::new(0);
@@ -220,7 +222,7 @@
     let chat = Chat { service: CHAT, prompt: "a long answer", tokens: 400 };
     let stage = &world.targets["north-1-0"];
     let got = thread::scope(|scope| {
-        world.caller.stream(daemon, &chat, &Marks::of(CUSTOMER), |count| {
+        world.caller.stream(daemon, &chat, &RequestOptions::of(CUSTOMER), |count| {
             if count == 5 {
                 stage.freeze();
                 scope.spawn(|| {
@@ -237,7 +239,7 @@
 fn a_leaving_daemon_takes_no_new_work_and_finishes_what_it_has() {
     let world = world(Shape::default(), 2);
     let daemon = &world.daemons[1];
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     let chat = Chat { service: CHAT, prompt: "a long answer", tokens: 400 };
     let leave = json!({ "host": daemon.host });
     let ready = || world.caller.status(daemon.addr, "/readyz") == Some(200);
--- a/crates/roseshore_harness/tests/once.rs
+++ b/crates/roseshore_harness/tests/once.rs
@@ -1,7 +1,7 @@
 //! Work that may run once, with separate processes: the log lost around each step of a key, its
 //! claimant frozen or killed, its stages lost.
 
-use roseshore_harness::caller::{Chat, Got, Marks};
+use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CUSTOMER, NOTE, Shape, VERDICT};
 use roseshore_harness::process::wait_until;
 use roseshore_harness::world::{Plan, World};
@@ -21,8 +21,9 @@
     world.ran(key).expect("the replicas answer")
 }
 
-fn call(world: &World, daemon: usize, key: &str) -> Got {
-    let marks = Marks { deadline: Some(DEADLINE), ..Marks::of(CUSTOMER).keyed(key) };
+fn call(world: &World, daemon: usize, key: &str) -> ClientReply {
+    let marks =
+        RequestOptions { deadline: Some(DEADLINE), ..RequestOptions::of(CUSTOMER).keyed(key) };
     let got = world.caller.call(world.daemons[daemon].addr, NOTE, "note", &marks);
     assert!(got.status == 200 || got.verdict.is_some(), "{key}: no word at all: {got:?}");
     // No other attempt is under way wherever this is asked.
@@ -40,11 +41,11 @@
 }
 
 /// Sees every daemon come to the one recorded answer of a key that ran once.
-fn settles(world: &World, key: &str, told: &[Got]) {
+fn settles(world: &World, key: &str, told: &[ClientReply]) {
     let mut texts: Vec<String> =
         told.iter().filter(|got| got.status == 200).map(|got| got.text.clone()).collect();
     for daemon in 0..world.daemons.len() {
-        let mut last = Got::default();
+        let mut last = ClientReply::default();
         let answered = wait_until(|| {
             last = call(world, daemon, key);
             texts.extend((last.status == 200).then(|| last.text.clone()));
@@ -208,7 +209,7 @@
         first.join().expect("no panic");
     });
     for daemon in 0..2 {
-        let mut last = Got::default();
+        let mut last = ClientReply::default();
         let ended = wait_until(|| {
             last = call(&world, daemon, key);
             last.status == 200 || last.code.as_deref() == Some("RS402")
@@ -256,7 +257,7 @@
     assert!(wait_until(|| world.daemons.iter().all(|d| world.hears_all(d))), "not heard of");
     lose_chains(&world);
     let chat = Chat { service: VERDICT, prompt: "was it safe", tokens: 20 };
-    let marks = Marks::of(CUSTOMER).keyed("late");
+    let marks = RequestOptions::of(CUSTOMER).keyed("late");
     let got = world.caller.answer(world.daemons[0].addr, &chat, &marks);
     assert_eq!((got.status, got.joined()), (200, fleets::text(&chat)), "{got:?}");
 }
@@ -269,7 +270,7 @@
         if name == "stage killed" {
             lose_chains(&world);
         }
-        let marks = Marks::of(CUSTOMER).keyed(&format!("verdict-{number}"));
+        let marks = RequestOptions::of(CUSTOMER).keyed(&format!("verdict-{number}"));
         let before = opened(&world);
         let answers = thread::scope(|scope| {
             let ask = |addr| world.caller.answer(addr, &chat, &marks);
@@ -277,9 +278,9 @@
                 world.daemons.iter().map(|d| scope.spawn(move || ask(d.addr))).collect();
             asks.into_iter().map(|ask| ask.join().expect("no panic")).collect::<Vec<_>>()
         });
-        let right = |got: &Got| got.status == 200 && got.joined() == fleets::text(&chat);
+        let right = |got: &ClientReply| got.status == 200 && got.joined() == fleets::text(&chat);
         assert!(answers.iter().any(|got| right(got) && !got.replayed), "{name}: {answers:?}");
-        let busy = |got: &Got| got.code.as_deref() == Some("RS401");
+        let busy = |got: &ClientReply| got.code.as_deref() == Some("RS401");
         assert!(answers.iter().all(|got| right(got) || busy(got)), "{name}: {answers:?}");
         assert_eq!(answers.iter().filter(|got| right(got) && !got.replayed).count(), 1, "{name}");
         if name == "no fault" {
@@ -298,7 +299,7 @@
     for (name, service) in [("plain", fleets::CHAT), ("keyed", VERDICT)] {
         let mut world = world(Shape::default(), 2);
         let chat = Chat { service, prompt: "tell me all", tokens: 60 };
-        let marks = Marks::of(CUSTOMER).keyed("cut-off");
+        let marks = RequestOptions::of(CUSTOMER).keyed("cut-off");
         let (caller, addr) = (world.caller.clone(), world.daemons[0].addr);
         let cut = caller.stream(addr, &chat, &marks, |count| {
             if count == AFTER {
@@ -308,7 +309,7 @@
         assert!(!cut.whole && cut.status == 200, "{name}: a cut answer looks whole: {cut:?}");
         assert!(fleets::text(&chat).starts_with(&cut.joined()), "{name}: {cut:?}");
         let before = opened(&world);
-        let marks = Marks { deadline: Some(DEADLINE), ..marks };
+        let marks = RequestOptions { deadline: Some(DEADLINE), ..marks };
         let again = caller.answer(world.daemons[1].addr, &chat, &marks);
         if service == VERDICT {
             // Nobody knows its end; that is said, and it is not begun again.
--- a/crates/roseshore_harness/tests/orders.rs
+++ b/crates/roseshore_harness/tests/orders.rs
@@ -2,7 +2,7 @@
 
 use roseshore_core::config::{Change, Command, FORMAT, Kind, Object, ObjectKey};
 use roseshore_fakes::engine::text::expected;
-use roseshore_harness::caller::{Chat, Got, Marks};
+use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CHAT, CUSTOMER, MODEL, Shape};
 use roseshore_harness::process::wait_until;
 use roseshore_harness::world::{Daemon, Plan, World};
@@ -77,8 +77,8 @@
 }
 
 /// Asks one daemon again and again; returns what was not a whole answer of one version, in order.
-fn flow(world: &World, to: SocketAddr, caller: usize, seen: &Seen) -> Vec<Got> {
-    let marks = Marks::of(CUSTOMER);
+fn flow(world: &World, to: SocketAddr, caller: usize, seen: &Seen) -> Vec<ClientReply> {
+    let marks = RequestOptions::of(CUSTOMER);
     let mut wrong = Vec::new();
     while !seen.stop.load(Ordering::SeqCst) {
         let got = world.caller.stream(to, &chat(), &marks, |_| ());
@@ -132,7 +132,7 @@
 fn join(world: &World) -> Daemon {
     let fresh = world.start_daemon("north", "north-9").expect("starts");
     let answered = wait_until(|| {
-        let got = world.caller.answer(fresh.addr, &chat(), &Marks::of(CUSTOMER));
+        let got = world.caller.answer(fresh.addr, &chat(), &RequestOptions::of(CUSTOMER));
         assert!(got.status != 200 || got.joined() == text("v1"), "{got:?}");
         got.status == 200
     });
@@ -165,7 +165,10 @@
             let answered = wait_until(|| seen.all_new());
             drop((guard, fresh));
             assert!(flowing && changed && answered, "{}: {changed} {answered}", case.name);
-            flows.into_iter().flat_map(|f| f.join().expect("no panic")).collect::<Vec<Got>>()
+            flows
+                .into_iter()
+                .flat_map(|f| f.join().expect("no panic"))
+                .collect::<Vec<ClientReply>>()
         });
         assert!(wrong.is_empty(), "{}: {} wrong: {:?}", case.name, wrong.len(), wrong[0]);
     }
--- a/crates/roseshore_harness/tests/whole.rs
+++ b/crates/roseshore_harness/tests/whole.rs
@@ -1,6 +1,6 @@
 //! The whole path with separate processes, and stages lost in the middle of answers.
 
-use roseshore_harness::caller::{Chat, Got, Marks};
+use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CHAT, CUSTOMER, NOTE, Shape};
 use roseshore_harness::process::wait_until;
 use roseshore_harness::world::{Plan, World};
@@ -14,7 +14,7 @@
 #[test]
 fn a_request_of_each_kind_is_served() {
     let world = world(Shape { centres: 2, ..Shape::default() }, 2);
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     for daemon in &world.daemons {
         let chat = Chat { service: CHAT, prompt: "one two three", tokens: 12 };
         let got = world.caller.stream(daemon.addr, &chat, &marks, |_| ());
@@ -83,7 +83,7 @@
         let world = world(shape, 1);
         strike(&world, case, CHAINS);
         let addr = world.daemons[0].addr;
-        let marks = Marks::of(CUSTOMER);
+        let marks = RequestOptions::of(CUSTOMER);
         let mut resumed = false;
         // Answers are sent until one has met the fault; each of them must be whole.
         let met = wait_until(|| {
@@ -98,7 +98,7 @@
     }
 }
 
-fn resumed_once(world: &World, got: &Got) -> bool {
+fn resumed_once(world: &World, got: &ClientReply) -> bool {
     let id = got.request.clone().unwrap_or_default();
     let fate = world.caller.get(world.daemons[0].addr, &format!("/v1/requests/{id}"));
     fate.is_ok_and(|fate| fate["resumed"].as_u64().unwrap_or(0) > 0)
@@ -114,7 +114,7 @@
         }
     }
     let chat = Chat { service: CHAT, prompt: "from afar", tokens: 8 };
-    let marks = Marks::of(CUSTOMER);
+    let marks = RequestOptions::of(CUSTOMER);
     let served = wait_until(|| {
         let got = world.caller.stream(north, &chat, &marks, |_| ());
         assert!(!got.whole || got.joined() == fleets::text(&chat), "{got:?}");
