--- a/crates/roseshore_core/src/config/state.rs
+++ b/crates/roseshore_core/src/config/state.rs
@@ -13,7 +13,7 @@
 ///
 /// Every copy of a command has an offset of at least `made_at`. A copy at most this many offsets
 /// after `made_at` therefore finds every earlier copy among the remembered ones; a later copy is
-/// rejected.
+/// [`Decision::TooOld`].
 pub const WINDOW: Offset = 4096;
 /// Longest message of a decision, in characters.
 const MAX_MESSAGE: usize = 400;
