--- a/crates/roseshore_harness/src/caller.rs
+++ b/crates/roseshore_harness/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers do: answers with and without streaming, lookups and plain calls.
+//! An HTTP client for daemons: chat answers with and without streaming, lookups and plain calls.
 
 use crate::process::ProcessError;
 use serde_json::{Value, json};
@@ -8,63 +8,63 @@
 use ureq::http::Response;
 use ureq::{Agent, Body};
 
-/// What a caller got.
+/// The outcome of one request as the client sees it.
 #[derive(Clone, Debug, Default)]
 pub struct ClientReply {
-    /// The HTTP status; 0 when no reply came.
+    /// The HTTP status; 0 if no response arrived.
     pub status: u16,
-    /// The verdict's name, for refusals.
+    /// The verdict of a refusal, from `x-verdict` or the error event of a stream.
     pub verdict: Option<String>,
-    /// The refusal's code.
+    /// The code of a refusal, from `x-code` or the error event of a stream.
     pub code: Option<String>,
-    /// When to come back.
+    /// The `retry-after` header as received.
     pub retry_after: Option<String>,
-    /// The request's id.
+    /// The `x-request-id` header of the response.
     pub request: Option<String>,
-    /// Whether it is a recorded answer.
+    /// Whether the response replays the recorded answer of its idempotency key.
     pub replayed: bool,
-    /// The text of an answer, or the body.
+    /// The text of a chat answer, the body of any other response, or the transport error.
     pub text: String,
-    /// Whether a stream was closed by `[DONE]`, or a body came whole.
+    /// Whether the stream ended with `[DONE]`, or the body was read completely.
     pub whole: bool,
-    /// From the call to the first token or byte of the body.
+    /// Time from the call to the first token of a stream, or to the response headers.
     pub first: Duration,
-    /// From each token to the next.
+    /// Time between consecutive tokens of a stream.
     pub gaps: Vec<Duration>,
-    /// From the call to the end.
+    /// Time from the call to the end of the response.
     pub took: Duration,
 }
 
 impl ClientReply {
-    /// The text without the blanks between tokens.
+    /// The text with all white space removed, for comparison with an expected answer.
     pub fn joined(&self) -> String {
         self.text.split_whitespace().collect()
     }
 }
 
-/// Whose request it is and how it is to be treated.
+/// Optional request headers: sender, idempotency, deadline, priority and id.
 #[derive(Clone, Debug, Default)]
 pub struct RequestOptions {
-    /// The customer.
+    /// The organisation that sends the request (`x-organisation`).
     pub organisation: Option<String>,
-    /// The idempotency key.
+    /// The idempotency key (`idempotency-key`).
     pub key: Option<String>,
-    /// Milliseconds until the answer must be whole.
+    /// Milliseconds until the answer must be complete (`x-deadline-ms`).
     pub deadline: Option<u64>,
-    /// Larger goes first.
+    /// Priority; larger values are served first (`x-priority`).
     pub priority: Option<u8>,
-    /// The request's id.
+    /// A request id chosen by the client (`x-request-id`).
     pub request: Option<String>,
 }
 
-/// A question to a model.
+/// A chat request to a model service.
 #[derive(Clone, Debug)]
 pub struct Chat<'a> {
-    /// The service.
+    /// Id of the model service.
     pub service: &'a str,
-    /// The prompt; one token a word.
+    /// The prompt; each word is one token.
     pub prompt: &'a str,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens in the answer.
     pub tokens: u32,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// A caller with kept connections.
+/// An HTTP client that reuses connections.
 #[derive(Clone, Debug)]
 pub struct Caller {
     agent: Agent,
@@ -92,7 +92,7 @@
 }
 
 impl Caller {
-    /// A caller that gives up after `limit`.
+    /// Creates a client whose requests time out after `limit`.
     pub fn new(limit: Duration) -> Caller {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -102,7 +102,7 @@
         Caller { agent: config.into() }
     }
 
-    /// Asks for a chat answer as a stream; `seen` is told of each token as it comes.
+    /// Requests a streamed chat answer; `seen` is called with the token count after each token.
     pub fn stream(
         &self,
         to: SocketAddr,
@@ -111,7 +111,7 @@
         mut seen: impl FnMut(usize),
     ) -> ClientReply {
         let begun = Instant::now();
-        let request = marks.put(self.agent.post(format!("http://{to}/v1/chat/completions")));
+        let request = marks.apply_to(self.agent.post(format!("http://{to}/v1/chat/completions")));
         let mut got = match request.send_json(chat.body(true)) {
             Ok(reply) => read_stream(reply, begun, &mut seen),
             Err(err) => ClientReply { text: err.to_string(), ..ClientReply::default() },
@@ -120,10 +120,10 @@
         got
     }
 
-    /// Asks for a chat answer at once.
+    /// Requests a chat answer without streaming.
     pub fn answer(&self, to: SocketAddr, chat: &Chat<'_>, marks: &RequestOptions) -> ClientReply {
-        let request = marks.put(self.agent.post(format!("http://{to}/v1/chat/completions")));
-        let mut got = finish(Instant::now(), request.send_json(chat.body(false)));
+        let request = marks.apply_to(self.agent.post(format!("http://{to}/v1/chat/completions")));
+        let mut got = read_reply(Instant::now(), request.send_json(chat.body(false)));
         if got.status == 200 {
             let value: Value = serde_json::from_str(&got.text).unwrap_or_default();
             let text = value["choices"][0]["message"]["content"].as_str();
@@ -132,7 +132,7 @@
         got
     }
 
-    /// Looks a name up.
+    /// Looks up a name in a lookup service.
     pub fn lookup(
         &self,
         to: SocketAddr,
@@ -140,11 +140,12 @@
         name: &str,
         marks: &RequestOptions,
     ) -> ClientReply {
-        let request = marks.put(self.agent.get(format!("http://{to}/v1/lookup/{service}/{name}")));
-        finish(Instant::now(), request.call())
+        let request =
+            marks.apply_to(self.agent.get(format!("http://{to}/v1/lookup/{service}/{name}")));
+        read_reply(Instant::now(), request.call())
     }
 
-    /// Runs a plain call.
+    /// Calls a plain service.
     pub fn call(
         &self,
         to: SocketAddr,
@@ -152,40 +153,41 @@
         body: &str,
         marks: &RequestOptions,
     ) -> ClientReply {
-        let request = marks.put(self.agent.post(format!("http://{to}/v1/call/{service}")));
-        finish(Instant::now(), request.send(body))
+        let request = marks.apply_to(self.agent.post(format!("http://{to}/v1/call/{service}")));
+        read_reply(Instant::now(), request.send(body))
     }
 
-    /// Gets any path as JSON.
+    /// Sends a GET request; a body that is not JSON is returned as a string.
     ///
     /// # Errors
-    /// When no reply comes, or none that can be read.
+    /// If no response arrives or its body cannot be read. An HTTP error status is no error.
     pub fn get(&self, to: SocketAddr, path: &str) -> Result<Value, ProcessError> {
         let reply = self.agent.get(format!("http://{to}{path}")).call();
-        json_of(reply)
+        parse_json(reply)
     }
 
-    /// Posts JSON to any path.
+    /// Posts JSON; a response body that is not JSON is returned as a string.
     ///
     /// # Errors
-    /// When no reply comes, or none that can be read.
+    /// If no response arrives or its body cannot be read. An HTTP error status is no error.
     pub fn post(
         &self,
         to: SocketAddr,
         path: &str,
         body: &impl serde::Serialize,
     ) -> Result<Value, ProcessError> {
-        json_of(self.agent.post(format!("http://{to}{path}")).send_json(body))
+        parse_json(self.agent.post(format!("http://{to}{path}")).send_json(body))
     }
 
-    /// The value of a daemon's metric, by its name with labels; `None` when no reply comes or it has no such metric.
+    /// The value of a daemon's metric, by its name with labels; `None` if the daemon does not respond
+    /// or has no such metric.
     pub fn metric(&self, daemon: SocketAddr, name: &str) -> Option<usize> {
         let page = self.get(daemon, "/metrics").ok()?;
         let mut lines = page.as_str()?.lines();
         lines.find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// The status of a path; `None` when no reply comes.
+    /// The HTTP status of a GET request; `None` if no response arrives.
     pub fn status(&self, to: SocketAddr, path: &str) -> Option<u16> {
         let reply = self.agent.get(format!("http://{to}{path}")).call().ok()?;
         Some(reply.status().as_u16())
@@ -193,19 +195,19 @@
 }
 
 impl RequestOptions {
-    /// RequestOptions of an organisation's request.
+    /// Options for a request from the given organisation, all others unset.
     pub fn of(organisation: &str) -> RequestOptions {
         RequestOptions { organisation: Some(organisation.to_owned()), ..RequestOptions::default() }
     }
 
-    /// The same with an idempotency key.
+    /// Sets the idempotency key.
     #[must_use]
     pub fn keyed(mut self, key: &str) -> RequestOptions {
         self.key = Some(key.to_owned());
         self
     }
 
-    fn put<T>(&self, mut request: ureq::RequestBuilder<T>) -> ureq::RequestBuilder<T> {
+    fn apply_to<T>(&self, mut request: ureq::RequestBuilder<T>) -> ureq::RequestBuilder<T> {
         let texts = [
             ("x-organisation", self.organisation.clone()),
             ("idempotency-key", self.key.clone()),
@@ -222,10 +224,10 @@
     }
 }
 
-fn finish(begun: Instant, reply: Result<Response<Body>, ureq::Error>) -> ClientReply {
+fn read_reply(begun: Instant, reply: Result<Response<Body>, ureq::Error>) -> ClientReply {
     let mut got = match reply {
         Ok(mut reply) => {
-            let mut got = head(&reply);
+            let mut got = from_headers(&reply);
             got.first = begun.elapsed();
             match reply.body_mut().read_to_string() {
                 Ok(text) => {
@@ -242,14 +244,14 @@
     got
 }
 
-fn json_of(reply: Result<Response<Body>, ureq::Error>) -> Result<Value, ProcessError> {
+fn parse_json(reply: Result<Response<Body>, ureq::Error>) -> Result<Value, ProcessError> {
     let mut reply = reply.map_err(|err| ProcessError::Call(err.to_string()))?;
     let text = reply.body_mut().read_to_string();
     let text = text.map_err(|err| ProcessError::Call(err.to_string()))?;
     serde_json::from_str(&text).or(Ok(Value::String(text)))
 }
 
-fn head(reply: &Response<Body>) -> ClientReply {
+fn from_headers(reply: &Response<Body>) -> ClientReply {
     let text = |name: &str| {
         let value = reply.headers().get(name)?;
         value.to_str().ok().map(str::to_owned)
@@ -265,9 +267,9 @@
     }
 }
 
-/// Reads server-sent events up to their end.
+/// Reads server-sent events until the stream ends or breaks off.
 fn read_stream(reply: Response<Body>, begun: Instant, seen: &mut dyn FnMut(usize)) -> ClientReply {
-    let mut got = head(&reply);
+    let mut got = from_headers(&reply);
     let lines = BufReader::new(reply.into_body().into_reader()).lines();
     let mut last = begun;
     let mut count = 0;
--- a/crates/roseshore_harness/src/world.rs
+++ b/crates/roseshore_harness/src/world.rs
@@ -1,4 +1,4 @@
-//! A platform, targets and daemons for a declared fleet.
+//! Starts the platform, targets and daemons of a declared fleet as separate processes.
 
 use crate::caller::{Caller, Chat, RequestOptions};
 use crate::process::{Process, ProcessError, free_port, wait_until};
@@ -12,23 +12,23 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// How fast one kind of accelerator is, as its engine's stand-in takes it.
+/// The simulated speed of one accelerator kind, passed to the fake engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// The kind's name in declarations.
+    /// Name of the accelerator kind in declarations.
     pub name: &'static str,
-    /// Time of one step of one token, microseconds.
+    /// Duration of one decode step of one token, in microseconds.
     pub step_us: u64,
-    /// Steps that run at once.
+    /// Number of steps that run concurrently.
     pub slots: u32,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate in tokens per second.
     pub prefill: u64,
 }
 
-/// The metric that counts the targets that answer, up to its value.
-const ANSWERING: &str = "roseshore_targets_answering";
+/// The metric with the number of targets that respond, without its value.
+const TARGETS_METRIC: &str = "roseshore_targets_answering";
 
-/// The kinds of accelerators; the fastest is six times as fast as the slowest.
+/// The known accelerator kinds; the fastest is six times as fast as the slowest.
 pub const SPEEDS: &[Speed] = &[
     Speed { name: "h100", step_us: 1_000, slots: 16, prefill: 60_000 },
     Speed { name: "mi300", step_us: 1_500, slots: 12, prefill: 40_000 },
@@ -38,40 +38,41 @@
     Speed { name: "t4", step_us: 6_000, slots: 6, prefill: 10_000 },
 ];
 
-/// The speed of a declared kind; the middle one when it is not known.
+/// The speed of a declared accelerator kind; that of `a100` if the kind is unknown or not declared.
 pub fn speed(accelerator: Option<&str>) -> Speed {
     let known = SPEEDS.iter().find(|s| Some(s.name) == accelerator);
     *known.unwrap_or(&SPEEDS[2])
 }
 
-/// What to start.
+/// Configuration of a [`World`].
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// The declared fleet; a target's port 0 is replaced by the one it listens on.
+    /// The declared fleet; port 0 of a target is replaced by the port it listens on.
     pub fleet: Fleet,
-    /// Daemons in each data centre.
+    /// Number of daemons in each data centre.
     pub daemons: usize,
-    /// Further flags of the platform.
+    /// Additional flags for the platform.
     pub platform: Vec<String>,
-    /// Further flags of every engine.
+    /// Additional flags for every engine.
     pub engines: Vec<String>,
-    /// Further flags of every service replica.
+    /// Additional flags for every service replica.
     pub services: Vec<String>,
-    /// Further flags of every daemon.
+    /// Additional flags for every daemon.
     pub flags: Vec<String>,
     /// Data centres whose daemons reach the platform through a relay that can be cut.
     pub relayed: Vec<DataCentreId>,
 }
 
 impl Plan {
-    /// The first target declared at a fixed address; one process serves all that share it.
+    /// The first target declared at a fixed address; one process serves all targets that share it.
     fn first_at(&self, addr: SocketAddr) -> Option<&TargetId> {
         let mut targets = self.fleet.targets.iter();
         let same = targets.find(|(_, t)| addr.port() != 0 && t.addr == addr);
         same.map(|(id, _)| id)
     }
 
-    /// The sources of all targets at a fixed address, or of one target with any address.
+    /// The lookup sources of all targets that share the target's fixed address, or of this target
+    /// alone if its port is 0.
     fn sources<'a>(&'a self, target: &'a Target) -> Vec<&'a str> {
         let shared = |t: &&Target| target.addr.port() != 0 && t.addr == target.addr;
         let all: Vec<&Target> = self.fleet.targets.values().filter(shared).collect();
@@ -81,45 +82,45 @@
     }
 }
 
-/// A started daemon.
+/// A running daemon.
 pub struct Daemon {
-    /// Its host.
+    /// The host id that the daemon was started with.
     pub host: HostId,
-    /// Its data centre.
+    /// The data centre that the daemon belongs to.
     pub data_centre: DataCentreId,
-    /// Where it hears callers.
+    /// Listen address for client requests.
     pub addr: SocketAddr,
-    /// Where it hears peers.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
-    /// The process.
+    /// The daemon's process; killed on drop.
     pub process: Process,
 }
 
-/// A started system.
+/// A running system: the platform, targets and daemons of one fleet.
 pub struct World {
-    /// What was started.
+    /// The configuration, with the targets' actual addresses.
     pub plan: Plan,
-    /// The platform.
+    /// The process of the fake platform.
     pub platform: Process,
-    /// Where the platform listens.
+    /// Listen address of the platform (log, host list and weight store).
     pub log: SocketAddr,
-    /// The ways to the platform that can be cut.
+    /// The relays between a data centre's daemons and the platform.
     pub relays: BTreeMap<DataCentreId, Relay>,
-    /// The targets.
+    /// The target processes; targets that share an address are listed under the first one's id.
     pub targets: BTreeMap<TargetId, Process>,
-    /// The daemons, by data centre and number.
+    /// The daemons, ordered by data centre and number.
     pub daemons: Vec<Daemon>,
-    /// Speaks to all of them.
+    /// Client for requests to any of the processes.
     pub caller: Caller,
-    /// The last life that a restarted engine was given.
-    lives: u64,
+    /// The incarnation number that was last given to a restarted engine.
+    last_incarnation: u64,
 }
 
 impl World {
-    /// Starts everything but declares nothing yet; returns when every daemon answers.
+    /// Starts all processes without declaring the fleet; returns when every daemon is healthy.
     ///
     /// # Errors
-    /// When a program is not built or does not come to serve.
+    /// If a program is not built or does not become ready.
     pub fn start(mut plan: Plan) -> Result<World, ProcessError> {
         let mut args = vec!["--lag-ms".to_owned(), "500".to_owned()];
         args.extend(plan.platform.iter().cloned());
@@ -141,8 +142,16 @@
                 .map_err(|err| ProcessError::NotReady(format!("the relay: {err}")))?;
             relays.insert(data_centre.clone(), relay);
         }
-        let mut world =
-            World { plan, platform, log, relays, targets, daemons: Vec::new(), caller, lives: 1 };
+        let mut world = World {
+            plan,
+            platform,
+            log,
+            relays,
+            targets,
+            daemons: Vec::new(),
+            caller,
+            last_incarnation: 1,
+        };
         let centres: Vec<DataCentreId> = world.plan.fleet.data_centres.keys().cloned().collect();
         for data_centre in centres {
             for number in 0..world.plan.daemons {
@@ -161,10 +170,11 @@
         Ok(world)
     }
 
-    /// Starts the system and declares its fleet; returns when every daemon has heard of every target.
+    /// Starts the system and declares its fleet; returns when every daemon knows that every target
+    /// responds.
     ///
     /// # Errors
-    /// As [`World::start`], or when the fleet is not in force everywhere.
+    /// As [`World::start`], or if the fleet is not accepted or a daemon does not become ready.
     pub fn serving(plan: Plan) -> Result<World, ProcessError> {
         let world = World::start(plan)?;
         world.declare()?;
@@ -175,16 +185,16 @@
         Err(ProcessError::NotReady("every target at every daemon".to_owned()))
     }
 
-    /// Whether a daemon knows that every target answers. One that has heard of a single chain is ready, and has no
-    /// other one yet when that is lost.
+    /// Whether a daemon knows that every target responds. A daemon is ready as soon as it knows of one
+    /// chain; if that chain is lost before another has reported, no route is left.
     pub fn hears_all(&self, daemon: &Daemon) -> bool {
-        self.caller.metric(daemon.addr, ANSWERING) == Some(self.plan.fleet.targets.len())
+        self.caller.metric(daemon.addr, TARGETS_METRIC) == Some(self.plan.fleet.targets.len())
     }
 
-    /// Starts a daemon, not yet on the host list.
+    /// Starts a daemon without adding it to the host list or to [`World::daemons`].
     ///
     /// # Errors
-    /// When it is not built.
+    /// If the program is not built.
     pub fn start_daemon(&self, data_centre: &str, host: &str) -> Result<Daemon, ProcessError> {
         let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
         let peer = SocketAddr::from((Ipv4Addr::LOCALHOST, free_port()));
@@ -202,25 +212,25 @@
         Ok(Daemon { host, data_centre, addr, peer, process })
     }
 
-    /// Starts a target that has ended again, at its old address and with a new life.
+    /// Restarts a target that has exited, at its old address; an engine gets a new incarnation number.
     ///
     /// # Errors
-    /// When it is not declared, not built or does not come to serve.
+    /// If the target is not declared, its program is not built, or it does not become ready.
     pub fn restart(&mut self, target: &str) -> Result<(), ProcessError> {
         let declared = self.plan.fleet.targets.get(target);
         let declared = declared.ok_or_else(|| ProcessError::NotReady(target.to_owned()))?;
-        self.lives += 1;
+        self.last_incarnation += 1;
         let mut plan = self.plan.clone();
-        plan.engines.extend(flags(&[("incarnation", &self.lives.to_string())]));
+        plan.engines.extend(flags(&[("incarnation", &self.last_incarnation.to_string())]));
         let (process, _) = start_target(&plan, target, declared, self.log)?;
         self.targets.insert(target.to_owned(), process);
         Ok(())
     }
 
-    /// Puts every daemon and target on the host list.
+    /// Replaces the host list by all daemons and targets, each as live.
     ///
     /// # Errors
-    /// When the platform does not answer.
+    /// If the platform does not respond.
     pub fn list_hosts(&self) -> Result<(), ProcessError> {
         let daemons = self.daemons.iter().map(|d| Host {
             host: d.host.clone(),
@@ -241,7 +251,7 @@
     /// Declares the fleet through the first daemon.
     ///
     /// # Errors
-    /// When it is not accepted.
+    /// If the command is not accepted.
     pub fn declare(&self) -> Result<(), ProcessError> {
         let outcome = self.command("world", &objects(&self.plan.fleet))?;
         match outcome {
@@ -250,10 +260,10 @@
         }
     }
 
-    /// Sends one command, whose objects are new, through the first daemon.
+    /// Submits one command that creates the given objects, through the first daemon.
     ///
     /// # Errors
-    /// When the daemon does not answer.
+    /// If the daemon does not respond, or not with a report.
     pub fn command(
         &self,
         id: &str,
@@ -278,23 +288,23 @@
         report.map(|r| r.outcome).map_err(|_| ProcessError::Call(reply.to_string()))
     }
 
-    /// Waits until every daemon is ready, and every model has an answer at each of them.
+    /// Waits until every daemon is ready and answers requests for every idempotent model service.
     ///
     /// # Errors
-    /// When one is not ready within the start limit.
+    /// If a daemon is not ready within the start limit.
     pub fn ready(&self) -> Result<(), ProcessError> {
         for daemon in &self.daemons {
             let ready = || self.caller.status(daemon.addr, "/readyz") == Some(200);
             if !wait_until(ready) {
                 return Err(ProcessError::NotReady(format!("daemon `{}`", daemon.host)));
             }
-            self.answers(daemon.addr)?;
+            self.wait_answering(daemon.addr)?;
         }
         Ok(())
     }
 
-    /// Waits until a daemon has heard of enough targets to answer for every model.
-    fn answers(&self, daemon: SocketAddr) -> Result<(), ProcessError> {
+    /// Waits until a daemon knows enough targets to answer for every idempotent model service.
+    fn wait_answering(&self, daemon: SocketAddr) -> Result<(), ProcessError> {
         let Some(customer) = self.plan.fleet.organisations.keys().next() else { return Ok(()) };
         let marks = RequestOptions::of(customer);
         let services = self.plan.fleet.services.iter();
@@ -307,37 +317,37 @@
         Ok(())
     }
 
-    /// Switches faults of a target or of the platform.
+    /// Sets the injected faults of a target or the platform; an empty object clears them.
     ///
     /// # Errors
-    /// When it does not answer.
+    /// If the process does not respond.
     pub fn fault(&self, addr: SocketAddr, faults: &Value) -> Result<(), ProcessError> {
         self.caller.post(addr, "/_fault", faults).map(drop)
     }
 
-    /// How often the calls with a key ran, over all replicas of plain services.
+    /// Counts how often calls with an idempotency key were executed, over all service replicas.
     ///
     /// # Errors
-    /// When a replica does not answer.
+    /// If a replica does not respond.
     pub fn ran(&self, key: &str) -> Result<u64, ProcessError> {
         let mut count = 0;
         let services = self.plan.fleet.targets.values().filter(|t| t.kind == TargetKind::Service);
         for target in services {
             let ran = self.caller.get(target.addr, "/_ran")?;
             let keys = ran["keys"].as_object().cloned().unwrap_or_default();
-            // Daemons join a key with its organisation and service.
+            // Daemons combine the key with its organisation and service, so match a part of it.
             let counts = keys.iter().filter(|(k, _)| k.contains(key)).map(|(_, n)| n.as_u64());
             count += counts.flatten().sum::<u64>();
         }
         Ok(count)
     }
 
-    /// Where a target listens.
+    /// The listen address of a target; `None` if it is not declared.
     pub fn addr(&self, target: &str) -> Option<SocketAddr> {
         self.plan.fleet.targets.get(target).map(|t| t.addr)
     }
 
-    /// How many processes are running.
+    /// Number of processes in the system: the platform, targets and daemons.
     pub fn processes(&self) -> usize {
         1 + self.targets.len() + self.daemons.len()
     }
@@ -396,7 +406,7 @@
     pairs.iter().flat_map(|(name, value)| [format!("--{name}"), (*value).to_owned()]).collect()
 }
 
-/// Every object of a fleet with its key.
+/// All configuration objects of a fleet with their keys.
 pub fn objects(fleet: &Fleet) -> Vec<(ObjectKey, Object)> {
     fleet.objects()
 }
