--- a/crates/roseshore_harness/src/bin/demo.rs
+++ b/crates/roseshore_harness/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! Shows the whole system: a declared fleet of separate processes that serves, loses a stage in the
-//! middle of an answer, and still answers right. `scripts/demo.sh` builds and runs it.
+//! Demonstrates the whole system: a declared fleet of separate processes serves requests, loses a
+//! stage in the middle of an answer, and still answers correctly. `scripts/demo.sh` builds and runs it.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use roseshore_harness::demo;
--- a/crates/roseshore_harness/src/bin/recovery.rs
+++ b/crates/roseshore_harness/src/bin/recovery.rs
@@ -1,6 +1,6 @@
 //! Measures recovery from each kind of fault and prints a table.
 //!
-//! `recovery [REPEATS] [PART...]`: ten repeats of every part where nothing else is asked for.
+//! `recovery [REPEATS] [PART...]`: by default ten repeats of every part.
 
 use roseshore_harness::recovery::{HEAD, PARTS};
 use std::error::Error;
--- a/crates/roseshore_harness/src/demo.rs
+++ b/crates/roseshore_harness/src/demo.rs
@@ -1,8 +1,8 @@
-//! The demo: what a newcomer sees first.
+//! The demo: starts a declared fleet and checks its main features.
 //!
-//! Each step prints one line, `ok` or `WRONG`, with what was seen; the number of wrong ones is the
-//! result. What is expected of an answer is worked out from the stand-ins' sampling function and
-//! not from an earlier answer of the system.
+//! Each check prints one line, `ok` or `WRONG`, with what was observed; the result is the number of
+//! failed checks. Expected answers are computed from the fake engines' sampling function, not taken
+//! from an earlier answer of the system.
 
 use crate::caller::{Caller, Chat, ClientReply, RequestOptions};
 use crate::fleets;
@@ -16,35 +16,36 @@
 use std::path::Path;
 use std::thread;
 
-/// Daemons in each data centre.
+/// Number of daemons in each data centre.
 const DAEMONS: usize = 2;
-/// Tokens of the answer in which a stage is killed.
-const LONG: u32 = 60;
-/// Tokens that come before the stage is killed.
-const BEFORE: usize = 15;
+/// Length in tokens of the answer during which a stage is killed.
+const ANSWER_TOKENS: u32 = 60;
+/// Number of tokens received before the stage is killed.
+const KILL_AFTER_TOKENS: usize = 15;
 
-/// Runs the demo; returns how many checks did not hold.
+/// Runs the demo and returns the number of failed checks. With `stay`, the fleet then stays up until
+/// Enter is pressed.
 ///
 /// # Errors
-/// When the fleet cannot be read or its processes do not come to serve.
+/// If the fleet declaration is invalid or cannot be read, or its processes do not become ready.
 pub fn run(path: &Path, stay: bool) -> Result<usize, ProcessError> {
     let fleet = read(path)?;
-    let cast = Cast::of(&fleet)?;
+    let selection = Selection::of(&fleet)?;
     let plan = Plan { fleet, daemons: DAEMONS, ..Plan::default() };
     let world = World::start(plan)?;
     println!("started {} processes, platform at {}", world.processes(), world.log);
-    let mut show = Show { world, cast, wrong: 0 };
-    show.apply(path)?;
-    show.streamed();
-    show.lookup();
-    show.doubled();
-    show.stage_lost();
-    show.operators();
-    println!("{} wrong", show.wrong);
+    let mut demo = Demo { world, selection, wrong: 0 };
+    demo.apply(path)?;
+    demo.streamed();
+    demo.lookup();
+    demo.duplicate_call();
+    demo.stage_lost();
+    demo.operators();
+    println!("{} wrong", demo.wrong);
     if stay {
-        show.stay();
+        demo.stay();
     }
-    Ok(show.wrong)
+    Ok(demo.wrong)
 }
 
 fn read(path: &Path) -> Result<Fleet, ProcessError> {
@@ -57,8 +58,8 @@
     })
 }
 
-/// The services and the customer that the demo uses.
-struct Cast {
+/// The organisation, services and model of the declared fleet that the demo uses.
+struct Selection {
     customer: OrganisationId,
     answers: ServiceId,
     model: ModelId,
@@ -67,8 +68,8 @@
     once: Option<ServiceId>,
 }
 
-impl Cast {
-    fn of(fleet: &Fleet) -> Result<Cast, ProcessError> {
+impl Selection {
+    fn of(fleet: &Fleet) -> Result<Selection, ProcessError> {
         let lacks = |what: &str| ProcessError::Call(format!("the fleet declares no {what}"));
         let find = |fits: &dyn Fn(&Service) -> bool| {
             fleet.services.iter().find(|(_, s)| fits(s)).map(|(id, s)| (id.clone(), s))
@@ -81,7 +82,7 @@
         let model = service.model.clone().ok_or_else(|| lacks("model"))?;
         let version = fleet.models.get(&model).map(|m| m.version.clone());
         let customer = fleet.organisations.keys().next().cloned();
-        Ok(Cast {
+        Ok(Selection {
             customer: customer.ok_or_else(|| lacks("organisation"))?,
             answers,
             version: version.ok_or_else(|| lacks("version"))?,
@@ -96,13 +97,13 @@
     }
 }
 
-struct Show {
+struct Demo {
     world: World,
-    cast: Cast,
+    selection: Selection,
     wrong: usize,
 }
 
-impl Show {
+impl Demo {
     fn check(&mut self, what: &str, held: bool, seen: &str) {
         let mark = if held { "ok   " } else { "WRONG" };
         self.wrong += usize::from(!held);
@@ -110,7 +111,7 @@
     }
 
     fn marks(&self) -> RequestOptions {
-        RequestOptions::of(&self.cast.customer)
+        RequestOptions::of(&self.selection.customer)
     }
 
     fn daemon(&self, number: usize) -> SocketAddr {
@@ -122,7 +123,7 @@
         self.daemon(self.world.daemons.len() - 1)
     }
 
-    /// Runs the operators' tool.
+    /// Runs the command-line tool for operators; returns its exit code and standard output.
     fn tool(&self, words: &[&str]) -> Result<(i32, String), ProcessError> {
         let hosts = self.daemon(0).to_string();
         let mut args = vec!["--hosts".to_owned(), hosts];
@@ -141,10 +142,10 @@
     }
 
     fn streamed(&mut self) {
-        let service = self.cast.answers.clone();
+        let service = self.selection.answers.clone();
         let chat = Chat { service: &service, prompt: "draft the changelog of 1.4.0", tokens: 24 };
         let got = self.world.caller.stream(self.daemon(0), &chat, &self.marks(), |_| ());
-        let right = got.whole && got.joined() == self.cast.text(&chat);
+        let right = got.whole && got.joined() == self.selection.text(&chat);
         let seen = format!(
             "{} tokens, the first after {:.1} ms, all after {:.1} ms",
             got.gaps.len() + 1,
@@ -155,7 +156,7 @@
     }
 
     fn lookup(&mut self) {
-        let (service, marks) = (self.cast.lookups.clone(), self.marks());
+        let (service, marks) = (self.selection.lookups.clone(), self.marks());
         let got = self.world.caller.lookup(self.last(), &service, "pkg-7", &marks);
         self.check("a lookup finds its record", got.status == 200, &line(&got));
         let got = self.world.caller.lookup(self.last(), &service, "no-such-name", &marks);
@@ -163,8 +164,8 @@
         self.check("a name that no source holds is not found", missing, &line(&got));
     }
 
-    fn doubled(&mut self) {
-        let Some(service) = self.cast.once.clone() else { return };
+    fn duplicate_call(&mut self) {
+        let Some(service) = self.selection.once.clone() else { return };
         let marks = self.marks().keyed("demo-note");
         let hosts = [self.daemon(0), self.last()];
         let call = |host| self.world.caller.call(host, &service, "publish 1.4.0", &marks);
@@ -180,22 +181,23 @@
     }
 
     fn stage_lost(&mut self) {
-        let service = self.cast.answers.clone();
-        let chat = Chat { service: &service, prompt: "summarise the advisory", tokens: LONG };
+        let service = self.selection.answers.clone();
+        let chat =
+            Chat { service: &service, prompt: "summarise the advisory", tokens: ANSWER_TOKENS };
         let (addr, marks) = (self.daemon(0), self.marks());
         let engines = engines(&self.world);
         let mut killed = None;
         let caller = Caller::default();
         let targets = &mut self.world.targets;
         let got = self.world.caller.stream(addr, &chat, &marks, |count| {
-            if count == BEFORE {
+            if count == KILL_AFTER_TOKENS {
                 killed = engines.iter().rev().find(|(_, at)| busy(&caller, *at)).map(|(id, _)| id);
                 if let Some(process) = killed.and_then(|id| targets.get_mut(id)) {
                     process.kill();
                 }
             }
         });
-        let right = got.whole && got.joined() == self.cast.text(&chat);
+        let right = got.whole && got.joined() == self.selection.text(&chat);
         let id = got.request.clone().unwrap_or_default();
         let fate = self.world.caller.get(addr, &format!("/v1/requests/{id}")).unwrap_or_default();
         let resumed = fate["resumed"].as_u64().unwrap_or(0);
@@ -229,7 +231,7 @@
 
     fn stay(&self) {
         let host = self.daemon(0);
-        let (answers, customer) = (&self.cast.answers, &self.cast.customer);
+        let (answers, customer) = (&self.selection.answers, &self.selection.customer);
         println!("\nThe fleet stays up. Type, for example:");
         println!("  target/release/roseshore --hosts {host} status");
         println!("  curl -N http://{host}/v1/chat/completions -H 'x-organisation: {customer}' \\");
@@ -237,7 +239,7 @@
             "    -d '{{\"model\":\"{answers}\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"hello\"}}]}}'"
         );
         println!("Press Enter to stop it.");
-        // Whatever ends the reading ends the stay.
+        // Enter, end of input and a read error all end the wait.
         let _ = stdin().lock().lines().next();
     }
 }
--- a/crates/roseshore_harness/src/recovery.rs
+++ b/crates/roseshore_harness/src/recovery.rs
@@ -1,9 +1,9 @@
-//! Time from a fault to the next right token or answer, for each kind of fault.
+//! Measures the time from a fault to the next correct token or answer, for each kind of fault.
 //!
-//! [`streams`] strikes stages under an answer, [`steady`] strikes processes under a steady run of
-//! short requests and asks until when one of them was slow, [`control`] times what the platform
-//! brings about: the log back, hosts leaving, a configuration in force. Every run is short; the
-//! figures are those of one machine, so each row has beside it the time without a fault.
+//! [`streams`] injects faults into stages during an answer, [`steady`] injects faults into processes
+//! under a steady load of short requests and measures until when a request is slow, and [`control`]
+//! measures events of the platform: the log's return, hosts that leave, a configuration that takes
+//! effect. Every run is short and on one host, so each row also gives the time without a fault.
 
 mod control;
 mod steady;
@@ -14,16 +14,16 @@
 use crate::world::{Plan, World};
 use std::time::Duration;
 
-/// One line of the table.
+/// One row of the result table.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// What was done to what.
+    /// The fault and the process it was injected into.
     pub fault: String,
-    /// What bounds the time.
+    /// The mechanism that bounds the recovery time.
     pub bound: &'static str,
-    /// From the fault to the next right token or answer, one value a run.
+    /// Time from the fault to the next correct token or answer, one value per run.
     pub took: Vec<Duration>,
-    /// The same without the fault, where that makes sense.
+    /// The time without a fault; `None` if there is nothing to compare.
     pub plain: Option<Duration>,
 }
 
@@ -32,16 +32,16 @@
         Row { fault: fault.into(), bound, took, plain: None }
     }
 
-    fn beside(mut self, plain: Duration) -> Row {
+    fn with_plain(mut self, plain: Duration) -> Row {
         self.plain = Some(plain);
         self
     }
 }
 
-/// The part that a run is of.
+/// A group of measurements; takes the number of runs per fault.
 pub type Part = fn(usize) -> Result<Vec<Row>, ProcessError>;
 
-/// Every part with the name by which it is asked for.
+/// All parts with their names on the command line.
 pub const PARTS: &[(&str, Part)] = &[
     ("streams", streams::run),
     ("targets", steady::targets),
@@ -51,7 +51,7 @@
     ("config", control::config),
 ];
 
-/// The table's head.
+/// Header of the result table, in Markdown.
 pub const HEAD: &str = "| Fault | Runs | Min | Median | Max | Without | Bounded by |\n\
                         |---|---|---|---|---|---|---|";
 
@@ -77,16 +77,16 @@
     all.get(all.len() / 2).copied().unwrap_or_default()
 }
 
-/// A world with a second replica of every lookup source in each data centre.
+/// Starts a fleet of the given shape with a second replica of every lookup source in each data centre.
 fn world(shape: Shape, daemons: usize) -> Result<World, ProcessError> {
     let mut fleet = fleets::fleet(shape);
-    let seconds: Vec<_> = fleet
+    let replicas: Vec<_> = fleet
         .targets
         .iter()
         .filter(|(_, t)| t.serves.as_deref().is_some_and(|s| s.starts_with(CARDS)))
         .map(|(id, t)| (format!("{id}-b"), t.clone()))
         .collect();
-    for (id, mut target) in seconds {
+    for (id, mut target) in replicas {
         target.host = format!("host-{id}");
         fleet.targets.insert(id, target);
     }
--- a/crates/roseshore_harness/src/recovery/control.rs
+++ b/crates/roseshore_harness/src/recovery/control.rs
@@ -1,4 +1,5 @@
-//! What the platform brings about: the log back, hosts leaving, a configuration in force.
+//! Measures events of the platform: the log's return, hosts that leave, a configuration that takes
+//! effect.
 
 use super::{Row, median, world};
 use crate::caller::{Chat, RequestOptions};
@@ -14,14 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long the log is out.
-const OUT: Duration = Duration::from_millis(1500);
-/// How long work is sent after a host was told to leave.
-const WATCH: Duration = Duration::from_millis(3500);
-/// Between looks.
-const LOOK: Duration = Duration::from_millis(2);
+/// Duration of a log outage.
+const OUTAGE: Duration = Duration::from_millis(1500);
+/// How long requests continue after a host was ordered to leave.
+const LOAD_PERIOD: Duration = Duration::from_millis(3500);
+/// Interval between polls of an engine's statistics.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The log out and back, the platform frozen and thawed; keyed calls at once at several hosts.
+/// Measures recovery from a log outage and from a frozen platform, and the time of calls with the
+/// same key that are sent to several hosts at once.
 pub(super) fn log(repeats: usize) -> Result<Vec<Row>, ProcessError> {
     let world = world(Shape { centres: 2, ..Shape::default() }, 2)?;
     let addr = world.daemons[0].addr;
@@ -37,41 +39,42 @@
     let (mut out, mut frozen) = (Vec::new(), Vec::new());
     for _ in 0..repeats {
         world.fault(world.log, &json!({ "log_out": true }))?;
-        sit_out(&mut keyed);
+        wait_out_outage(&mut keyed);
         world.fault(world.log, &json!({}))?;
-        out.push(taken(&mut keyed));
+        out.push(time_to_accept(&mut keyed));
         world.platform.freeze();
-        sit_out(&mut keyed);
+        wait_out_outage(&mut keyed);
         world.platform.thaw();
-        frozen.push(taken(&mut keyed));
+        frozen.push(time_to_accept(&mut keyed));
     }
-    let (first, again) = doubled(&world, repeats);
+    let (first, again) = concurrent_calls(&world, repeats);
     let bound = "retry of reads and appends, 500 ms of patience";
     Ok(vec![
-        Row::new("log service out, back: keyed work taken", bound, out).beside(plain),
-        Row::new("platform frozen, thawed: keyed work taken", bound, frozen).beside(plain),
-        Row::new("a key at 4 hosts at once: the last answer", "log", first).beside(plain),
-        Row::new("its repeats at 4 hosts at once", "log read", again).beside(plain),
+        Row::new("log service out, back: keyed work taken", bound, out).with_plain(plain),
+        Row::new("platform frozen, thawed: keyed work taken", bound, frozen).with_plain(plain),
+        Row::new("a key at 4 hosts at once: the last answer", "log", first).with_plain(plain),
+        Row::new("its repeats at 4 hosts at once", "log read", again).with_plain(plain),
     ])
 }
 
-/// Callers go on asking while the log is out, so that claims wait for it.
-fn sit_out(keyed: &mut impl FnMut() -> Option<Duration>) {
+/// Keeps sending keyed calls during the outage, so that claims are waiting when the log returns.
+fn wait_out_outage(keyed: &mut impl FnMut() -> Option<Duration>) {
     let begun = Instant::now();
-    while begun.elapsed() < OUT {
+    while begun.elapsed() < OUTAGE {
         keyed();
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-fn taken(keyed: &mut impl FnMut() -> Option<Duration>) -> Duration {
+fn time_to_accept(keyed: &mut impl FnMut() -> Option<Duration>) -> Duration {
     let begun = Instant::now();
     wait_until(|| keyed().is_some());
     begun.elapsed()
 }
 
-/// The slowest of the answers to one key at every daemon at once, and of its repeats.
-fn doubled(world: &World, repeats: usize) -> (Vec<Duration>, Vec<Duration>) {
+/// Sends calls with the same key to every daemon at once, then repeats them. Returns the slowest
+/// call of each first round and of each repeat.
+fn concurrent_calls(world: &World, repeats: usize) -> (Vec<Duration>, Vec<Duration>) {
     let slowest = |key: &str| {
         let marks = RequestOptions::of(CUSTOMER).keyed(key);
         thread::scope(|scope| {
@@ -85,7 +88,7 @@
     (0..repeats).map(|n| (slowest(&format!("d-{n}")), slowest(&format!("d-{n}")))).unzip()
 }
 
-/// Targets and daemons that the host list marks as leaving.
+/// Measures how soon targets and daemons that the host list marks as leaving get no new work.
 pub(super) fn leaving(repeats: usize) -> Result<Vec<Row>, ProcessError> {
     let mut world = world(Shape { chains: 2, ..Shape::default() }, 2)?;
     let mut rows = Vec::new();
@@ -98,8 +101,8 @@
         world.list_hosts()?;
         thread::sleep(Duration::from_millis(1500));
     }
-    rows.push(Row::new("target leaving: last new work after the order", LIST, order));
-    rows.push(Row::new("target leaving: after the list shows it", LIST, notice));
+    rows.push(Row::new("target leaving: last new work after the order", LIST_BOUND, order));
+    rows.push(Row::new("target leaving: after the list shows it", LIST_BOUND, notice));
     let (mut order, mut notice) = (Vec::new(), Vec::new());
     for round in 0..repeats {
         let daemon = &world.daemons[1];
@@ -113,14 +116,14 @@
         world.list_hosts()?;
         world.ready()?;
     }
-    rows.push(Row::new("daemon leaving: not ready after the order", LIST, order));
-    rows.push(Row::new("daemon leaving: after the list shows it", LIST, notice));
+    rows.push(Row::new("daemon leaving: not ready after the order", LIST_BOUND, order));
+    rows.push(Row::new("daemon leaving: after the list shows it", LIST_BOUND, notice));
     Ok(rows)
 }
 
-const LIST: &str = "list's lag 500 ms, its reading every 500 ms";
+const LIST_BOUND: &str = "list's lag 500 ms, its reading every 500 ms";
 
-struct Last {
+struct LastWork {
     order: Duration,
     notice: Duration,
 }
@@ -131,7 +134,7 @@
     Ok(begun)
 }
 
-/// When the list shows the host as leaving.
+/// Waits until the host list shows the host as leaving, and returns that time.
 fn shown(world: &World, host: &str) -> Instant {
     let leaving = || {
         let list = world.caller.get(world.log, "/v1/hosts").unwrap_or_default();
@@ -142,8 +145,8 @@
     Instant::now()
 }
 
-/// When a target that leaves was given its last new work.
-fn last_work(world: &World, target: &str) -> Result<Last, ProcessError> {
+/// Orders a target's host to leave under load, and measures when the target got its last new work.
+fn last_work(world: &World, target: &str) -> Result<LastWork, ProcessError> {
     let addr = world.addr(target).ok_or_else(|| ProcessError::NotReady(target.to_owned()))?;
     let stop = AtomicBool::new(false);
     thread::scope(|scope| {
@@ -152,16 +155,16 @@
                 scope.spawn(|| work_until(world, daemon.addr, &stop));
             }
         }
-        let last = scope.spawn(|| watch(world, addr, &stop));
+        let last = scope.spawn(|| last_opened(world, addr, &stop));
         thread::sleep(Duration::from_millis(300));
         let times = leave(world, &format!("host-{target}"))
             .map(|begun| (begun, shown(world, &format!("host-{target}"))));
-        thread::sleep(WATCH);
+        thread::sleep(LOAD_PERIOD);
         stop.store(true, Ordering::SeqCst);
         let last = last.join().unwrap_or_else(|_| Instant::now());
         let (begun, shown) = times?;
         let since = |at: Instant| last.saturating_duration_since(at);
-        Ok(Last { order: since(begun), notice: since(shown) })
+        Ok(LastWork { order: since(begun), notice: since(shown) })
     })
 }
 
@@ -175,8 +178,8 @@
     }
 }
 
-/// Looks at an engine's count of opened answers until told to stop; when it grew last.
-fn watch(world: &World, addr: SocketAddr, stop: &AtomicBool) -> Instant {
+/// Polls an engine's count of opened answers until stopped; returns when it last increased.
+fn last_opened(world: &World, addr: SocketAddr, stop: &AtomicBool) -> Instant {
     let (mut known, mut last) = (0, Instant::now());
     while !stop.load(Ordering::SeqCst) {
         let stats = world.caller.get(addr, "/_stats").unwrap_or_default();
@@ -184,12 +187,13 @@
         if opened > known {
             (known, last) = (opened, Instant::now());
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     last
 }
 
-/// Commands at the first daemon until they are in force at every daemon of two data centres.
+/// Measures the time from a command at the first daemon until it is in force at every daemon of two
+/// data centres, and until that is reported.
 pub(super) fn config(repeats: usize) -> Result<Vec<Row>, ProcessError> {
     let world = world(Shape { centres: 2, ..Shape::default() }, 2)?;
     let (mut in_force, mut reported) = (Vec::new(), Vec::new());
@@ -204,11 +208,11 @@
                 wait_until(|| knows(&world, daemon, &name));
                 begun.elapsed()
             };
-            let looks: Vec<_> =
+            let polls: Vec<_> =
                 world.daemons.iter().map(|d| scope.spawn(move || known(d.addr))).collect();
             let outcome = world.command(&format!("config-{round}"), &objects);
             reported.push(begun.elapsed());
-            let known = looks.into_iter().map(|look| look.join().unwrap_or_default());
+            let known = polls.into_iter().map(|poll| poll.join().unwrap_or_default());
             (outcome, known.max().unwrap_or_default())
         });
         in_force.push(known);
--- a/crates/roseshore_harness/src/recovery/steady.rs
+++ b/crates/roseshore_harness/src/recovery/steady.rs
@@ -96,7 +96,7 @@
     vec![
         Row::new(format!("{name}: until no request is slow"), bound, all(|f| f.until)),
         Row::new(format!("{name}: longest request ({wrong} refused)"), bound, all(|f| f.worst))
-            .beside(plain),
+            .with_plain(plain),
     ]
 }
 
