--- a/crates/roseshore_bench/src/bin/load.rs
+++ b/crates/roseshore_bench/src/bin/load.rs
@@ -1,4 +1,4 @@
-//! Sends a bounded load to running daemons.
+//! Sends load to running daemons for a limited time, or runs an experiment on a system of its own.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use roseshore_bench::capacity::usage;
--- a/crates/roseshore_bench/src/load.rs
+++ b/crates/roseshore_bench/src/load.rs
@@ -1,8 +1,8 @@
-//! An open-loop load: arrivals come when they come, whether or not earlier ones have ended.
+//! An open-loop load generator: requests arrive on schedule whether or not earlier ones have ended.
 //!
-//! [`schedule`] says when which request arrives, [`run`] sends them from a bounded number of
-//! threads and measures each from the time it was due, [`tally`] counts what became of them, [`mixes`]
-//! names what is sent, and [`experiments`] start a system and change something under load.
+//! [`schedule`] generates the arrival times, [`run`] sends the requests from a bounded number of
+//! threads and measures each from its scheduled arrival, [`tally`] counts the outcomes, [`mixes`]
+//! defines the named mixes of requests, and [`experiments`] start a system and change it under load.
 
 pub mod experiments;
 pub mod mixes;
--- a/crates/roseshore_bench/src/load/experiments.rs
+++ b/crates/roseshore_bench/src/load/experiments.rs
@@ -1,4 +1,4 @@
-//! Loads on a system that is started for them, before and after something changes.
+//! Load experiments, each on a system of its own; most measure before and after a change.
 
 use super::mixes::{Mix, Part, mix, streams};
 use super::run::{Load, Report, run};
@@ -11,38 +11,38 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// One run of a load.
-const SPAN: Duration = Duration::from_secs(8);
+/// Period in which the requests of one step arrive.
+const STEP_SPAN: Duration = Duration::from_secs(8);
 const DEADLINE: Duration = Duration::from_secs(3);
 const WORKERS: usize = 600;
-/// How many times its share the flooding organisation asks for.
-const FLOOD: f64 = 10.0;
-/// The part of the bound that all ask for together before the flood.
-const USUAL: f64 = 0.8;
-/// How much slower the slowed targets are.
-const SLOWED: f64 = 10.0;
-/// The organisations of the burst; the first one floods.
+/// Rate of the flooding organisation, as a multiple of its share.
+const FLOOD_FACTOR: f64 = 10.0;
+/// Total rate before the flood, as a fraction of the throughput bound.
+const BASE_UTILISATION: f64 = 0.8;
+/// Factor by which the slowed targets' steps take longer.
+const SLOWDOWN: f64 = 10.0;
+/// Organisations of the `burst` experiment; the first one floods.
 const ORGANISATIONS: [&str; 5] = [CUSTOMER, "bolt", "cord", "dune", "elm"];
 
-/// The names of the experiments.
+/// Names that [`experiment`] accepts.
 pub const EXPERIMENTS: [&str; 5] = ["installs", "long", "burst", "slow-half", "centre-lost"];
 
-/// A run of an experiment.
+/// One measured run within an experiment.
 pub struct Step {
-    /// What was different in it.
+    /// The condition under which it ran.
     pub name: String,
-    /// What became of it.
+    /// Its results.
     pub report: Report,
 }
 
-/// Runs an experiment by its name; nothing for another name.
+/// Runs an experiment; returns no steps if `name` is not in [`EXPERIMENTS`].
 ///
 /// # Errors
-/// When the system does not start or a fault cannot be switched.
+/// If the system does not start or a fault cannot be injected.
 pub fn experiment(name: &str) -> Result<Vec<Step>, ProcessError> {
     match name {
-        "installs" => plain("installs", 3_000.0),
-        "long" => plain("long", 10.0),
+        "installs" => steady("installs", 3_000.0),
+        "long" => steady("long", 10.0),
         "burst" => burst(),
         "slow-half" => slow_half(),
         "centre-lost" => centre_lost(),
@@ -59,51 +59,52 @@
     World::serving(Plan { fleet, daemons, ..Plan::default() })
 }
 
-fn unlike(chains: usize) -> Shape {
+fn mixed_shape(chains: usize) -> Shape {
     Shape { chains, stages: 2, kind: 3, mixed: true, ..Shape::default() }
 }
 
-fn most(world: &World) -> f64 {
+fn throughput_bound(world: &World) -> f64 {
     bound(&stages(&world.plan.fleet), LAYERS, work())
 }
 
-fn offer(daemons: Vec<SocketAddr>, parts: Vec<Part>, rate: f64, seed: u64) -> Report {
+fn run_load(daemons: Vec<SocketAddr>, parts: Vec<Part>, rate: f64, seed: u64) -> Report {
     let mix = Mix { name: "experiment", parts };
-    run(&Load { daemons, mix, rate, span: SPAN, deadline: DEADLINE, workers: WORKERS, seed })
+    run(&Load { daemons, mix, rate, span: STEP_SPAN, deadline: DEADLINE, workers: WORKERS, seed })
 }
 
-fn all(world: &World) -> Vec<SocketAddr> {
+fn all_daemons(world: &World) -> Vec<SocketAddr> {
     world.daemons.iter().map(|daemon| daemon.addr).collect()
 }
 
-fn plain(name: &str, rate: f64) -> Result<Vec<Step>, ProcessError> {
-    let world = world(unlike(3), 2)?;
+fn steady(name: &str, rate: f64) -> Result<Vec<Step>, ProcessError> {
+    let world = world(mixed_shape(3), 2)?;
     let parts = mix(name).map(|mix| mix.parts).unwrap_or_default();
-    let report = offer(all(&world), parts, rate, 1);
+    let report = run_load(all_daemons(&world), parts, rate, 1);
     Ok(vec![Step { name: format!("{rate} requests/s"), report }])
 }
 
-/// One organisation asks for ten times its share; the others go on as before.
+/// One organisation sends ten times its share while the others keep their rate.
 fn burst() -> Result<Vec<Step>, ProcessError> {
-    let world = world(unlike(3), 2)?;
-    let share = most(&world) * USUAL / ORGANISATIONS.len() as f64;
+    let world = world(mixed_shape(3), 2)?;
+    let share = throughput_bound(&world) * BASE_UTILISATION / ORGANISATIONS.len() as f64;
     let step = |times: f64, seed: u64| {
         let weight = |organisation| if organisation == CUSTOMER { times } else { 1.0 };
         let parts = ORGANISATIONS.iter().map(|it| streams(it, TOKENS, weight(*it)));
         let rate = share * (ORGANISATIONS.len() as f64 - 1.0 + times);
         let name = format!("{CUSTOMER} at {times} times its share, {rate:.0} requests/s");
-        Step { name, report: offer(all(&world), parts.collect(), rate, seed) }
+        Step { name, report: run_load(all_daemons(&world), parts.collect(), rate, seed) }
     };
-    Ok(vec![step(1.0, 1), step(FLOOD, 2), step(1.0, 3)])
+    Ok(vec![step(1.0, 1), step(FLOOD_FACTOR, 2), step(1.0, 3)])
 }
 
-/// Two of four chains become slow.
+/// Slows two of four chains.
 fn slow_half() -> Result<Vec<Step>, ProcessError> {
     const CHAINS: usize = 4;
-    let world = world(unlike(CHAINS), 2)?;
-    let rate = most(&world) * 0.25;
+    let world = world(mixed_shape(CHAINS), 2)?;
+    let rate = throughput_bound(&world) * 0.25;
     let step = |name: &str, seed| {
-        let report = offer(all(&world), vec![streams(CUSTOMER, TOKENS, 1.0)], rate, seed);
+        let report =
+            run_load(all_daemons(&world), vec![streams(CUSTOMER, TOKENS, 1.0)], rate, seed);
         Step { name: format!("{name}, {rate:.0} requests/s"), report }
     };
     let before = step("as declared", 1);
@@ -111,20 +112,20 @@
         for stage in 0..2 {
             let addr = world.addr(&format!("north-{chain}-{stage}"));
             let addr = addr.ok_or_else(|| ProcessError::NotReady("a chain".into()))?;
-            world.fault(addr, &json!({ "slow": SLOWED }))?;
+            world.fault(addr, &json!({ "slow": SLOWDOWN }))?;
         }
     }
     Ok(vec![before, step("half slowed tenfold, at once", 2), step("half slowed, learned", 3)])
 }
 
-/// All processes of one of two data centres are killed; the other's daemons are asked.
+/// Kills all processes of one of two data centres and sends the load to the other's daemons.
 fn centre_lost() -> Result<Vec<Step>, ProcessError> {
-    let mut world = world(Shape { centres: 2, ..unlike(3) }, 2)?;
-    let rate = most(&world) * 0.25;
+    let mut world = world(Shape { centres: 2, ..mixed_shape(3) }, 2)?;
+    let rate = throughput_bound(&world) * 0.25;
     let own = |daemon: &&roseshore_harness::world::Daemon| daemon.data_centre == "north";
     let near: Vec<SocketAddr> = world.daemons.iter().filter(own).map(|d| d.addr).collect();
     let step = |name: &str, seed| {
-        let report = offer(near.clone(), vec![streams(CUSTOMER, TOKENS, 1.0)], rate, seed);
+        let report = run_load(near.clone(), vec![streams(CUSTOMER, TOKENS, 1.0)], rate, seed);
         Step { name: format!("{name}, {rate:.0} requests/s"), report }
     };
     let before = step("both data centres", 1);
--- a/crates/roseshore_bench/src/load/mixes.rs
+++ b/crates/roseshore_bench/src/load/mixes.rs
@@ -1,56 +1,56 @@
-//! What is sent, by name.
+//! Named mixes of requests.
 
 use roseshore_harness::fleets::{CARDS, CHAT, CUSTOMER, NOTE};
 
-/// How a request is made.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// An answer as a stream.
+    /// A generated answer, streamed token by token.
     Stream,
-    /// An answer at once.
+    /// A generated answer in a single response.
     Answer,
-    /// A lookup.
+    /// A lookup of a name.
     Lookup,
-    /// A call without a key.
+    /// A call without an idempotency key.
     Call,
-    /// A call under an idempotency key.
+    /// A call with an idempotency key.
     Keyed,
 }
 
-/// Requests of one kind.
+/// One part of a mix: requests of one kind by one organisation.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// How it is shown.
+    /// Label in the report.
     pub name: String,
-    /// How they are made.
+    /// How its requests are sent.
     pub kind: Kind,
-    /// Whose they are.
+    /// The organisation that the requests are sent for.
     pub organisation: String,
-    /// The service.
+    /// The service that is called.
     pub service: String,
-    /// Their part of the rate, relative to the others.
+    /// Share of the request rate, relative to the weights of the other parts.
     pub weight: f64,
-    /// Tokens of a prompt.
+    /// Prompt length, tokens.
     pub prompt: usize,
-    /// Tokens of an answer.
+    /// Tokens to generate for each answer.
     pub tokens: u32,
-    /// Names that are looked up, in turn.
+    /// Number of distinct names that lookups cycle through.
     pub names: usize,
 }
 
-/// What is sent together.
+/// Request types that are sent in the same run.
 #[derive(Clone, Debug)]
 pub struct Mix {
-    /// Its name.
+    /// One of [`MIXES`], or a label for a mix that is built in code.
     pub name: &'static str,
-    /// What it is made of.
+    /// The request types and their weights.
     pub parts: Vec<Part>,
 }
 
-/// The names of the mixes.
+/// Names that [`mix`] accepts.
 pub const MIXES: [&str; 5] = ["streams", "long", "installs", "calls", "mixed"];
 
-/// Streams of a length by one organisation.
+/// Streamed answers of `tokens` tokens for one organisation.
 pub fn streams(organisation: &str, tokens: u32, weight: f64) -> Part {
     Part {
         name: format!("{organisation} streams"),
@@ -79,7 +79,7 @@
     Part { name: "answers".into(), kind: Kind::Answer, ..part }
 }
 
-/// A mix by its name, over the services of the harness's fleets; `None` for another name.
+/// Builds a mix over the services of the harness's fleets; `None` if `name` is not in [`MIXES`].
 pub fn mix(name: &str) -> Option<Mix> {
     let parts = match name {
         "streams" => vec![streams(CUSTOMER, 20, 1.0)],
--- a/crates/roseshore_bench/src/load/run.rs
+++ b/crates/roseshore_bench/src/load/run.rs
@@ -1,63 +1,64 @@
-//! Sends the arrivals of a mix and measures them.
+//! Sends the requests of a mix at their scheduled times and measures them.
 
 use super::mixes::{Kind, Mix, Part};
-use super::schedule::{Due, arrivals};
-use super::tally::{End, Tally};
+use super::schedule::{Arrival, arrivals};
+use super::tally::{Outcome, Tally};
 use roseshore_core::prelude::*;
 use roseshore_harness::caller::{Caller, Chat, Got, Marks};
 use std::fmt;
 use std::net::SocketAddr;
 use std::thread;
 
-/// How long a caller waits beyond the deadline that it names.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// The part of a run at its beginning that does not count for goodput.
-const WARMING: f64 = 0.25;
+/// Added to the request deadline to give the client timeout.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(5);
+/// Fraction of a run, from its start, that is excluded from goodput.
+const WARMUP_FRACTION: f64 = 0.25;
 
-/// A run.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// The daemons, asked in turn.
+    /// Addresses of the daemons, used round-robin.
     pub daemons: Vec<SocketAddr>,
-    /// What is sent.
+    /// The requests to send.
     pub mix: Mix,
-    /// Requests a second.
+    /// Mean arrival rate, requests per second.
     pub rate: f64,
-    /// How long they arrive.
+    /// Period in which requests arrive; the run itself lasts until the last one ends.
     pub span: Duration,
-    /// The deadline that each names.
+    /// Deadline that each request carries.
     pub deadline: Duration,
-    /// Requests under way at once, at most; later ones wait here and count as late.
+    /// Maximum number of concurrent requests; further ones wait for a free worker, and the wait
+    /// counts as lateness.
     pub workers: usize,
-    /// What the arrivals are drawn from.
+    /// Seed of the arrival schedule.
     pub seed: u64,
 }
 
-/// What became of a run.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// By part of the mix, in its order.
+    /// Results of each part, in the order of the mix.
     pub parts: Vec<Tally>,
-    /// The names of the parts.
+    /// Labels of the parts, in the same order.
     pub names: Vec<String>,
-    /// The time that goodput is counted in.
+    /// Length of the measurement window, the run without its warm-up.
     pub counted: Duration,
 }
 
 impl Report {
-    /// All parts together.
+    /// The sum over all parts.
     pub fn all(&self) -> Tally {
         let mut all = Tally::default();
         self.parts.iter().for_each(|part| all.join(part));
         all
     }
 
-    /// Tokens of whole answers a second.
+    /// Goodput, tokens per second.
     pub fn tokens(&self) -> f64 {
         self.all().tokens as f64 / self.counted.as_secs_f64()
     }
 
-    /// Whole answers a second.
+    /// Goodput, complete responses per second.
     pub fn answers(&self) -> f64 {
         self.all().good as f64 / self.counted.as_secs_f64()
     }
@@ -81,9 +82,9 @@
             )?;
             for (end, count) in &tally.ends {
                 match end {
-                    End::Refused(why) => write!(f, " {why}: {count}")?,
-                    End::Broken(why) => write!(f, " broken, {why}: {count}")?,
-                    End::Whole => {}
+                    Outcome::Refused(why) => write!(f, " {why}: {count}")?,
+                    Outcome::Broken(why) => write!(f, " broken, {why}: {count}")?,
+                    Outcome::Whole => {}
                 }
             }
             writeln!(f)?;
@@ -92,16 +93,16 @@
     }
 }
 
-/// Runs a load to the end of its last request.
+/// Sends a load and returns when its last request has ended.
 ///
 /// # Panics
-/// When one of its threads does.
+/// If a worker thread panics.
 pub fn run(load: &Load) -> Report {
     let weights: Vec<f64> = load.mix.parts.iter().map(|part| part.weight).collect();
     let due = arrivals(load.rate, load.span, &weights, load.seed);
     let (sender, receiver) = flume::unbounded();
     for arrival in due.into_iter().enumerate() {
-        // The receiver is held here, so the channel is open.
+        // Cannot fail: the receiver is still in scope.
         let _ = sender.send(arrival);
     }
     drop(sender);
@@ -116,13 +117,13 @@
         }
     });
     let names = load.mix.parts.iter().map(|part| part.name.clone()).collect();
-    Report { parts, names, counted: load.span.mul_f64(1.0 - WARMING) }
+    Report { parts, names, counted: load.span.mul_f64(1.0 - WARMUP_FRACTION) }
 }
 
-fn work(load: &Load, due: &flume::Receiver<(usize, Due)>, begun: Instant) -> Vec<Tally> {
-    let caller = Caller::new(load.deadline + PATIENCE);
+fn work(load: &Load, due: &flume::Receiver<(usize, Arrival)>, begun: Instant) -> Vec<Tally> {
+    let caller = Caller::new(load.deadline + TIMEOUT_MARGIN);
     let mut parts = vec![Tally::default(); load.mix.parts.len()];
-    let counts = load.span.mul_f64(WARMING)..load.span;
+    let counts = load.span.mul_f64(WARMUP_FRACTION)..load.span;
     for (number, arrival) in due {
         thread::sleep((begun + arrival.at).saturating_duration_since(Instant::now()));
         let late = begun.elapsed().saturating_sub(arrival.at);
@@ -134,7 +135,6 @@
     parts
 }
 
-/// Sends one request of a part.
 fn send(caller: &Caller, to: SocketAddr, part: &Part, load: &Load, number: usize) -> Got {
     let unique = format!("{:x}-{number}", load.seed);
     let mut marks = Marks::of(&part.organisation);
@@ -157,7 +157,8 @@
     }
 }
 
-/// A prompt of some tokens that no other request has.
+/// A prompt of `tokens` words whose first word holds `unique`, so that no two requests share a
+/// prefix.
 pub fn prompt(unique: &str, tokens: usize) -> String {
     let words = (1..tokens).map(|n| format!(" w{n}"));
     std::iter::once(format!("p{unique}")).chain(words).collect()
--- a/crates/roseshore_bench/src/load/schedule.rs
+++ b/crates/roseshore_bench/src/load/schedule.rs
@@ -1,21 +1,22 @@
-//! When requests arrive.
+//! Generates the arrival times of requests.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
 
-/// One request that is due.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Due {
-    /// When, from the start of the run.
+pub struct Arrival {
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Which part of the mix it belongs to.
+    /// Index of its part in the mix.
     pub part: usize,
 }
 
-/// Arrivals without memory of each other at `rate` a second over `span`, each of a part drawn by
-/// its weight; the same seed gives the same arrivals. Empty when nothing can arrive.
-pub fn arrivals(rate: f64, span: Duration, weights: &[f64], seed: u64) -> Vec<Due> {
+/// Poisson arrivals at `rate` per second over `span`, each assigned to a part at random in
+/// proportion to `weights`. The same seed gives the same arrivals. Empty if the rate or the sum of
+/// the weights is not positive.
+pub fn arrivals(rate: f64, span: Duration, weights: &[f64], seed: u64) -> Vec<Arrival> {
     let whole: f64 = weights.iter().sum();
     if rate <= 0.0 || whole <= 0.0 {
         return Vec::new();
@@ -24,23 +25,23 @@
     let mut all = Vec::new();
     let mut at = 0.0;
     loop {
-        // One less a number below one is never zero, so its logarithm is finite.
+        // `random` is below 1, so the argument of the logarithm is never 0.
         at += -(1.0 - random.random::<f64>()).ln() / rate;
         if at >= span.as_secs_f64() {
             return all;
         }
-        let part = drawn(weights, random.random::<f64>() * whole);
-        all.push(Due { at: Duration::from_secs_f64(at), part });
+        let part = part_at(weights, random.random::<f64>() * whole);
+        all.push(Arrival { at: Duration::from_secs_f64(at), part });
     }
 }
 
-/// The part in which a place on the line of all weights lies.
-pub fn drawn(weights: &[f64], place: f64) -> usize {
+/// Index of the part whose interval holds `place` when the weights are laid end to end from 0.
+pub fn part_at(weights: &[f64], place: f64) -> usize {
     let mut upto = 0.0;
     let found = weights.iter().position(|weight| {
         upto += weight;
         place < upto
     });
-    // Rounding may leave the place at the very end.
+    // Through rounding, `place` may equal the sum of the weights.
     found.unwrap_or(weights.len().saturating_sub(1))
 }
--- a/crates/roseshore_bench/src/load/tally.rs
+++ b/crates/roseshore_bench/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of a run.
+//! Counts the outcomes and latencies of a run's requests.
 
 use hdrhistogram::Histogram;
 use roseshore_harness::caller::Got;
@@ -6,12 +6,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The longest time that is told apart, microseconds.
+/// Upper bound of the histogram, microseconds; longer times are recorded as this value.
 const MAX_MICROS: u64 = 60_000_000;
-/// Percentiles that are shown.
-const SHOWN: [f64; 3] = [0.50, 0.95, 0.99];
+/// Quantiles that [`Times`] prints.
+const QUANTILES: [f64; 3] = [0.50, 0.95, 0.99];
 
-/// Times, kept by a histogram of microseconds.
+/// A histogram of durations with microsecond buckets.
 #[derive(Clone, Debug)]
 pub struct Times {
     all: Histogram<u64>,
@@ -25,93 +25,94 @@
 }
 
 impl Times {
-    /// Takes one.
+    /// Records one duration; anything under 1 µs counts as 1 µs.
     pub fn add(&mut self, time: Duration) {
         self.all.saturating_record((time.as_micros() as u64).max(1));
     }
 
-    /// Takes all of another.
+    /// Adds all samples of `other`.
     pub fn join(&mut self, other: &Times) {
         self.all += &other.all;
     }
 
-    /// The time at a part of all, milliseconds; 0 without any.
+    /// The value at a quantile from 0 to 1, milliseconds; 0 without samples.
     pub fn at(&self, part: f64) -> f64 {
         if self.all.is_empty() { 0.0 } else { self.all.value_at_quantile(part) as f64 / 1e3 }
     }
 
-    /// How many there are.
+    /// Number of samples.
     pub fn count(&self) -> u64 {
         self.all.len()
     }
 }
 
-/// The 50th, 95th and 99th percentile, milliseconds.
+/// Prints the 50th, 95th and 99th percentiles, milliseconds.
 impl fmt::Display for Times {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let shown = SHOWN.map(|part| format!("{:.2}", self.at(part)));
+        let shown = QUANTILES.map(|part| format!("{:.2}", self.at(part)));
         f.write_str(&shown.join(" / "))
     }
 }
 
-/// How a request ended, as its caller sees it.
+/// The outcome of a request, as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
-    /// Whole.
+pub enum Outcome {
+    /// A complete response.
     Whole,
-    /// Refused in words, with verdict and code.
+    /// An explicit refusal: its verdict or HTTP status, and its code.
     Refused(String),
-    /// Cut short or without a reply, and what is known of why.
+    /// A truncated or missing response, with the cause as far as it is known.
     Broken(String),
 }
 
-/// How what a caller got is to be counted.
-pub fn end(got: &Got) -> End {
+/// Classifies what a caller received. A verdict other than `answered` is a refusal whatever the
+/// HTTP status is.
+pub fn outcome(got: &Got) -> Outcome {
     if let Some(verdict) = &got.verdict
         && verdict != "answered"
     {
-        return End::Refused(format!("{verdict} {}", got.code.as_deref().unwrap_or("-")));
+        return Outcome::Refused(format!("{verdict} {}", got.code.as_deref().unwrap_or("-")));
     }
     match got.status {
-        // 404: a name that no source has is an answer.
-        200 | 404 if got.whole => End::Whole,
-        0 => End::Broken(got.text.clone()),
-        200 => End::Broken("cut".to_owned()),
-        status => End::Refused(format!("HTTP {status} {}", got.code.as_deref().unwrap_or("-"))),
+        // A lookup of a name that no source has is answered with 404.
+        200 | 404 if got.whole => Outcome::Whole,
+        0 => Outcome::Broken(got.text.clone()),
+        200 => Outcome::Broken("cut".to_owned()),
+        status => Outcome::Refused(format!("HTTP {status} {}", got.code.as_deref().unwrap_or("-"))),
     }
 }
 
-/// The counts of one part of a mix.
+/// Counts and latencies of one part of a mix. Latencies include the request's delay in `late`.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Requests sent.
+    /// Requests sent, whatever their outcome.
     pub sent: u64,
-    /// To the first token or byte.
+    /// Latency to the first token or byte of complete responses.
     pub first: Times,
-    /// Between tokens.
+    /// Intervals between consecutive tokens of complete responses.
     pub between: Times,
-    /// To the end of whole answers.
+    /// Latency to the end of complete responses.
     pub total: Times,
-    /// To the end of refusals.
+    /// Latency to the end of requests that were refused, truncated or not answered.
     pub refusal: Times,
-    /// From when a request was due to when a thread was free to send it.
+    /// Delay from a request's scheduled arrival to when a worker sent it.
     pub late: Times,
-    /// Whole answers that ended in the time that counts.
+    /// Complete responses that ended within the measurement window.
     pub good: u64,
-    /// Their tokens.
+    /// Tokens of the responses in `good`.
     pub tokens: u64,
-    /// Ends other than whole ones.
-    pub ends: BTreeMap<End, u64>,
+    /// Number of requests by outcome, without complete responses.
+    pub ends: BTreeMap<Outcome, u64>,
 }
 
 impl Tally {
-    /// Takes a request that was begun `late` after it was due; `counts` when it ended in the time
-    /// that goodput is counted in.
+    /// Records a request that was sent `late` after its scheduled arrival; `counts` is true if it
+    /// ended within the measurement window.
     pub fn add(&mut self, got: &Got, late: Duration, counts: bool) {
         self.sent += 1;
         self.late.add(late);
-        let end = end(got);
-        if end != End::Whole {
+        let end = outcome(got);
+        if end != Outcome::Whole {
             self.refusal.add(late + got.took);
             *self.ends.entry(end).or_default() += 1;
             return;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Takes all of another.
+    /// Adds all counts and samples of `other`.
     pub fn join(&mut self, other: &Tally) {
         self.sent += other.sent;
         self.first.join(&other.first);
--- a/crates/roseshore_bench/tests/load.rs
+++ b/crates/roseshore_bench/tests/load.rs
@@ -1,8 +1,8 @@
-//! Arrivals, and how what callers got is counted.
+//! Tests of the arrival schedule and of how outcomes are counted.
 
 use roseshore_bench::load::mixes::{MIXES, mix};
-use roseshore_bench::load::schedule::{arrivals, drawn};
-use roseshore_bench::load::tally::{End, Tally, end};
+use roseshore_bench::load::schedule::{arrivals, part_at};
+use roseshore_bench::load::tally::{Outcome, Tally, outcome};
 use roseshore_harness::caller::Got;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     name: &'static str,
     rate: f64,
     weights: &'static [f64],
-    /// Arrivals in 100 s, and how far they may be off.
+    /// Expected number of arrivals in 100 s, and its tolerance.
     count: (usize, usize),
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn a_place_lies_in_the_part_that_covers_it() {
     for (place, part) in [(0.0, 0), (0.9, 0), (1.0, 2), (3.9, 2), (4.0, 2)] {
-        assert_eq!(drawn(&[1.0, 0.0, 3.0], place), part, "{place}");
+        assert_eq!(part_at(&[1.0, 0.0, 3.0], place), part, "{place}");
     }
 }
 
@@ -56,23 +56,23 @@
     status: u16,
     verdict: Option<&'static str>,
     whole: bool,
-    end: End,
+    end: Outcome,
 }
 
 #[test]
 fn ends_are_told_apart() {
-    let refused = |text: &str| End::Refused(text.to_owned());
-    let cut = |text: &str| End::Broken(text.to_owned());
+    let refused = |text: &str| Outcome::Refused(text.to_owned());
+    let cut = |text: &str| Outcome::Broken(text.to_owned());
     let cases = [
-        Ending { name: "whole", status: 200, verdict: None, whole: true, end: End::Whole },
+        Ending { name: "whole", status: 200, verdict: None, whole: true, end: Outcome::Whole },
         Ending {
             name: "whole, said so",
             status: 200,
             verdict: Some("answered"),
             whole: true,
-            end: End::Whole,
+            end: Outcome::Whole,
         },
-        Ending { name: "not found", status: 404, verdict: None, whole: true, end: End::Whole },
+        Ending { name: "not found", status: 404, verdict: None, whole: true, end: Outcome::Whole },
         Ending { name: "cut", status: 200, verdict: None, whole: false, end: cut("cut") },
         Ending { name: "no reply", status: 0, verdict: None, whole: false, end: cut("") },
         Ending {
@@ -106,11 +106,11 @@
             gaps: vec![Duration::from_millis(2); 3],
             ..Got::default()
         };
-        assert_eq!(end(&got), case.end, "{}", case.name);
+        assert_eq!(outcome(&got), case.end, "{}", case.name);
         let mut tally = Tally::default();
         tally.add(&got, Duration::ZERO, true);
         tally.add(&got, Duration::ZERO, false);
-        let good = u64::from(case.end == End::Whole);
+        let good = u64::from(case.end == Outcome::Whole);
         let counts = (tally.sent, tally.good, tally.tokens, tally.total.count());
         assert_eq!(counts, (2, good, 4 * good, 2 * good), "{}", case.name);
     }
