--- a/crates/roseshore_bench/src/bin/figures.rs
+++ b/crates/roseshore_bench/src/bin/figures.rs
@@ -1,12 +1,13 @@
-//! Measures in one run what a daemon adds and what it lets through, against the way without it and
-//! against the bound of the stand-ins' speeds.
+//! Measures, in one run, the latency that a daemon adds and the throughput it reaches, compared with
+//! direct requests and with the bound given by the simulated engines' speeds.
 
 use clap::{Arg, Command};
 use roseshore_bench::capacity::usage;
-use roseshore_bench::figures::bound::bound;
+use roseshore_bench::figures::bound::throughput_bound;
 use roseshore_bench::figures::direct::{Chain, Direct};
 use roseshore_bench::figures::rounds::{
-    Rate, TOKENS, Task, Way, busy, latency, offered, rates, stages, straight, work,
+    PathTimes, Rate, TOKENS, Task, direct_rate, latency, offer_streams, rates, stages, utilisation,
+    work,
 };
 use roseshore_bench::load::tally::Times;
 use roseshore_core::prelude::*;
@@ -16,17 +17,17 @@
 use roseshore_harness::world::{Plan, World};
 use std::thread;
 
-/// Answers of each way in the measurement of latency.
+/// Answers per path in the latency measurement.
 const ANSWERS: usize = 100;
-/// Callers in the measurement of rates.
+/// Concurrent clients in the rate measurement.
 const THREADS: usize = 8;
-/// One round of one task.
-const ROUND: Duration = Duration::from_secs(1);
+/// Length of one round of one task.
+const ROUND_SPAN: Duration = Duration::from_secs(1);
 const ROUNDS: usize = 3;
-/// One run of offered load.
-const SPAN: Duration = Duration::from_secs(8);
-/// Answers under way at each chain when it is asked straight.
-const EACH: usize = 24;
+/// Length of each run at a fixed offered load or with direct requests.
+const LOAD_SPAN: Duration = Duration::from_secs(8);
+/// Concurrent direct requests per chain.
+const CONCURRENCY: usize = 24;
 const PARTS: [&str; 4] = ["all", "latency", "rates", "saturation"];
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -39,12 +40,12 @@
     let wanted = |name: &str| ["all", name].contains(&part);
     println!("load average at the start {}", usage::load_average());
     if wanted("latency") || wanted("rates") {
-        let world = quiet()?;
+        let world = start_one_chain()?;
         if wanted("latency") {
-            added(&world)?;
+            added_latency(&world)?;
         }
         if wanted("rates") {
-            plain(&world);
+            request_rates(&world);
         }
     }
     if wanted("saturation") {
@@ -54,8 +55,8 @@
     Ok(())
 }
 
-/// One chain of three quick stages behind one daemon.
-fn quiet() -> Result<World, ProcessError> {
+/// Starts one chain of three stages behind one daemon.
+fn start_one_chain() -> Result<World, ProcessError> {
     let shape = Shape { chains: 1, stages: 3, ..Shape::default() };
     World::serving(Plan { fleet: fleets::fleet(shape), daemons: 1, ..Plan::default() })
 }
@@ -71,14 +72,14 @@
     found.ok_or_else(|| ProcessError::NotReady(format!("chain {chain}")))
 }
 
-fn added(world: &World) -> Result<(), ProcessError> {
+fn added_latency(world: &World) -> Result<(), ProcessError> {
     let direct = Direct::new(Duration::from_secs(10));
     let chain = chain(world, &direct, 0, 3)?;
     let [straight, through] = latency(world, &direct, &chain, ANSWERS);
     println!(
         "\n| ms at 50/95/99 | straight | through a daemon | added at the median |\n|---|---|---|---|"
     );
-    let row = |name: &str, pick: fn(&Way) -> &Times| {
+    let row = |name: &str, pick: fn(&PathTimes) -> &Times| {
         let (a, b) = (pick(&straight), pick(&through));
         println!("| {name} | {a} | {b} | {:.3} |", b.at(0.5) - a.at(0.5));
     };
@@ -88,7 +89,7 @@
     Ok(())
 }
 
-fn plain(world: &World) {
+fn request_rates(world: &World) {
     let direct = Direct::new(Duration::from_secs(5));
     let caller = Caller::new(Duration::from_secs(5));
     let (daemon, marks) = (world.daemons[0].addr, Marks::of(CUSTOMER));
@@ -126,7 +127,7 @@
             }),
         },
     ];
-    let rates = rates(&tasks, THREADS, ROUND, ROUNDS);
+    let rates = rates(&tasks, THREADS, ROUND_SPAN, ROUNDS);
     println!(
         "\n| {THREADS} callers | a second | part of straight | ms at 50/95/99 | failed |\n|---|---|---|---|---|"
     );
@@ -137,18 +138,19 @@
     }
 }
 
-/// Three chains of unlike accelerators behind two daemons.
+/// Measures throughput and utilisation of three chains with different accelerators behind two
+/// daemons, at offered loads below, at and above the bound.
 fn saturation() -> Result<(), ProcessError> {
     const CHAINS: usize = 3;
     const STAGES: usize = 2;
     let shape = Shape { chains: CHAINS, stages: STAGES, kind: 3, mixed: true, ..Shape::default() };
     let world =
         World::serving(Plan { fleet: fleets::fleet(shape), daemons: 2, ..Plan::default() })?;
-    let most = bound(&stages(&world.plan.fleet), LAYERS, work());
+    let most = throughput_bound(&stages(&world.plan.fleet), LAYERS, work());
     let direct = Direct::new(Duration::from_secs(10));
     let chains = (0..CHAINS).map(|n| chain(&world, &direct, n, STAGES));
     let chains = chains.collect::<Result<Vec<_>, _>>()?;
-    let reached = straight(&direct, &chains, EACH, SPAN);
+    let reached = direct_rate(&direct, &chains, CONCURRENCY, LOAD_SPAN);
     let daemons: Vec<_> = world.daemons.iter().map(|daemon| daemon.addr).collect();
     println!(
         "\nbound {most:.1} answers/s of {TOKENS} tokens; straight {reached:.1}, {:.2} of it",
@@ -163,10 +165,10 @@
             ids.map(usage::processor).sum::<Duration>()
         };
         let (begun, before) = (Instant::now(), spent());
-        let offer = || offered(daemons.clone(), most * times, SPAN, seed);
+        let offer = || offer_streams(daemons.clone(), most * times, LOAD_SPAN, seed);
         let (report, busy) = thread::scope(|scope| {
             let load = scope.spawn(offer);
-            let busy = busy(&world, &direct, SPAN);
+            let busy = utilisation(&world, &direct, LOAD_SPAN);
             (load.join().expect("the load does not panic"), busy)
         });
         let (all, good) = (report.all(), report.answers());
@@ -186,7 +188,7 @@
         println!("  steps run, of those possible: {}", busy.join(", "));
         println!("  both daemons used {cores:.2} cores");
     }
-    let again = straight(&direct, &chains, EACH, SPAN);
+    let again = direct_rate(&direct, &chains, CONCURRENCY, LOAD_SPAN);
     println!("straight again {again:.1}, {:.2} of the bound", again / most);
     Ok(())
 }
--- a/crates/roseshore_bench/src/bin/proofs.rs
+++ b/crates/roseshore_bench/src/bin/proofs.rs
@@ -1,7 +1,7 @@
-//! Prints the matrix of proofs with the verdicts of a run; `scripts/proofs.sh` calls it.
+//! Prints the matrix of proofs with the results of a test run; called by `scripts/proofs.sh`.
 
 use clap::{Arg, ArgAction, Command, value_parser};
-use roseshore_bench::proofs::{self, Proof, Seen};
+use roseshore_bench::proofs::{self, Proof, RowResult};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Prints the table of what is not proved.
+/// Prints the table of rows without a test.
 fn print_gaps(pages: &std::path::Path) -> std::io::Result<bool> {
     for line in proofs::gaps(&proofs::read(pages)?) {
         println!("{line}");
@@ -52,14 +52,14 @@
     Ok(true)
 }
 
-/// Prints the matrix; `false` when a test named in it failed or did not run.
+/// Prints the matrix; returns `false` if a test that it names failed or did not run.
 fn print(pages: &std::path::Path, results: &std::path::Path) -> std::io::Result<bool> {
     let results = proofs::results(&std::fs::read_to_string(results)?);
     let mut rows = proofs::read(pages)?;
     rows.sort_by_key(|row| (row.promise.clone(), row.page.clone()));
     let mut counts = [0_usize; 4];
     for row in &rows {
-        let seen = proofs::seen(row, &results);
+        let seen = proofs::row_result(row, &results);
         counts[seen as usize] += 1;
         let proof = match &row.proof {
             Proof::Tests(names) => {
@@ -74,11 +74,11 @@
     Ok(failed + idle == 0)
 }
 
-fn label(seen: Seen) -> &'static str {
+fn label(seen: RowResult) -> &'static str {
     match seen {
-        Seen::Passed => "passed",
-        Seen::Failed => "FAILED",
-        Seen::NotRun => "not run",
-        Seen::NotProved => "not proved",
+        RowResult::Passed => "passed",
+        RowResult::Failed => "FAILED",
+        RowResult::NotRun => "not run",
+        RowResult::NotProved => "not proved",
     }
 }
--- a/crates/roseshore_bench/src/figures.rs
+++ b/crates/roseshore_bench/src/figures.rs
@@ -1,7 +1,7 @@
-//! Ratios between the way through a daemon and the way without it, and against the bound.
+//! Compares requests through a daemon with direct requests to targets and with the throughput bound.
 //!
-//! Everything that is compared is measured in the same run and in turns, so that what else the
-//! machine does hits both sides alike.
+//! Compared paths are measured alternately in the same run, so that other load on the machine
+//! affects them equally.
 
 pub mod bound;
 pub mod direct;
--- a/crates/roseshore_bench/src/figures/bound.rs
+++ b/crates/roseshore_bench/src/figures/bound.rs
@@ -1,21 +1,21 @@
-//! What the stand-ins' speeds allow.
+//! The upper bound on throughput that follows from the speeds of the simulated engines.
 
 use roseshore_core::prelude::*;
 
-/// How fast one engine is and what it holds.
+/// The speed of one engine and the layers that it holds.
 #[derive(Clone, Copy, Debug)]
 pub struct Stage {
-    /// First layer and one past the last.
+    /// First layer and one past the last layer.
     pub layers: (Layer, Layer),
-    /// Time of one step of one token.
+    /// Duration of a decode step, which generates one token.
     pub step: Duration,
-    /// Steps that run at once.
+    /// Number of steps that run concurrently.
     pub slots: u32,
-    /// Prefill rate, tokens a second.
+    /// Prefill rate, tokens per second.
     pub prefill: f64,
 }
 
-/// The size of every answer.
+/// The work of one answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
     /// Tokens to prefill.
@@ -25,7 +25,7 @@
 }
 
 impl Stage {
-    /// Answers a second that the stage can do its part of.
+    /// Answers per second that the stage can process.
     fn rate(&self, work: Work) -> f64 {
         let decode = self.step.as_secs_f64() * f64::from(work.tokens);
         let prefill = f64::from(work.prompt) / self.prefill;
@@ -33,9 +33,10 @@
     }
 }
 
-/// Answers a second of a model of `layers` layers: every answer passes every layer, so the layer
-/// whose holders are slowest together bounds all. 0 when a layer is held by nobody.
-pub fn bound(stages: &[Stage], layers: Layer, work: Work) -> f64 {
+/// Upper bound on answers per second of a model of `layers` layers. Every answer passes through every
+/// layer, so the layer with the lowest total rate over its engines is the bottleneck. 0 if no engine
+/// holds some layer.
+pub fn throughput_bound(stages: &[Stage], layers: Layer, work: Work) -> f64 {
     let held = |layer: Layer| {
         let holders = stages.iter().filter(|s| (s.layers.0..s.layers.1).contains(&layer));
         holders.map(|s| s.rate(work)).sum::<f64>()
--- a/crates/roseshore_bench/src/figures/direct.rs
+++ b/crates/roseshore_bench/src/figures/direct.rs
@@ -1,4 +1,4 @@
-//! The way without a daemon: straight to the head stage of a chain, or to a replica.
+//! Direct requests, without a daemon, to the first stage of a chain or to a replica.
 
 use crate::load::run::prompt;
 use roseshore_core::prelude::*;
@@ -10,30 +10,30 @@
 use std::net::SocketAddr;
 use ureq::Agent;
 
-/// Tokens that the front puts before a message's words.
+/// Role token that the daemon's HTTP front end puts before a message.
 const ROLE: &str = "<user>";
 
-/// One chain and the model that it holds.
+/// A chain of stages and the model that it serves.
 #[derive(Clone, Debug)]
 pub struct Chain {
-    /// Where the first stage listens.
+    /// Address of the first stage.
     pub head: SocketAddr,
-    /// The stages in order.
+    /// The stages in layer order.
     pub route: Vec<Stage>,
-    /// The model.
+    /// The model that the stages hold.
     pub model: ModelId,
-    /// Its version.
+    /// Version of the model.
     pub version: VersionId,
 }
 
-/// A caller of targets, with kept connections.
+/// A client of targets that keeps its connections alive.
 #[derive(Clone, Debug)]
 pub struct Direct {
     agent: Agent,
 }
 
 impl Direct {
-    /// A caller that gives up after `limit`.
+    /// A client whose requests time out after `limit`.
     pub fn new(limit: Duration) -> Direct {
         let config = Agent::config_builder()
             .http_status_as_error(false)
@@ -43,7 +43,8 @@
         Direct { agent: config.into() }
     }
 
-    /// A chain over these targets of a fleet, asked for their lives; `None` when one is silent.
+    /// Builds a chain over `targets` after asking each for its layers and incarnation. `None` if a
+    /// target or its model is unknown, or if a target does not answer.
     pub fn chain(&self, fleet: &Fleet, targets: &[TargetId]) -> Option<Chain> {
         let stage = |id: &TargetId| {
             let target = fleet.targets.get(id)?;
@@ -60,7 +61,8 @@
         Some(Chain { head: first.addr, route, model, version })
     }
 
-    /// Asks a chain for an answer and reads it to its end.
+    /// Requests an answer from a chain and reads it to its end. The result is whole only if the
+    /// tokens are those that the simulated engine is expected to generate.
     pub fn stream(&self, chain: &Chain, unique: &str, words: usize, tokens: u32) -> Got {
         let begun = Instant::now();
         let text = format!("{ROLE} {}", prompt(unique, words));
@@ -106,14 +108,14 @@
         got
     }
 
-    /// Steps that an engine's stand-in has run; 0 when it does not say.
+    /// Number of steps that a simulated engine has run; 0 if it does not report it.
     pub fn steps(&self, addr: SocketAddr) -> u64 {
         let reply = self.agent.get(format!("http://{addr}/_stats")).call().ok();
         let stats = reply.and_then(|mut reply| reply.body_mut().read_json::<Stats>().ok());
         stats.map_or(0, |stats| stats.steps)
     }
 
-    /// Gets a path of a replica; whether it answered 200 or 404.
+    /// Sends a GET to a replica; true if it answered 200 or 404 with a readable body.
     pub fn get(&self, addr: SocketAddr, path: &str) -> bool {
         let reply = self.agent.get(format!("http://{addr}{path}")).call();
         reply.is_ok_and(|mut reply| {
@@ -121,7 +123,7 @@
         })
     }
 
-    /// Posts to a path of a replica; whether it answered 200.
+    /// Sends a POST to a replica; true if it answered 200 with a readable body.
     pub fn post(&self, addr: SocketAddr, path: &str, body: &str) -> bool {
         let reply = self.agent.post(format!("http://{addr}{path}")).send(body);
         reply.is_ok_and(|mut reply| {
--- a/crates/roseshore_bench/src/figures/rounds.rs
+++ b/crates/roseshore_bench/src/figures/rounds.rs
@@ -1,4 +1,4 @@
-//! The compared ways, measured in turns.
+//! Measurements of the compared paths, run alternately.
 
 use super::bound::{Stage, Work};
 use super::direct::{Chain, Direct};
@@ -12,23 +12,23 @@
 use std::net::SocketAddr;
 use std::thread;
 
-/// Tokens of each prompt.
+/// Length of each prompt, tokens.
 pub const PROMPT: usize = 8;
-/// Tokens of each answer.
+/// Length of each answer, tokens.
 pub const TOKENS: u32 = 20;
 
-/// Times of answers over one way.
+/// Latencies of answers over one path.
 #[derive(Clone, Debug, Default)]
-pub struct Way {
-    /// To the first token.
+pub struct PathTimes {
+    /// Time to the first token.
     pub first: Times,
-    /// Between tokens.
+    /// Intervals between consecutive tokens.
     pub between: Times,
-    /// Answers that were not whole.
+    /// Number of answers that were refused, truncated or wrong.
     pub failed: u64,
 }
 
-impl Way {
+impl PathTimes {
     fn add(&mut self, got: &Got) {
         if !got.whole {
             self.failed += 1;
@@ -39,12 +39,12 @@
     }
 }
 
-/// Answers straight from a chain and through a daemon, one at a time and in turns: the way without
-/// the daemon comes first in the result.
-pub fn latency(world: &World, direct: &Direct, chain: &Chain, rounds: usize) -> [Way; 2] {
+/// Measures direct answers from a chain and answers through a daemon, alternately and one at a time.
+/// Returns the direct path first.
+pub fn latency(world: &World, direct: &Direct, chain: &Chain, rounds: usize) -> [PathTimes; 2] {
     let caller = Caller::default();
     let (daemon, marks) = (world.daemons[0].addr, Marks::of(CUSTOMER));
-    let mut ways = [Way::default(), Way::default()];
+    let mut ways = [PathTimes::default(), PathTimes::default()];
     for round in 0..rounds {
         let unique = format!("a{round}");
         ways[0].add(&direct.stream(chain, &unique, PROMPT, TOKENS));
@@ -55,27 +55,28 @@
     ways
 }
 
-/// A way to do something again and again; says whether it worked.
+/// An operation whose rate is measured.
 pub struct Task<'a> {
-    /// How it is shown.
+    /// Label in the printed table.
     pub name: &'static str,
-    /// Does it once; told how often it was done before by anybody.
+    /// Runs the operation once and returns whether it succeeded. The argument differs in every call
+    /// of a measurement.
     pub body: Box<dyn Fn(usize) -> bool + Sync + 'a>,
 }
 
-/// How often something was done.
+/// The measured rate of a task.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
-    /// Times a second, of each round.
+    /// Successful runs per second, by round.
     pub each: Vec<f64>,
-    /// The time of one.
+    /// Duration of each successful run.
     pub times: Times,
-    /// How many did not work.
+    /// Number of failed runs.
     pub failed: u64,
 }
 
 impl Rate {
-    /// The median of the rounds, times a second.
+    /// Median over the rounds, runs per second; 0 without rounds.
     pub fn median(&self) -> f64 {
         let mut each = self.each.clone();
         each.sort_by(f64::total_cmp);
@@ -83,28 +84,28 @@
     }
 }
 
-/// Drives tasks in turns, each round of a task by `threads` for `span`.
+/// Runs the tasks alternately; in each round a task runs on `threads` threads for `span`.
 ///
 /// # Panics
-/// When a task does.
+/// If a task panics.
 pub fn rates(tasks: &[Task<'_>], threads: usize, span: Duration, rounds: usize) -> Vec<Rate> {
     let mut rates = vec![Rate::default(); tasks.len()];
     for round in 0..rounds {
         for (task, rate) in tasks.iter().zip(&mut rates) {
-            drive(task, rate, threads, span, round);
+            run_round(task, rate, threads, span, round);
         }
     }
     rates
 }
 
-fn drive(task: &Task<'_>, rate: &mut Rate, threads: usize, span: Duration, round: usize) {
+fn run_round(task: &Task<'_>, rate: &mut Rate, threads: usize, span: Duration, round: usize) {
     let begun = Instant::now();
     let one = |thread: usize| {
         let (mut times, mut failed) = (Times::default(), 0);
         let mut number = 0;
         while begun.elapsed() < span {
             let started = Instant::now();
-            // Numbers that no other thread or round uses.
+            // Unique over all threads and rounds.
             let fresh = (round * threads + thread) * 1_000_000 + number;
             if (task.body)(fresh) {
                 times.add(started.elapsed());
@@ -128,7 +129,7 @@
     rate.each.push(done as f64 / begun.elapsed().as_secs_f64());
 }
 
-/// The engines of a fleet, as their stand-ins are started.
+/// The engines of a fleet with the speeds at which the harness starts their simulations.
 pub fn stages(fleet: &Fleet) -> Vec<Stage> {
     let engines = fleet.targets.values();
     let stage = |target: &Target| {
@@ -140,15 +141,15 @@
     engines.filter_map(stage).collect()
 }
 
-/// The work of each answer of these measurements.
+/// The work of each answer in these measurements.
 pub fn work() -> Work {
-    // One more for the word that the front puts before the prompt.
+    // One token more for the role that the HTTP front end puts before the prompt.
     Work { prompt: PROMPT as u32 + 1, tokens: TOKENS }
 }
 
-/// The part of its possible steps that each engine runs in the time of a load that counts for
-/// goodput, by target. It is to be called when the load begins.
-pub fn busy(world: &World, direct: &Direct, span: Duration) -> Vec<(TargetId, f64)> {
+/// Utilisation of each engine during the measurement window of a load: the steps that it ran as a
+/// fraction of those that it could have run. Call it when the load starts; it blocks for `span`.
+pub fn utilisation(world: &World, direct: &Direct, span: Duration) -> Vec<(TargetId, f64)> {
     let engines = || world.plan.fleet.targets.iter().filter(|(_, target)| target.layers.is_some());
     let steps = || engines().map(|(_, target)| direct.steps(target.addr)).collect::<Vec<_>>();
     thread::sleep(span / 4);
@@ -164,12 +165,12 @@
     engines().zip(ran).map(part).collect()
 }
 
-/// Answers a second that chains give to callers who keep `each` answers under way at each of them,
-/// without any daemon.
+/// Answers per second of direct requests to `chains` with `each` concurrent requests per chain. The
+/// first quarter of `span` is warm-up and is not counted.
 ///
 /// # Panics
-/// When one of the callers does.
-pub fn straight(direct: &Direct, chains: &[Chain], each: usize, span: Duration) -> f64 {
+/// If a client thread panics.
+pub fn direct_rate(direct: &Direct, chains: &[Chain], each: usize, span: Duration) -> f64 {
     let begun = Instant::now();
     let (warm, counted) = (span / 4, span * 3 / 4);
     let one = |number: usize| {
@@ -192,8 +193,8 @@
     whole as f64 / counted.as_secs_f64()
 }
 
-/// Streams offered to all daemons at `rate` answers a second.
-pub fn offered(daemons: Vec<SocketAddr>, rate: f64, span: Duration, seed: u64) -> Report {
+/// Offers streamed answers to `daemons`, round-robin, at `rate` answers per second.
+pub fn offer_streams(daemons: Vec<SocketAddr>, rate: f64, span: Duration, seed: u64) -> Report {
     let mix = Mix { name: "streams", parts: vec![streams(CUSTOMER, TOKENS, 1.0)] };
     let deadline = Duration::from_secs(3);
     run(&Load { daemons, mix, rate, span, deadline, workers: 900, seed })
--- a/crates/roseshore_bench/src/load/experiments.rs
+++ b/crates/roseshore_bench/src/load/experiments.rs
@@ -2,7 +2,7 @@
 
 use super::mixes::{Mix, Part, mix, streams};
 use super::run::{Load, Report, run};
-use crate::figures::bound::bound;
+use crate::figures::bound::throughput_bound;
 use crate::figures::rounds::{TOKENS, stages, work};
 use roseshore_core::prelude::*;
 use roseshore_harness::fleets::{self, CUSTOMER, LAYERS, Shape};
@@ -63,8 +63,8 @@
     Shape { chains, stages: 2, kind: 3, mixed: true, ..Shape::default() }
 }
 
-fn throughput_bound(world: &World) -> f64 {
-    bound(&stages(&world.plan.fleet), LAYERS, work())
+fn world_bound(world: &World) -> f64 {
+    throughput_bound(&stages(&world.plan.fleet), LAYERS, work())
 }
 
 fn run_load(daemons: Vec<SocketAddr>, parts: Vec<Part>, rate: f64, seed: u64) -> Report {
@@ -86,7 +86,7 @@
 /// One organisation sends ten times its share while the others keep their rate.
 fn burst() -> Result<Vec<Step>, ProcessError> {
     let world = world(mixed_shape(3), 2)?;
-    let share = throughput_bound(&world) * BASE_UTILISATION / ORGANISATIONS.len() as f64;
+    let share = world_bound(&world) * BASE_UTILISATION / ORGANISATIONS.len() as f64;
     let step = |times: f64, seed: u64| {
         let weight = |organisation| if organisation == CUSTOMER { times } else { 1.0 };
         let parts = ORGANISATIONS.iter().map(|it| streams(it, TOKENS, weight(*it)));
@@ -101,7 +101,7 @@
 fn slow_half() -> Result<Vec<Step>, ProcessError> {
     const CHAINS: usize = 4;
     let world = world(mixed_shape(CHAINS), 2)?;
-    let rate = throughput_bound(&world) * 0.25;
+    let rate = world_bound(&world) * 0.25;
     let step = |name: &str, seed| {
         let report =
             run_load(all_daemons(&world), vec![streams(CUSTOMER, TOKENS, 1.0)], rate, seed);
@@ -121,7 +121,7 @@
 /// Kills all processes of one of two data centres and sends the load to the other's daemons.
 fn centre_lost() -> Result<Vec<Step>, ProcessError> {
     let mut world = world(Shape { centres: 2, ..mixed_shape(3) }, 2)?;
-    let rate = throughput_bound(&world) * 0.25;
+    let rate = world_bound(&world) * 0.25;
     let own = |daemon: &&roseshore_harness::world::Daemon| daemon.data_centre == "north";
     let near: Vec<SocketAddr> = world.daemons.iter().filter(own).map(|d| d.addr).collect();
     let step = |name: &str, seed| {
--- a/crates/roseshore_bench/src/proofs.rs
+++ b/crates/roseshore_bench/src/proofs.rs
@@ -1,52 +1,52 @@
-//! The matrix of proofs: promise by fault by step, each cell naming the test that shows it.
+//! The matrix of proofs: for each promise, fault and step, the tests that show that the promise holds.
 //!
-//! The pages under `docs/proofs/` are the matrix; this module reads them, holds the names of tests
-//! against the sources, and joins them with the output of a run.
+//! The matrix is kept in the pages under `docs/proofs/`. This module parses them, checks that the
+//! tests they name exist in the sources, and combines them with the output of a test run.
 
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// One cell of the matrix.
+/// One row of a page's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The page it stands on.
+    /// File stem of the page.
     pub page: String,
     /// The promise, `P1` to `P9`.
     pub promise: String,
-    /// What goes wrong.
+    /// The injected fault.
     pub fault: String,
-    /// When it goes wrong.
+    /// The step at which the fault occurs.
     pub step: String,
-    /// What shows that the promise holds.
+    /// The tests, or the reason why there are none.
     pub proof: Proof,
 }
 
-/// What shows that a promise holds.
+/// The proof column of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Proof {
     /// Tests of the workspace, at least one.
     Tests(Vec<TestName>),
-    /// Nothing yet, and why.
+    /// No test; holds the reason, which is empty if none is given.
     Missing(String),
-    /// The cell cannot be read.
+    /// A cell that cannot be parsed; holds its text.
     Unreadable(String),
 }
 
 /// The name of a test: `crate/file::function` or `crate/file::function[case]`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TestName {
-    /// The crate.
+    /// Name of the crate's folder under `crates`.
     pub krate: String,
-    /// The stem of the file under the crate's `tests`.
+    /// File stem under the crate's `tests`.
     pub file: String,
-    /// The function.
+    /// Name of the test function.
     pub function: String,
-    /// The table case, if the cell names one.
+    /// Name of a case in a table-driven test; `None` for the whole function.
     pub case: Option<String>,
 }
 
 impl TestName {
-    /// Reads a name without its backticks; `None` when it has another form.
+    /// Parses a name without its backticks; `None` if it does not have the expected form.
     pub fn parse(text: &str) -> Option<TestName> {
         let (path, case) = match text.split_once('[') {
             Some((path, case)) => (path, Some(case.strip_suffix(']')?.to_owned())),
@@ -74,12 +74,12 @@
     }
 }
 
-/// Reads the rows of one page.
+/// Parses the table rows of one page; other lines are skipped.
 pub fn rows(page: &str, text: &str) -> Vec<Row> {
-    text.lines().filter_map(|line| row(page, line)).collect()
+    text.lines().filter_map(|line| parse_row(page, line)).collect()
 }
 
-fn row(page: &str, line: &str) -> Option<Row> {
+fn parse_row(page: &str, line: &str) -> Option<Row> {
     let cells: Vec<&str> = line.trim().strip_prefix('|')?.split('|').map(str::trim).collect();
     let [promise, fault, step, test, ..] = cells[..] else {
         return None;
@@ -90,11 +90,11 @@
         promise: promise.to_owned(),
         fault: fault.to_owned(),
         step: step.to_owned(),
-        proof: proof(test),
+        proof: parse_proof(test),
     })
 }
 
-fn proof(cell: &str) -> Proof {
+fn parse_proof(cell: &str) -> Proof {
     if let Some(why) = cell.strip_prefix("not proved") {
         return Proof::Missing(why.trim_start_matches(':').trim().to_owned());
     }
@@ -106,10 +106,10 @@
     }
 }
 
-/// Reads every page of a folder, in order of name.
+/// Parses every page of a folder, sorted by file name.
 ///
 /// # Errors
-/// Those of the file system.
+/// If the folder or a file cannot be read.
 pub fn read(folder: &Path) -> std::io::Result<Vec<Row>> {
     let mut files: Vec<_> =
         std::fs::read_dir(folder)?.map(|e| e.map(|e| e.path())).collect::<Result<_, _>>()?;
@@ -122,7 +122,7 @@
     Ok(all)
 }
 
-/// One line of a table for each row that nothing proves, in order of promise and page.
+/// Table lines for the rows that have no test, sorted by promise and page.
 pub fn gaps(rows: &[Row]) -> Vec<String> {
     let mut missing: Vec<(&str, &str, String)> = rows.iter().filter_map(gap).collect();
     missing.sort_by_key(|(promise, page, _)| (*promise, *page));
@@ -136,10 +136,11 @@
     Some((promise, page, line))
 }
 
-/// What is wrong with a row's names, held against the sources under `crates`; empty when nothing is.
-pub fn faults(row: &Row, crates: &Path) -> Vec<String> {
+/// Checks the tests that a row names against the sources under `crates` and returns a message for
+/// each problem.
+pub fn problems(row: &Row, crates: &Path) -> Vec<String> {
     match &row.proof {
-        Proof::Tests(names) => names.iter().filter_map(|name| fault(name, crates)).collect(),
+        Proof::Tests(names) => names.iter().filter_map(|name| problem(name, crates)).collect(),
         Proof::Missing(why) if why.is_empty() => {
             vec![format!("{}: `not proved` without a reason", row.page)]
         }
@@ -148,12 +149,12 @@
     }
 }
 
-fn fault(name: &TestName, crates: &Path) -> Option<String> {
+fn problem(name: &TestName, crates: &Path) -> Option<String> {
     let path = crates.join(&name.krate).join("tests").join(format!("{}.rs", name.file));
     let Ok(mut source) = std::fs::read_to_string(&path) else {
         return Some(format!("`{name}`: no such file"));
     };
-    source.push_str(&folder(&path.with_extension("")));
+    source.push_str(&submodule_sources(&path.with_extension("")));
     if !source.contains(&format!("fn {}(", name.function)) {
         return Some(format!("`{name}`: no such function"));
     }
@@ -165,16 +166,16 @@
     }
 }
 
-/// The sources of a test's own modules, one after the other.
-fn folder(path: &Path) -> String {
+/// The concatenated sources of a test file's submodules.
+fn submodule_sources(path: &Path) -> String {
     let entries = std::fs::read_dir(path).into_iter().flatten().flatten();
     entries.filter_map(|e| std::fs::read_to_string(e.path()).ok()).collect()
 }
 
-/// The verdict of each test function in the output of `cargo test`.
+/// Parses the output of `cargo test`: whether each test function passed. Ignored tests are left out.
 ///
-/// The output must name crates by lines `== crate NAME` and files as `cargo test` does; tests that
-/// stand in a module of their file are known by the last part of their name.
+/// The output must hold a line `== crate NAME` before the tests of each crate, and name files as
+/// `cargo test` does. A test within a module is identified by the last segment of its path.
 pub fn results(output: &str) -> BTreeMap<TestName, bool> {
     let mut found = BTreeMap::new();
     let mut krate = String::new();
@@ -184,7 +185,7 @@
             name.clone_into(&mut krate);
         } else if let Some(rest) = line.strip_prefix("Running tests/") {
             rest.split('.').next().unwrap_or_default().clone_into(&mut file);
-        } else if let Some((name, passed)) = result(line) {
+        } else if let Some((name, passed)) = parse_result(line) {
             let function = name.rsplit("::").next().unwrap_or(name).to_owned();
             let name = TestName { krate: krate.clone(), file: file.clone(), function, case: None };
             found.insert(name, passed);
@@ -193,7 +194,7 @@
     found
 }
 
-fn result(line: &str) -> Option<(&str, bool)> {
+fn parse_result(line: &str) -> Option<(&str, bool)> {
     let (name, verdict) = line.strip_prefix("test ")?.split_once(" ... ")?;
     match verdict.trim() {
         "ok" => Some((name, true)),
@@ -202,33 +203,33 @@
     }
 }
 
-/// The verdict of a row in a run.
+/// The result of a row in a test run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Seen {
-    /// Every test named ran and passed.
+pub enum RowResult {
+    /// All its tests ran and passed.
     Passed,
-    /// A test named failed.
+    /// At least one of its tests failed.
     Failed,
-    /// A test named did not run.
+    /// None failed, but at least one did not run.
     NotRun,
-    /// There is no test.
+    /// The row names no test.
     NotProved,
 }
 
-/// Joins a row with the verdicts of a run.
-pub fn seen(row: &Row, results: &BTreeMap<TestName, bool>) -> Seen {
+/// Looks up the tests of a row in the results of a run.
+pub fn row_result(row: &Row, results: &BTreeMap<TestName, bool>) -> RowResult {
     let Proof::Tests(names) = &row.proof else {
-        return Seen::NotProved;
+        return RowResult::NotProved;
     };
     let verdicts: Vec<Option<bool>> = names
         .iter()
         .map(|name| results.get(&TestName { case: None, ..name.clone() }).copied())
         .collect();
     if verdicts.contains(&Some(false)) {
-        Seen::Failed
+        RowResult::Failed
     } else if verdicts.contains(&None) {
-        Seen::NotRun
+        RowResult::NotRun
     } else {
-        Seen::Passed
+        RowResult::Passed
     }
 }
--- a/crates/roseshore_bench/tests/figures.rs
+++ b/crates/roseshore_bench/tests/figures.rs
@@ -1,11 +1,11 @@
-//! The bound that engines' speeds allow.
+//! Tests of the throughput bound.
 
-use roseshore_bench::figures::bound::{Stage, Work, bound};
+use roseshore_bench::figures::bound::{Stage, Work, throughput_bound};
 use roseshore_core::prelude::*;
 
 const LAYERS: Layer = 8;
 
-/// An engine that does a step in a number of milliseconds and prefills 1,000 tokens a second.
+/// An engine with steps of `step` milliseconds that prefills 1,000 tokens per second.
 fn stage(layers: (Layer, Layer), step: u64, slots: u32) -> Stage {
     Stage { layers, step: Duration::from_millis(step), slots, prefill: 1_000.0 }
 }
@@ -49,7 +49,8 @@
         },
     ];
     for case in cases {
-        let found = bound(&case.stages, LAYERS, Work { prompt: case.prompt, tokens: 10 });
+        let found =
+            throughput_bound(&case.stages, LAYERS, Work { prompt: case.prompt, tokens: 10 });
         assert!((found - case.bound).abs() < 1e-9, "{}: {found}", case.name);
     }
 }
--- a/crates/roseshore_bench/tests/proofs.rs
+++ b/crates/roseshore_bench/tests/proofs.rs
@@ -1,6 +1,6 @@
-//! Holds the matrix of proofs against the tests, and the reader of the matrix against cases.
+//! Checks that the tests named by the matrix of proofs exist, and tests the parser of the matrix.
 
-use roseshore_bench::proofs::{self, Proof, Seen, TestName};
+use roseshore_bench::proofs::{self, Proof, RowResult, TestName};
 use std::path::Path;
 
 #[test]
@@ -9,7 +9,7 @@
     let rows = proofs::read(&root.join("docs/proofs")).expect("the pages can be read");
     assert!(!rows.is_empty(), "the matrix is empty");
     let crates = root.join("crates");
-    let faults: Vec<String> = rows.iter().flat_map(|row| proofs::faults(row, &crates)).collect();
+    let faults: Vec<String> = rows.iter().flat_map(|row| proofs::problems(row, &crates)).collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
@@ -28,7 +28,7 @@
     cell: &'static str,
     tests: Option<usize>,
     output: &'static str,
-    seen: Seen,
+    seen: RowResult,
 }
 
 const CASES: &[Case] = &[
@@ -37,49 +37,49 @@
         cell: "`a/b::c`",
         tests: Some(1),
         output: "== crate a\nRunning tests/b.rs (x)\ntest c ... ok",
-        seen: Seen::Passed,
+        seen: RowResult::Passed,
     },
     Case {
         name: "a case of a test in a module",
         cell: "`a/b::c[stage dies, once]`",
         tests: Some(1),
         output: "== crate a\nRunning tests/b.rs (x)\ntest m::c ... ok",
-        seen: Seen::Passed,
+        seen: RowResult::Passed,
     },
     Case {
         name: "one of two failed",
         cell: "`a/b::c` and `a/b::d`",
         tests: Some(2),
         output: "== crate a\nRunning tests/b.rs (x)\ntest c ... ok\ntest d ... FAILED",
-        seen: Seen::Failed,
+        seen: RowResult::Failed,
     },
     Case {
         name: "the same file and function of another crate does not count",
         cell: "`a/b::c`",
         tests: Some(1),
         output: "== crate z\nRunning tests/b.rs (x)\ntest c ... ok",
-        seen: Seen::NotRun,
+        seen: RowResult::NotRun,
     },
     Case {
         name: "an ignored test did not run",
         cell: "`a/b::c`",
         tests: Some(1),
         output: "== crate a\nRunning tests/b.rs (x)\ntest c ... ignored",
-        seen: Seen::NotRun,
+        seen: RowResult::NotRun,
     },
     Case {
         name: "no proof",
         cell: "not proved: later",
         tests: None,
         output: "",
-        seen: Seen::NotProved,
+        seen: RowResult::NotProved,
     },
     Case {
         name: "prose is no proof",
         cell: "surely",
         tests: None,
         output: "",
-        seen: Seen::NotProved,
+        seen: RowResult::NotProved,
     },
 ];
 
@@ -93,7 +93,7 @@
             _ => None,
         };
         assert_eq!(tests, case.tests, "{}", case.name);
-        let seen = proofs::seen(row, &proofs::results(case.output));
+        let seen = proofs::row_result(row, &proofs::results(case.output));
         assert_eq!(seen, case.seen, "{}", case.name);
     }
 }
@@ -112,6 +112,6 @@
     for (name, faults) in table {
         assert!(TestName::parse(&name).is_some(), "{name}");
         let rows = proofs::rows("page", &format!("| P2 | f | s | `{name}` |"));
-        assert_eq!(proofs::faults(&rows[0], &crates).len(), faults, "{name}");
+        assert_eq!(proofs::problems(&rows[0], &crates).len(), faults, "{name}");
     }
 }
