--- a/crates/roseshore_fakes/src/bin/fake_engine.rs
+++ b/crates/roseshore_fakes/src/bin/fake_engine.rs
@@ -1,4 +1,4 @@
-//! The model-engine stand-in as a process; prints `listening ADDR` once it serves.
+//! The fake model engine as a program; prints `listening ADDR` once it serves.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use roseshore_core::prelude::*;
@@ -19,41 +19,39 @@
 }
 
 fn command() -> Command {
-    Command::new("fake_engine")
-        .about("Stands in for a model engine that holds a range of layers")
-        .args(vec![
-            text("listen", "Address to listen on; port 0 for any").default_value("127.0.0.1:0"),
-            text("target", "Name of the target").default_value("engine"),
-            text("model", "Model loaded at the start"),
-            text("version", "Version of the weights"),
-            text("layers", "First layer and one past the last").default_value("0-0"),
-            text("adapter", "Adapter loaded at the start").action(ArgAction::Append),
-            text("role", "Stages served")
-                .value_parser(["both", "prefill", "decode"])
-                .default_value("both"),
-            text("weights", "Address of the weight store that loads ask"),
-            number("incarnation", "Number of the engine's life", "1"),
-            number("step-us", "Time of one step, microseconds", "500"),
-            number("slots", "Steps that run at once", "8"),
-            number("max-running", "Answers that are taken at once", "256"),
-            number("prefill-rate", "Prefill rate, tokens a second", "100000"),
-            number("kv-cap", "KV cache, tokens", "1048576"),
-            number("kv-bytes", "Bytes of KV cache of one token", "1024"),
-            number("link-us", "Delay of the link to the next stage, microseconds", "0"),
-            number("link-rate", "Rate of the link for KV caches, bytes a second", "1000000000"),
-            number("hop-ms", "Wait for the next stage, milliseconds", "10000"),
-            number("cache-cap", "Prefix cache, tokens", "65536"),
-            number("cache-block", "Tokens of one block of the prefix cache", "16"),
-            number("cache-lag-ms", "Lateness of cache events, milliseconds", "0"),
-            number("cache-keep", "Cache events that are kept", "1024"),
-            number("load-lag-ms", "Age that a load report may have, milliseconds", "0"),
-            number("load-ms", "Time of a load besides the weight store's, milliseconds", "0"),
-            number("layer-bytes", "Bytes of the weights of one layer", "67108864"),
-            Arg::new("checks-fence")
-                .long("checks-fence")
-                .help("Refuse orders with an old fencing number")
-                .action(ArgAction::SetTrue),
-        ])
+    Command::new("fake_engine").about("Fake model engine that holds a range of layers").args(vec![
+        text("listen", "Address to listen on; port 0 for any").default_value("127.0.0.1:0"),
+        text("target", "Name of the target").default_value("engine"),
+        text("model", "Model loaded at the start"),
+        text("version", "Version of the weights"),
+        text("layers", "First layer and one past the last").default_value("0-0"),
+        text("adapter", "Adapter loaded at the start").action(ArgAction::Append),
+        text("role", "Stages served")
+            .value_parser(["both", "prefill", "decode"])
+            .default_value("both"),
+        text("weights", "Address of the weight store that loads ask"),
+        number("incarnation", "Number of the engine's life", "1"),
+        number("step-us", "Time of one step, microseconds", "500"),
+        number("slots", "Steps that run at once", "8"),
+        number("max-running", "Answers that are taken at once", "256"),
+        number("prefill-rate", "Prefill rate, tokens a second", "100000"),
+        number("kv-cap", "KV cache, tokens", "1048576"),
+        number("kv-bytes", "Bytes of KV cache of one token", "1024"),
+        number("link-us", "Delay of the link to the next stage, microseconds", "0"),
+        number("link-rate", "Rate of the link for KV caches, bytes a second", "1000000000"),
+        number("hop-ms", "Wait for the next stage, milliseconds", "10000"),
+        number("cache-cap", "Prefix cache, tokens", "65536"),
+        number("cache-block", "Tokens of one block of the prefix cache", "16"),
+        number("cache-lag-ms", "Lateness of cache events, milliseconds", "0"),
+        number("cache-keep", "Cache events that are kept", "1024"),
+        number("load-lag-ms", "Age that a load report may have, milliseconds", "0"),
+        number("load-ms", "Time of a load besides the weight store's, milliseconds", "0"),
+        number("layer-bytes", "Bytes of the weights of one layer", "67108864"),
+        Arg::new("checks-fence")
+            .long("checks-fence")
+            .help("Refuse orders with an old fencing number")
+            .action(ArgAction::SetTrue),
+    ])
 }
 
 fn text(name: &'static str, help: &'static str) -> Arg {
--- a/crates/roseshore_fakes/src/bin/fake_platform.rs
+++ b/crates/roseshore_fakes/src/bin/fake_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a program; prints `listening ADDR` once it serves.
+//! The fake platform as a program; prints `listening ADDR` once it serves.
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use roseshore_fakes::platform::log::Retention;
@@ -9,7 +9,7 @@
 
 fn command() -> Command {
     Command::new("fake_platform")
-        .about("Stands in for the log service, the host list and the weight store")
+        .about("Fake platform: log service, host list and weight store")
         .arg(
             Arg::new("bind")
                 .long("bind")
--- a/crates/roseshore_fakes/src/bin/fake_service.rs
+++ b/crates/roseshore_fakes/src/bin/fake_service.rs
@@ -1,4 +1,4 @@
-//! A replica's stand-in as a program; prints `listening ADDR` once it serves.
+//! A fake replica as a program; prints `listening ADDR` once it serves.
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use roseshore_fakes::service::records::{Source, incarnation};
@@ -8,7 +8,7 @@
 
 fn command() -> Command {
     Command::new("fake_service")
-        .about("Stands in for one replica of a lookup or plain service")
+        .about("Fake replica of a lookup or plain service")
         .arg(
             Arg::new("bind")
                 .long("bind")
--- a/crates/roseshore_fakes/src/closed.rs
+++ b/crates/roseshore_fakes/src/closed.rs
@@ -1,12 +1,13 @@
-//! A system that does not listen.
+//! An address that refuses connections.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 
-/// An address on which connections are refused for as long as this lives.
+/// A loopback address that refuses connections as long as this value lives.
 ///
-/// It is that of a connection's near side: nobody listens there, and nobody else can begin to. The
-/// port of a listener that was closed would not do, since the system may give it out again.
+/// The address is the local side of an open connection: nothing listens on it, and no other process
+/// can bind it. The port of a closed listener is not enough, since the operating system may assign
+/// it again.
 pub struct Closed {
     addr: SocketAddr,
     _listener: TcpListener,
@@ -14,10 +15,10 @@
 }
 
 impl Closed {
-    /// Takes such an address on loopback.
+    /// Reserves a loopback address.
     ///
     /// # Errors
-    /// When the system gives no port.
+    /// When the operating system assigns no port.
     pub fn start() -> io::Result<Closed> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let connection = TcpStream::connect(listener.local_addr()?)?;
@@ -25,7 +26,7 @@
         Ok(Closed { addr, _listener: listener, _connection: connection })
     }
 
-    /// Where it does not listen.
+    /// The address that refuses connections.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/crates/roseshore_fakes/src/engine.rs
+++ b/crates/roseshore_fakes/src/engine.rs
@@ -1,10 +1,10 @@
-//! A stand-in for a model engine that holds a range of layers.
+//! A fake model engine that holds a range of layers.
 //!
-//! It speaks [`roseshore_wire::engine`] towards the router and small frames towards other stages.
-//! Work takes time but no arithmetic: a stage sleeps for its step under a slot, stamps what it
-//! ran, and the last stage samples a token that is a pure function of the model and of the tokens
-//! that the KV cache covers ([`text`]). So whole answers can be compared, and a step over a wrong
-//! cache or a wrong range of layers cannot pass unseen.
+//! It speaks [`roseshore_wire::engine`] to the router and exchanges small frames with other stages.
+//! Work takes time but computes nothing: a stage sleeps for its step time while it occupies a slot
+//! and adds a stamp of what it ran. The last stage samples a token that is a pure function of the
+//! model and of the tokens that the KV cache covers ([`text`]). Tests can therefore compare whole
+//! answers, and a step that uses a wrong cache or a wrong range of layers changes the output.
 
 mod answers;
 mod api;
@@ -36,10 +36,10 @@
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
 
-/// Requests that one stand-in takes at once; streams count.
+/// The most requests that an engine handles at once, including open streams.
 const WORKERS: usize = 1024;
 
-/// A running stand-in.
+/// A running fake engine.
 pub struct EngineFake {
     addr: SocketAddr,
     core: Arc<Core>,
@@ -47,7 +47,7 @@
 }
 
 impl EngineFake {
-    /// Starts a stand-in.
+    /// Starts an engine.
     ///
     /// # Errors
     /// When its addresses cannot be bound.
@@ -66,27 +66,27 @@
         Ok(EngineFake { addr, core, server: Some(server) })
     }
 
-    /// Where it listens for HTTP.
+    /// The HTTP address that the engine listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Its faults.
+    /// The switchable faults of the engine.
     pub fn faults(&self) -> &Faults<EngineFaults> {
         &self.core.faults
     }
 
-    /// What it holds now, without the lag of its report.
+    /// The current holding, without the delay of its report.
     pub fn holding(&self) -> Holding {
         self.core.holding.get()
     }
 
-    /// What it has done so far.
+    /// The counters since the start.
     pub fn stats(&self) -> Stats {
         self.core.stats.get()
     }
 
-    /// Its place in a route, with the layers it holds.
+    /// The engine as a stage of a route, with the layers that it holds.
     pub fn stage(&self) -> Stage {
         let holding = self.holding();
         Stage {
@@ -102,7 +102,7 @@
         self.core.stats.leave();
     }
 
-    /// Ends it at once, streams included; later connections are refused.
+    /// Stops the engine and its streams immediately; later connections are refused.
     pub fn stop(&mut self) {
         self.core.end();
         if let Some(server) = self.server.take() {
--- a/crates/roseshore_fakes/src/engine/answers.rs
+++ b/crates/roseshore_fakes/src/engine/answers.rs
@@ -1,14 +1,15 @@
-//! Which answers a stage works on, and what it must not work on any more.
+//! The answers that a stage works on, and the epochs that it must refuse.
 //!
-//! An epoch is opened once. A newer epoch ends the older ones, and a cancel bars its epoch and all
-//! before it. Both shut the sockets that the work waits on, so that it ends at once.
+//! Each epoch can be opened once. A newer epoch ends the older ones, and a cancel bars its epoch
+//! and all earlier ones. Both shut down the sockets that the work waits on, so that it ends
+//! immediately.
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::prelude::*;
 use std::collections::{HashMap, VecDeque};
 use std::net::{Shutdown, TcpStream};
 
-/// Ended answers whose epochs are remembered.
+/// The number of ended answers whose epochs are remembered.
 const KEEP: usize = 4096;
 
 /// The answers of one engine.
@@ -20,14 +21,14 @@
 
 #[derive(Default)]
 struct Inner {
-    known: HashMap<RequestId, Known>,
+    known: HashMap<RequestId, EpochState>,
     ended: VecDeque<RequestId>,
     running: HashMap<u64, Running>,
     tickets: u64,
 }
 
 #[derive(Default)]
-struct Known {
+struct EpochState {
     newest: Option<Epoch>,
     barred: Option<Epoch>,
 }
@@ -39,10 +40,10 @@
 }
 
 impl Answers {
-    /// Opens an epoch of an answer.
+    /// Opens an epoch of an answer and returns a ticket for the work.
     ///
     /// # Errors
-    /// When this epoch or a newer one was opened before, or it was cancelled.
+    /// When this epoch or a newer one was opened before, or the epoch was cancelled.
     pub(super) fn enter(&self, answer: &RequestId, epoch: Epoch) -> Result<u64, String> {
         let mut inner = self.inner.lock();
         let known = inner.known.entry(answer.clone()).or_default();
@@ -61,38 +62,38 @@
         Ok(ticket)
     }
 
-    /// Adds a socket that is shut when the work is to end.
-    pub(super) fn hold(&self, ticket: u64, socket: &TcpStream) {
+    /// Registers a socket that is shut down when the work has to end.
+    pub(super) fn add_socket(&self, ticket: u64, socket: &TcpStream) {
         let mut inner = self.inner.lock();
         let Inner { known, running, .. } = &mut *inner;
         let (Some(running), Ok(socket)) = (running.get_mut(&ticket), socket.try_clone()) else {
             return;
         };
-        // A cancel or a newer epoch may have come since the work was entered.
+        // A cancel or a newer epoch may have arrived since the work was entered.
         if known.get(&running.answer).is_some_and(|k| k.ends(running.epoch).is_some()) {
             let _ = socket.shutdown(Shutdown::Both);
         }
         running.sockets.push(socket);
     }
 
-    /// Whether the work is still wanted.
+    /// Checks that the work has not been cancelled or superseded.
     ///
     /// # Errors
-    /// Why it is not.
+    /// The reason why the work has to end.
     pub(super) fn wanted(&self, answer: &RequestId, epoch: Epoch) -> Result<(), String> {
         let inner = self.inner.lock();
         let end = inner.known.get(answer).and_then(|known| known.ends(epoch));
         end.map_or(Ok(()), |why| Err(why.to_owned()))
     }
 
-    /// The newest epoch opened or barred.
+    /// The newest epoch that was opened or barred.
     pub(super) fn newest(&self, answer: &RequestId) -> Option<Epoch> {
         let inner = self.inner.lock();
         let known = inner.known.get(answer)?;
         known.newest.max(known.barred)
     }
 
-    /// Ends a piece of work.
+    /// Removes the work of a ticket.
     pub(super) fn leave(&self, ticket: u64) {
         let mut inner = self.inner.lock();
         if let Some(running) = inner.running.remove(&ticket) {
@@ -102,7 +103,7 @@
         self.left.notify_all();
     }
 
-    /// Bars an epoch and waits until nothing of it runs any more, or until the time is up.
+    /// Bars an epoch and waits until none of its work runs any more, or until the deadline.
     pub(super) fn cancel(&self, answer: &RequestId, epoch: Epoch, until: Instant) -> bool {
         let mut inner = self.inner.lock();
         let known = inner.known.entry(answer.clone()).or_default();
@@ -118,19 +119,19 @@
         true
     }
 
-    /// Pieces of work under way.
+    /// The number of tickets in use.
     pub(super) fn running(&self) -> u32 {
         self.inner.lock().running.len() as u32
     }
 
-    /// Shuts every socket.
+    /// Shuts down all sockets.
     pub(super) fn shut_all(&self) {
         self.inner.lock().shut(|_| true);
     }
 }
 
-impl Known {
-    /// Why work of this epoch is not wanted any more.
+impl EpochState {
+    /// The reason why work of this epoch has to end, or `None` if it may go on.
     fn ends(&self, epoch: Epoch) -> Option<&'static str> {
         if self.newest.is_some_and(|newest| newest > epoch) {
             return Some("a newer epoch was opened");
--- a/crates/roseshore_fakes/src/engine/api.rs
+++ b/crates/roseshore_fakes/src/engine/api.rs
@@ -1,7 +1,7 @@
-//! The HTTP calls of the stand-in.
+//! The HTTP API of the fake engine.
 //!
-//! Besides the engine's protocol: `GET /v1/stage` (where it hears frames), `GET` and `POST
-//! /_fault`, `POST /_leave`, `GET /_stats`.
+//! In addition to the engine protocol: `GET /v1/stage` (the address for frames), `GET` and
+//! `POST /_fault`, `POST /_leave`, `GET /_stats`.
 
 use super::core::Core;
 use super::link::StageAddr;
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 use tiny_http::{Method, Request};
 
-/// How long a cancel waits for the work to end.
+/// The longest time that a cancel waits for the work to end.
 const CANCEL_WAIT: Duration = Duration::from_secs(5);
 
-/// Takes the calls of one stand-in.
+/// The request handler of one engine.
 pub(super) struct Api {
     core: Arc<Core>,
 }
@@ -35,8 +35,8 @@
         if path == fault::PATH {
             return core.faults.serve(request);
         }
-        core.thaw();
-        if core.over() {
+        core.wait_while_frozen();
+        if core.has_ended() {
             return drop(request.into_writer());
         }
         match (request.method(), path.as_str()) {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Takes the time that the cache's bytes need on the link.
+/// Sleeps for the time that the bytes of the cache take on the link.
 fn transfer(core: &Core, kv: &Kv) {
     let bytes = kv.tokens.saturating_mul(core.settings.kv_bytes) as f64;
     let time = Duration::from_secs_f64(bytes / core.settings.link_rate);
--- a/crates/roseshore_fakes/src/engine/cache.rs
+++ b/crates/roseshore_fakes/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache, and its events as they are published: late and with gaps.
+//! The prefix cache and its published events, which may be delayed and have gaps.
 
 use super::settings::EngineSettings;
 use super::text::prefix_hash;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Enters a prompt and returns how many of its tokens were cached before.
+    /// Inserts a prompt and returns how many of its tokens were already cached.
     pub(super) fn enter(&self, adapter: Option<&AdapterId>, prompt: &[String], lost: bool) -> u32 {
         let mut inner = self.inner.lock();
         let mut cached = 0;
@@ -73,14 +73,14 @@
         cached
     }
 
-    /// Drops everything.
+    /// Removes all blocks.
     pub(super) fn clear(&self, lost: bool) {
         let mut inner = self.inner.lock();
         inner.blocks.clear();
         inner.publish(CacheEvent::Cleared, lost, self.keep);
     }
 
-    /// The events from a number on that are old enough to be published, up to the next gap.
+    /// The events from number `from` that are old enough to be published, up to the next gap.
     pub(super) fn events(&self, from: u64, now: Instant) -> CacheEvents {
         let inner = self.inner.lock();
         let ripe = |p: &&Published| p.number >= from && now.duration_since(p.at) >= self.lag;
@@ -100,14 +100,14 @@
 }
 
 impl Inner {
-    /// Marks a block as used, entering it if need be; whether it was there.
+    /// Marks a block as used, inserting it if it is missing; returns whether it was present.
     fn touch(&mut self, key: &BlockKey) -> bool {
         self.clock += 1;
         let used = self.clock;
         self.blocks.insert(key.clone(), Block { used }).is_some()
     }
 
-    // Linear, but only on a full cache and over a few thousand blocks at most.
+    // A linear search, which runs only on a full cache of at most a few thousand blocks.
     fn evict(&mut self, lost: bool, keep: usize) {
         let oldest = self.blocks.iter().min_by_key(|(_, block)| block.used);
         let Some(key) = oldest.map(|(key, _)| key.clone()) else { return };
--- a/crates/roseshore_fakes/src/engine/core.rs
+++ b/crates/roseshore_fakes/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! What all parts of one stand-in share.
+//! The state that all parts of one engine share.
 
 use super::answers::Answers;
 use super::cache::PrefixCache;
@@ -17,12 +17,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// The longest sleep without a look at whether the work is still wanted.
-const SLICE: Duration = Duration::from_millis(20);
-/// The exit code of a process that the ending fault struck.
-const DEATH_CODE: i32 = 9;
+/// The longest sleep between two checks whether the work is still wanted.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The exit code of a process that a fault ended.
+const FAULT_EXIT_CODE: i32 = 9;
 
-/// One stand-in's state.
+/// The shared state of one engine.
 pub(super) struct Core {
     pub(super) settings: EngineSettings,
     pub(super) hops: SocketAddr,
@@ -36,7 +36,7 @@
     pub(super) directory: Directory,
     report: Mutex<Option<Report>>,
     frozen: AtomicBool,
-    over: AtomicBool,
+    has_ended: AtomicBool,
     end: (flume::Sender<()>, flume::Receiver<()>),
 }
 
@@ -59,25 +59,25 @@
             directory: Directory::default(),
             report: Mutex::default(),
             frozen: AtomicBool::new(false),
-            over: AtomicBool::new(false),
+            has_ended: AtomicBool::new(false),
             end: flume::bounded(1),
             settings,
         }
     }
 
-    /// Gets one message when the stand-in ends.
+    /// Receives one message when the engine ends.
     pub(super) fn ended(&self) -> flume::Receiver<()> {
         self.end.1.clone()
     }
 
-    /// Whether it has ended.
-    pub(super) fn over(&self) -> bool {
-        self.over.load(Ordering::SeqCst)
+    /// Whether the engine has ended.
+    pub(super) fn has_ended(&self) -> bool {
+        self.has_ended.load(Ordering::SeqCst)
     }
 
-    /// Ends the stand-in: its streams break off and its sockets close.
+    /// Ends the engine: its streams are cut and its sockets close.
     pub(super) fn end(&self) {
-        if self.over.swap(true, Ordering::SeqCst) {
+        if self.has_ended.swap(true, Ordering::SeqCst) {
             return;
         }
         self.answers.shut_all();
@@ -85,25 +85,25 @@
         let _ = self.end.0.try_send(());
     }
 
-    /// Lets the faults strike that are due before a step.
-    pub(super) fn strike(&self, steps: u32) {
+    /// Triggers the faults that are due before a step.
+    pub(super) fn trigger_faults(&self, steps: u32) {
         let faults = self.faults.get();
         if faults.die_after.is_some_and(|after| steps >= after) {
             match self.settings.death {
-                Death::Exit => std::process::exit(DEATH_CODE),
+                Death::Exit => std::process::exit(FAULT_EXIT_CODE),
                 Death::Close => self.end(),
             }
         }
         if faults.freeze_after.is_some_and(|after| steps >= after) {
             self.frozen.store(true, Ordering::SeqCst);
         }
-        self.thaw();
+        self.wait_while_frozen();
     }
 
-    /// Waits while the stand-in is frozen.
-    pub(super) fn thaw(&self) {
-        while self.is_frozen() && !self.over() {
-            thread::sleep(SLICE);
+    /// Blocks while the engine is frozen.
+    pub(super) fn wait_while_frozen(&self) {
+        while self.is_frozen() && !self.has_ended() {
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
@@ -115,17 +115,17 @@
         faults.freeze || self.frozen.load(Ordering::SeqCst)
     }
 
-    /// Sleeps as long as work takes, or until it is not wanted any more.
+    /// Sleeps for the duration of the work, or until it is no longer wanted.
     pub(super) fn work(&self, time: Duration, wanted: impl Fn() -> bool) {
         let mut left = time;
-        while !left.is_zero() && wanted() && !self.over() {
-            let slice = left.min(SLICE);
+        while !left.is_zero() && wanted() && !self.has_ended() {
+            let slice = left.min(CHECK_INTERVAL);
             thread::sleep(slice);
             left -= slice;
         }
     }
 
-    /// The report, as old as its lag allows.
+    /// The load report, which may be cached for as long as the lag allows.
     pub(super) fn load(&self) -> Load {
         let lag = self.settings.load_lag + Duration::from_millis(self.faults.get().load_lag_ms);
         let mut report = self.report.lock();
--- a/crates/roseshore_fakes/src/engine/faults.rs
+++ b/crates/roseshore_fakes/src/engine/faults.rs
@@ -1,51 +1,51 @@
-//! The faults of the stand-in.
+//! The faults of the fake engine.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults that are switched while a stand-in runs; the default is none.
+/// Faults that can be switched while an engine runs; the default is none.
 ///
-/// Counts "after N" are of one answer's steps on this stage, so that a case strikes at the same
-/// place every time. Faults of the stream show only on the first stage of a route.
+/// Counts "after N" refer to the steps of one answer on this stage, so that a fault occurs at the
+/// same place in every run. Faults of the stream take effect only on the first stage of a route.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
     /// The engine ends before the step after N.
     pub die_after: Option<u32>,
-    /// The engine stops answering before the step after N, with its sockets open.
+    /// The engine stops responding before the step after N, with its sockets open.
     pub freeze_after: Option<u32>,
-    /// The engine stops answering now, with its sockets open.
+    /// The engine stops responding immediately, with its sockets open.
     pub freeze: bool,
-    /// Each token is sent this much late, milliseconds.
+    /// The delay of each token, in milliseconds.
     pub delay_ms: u64,
     /// Each token is sent twice.
     pub duplicate: bool,
-    /// Each pair of tokens is sent the wrong way round.
+    /// Each pair of tokens is sent in reverse order.
     pub reorder: bool,
-    /// Before each token one of an older epoch is sent.
+    /// Each token is preceded by one of an older epoch.
     pub old_epoch: bool,
-    /// Before each token one of another answer is sent.
+    /// Each token is preceded by one of another answer.
     pub crossed: bool,
-    /// The token of this position is not sent.
+    /// The token at this position is not sent.
     pub skip: Option<u32>,
-    /// The line after N cannot be read.
+    /// The line after N is malformed.
     pub garble_after: Option<u32>,
-    /// The stage leaves out its first layer.
+    /// The stage skips its first layer.
     pub wrong_lineage: bool,
-    /// The stream breaks off after N tokens.
+    /// The stream is cut after N tokens.
     pub cut_after: Option<u32>,
-    /// New work is refused with 503 and this `Retry-After`, seconds.
+    /// New work is refused with 503 and this `Retry-After`, in seconds.
     pub refuse: Option<u64>,
-    /// Steps take this many times as long; 0 counts as 1.
+    /// The factor on the duration of steps; 0 counts as 1.
     pub slow: f64,
-    /// Prefill takes this many times as long; 0 counts as 1.
+    /// The factor on the duration of prefill; 0 counts as 1.
     pub prefill_slow: f64,
-    /// Load reports are older by this, milliseconds.
+    /// The additional age of load reports, in milliseconds.
     pub load_lag_ms: u64,
     /// Cache events are lost as they occur.
     pub cache_gap: bool,
-    /// An order takes effect and its reply is lost.
+    /// An order takes effect but its reply is lost.
     pub lose_order: bool,
-    /// Old fencing numbers are not refused.
+    /// Outdated fencing numbers are not refused.
     pub ignore_fence: bool,
     /// The KV cache cannot be exported.
     pub export_fails: bool,
--- a/crates/roseshore_fakes/src/engine/kv.rs
+++ b/crates/roseshore_fakes/src/engine/kv.rs
@@ -1,7 +1,7 @@
-//! The KV caches of answers: which tokens each covers, and a digest of them.
+//! The KV caches of answers: the tokens that each covers, and their digests.
 //!
-//! A cache keeps one digest per length, so that it can be cut back to what was delivered: a chain
-//! that broke may have run ahead of the tokens that reached the router.
+//! A cache keeps one digest per length, so that it can be truncated to the delivered tokens: a
+//! broken chain may have computed more tokens than reached the router.
 
 use super::text;
 use base64::{Engine as _, engine::general_purpose::STANDARD};
@@ -24,7 +24,7 @@
     caches: HashMap<RequestId, Cache>,
 }
 
-/// One answer's cache.
+/// The KV cache of one answer.
 struct Cache {
     epoch: Epoch,
     layers: (Layer, Layer),
@@ -34,7 +34,7 @@
     running: bool,
 }
 
-/// Whose cache a step works on.
+/// Identifies the cache that a step works on.
 #[derive(Clone, Debug)]
 pub(super) struct KvScope {
     pub(super) answer: RequestId,
@@ -48,22 +48,22 @@
         KvStore { cap, inner: Mutex::default() }
     }
 
-    /// Tokens covered by all caches.
+    /// The number of tokens covered by all caches.
     pub(super) fn used(&self) -> u64 {
         self.inner.lock().used
     }
 
-    /// Whether this many more tokens would fit once what nobody runs on is dropped.
+    /// Whether `tokens` more tokens fit once idle caches are evicted.
     pub(super) fn fits(&self, tokens: u64) -> bool {
         let inner = self.inner.lock();
         let held = inner.caches.values().filter(|c| c.running).map(Cache::len).sum::<u64>();
         held + tokens <= self.cap
     }
 
-    /// Starts a cache anew over `sequence`; returns the digest.
+    /// Creates a cache that covers `sequence`, replacing any earlier one; returns the digest.
     ///
     /// # Errors
-    /// When it does not fit.
+    /// When `sequence` does not fit.
     pub(super) fn fill(&self, scope: &KvScope, sequence: &[String]) -> Result<u64, String> {
         let mut inner = self.inner.lock();
         inner.remove(&scope.answer);
@@ -74,11 +74,12 @@
         Ok(digest)
     }
 
-    /// Takes over a cache that covers `sequence`, all but its last token at least, cutting off
-    /// what it covers beyond; returns the digest over `sequence` and the tokens it lacked.
+    /// Takes over a cache that covers at least all but the last token of `sequence`, and truncates
+    /// what it covers beyond that. Returns the digest of `sequence` and the number of tokens that
+    /// were missing.
     ///
     /// # Errors
-    /// When there is none that matches.
+    /// When no cache matches.
     pub(super) fn adopt(&self, scope: &KvScope, sequence: &[String]) -> Result<(u64, u32), String> {
         let mut inner = self.inner.lock();
         let cache = inner.caches.get_mut(&scope.answer).ok_or("no KV cache of this answer")?;
@@ -98,10 +99,10 @@
         Ok((digest, lacked))
     }
 
-    /// Covers one more token on a cache that must cover `len` tokens now; returns the digest.
+    /// Appends one token to a cache that must cover `len` tokens; returns the digest.
     ///
     /// # Errors
-    /// When the cache is gone, of another epoch, or at another position.
+    /// When the cache is missing, belongs to another epoch, or is at another position.
     pub(super) fn push(&self, scope: &KvScope, len: usize, token: &str) -> Result<u64, String> {
         let mut inner = self.inner.lock();
         let cache = inner.caches.get_mut(&scope.answer).ok_or("the KV cache is gone")?;
@@ -115,8 +116,8 @@
         Ok(digest)
     }
 
-    /// Marks a cache as not run on any more; it stays until its room is needed.
-    pub(super) fn rest(&self, scope: &KvScope) {
+    /// Marks a cache as idle; it is kept until its space is needed.
+    pub(super) fn mark_idle(&self, scope: &KvScope) {
         let mut inner = self.inner.lock();
         if let Some(cache) = inner.caches.get_mut(&scope.answer)
             && cache.epoch == scope.epoch
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Drops an answer's cache of this epoch or an older one.
+    /// Removes the cache of an answer if it belongs to this epoch or an older one.
     pub(super) fn free(&self, answer: &RequestId, epoch: Epoch) {
         let mut inner = self.inner.lock();
         if inner.caches.get(answer).is_some_and(|c| c.epoch <= epoch) {
@@ -133,12 +134,12 @@
         }
     }
 
-    /// Drops everything.
+    /// Removes all caches.
     pub(super) fn clear(&self) {
         *self.inner.lock() = Inner::default();
     }
 
-    /// An answer's cache, for another stage.
+    /// Exports the cache of an answer for another stage.
     pub(super) fn export(&self, answer: &RequestId) -> Option<Kv> {
         let inner = self.inner.lock();
         let cache = inner.caches.get(answer)?;
@@ -155,10 +156,10 @@
         })
     }
 
-    /// Takes an answer's cache from another stage.
+    /// Imports the cache of an answer from another stage.
     ///
     /// # Errors
-    /// When its content is not what it says.
+    /// When the content does not match its description.
     pub(super) fn import(&self, kv: &Kv) -> Result<(), String> {
         let bytes = STANDARD.decode(&kv.content).map_err(|e| e.to_string())?;
         let (content, sum) = bytes.split_last_chunk::<8>().ok_or("the content is empty")?;
@@ -181,7 +182,7 @@
         inner.shrink(self.cap)
     }
 
-    /// The epoch that wrote an answer's cache last.
+    /// The epoch that last wrote the cache of an answer.
     pub(super) fn epoch(&self, answer: &RequestId) -> Option<Epoch> {
         self.inner.lock().caches.get(answer).map(|c| c.epoch)
     }
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Drops the oldest caches that nobody runs on until the rest fits.
+    /// Evicts the oldest idle caches until the rest fits.
     fn shrink(&mut self, cap: u64) -> Result<(), String> {
         while self.used > cap {
             let idle = self.caches.iter().filter(|(_, c)| !c.running);
--- a/crates/roseshore_fakes/src/engine/link.rs
+++ b/crates/roseshore_fakes/src/engine/link.rs
@@ -1,8 +1,8 @@
-//! From stage to stage: one connection for each answer and hop, frames of `roseshore_wire`.
+//! Links between stages: one connection per answer and hop, with frames of `roseshore_wire`.
 //!
-//! A step goes down the chain, the sampled token comes back up; each side handles one message at
-//! a time. A stage waits for the next one for as many hop timeouts as there are stages after it,
-//! so that the stage right before a silent one is the first to give up and can name it.
+//! Steps are sent down the chain and sampled tokens back up; each side handles one message at a
+//! time. A stage waits for the next one for as many hop timeouts as there are stages after it, so
+//! that the stage right before an unresponsive one times out first and can name it.
 
 use super::core::Core;
 use super::run::{Open, Run};
@@ -17,42 +17,42 @@
 use std::sync::Arc;
 use std::thread;
 
-/// How long the making of a connection may take.
+/// The timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Down the chain.
+/// Messages down the chain.
 #[derive(Debug, Serialize, Deserialize)]
 enum Down {
-    /// The first message.
+    /// The first message of a connection.
     Open(Open),
     /// One step.
     Step(Step),
-    /// The answer is whole.
+    /// The answer is complete.
     Finish,
 }
 
-/// Up the chain.
+/// Messages up the chain.
 #[derive(Debug, Serialize, Deserialize)]
 enum Up {
-    /// This stage and all after it are ready.
+    /// This stage and all following ones are ready.
     Opened,
     /// The token of the last step.
     Sampled(Sampled),
-    /// The answer cannot go on.
+    /// The answer cannot continue.
     Lost(Loss),
 }
 
-/// One step of one token.
+/// One step, which produces one token.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Step {
-    /// The position of the token that will come of it.
+    /// The position of the token that the step produces.
     pub(super) position: Position,
-    /// The token before it, which the stages do not know yet; none on the first step.
+    /// The preceding token, which the stages do not know yet; `None` on the first step.
     pub(super) token: Option<String>,
-    /// What ran so far.
+    /// The stamps of the stages that ran so far.
     pub(super) lineage: Vec<Stamp>,
 }
 
-/// A token.
+/// A sampled token.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Sampled {
     pub(super) position: Position,
@@ -60,21 +60,21 @@
     pub(super) lineage: Vec<Stamp>,
 }
 
-/// Why an answer cannot go on.
+/// The reason why an answer cannot continue.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Loss {
     pub(super) stage: Option<TargetId>,
     pub(super) reason: String,
 }
 
-/// Where a stage hears frames.
+/// The address on which a stage accepts frames.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct StageAddr {
     pub(super) addr: SocketAddr,
     pub(super) incarnation: Incarnation,
 }
 
-/// Frame addresses of other engines, asked for once in each of their lives.
+/// The frame addresses of other engines, requested once per incarnation.
 #[derive(Default)]
 pub(super) struct Directory {
     known: Mutex<HashMap<(SocketAddr, Incarnation), SocketAddr>>,
@@ -109,7 +109,7 @@
     /// Opens the stages after the one at `open.index`.
     ///
     /// # Errors
-    /// Which of them cannot run the answer, and why.
+    /// The stage that cannot run the answer, and the reason.
     pub(super) fn open(core: &Core, open: &Open) -> Result<Link, Loss> {
         let index = open.index + 1;
         let stage = &open.ask.route[index as usize];
@@ -131,10 +131,10 @@
         &self.out
     }
 
-    /// Hands a step on and waits for its token.
+    /// Forwards a step and waits for its token.
     ///
     /// # Errors
-    /// Which stage failed, and why.
+    /// The stage that failed, and the reason.
     pub(super) fn step(&mut self, step: Step) -> Result<Sampled, Loss> {
         match self.ask(&Down::Step(step))? {
             Up::Sampled(sampled) => Ok(sampled),
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Tells that the answer is whole.
+    /// Reports that the answer is complete.
     pub(super) fn finish(&mut self) {
         let _ = frame::write(&mut self.out, &Down::Finish);
     }
@@ -166,29 +166,29 @@
     Ok(socket)
 }
 
-/// Takes connections of earlier stages until the stand-in ends.
+/// Accepts connections of preceding stages until the engine ends.
 pub(super) fn listen(core: Arc<Core>, listener: TcpListener) {
     thread::spawn(move || {
         for socket in listener.incoming() {
-            if core.over() {
+            if core.has_ended() {
                 return;
             }
             if let Ok(socket) = socket {
-                take(core.clone(), socket);
+                serve_connection(core.clone(), socket);
             }
         }
     });
 }
 
-/// Lets the thread that takes connections see that the stand-in has ended.
+/// Wakes the accepting thread so that it notices that the engine has ended.
 pub(super) fn wake(listener: SocketAddr) {
     let _ = TcpStream::connect_timeout(&listener, CONNECT_TIMEOUT);
 }
 
-fn take(core: Arc<Core>, socket: TcpStream) {
+fn serve_connection(core: Arc<Core>, socket: TcpStream) {
     thread::spawn(move || {
         if socket.set_nodelay(true).is_ok() {
-            // An end of the connection in any way is the end of the work; nobody is left to tell.
+            // Any end of the connection ends the work; no peer is left to receive an error.
             let _ = serve(&core, socket);
         }
     });
@@ -198,7 +198,7 @@
     let mut input = BufReader::new(socket.try_clone()?);
     let mut out = socket.try_clone()?;
     let Down::Open(open) = frame::read(&mut input)? else { return Ok(()) };
-    core.thaw();
+    core.wait_while_frozen();
     let mut run = match Run::open(core, open, Some(&socket)) {
         Ok(run) => run,
         Err(loss) => return frame::write(&mut out, &Up::Lost(loss)),
--- a/crates/roseshore_fakes/src/engine/loader.rs
+++ b/crates/roseshore_fakes/src/engine/loader.rs
@@ -1,4 +1,4 @@
-//! What the engine holds, orders that change it, and loads that take their time.
+//! The holding of an engine, the orders that change it, and the loads that they start.
 
 use super::core::Core;
 use super::run::Open;
@@ -12,10 +12,10 @@
 
 /// The pause before the weight store is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How long the weight store may take for one load.
+/// The timeout of the weight store for one load.
 const TAKE_TIMEOUT: Duration = Duration::from_mins(5);
 
-/// The holding, with a number that changes when running answers can no longer go on.
+/// The holding and its generation, which changes when running answers cannot continue.
 pub(super) struct HoldingCell {
     inner: Mutex<Inner>,
 }
@@ -58,20 +58,20 @@
         self.inner.lock().holding.clone()
     }
 
-    /// Whether the stage may run what is opened; the generation to check later steps by.
+    /// Checks that the stage may run `open`; returns the generation for later checks of its steps.
     ///
     /// # Errors
-    /// What does not fit.
+    /// What does not match.
     pub(super) fn check(&self, target: &TargetId, open: &Open) -> Result<u64, String> {
         let inner = self.inner.lock();
         let fault = mismatch(&inner.holding, target, open.index as usize, &open.ask);
         fault.map_or(Ok(inner.generation), |reason| Err(reason.to_owned()))
     }
 
-    /// Whether the weights are still those that were checked.
+    /// Checks that the weights have not changed since `generation`.
     ///
     /// # Errors
-    /// When another order came between.
+    /// When another order has arrived in between.
     pub(super) fn unchanged(&self, generation: u64) -> Result<(), String> {
         let same = self.inner.lock().generation == generation;
         if same { Ok(()) } else { Err("the engine holds something else now".to_owned()) }
@@ -114,10 +114,10 @@
     faults.into_iter().find_map(|(wrong, why)| wrong.then_some(why))
 }
 
-/// Takes an order; the holding now in force.
+/// Applies an order and returns the holding now in force.
 ///
 /// # Errors
-/// With the holding, when the order's fencing number is old.
+/// The current holding, when the fencing number of the order is outdated.
 pub(super) fn order(core: &Arc<Core>, order: &Order) -> Result<Holding, Holding> {
     let mut inner = core.holding.inner.lock();
     if core.settings.checks_fence {
@@ -159,7 +159,7 @@
 fn load(core: &Core, generation: u64, bytes: u64) {
     let wanted = || core.holding.unchanged(generation).is_ok();
     if let Some(store) = core.settings.weights {
-        while wanted() && !core.over() && !take(store, bytes) {
+        while wanted() && !core.has_ended() && !fetch(store, bytes) {
             thread::sleep(RETRY_PAUSE);
         }
     }
@@ -167,8 +167,8 @@
     core.holding.loaded(generation);
 }
 
-/// Takes bytes from the weight store, which answers once they are given.
-fn take(store: SocketAddr, bytes: u64) -> bool {
+/// Fetches bytes from the weight store, which replies once the transfer is complete.
+fn fetch(store: SocketAddr, bytes: u64) -> bool {
     let config =
         ureq::Agent::config_builder().proxy(None).timeout_global(Some(TAKE_TIMEOUT)).build();
     let url = format!("http://{store}/v1/weights/take?bytes={bytes}");
--- a/crates/roseshore_fakes/src/engine/rig.rs
+++ b/crates/roseshore_fakes/src/engine/rig.rs
@@ -1,4 +1,4 @@
-//! A chain of stand-ins that tile one small model, for tests.
+//! A chain of fake engines that together hold one small model, for tests.
 
 use super::{EngineFake, EngineSettings, text};
 use roseshore_core::prelude::*;
@@ -6,23 +6,23 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The model of a rig.
+/// The model of the chain.
 pub const MODEL: &str = "indus";
-/// The version that a rig's stages hold.
+/// The weights version that the stages hold.
 pub const VERSION: &str = "v1";
-/// The adapter that a rig's stages hold.
+/// The adapter that the stages hold.
 pub const ADAPTER: &str = "safety";
-/// The layers of a rig's model; chains of 1, 2, 3, 4 and 6 stages tile them evenly.
+/// The number of layers; chains of 1, 2, 3, 4 and 6 stages divide them evenly.
 pub const LAYERS: Layer = 12;
 
-/// Stand-ins named `engine-0`, `engine-1` and so on, in order of layers.
+/// Engines named `engine-0`, `engine-1` and so on, in order of their layers.
 pub struct Rig {
-    /// The stand-ins.
+    /// The engines of the chain.
     pub stages: Vec<EngineFake>,
 }
 
 impl Rig {
-    /// Starts a chain of `count` stages, each with settings changed by `tune`.
+    /// Starts a chain of `count` stages; `tune` adjusts the settings of each.
     ///
     /// # Errors
     /// When a port cannot be bound.
@@ -36,7 +36,7 @@
         Ok(Rig { stages })
     }
 
-    /// The settings of one stage of a chain of `count`.
+    /// The settings of one stage in a chain of `count`.
     pub fn settings(index: u16, count: u16) -> EngineSettings {
         let part = LAYERS / count;
         let layers = (index * part, (index + 1) * part);
@@ -47,7 +47,7 @@
         settings
     }
 
-    /// Where the first stage listens.
+    /// The address of the first stage.
     pub fn addr(&self) -> SocketAddr {
         self.stages[0].addr()
     }
@@ -57,7 +57,7 @@
         self.stages.iter().map(EngineFake::stage).collect()
     }
 
-    /// A small request over the whole chain, cold.
+    /// A small request over the whole chain, without a prefix or KV cache to reuse.
     pub fn ask(&self, answer: &str, epoch: Epoch) -> Generate {
         Generate {
             answer: answer.to_owned(),
@@ -76,12 +76,12 @@
     }
 }
 
-/// A prompt's tokens, one a word.
+/// The tokens of a prompt, one per word.
 pub fn words(text: &str) -> Vec<String> {
     text.split_whitespace().map(str::to_owned).collect()
 }
 
-/// The whole answer to a request.
+/// The complete answer to a request.
 pub fn whole(ask: &Generate) -> Vec<String> {
     let adapter = ask.adapter.as_deref();
     text::expected(&ask.model, &ask.version, adapter, &ask.prompt, ask.max_tokens)
--- a/crates/roseshore_fakes/src/engine/run.rs
+++ b/crates/roseshore_fakes/src/engine/run.rs
@@ -1,4 +1,4 @@
-//! One answer's work on one stage: checks, KV cache, time, stamps, and the hand-over.
+//! The work of one answer on one stage: checks, KV cache, step time, stamps, and forwarding.
 
 use super::core::Core;
 use super::kv::KvScope;
@@ -10,12 +10,12 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// Opens an answer's work on a stage.
+/// The message that opens an answer on a stage.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Open {
-    /// What the router asked for.
+    /// The request of the router.
     pub(super) ask: Generate,
-    /// The place of the receiver in the route.
+    /// The index of the receiving stage in the route.
     pub(super) index: u32,
 }
 
@@ -32,17 +32,17 @@
     cached: u32,
 }
 
-/// What a step has to compute.
+/// The work that a step has to compute.
 struct Work {
     digest: u64,
     prefill: usize,
 }
 
 impl Run {
-    /// Checks that the stage may run the answer, and opens the stages after it.
+    /// Checks that the stage can run the answer, and opens the following stages.
     ///
     /// # Errors
-    /// Which stage cannot, and why.
+    /// The stage that cannot run it, and the reason.
     pub(super) fn open(
         core: &Arc<Core>,
         open: Open,
@@ -62,27 +62,27 @@
         let (covered, steps, cached, next) = (0, 0, 0, None);
         let mut run = Run { core, open, ticket, scope, generation, next, covered, steps, cached };
         if let Some(upstream) = upstream {
-            run.core.answers.hold(ticket, upstream);
+            run.core.answers.add_socket(ticket, upstream);
         }
         if run.open.index as usize + 1 < run.open.ask.route.len() {
             let link = Link::open(&run.core, &run.open)?;
-            run.core.answers.hold(ticket, link.socket());
+            run.core.answers.add_socket(ticket, link.socket());
             run.next = Some(link);
         }
         Ok(run)
     }
 
-    /// Prompt tokens that the prefix cache saved.
+    /// The number of prompt tokens found in the prefix cache.
     pub(super) fn cached(&self) -> u32 {
         self.cached
     }
 
-    /// Runs one step here and on the stages after it.
+    /// Runs one step on this stage and the following ones.
     ///
     /// # Errors
-    /// Which stage failed, and why.
+    /// The stage that failed, and the reason.
     pub(super) fn step(&mut self, mut step: Step) -> Result<Sampled, Loss> {
-        self.core.strike(self.steps);
+        self.core.trigger_faults(self.steps);
         self.check().map_err(|reason| self.lost(reason))?;
         let work = self.cover(&step).map_err(|reason| self.lost(reason))?;
         self.compute(work.prefill);
@@ -95,7 +95,7 @@
         link.step(step)
     }
 
-    /// Ends the work after the whole answer: nobody will ask for its KV cache.
+    /// Ends the work of a complete answer, whose KV cache is no longer needed.
     pub(super) fn finish(mut self) {
         if let Some(link) = &mut self.next {
             link.finish();
@@ -104,7 +104,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        if self.core.over() {
+        if self.core.has_ended() {
             return Err("the engine ended".to_owned());
         }
         self.core.answers.wanted(&self.scope.answer, self.scope.epoch)?;
@@ -180,7 +180,7 @@
 
 impl Drop for Run {
     fn drop(&mut self) {
-        self.core.kv.rest(&self.scope);
+        self.core.kv.mark_idle(&self.scope);
         self.core.answers.leave(self.ticket);
     }
 }
--- a/crates/roseshore_fakes/src/engine/settings.rs
+++ b/crates/roseshore_fakes/src/engine/settings.rs
@@ -1,75 +1,75 @@
-//! What a stand-in is told at its start.
+//! The start-up settings of a fake engine.
 
 use roseshore_core::prelude::*;
 use roseshore_wire::engine::Role;
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// What happens when the fault that ends an engine strikes.
+/// How the fault that ends an engine takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Death {
-    /// The process exits at once.
+    /// The process exits immediately.
     Exit,
-    /// The stand-in closes its sockets and stops; for those that run inside a test.
+    /// The engine closes its sockets and stops; for engines that run inside a test process.
     Close,
 }
 
-/// The settings of a stand-in.
+/// The settings of a fake engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Where to listen; port 0 for any.
+    /// The address to listen on; port 0 for any free port.
     pub bind: SocketAddr,
-    /// Its name.
+    /// The target id of the engine.
     pub target: TargetId,
-    /// The number of its life.
+    /// The incarnation number of the engine.
     pub incarnation: Incarnation,
     /// The model loaded at the start, if any.
     pub model: Option<ModelId>,
     /// The version of the weights.
     pub version: Option<VersionId>,
-    /// First layer and one past the last.
+    /// The layer range: the first layer, and one past the last.
     pub layers: (Layer, Layer),
     /// The adapters loaded at the start.
     pub adapters: BTreeSet<AdapterId>,
-    /// What stages it serves.
+    /// The kinds of stages that it serves.
     pub role: Role,
-    /// Time of one step of one token.
+    /// The duration of one step of one token.
     pub step: Duration,
-    /// Steps that run at once.
+    /// The number of steps that run at once.
     pub slots: u32,
-    /// Answers that are taken at once; further ones are refused with 503.
+    /// The limit on concurrent answers; further ones are refused with 503.
     pub max_running: u32,
-    /// Prefill rate, tokens a second.
+    /// The prefill rate, in tokens per second.
     pub prefill_rate: f64,
-    /// KV cache in all, tokens.
+    /// The capacity of the KV cache, in tokens.
     pub kv_cap: u64,
-    /// Bytes of KV cache of one token.
+    /// The size of the KV cache of one token, in bytes.
     pub kv_bytes: u64,
-    /// Delay of the link to the next stage, one way.
+    /// The one-way delay of the link to the next stage.
     pub link_delay: Duration,
-    /// Rate of the link for KV caches, bytes a second.
+    /// The rate of the link for KV caches, in bytes per second.
     pub link_rate: f64,
-    /// How long a stage waits for the next one before it gives the answer up.
+    /// How long a stage waits for the next one before it aborts the answer.
     pub hop_timeout: Duration,
-    /// Prefix cache in all, tokens.
+    /// The capacity of the prefix cache, in tokens.
     pub cache_cap: u64,
-    /// Tokens of one block of the prefix cache.
+    /// The block size of the prefix cache, in tokens.
     pub cache_block: u32,
-    /// How late cache events are published.
+    /// The delay with which cache events are published.
     pub cache_lag: Duration,
-    /// Cache events that are kept; older ones are lost.
+    /// The number of cache events that are kept; older ones are lost.
     pub cache_keep: usize,
-    /// How old a load report may be.
+    /// The maximum age of a load report.
     pub load_lag: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fence: bool,
-    /// Time of a load besides the weight store's.
+    /// The duration of a load, excluding the transfer from the weight store.
     pub load_time: Duration,
-    /// Bytes of the weights of one layer.
+    /// The size of the weights of one layer, in bytes.
     pub layer_bytes: u64,
-    /// The weight store, if loads are to ask it for their bytes.
+    /// The weight store that loads fetch their bytes from, if any.
     pub weights: Option<SocketAddr>,
-    /// What the ending fault does.
+    /// The effect of the fault that ends the engine.
     pub death: Death,
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl EngineSettings {
-    /// A quick engine for tests that holds `layers` of `model` at `version`.
+    /// Settings of a fast engine for tests that holds `layers` of `model` at `version`.
     pub fn holding(target: &str, model: &str, version: &str, layers: (Layer, Layer)) -> Self {
         EngineSettings {
             target: target.to_owned(),
--- a/crates/roseshore_fakes/src/engine/slots.rs
+++ b/crates/roseshore_fakes/src/engine/slots.rs
@@ -1,7 +1,8 @@
-//! Slots for steps: some run at once, further ones wait, larger priority first.
+//! Concurrency slots for steps: a limited number run at once, and the others wait by priority,
+//! larger first.
 //!
-//! This is how the stand-in batches continuously: every step of every answer takes its place anew,
-//! so a new answer joins between two steps of the others.
+//! This emulates continuous batching: every step of every answer acquires a slot of its own, so a
+//! new answer joins between two steps of the others.
 
 use parking_lot::Mutex;
 use std::cmp::Reverse;
@@ -24,7 +25,7 @@
         Slots { inner: Mutex::new(inner) }
     }
 
-    /// Waits for a slot; it is given back when the result is dropped.
+    /// Waits for a slot, which is released when the result is dropped.
     pub(super) fn take(&self, priority: u8) -> Slot<'_> {
         if let Some(turn) = self.queue(priority) {
             let _ = turn.recv();
@@ -32,7 +33,7 @@
         Slot { slots: self }
     }
 
-    /// Steps that wait now.
+    /// The number of waiting steps.
     pub(super) fn waiting(&self) -> u32 {
         self.inner.lock().waiting.len() as u32
     }
@@ -50,7 +51,7 @@
         Some(turn)
     }
 
-    fn give(&self) {
+    fn release(&self) {
         let mut inner = self.inner.lock();
         match inner.waiting.pop_first() {
             Some((_, next)) => drop(next.send(())),
@@ -59,14 +60,14 @@
     }
 }
 
-/// A slot in use.
+/// An occupied slot, released on drop.
 pub(super) struct Slot<'a> {
     slots: &'a Slots,
 }
 
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        self.slots.give();
+        self.slots.release();
     }
 }
 
--- a/crates/roseshore_fakes/src/engine/slots/tests.rs
+++ b/crates/roseshore_fakes/src/engine/slots/tests.rs
@@ -1,4 +1,4 @@
-//! The order in which steps get their slots.
+//! Tests of the order in which steps get slots.
 
 use super::Slots;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
             let (mine, sender) = (slots.clone(), sender.clone());
             thread::spawn(move || {
                 let slot = mine.take(priority);
-                // Gives the slot back only once the order is written down.
+                // Releases the slot only after the order is recorded.
                 let _ = sender.send(index);
                 drop(slot);
             });
--- a/crates/roseshore_fakes/src/engine/stats.rs
+++ b/crates/roseshore_fakes/src/engine/stats.rs
@@ -1,33 +1,34 @@
-//! What a stand-in has done, for tests to look at.
+//! Counters of a fake engine, for tests.
 
 use parking_lot::Mutex;
 use roseshore_core::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
     /// Answers opened as first stage.
     pub opened: u64,
     /// Steps run.
     pub steps: u64,
-    /// Orders taken.
+    /// Orders received.
     pub orders: u64,
-    /// Loads that the orders set off.
+    /// Loads started by orders.
     pub loads: u64,
-    /// Cancels taken.
+    /// Cancel requests received.
     pub cancels: u64,
-    /// Whether it asks for no new work.
+    /// Whether the engine asks for no new work.
     pub leaving: bool,
-    /// Answers opened after it asked for no new work.
+    /// Answers opened after the engine asked for no new work.
     pub late_opened: u64,
-    /// Time from the asking to the last answer opened after it, milliseconds.
+    /// The time between asking for no new work and the last answer opened after that, in
+    /// milliseconds.
     pub late_ms: u64,
-    /// The trace of the answer opened last.
+    /// The trace of the most recently opened answer.
     pub trace: Option<String>,
 }
 
-/// Counts that are shared between threads.
+/// Counters shared between threads.
 #[derive(Default)]
 pub(super) struct Counters {
     inner: Mutex<(Stats, Option<Instant>)>,
--- a/crates/roseshore_fakes/src/engine/stream.rs
+++ b/crates/roseshore_fakes/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! The first stage of an answer: the stream towards the router, and the faults on it.
+//! The first stage of an answer: the stream to the router, and the faults on it.
 
 use super::core::Core;
 use super::faults::EngineFaults;
@@ -13,14 +13,14 @@
 use std::thread;
 use tiny_http::Request;
 
-/// What a caller is told to wait when the engine is full.
-const FULL_AFTER: Duration = Duration::from_secs(1);
-/// The content type of a stream of lines.
-const LINES: &str = "application/x-ndjson";
-/// The answer id on a token that was crossed.
-const CROSSED: &str = "another-answer";
+/// The `Retry-After` time of a full engine.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The content type of a stream of JSON lines.
+const NDJSON: &str = "application/x-ndjson";
+/// The answer id of tokens that belong to another answer.
+const OTHER_ANSWER: &str = "another-answer";
 
-/// Serves `POST /v1/generate`.
+/// Handles `POST /v1/generate`.
 pub(super) fn serve(core: &Arc<Core>, mut request: Request) {
     let trace = http::header(&request, "traceparent");
     let ask: Generate = match http::read_json(&mut request) {
@@ -35,7 +35,7 @@
         return http::reply_json(request, 409, &core.holding.get());
     }
     core.stats.opened(trace.or_else(|| open.ask.trace.clone()));
-    // A caller that hung up needs no answer; the work ends with the stream.
+    // A client that disconnected needs no reply; the work ends with the stream.
     let _ = stream(core, request, open);
 }
 
@@ -45,13 +45,13 @@
     }
     let tokens = ask.prompt.len() + ask.done.len();
     let busy = core.answers.running() >= core.settings.max_running;
-    (busy || !core.kv.fits(tokens as u64)).then_some(FULL_AFTER)
+    (busy || !core.kv.fits(tokens as u64)).then_some(FULL_RETRY_AFTER)
 }
 
 fn stream(core: &Arc<Core>, request: Request, open: Open) -> io::Result<()> {
     let mut sink = Sink {
         core: core.clone(),
-        lines: LineWriter::start(request, LINES)?,
+        lines: LineWriter::start(request, NDJSON)?,
         answer: open.ask.answer.clone(),
         epoch: open.ask.epoch,
         sent: 0,
@@ -59,7 +59,7 @@
     };
     match generate(core, open, &mut sink)? {
         Ending::Whole { count, reason, cached } => sink.done(count, reason, cached),
-        Ending::Lost(_) if core.over() => Ok(()),
+        Ending::Lost(_) if core.has_ended() => Ok(()),
         Ending::Lost(loss) => sink.lost(loss),
         Ending::Cut => Ok(()),
     }
@@ -94,7 +94,7 @@
     Ok(Ending::Whole { count, reason, cached })
 }
 
-/// Writes lines, with the faults in force.
+/// Writes the lines of a stream and applies the active faults.
 struct Sink {
     core: Arc<Core>,
     lines: LineWriter,
@@ -105,7 +105,7 @@
 }
 
 impl Sink {
-    /// Sends a token; `false` when the stream is to break off.
+    /// Sends a token; returns `false` if the stream has to be cut.
     fn token(&mut self, sampled: Sampled) -> io::Result<bool> {
         let faults = self.core.faults.get();
         if faults.cut_after.is_some_and(|after| self.sent >= after) {
@@ -119,13 +119,13 @@
         if faults.skip == Some(sampled.position) {
             return Ok(true);
         }
-        self.strays(&faults, &sampled)?;
+        self.write_strays(&faults, &sampled)?;
         let output = self.output(sampled);
         self.order(&faults, output)?;
         Ok(true)
     }
 
-    fn strays(&mut self, faults: &EngineFaults, sampled: &Sampled) -> io::Result<()> {
+    fn write_strays(&mut self, faults: &EngineFaults, sampled: &Sampled) -> io::Result<()> {
         let stray = |answer: &str, epoch| Output::Token {
             answer: answer.to_owned(),
             epoch,
@@ -138,7 +138,7 @@
             self.write(&old)?;
         }
         if faults.crossed {
-            self.write(&stray(CROSSED, self.epoch))?;
+            self.write(&stray(OTHER_ANSWER, self.epoch))?;
         }
         Ok(())
     }
--- a/crates/roseshore_fakes/src/engine/text.rs
+++ b/crates/roseshore_fakes/src/engine/text.rs
@@ -1,15 +1,15 @@
-//! The tokens that a model "samples".
+//! The tokens that a fake model "samples".
 //!
-//! A token is a pure function of the model, its version, the adapter, and the tokens before it.
-//! Tokens are folded into a chain of digests, one per length, so that each further token costs
-//! one hash however long the answer is.
+//! A token is a pure function of the model, its version, the adapter, and the preceding tokens.
+//! Tokens are folded into a chain of digests, one per length, so that each further token costs one
+//! hash regardless of the length of the answer.
 
 use roseshore_wire::engine::Stamp;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64, xxh3_64_with_seed};
 
 const STOP: &str = "stop:";
 
-/// The digest of a sequence and one more token.
+/// The digest of a sequence extended by one token.
 pub fn extend(digest: u64, token: &str) -> u64 {
     xxh3_64_with_seed(token.as_bytes(), digest ^ 0x9e37_79b9)
 }
@@ -19,7 +19,7 @@
     tokens.into_iter().fold(0, |digest, token| extend(digest, token))
 }
 
-/// The hash of a prefix as cache events carry it: over the tokens, each followed by a zero byte.
+/// The prefix hash that cache events carry: a hash of the tokens, each followed by a zero byte.
 pub fn prefix_hash(tokens: &[String]) -> u64 {
     let mut hash = Xxh3::new();
     for token in tokens {
@@ -29,7 +29,7 @@
     hash.digest()
 }
 
-/// What a model is, for sampling.
+/// The parts of a model's identity that determine the sampled tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Sampler<'a> {
     /// The model.
@@ -41,14 +41,14 @@
 }
 
 impl Sampler<'_> {
-    /// The token after the sequence with this digest.
+    /// The token that follows the sequence with this digest.
     pub fn sample(&self, digest: u64) -> String {
         let name = format!("{}\0{}\0{}", self.model, self.version, self.adapter.unwrap_or(""));
         let hash = xxh3_64_with_seed(name.as_bytes(), digest);
         format!("w{:06x}", hash & 0xff_ffff)
     }
 
-    /// The token that comes out when `lineage` ran: another one if layers are missing.
+    /// The token that results when `lineage` ran; it differs if layers are missing.
     pub fn sample_after(&self, digest: u64, lineage: &[Stamp]) -> String {
         if contiguous(lineage) {
             return self.sample(digest);
@@ -67,7 +67,7 @@
     })
 }
 
-/// How many tokens an answer has, and why it ends there.
+/// The number of tokens of an answer, and the reason why it ends there.
 pub fn length(prompt: &[String], max_tokens: u32) -> (u32, &'static str) {
     let stop = prompt.iter().find_map(|t| t.strip_prefix(STOP)?.parse::<u32>().ok());
     match stop {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The whole answer to a prompt.
+/// The complete answer to a prompt.
 pub fn expected(
     model: &str,
     version: &str,
--- a/crates/roseshore_fakes/src/fault.rs
+++ b/crates/roseshore_fakes/src/fault.rs
@@ -1,7 +1,7 @@
-//! Named faults that are switched while a stand-in runs.
+//! Faults that can be switched while a fake runs.
 //!
-//! Each stand-in has its own struct of faults whose default is "none". [`Faults`] shares it
-//! between threads; `GET /_fault` shows it and `POST /_fault` replaces it as a whole.
+//! Each fake has its own struct of faults whose default is "none". [`Faults`] shares it between
+//! threads; `GET /_fault` returns it and `POST /_fault` replaces all of it.
 
 use crate::http;
 use parking_lot::RwLock;
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use tiny_http::{Method, Request};
 
-/// The path under which faults are read and switched.
+/// The HTTP path that reads and replaces the faults.
 pub const PATH: &str = "/_fault";
 
-/// What a struct of faults must be able to do.
+/// The bounds on a struct of faults.
 pub trait FaultSet:
     Clone + Default + Serialize + DeserializeOwned + Send + Sync + std::fmt::Debug + 'static
 {
@@ -23,24 +23,24 @@
 {
 }
 
-/// The faults in force, shared between threads.
+/// The active faults, shared between threads.
 #[derive(Clone, Debug, Default)]
 pub struct Faults<T: FaultSet> {
     now: Arc<RwLock<Arc<T>>>,
 }
 
 impl<T: FaultSet> Faults<T> {
-    /// The faults in force.
+    /// Returns a snapshot of the active faults.
     pub fn get(&self) -> Arc<T> {
         self.now.read().clone()
     }
 
-    /// Replaces them.
+    /// Replaces all faults.
     pub fn set(&self, faults: T) {
         *self.now.write() = Arc::new(faults);
     }
 
-    /// Changes some of them.
+    /// Modifies the active faults in place.
     pub fn change(&self, change: impl FnOnce(&mut T)) {
         let mut now = self.now.write();
         let mut faults = T::clone(&now);
@@ -48,12 +48,12 @@
         *now = Arc::new(faults);
     }
 
-    /// Ends all of them.
+    /// Resets all faults to their default.
     pub fn clear(&self) {
         self.set(T::default());
     }
 
-    /// Answers a request to [`PATH`].
+    /// Handles a request to [`PATH`].
     pub fn serve(&self, mut request: Request) {
         if *request.method() == Method::Get {
             return http::reply_json(request, 200, &*self.get());
--- a/crates/roseshore_fakes/src/lib.rs
+++ b/crates/roseshore_fakes/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the systems outside, as libraries and as programs.
+//! Test doubles (fakes) of external systems, as libraries and as programs.
 //!
-//! Each speaks the protocol of its system and has faults that are switched while it runs.
+//! Each fake implements the protocol of its system and has faults that can be switched at run time.
 
 pub mod closed;
 pub mod engine;
--- a/crates/roseshore_fakes/src/platform.rs
+++ b/crates/roseshore_fakes/src/platform.rs
@@ -1,9 +1,9 @@
-//! A stand-in for the platform: log service, host list and weight store.
+//! A fake platform: log service, host list and weight store.
 //!
-//! The protocol is that of `roseshore_wire::platform`. Besides, tests and scripts have
-//! `POST /_hosts` (replaces the list), `POST /_hosts/leave` (`{"host": "..."}`, marks one as being
-//! taken away) and `GET`/`POST /_fault` with [`PlatformFaults`]. Engine stand-ins fetch weights
-//! with `GET /v1/weights/take?bytes=N`, which is answered when the bytes are given.
+//! The protocol is that of `roseshore_wire::platform`. In addition, tests and scripts can use
+//! `POST /_hosts` (replaces the list), `POST /_hosts/leave` (`{"host": "..."}`, marks a host as
+//! leaving) and `GET`/`POST /_fault` with [`PlatformFaults`]. Fake engines fetch weights with
+//! `GET /v1/weights/take?bytes=N`, which replies once the transfer is complete.
 
 mod handler;
 pub mod hosts;
@@ -19,23 +19,23 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Requests that are worked on at once; long-polling reads hold one each.
+/// The most requests handled at once; each long-polling read occupies one.
 const WORKERS: usize = 1024;
 
-/// How a platform behaves without faults.
+/// The configuration of a platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// The address to listen on.
     pub bind: SocketAddr,
-    /// Appends a second over all streams.
+    /// The limit on appends per second over all streams.
     pub appends: f64,
-    /// What is kept of each stream.
+    /// The retention of each stream.
     pub keep: log::Retention,
-    /// How late the host list shows a change.
+    /// The delay with which the host list shows a change.
     pub lag: Duration,
-    /// Bytes a second of the weight store.
+    /// The transfer rate of the weight store, in bytes per second.
     pub rate: u64,
-    /// The hosts listed from the start.
+    /// The initial host list.
     pub hosts: Vec<Host>,
 }
 
@@ -52,48 +52,48 @@
     }
 }
 
-/// What is wrong with a platform now.
+/// The active faults of a platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// The log service answers nothing: connections are cut.
+    /// The log service does not reply: connections are cut.
     pub log_out: bool,
     /// Reads are answered with `503`.
     pub reads_out: bool,
-    /// Appends are answered with `503`, with nothing appended.
+    /// Appends are answered with `503` and append nothing.
     pub appends_out: bool,
-    /// Appends are answered with `429`, with nothing appended.
+    /// Appends are answered with `429` and append nothing.
     pub appends_limited: bool,
-    /// The replies to so many appends to come are lost after they took effect.
+    /// The number of upcoming appends that take effect but whose replies are lost.
     pub lose_replies: u32,
-    /// Only appends to streams whose name begins so lose their replies.
+    /// Restricts lost replies to appends to streams with this name prefix.
     pub lose_stream: String,
-    /// Every call to the log takes so much longer, milliseconds; appends take effect after it.
+    /// Extra latency of every log call, in milliseconds; appends take effect after it.
     pub slow_ms: u64,
-    /// The replies of the log are not what they should be.
+    /// The replies of the log service are malformed.
     pub garbled: bool,
-    /// The host list answers nothing.
+    /// The host list does not reply.
     pub hosts_out: bool,
-    /// The host list shows no change any more.
+    /// The host list is frozen and shows no further changes.
     pub hosts_frozen: bool,
-    /// How late the host list shows a change, instead of the setting, milliseconds.
+    /// The delay of the host list in milliseconds, which overrides the setting.
     pub hosts_lag_ms: Option<u64>,
-    /// The weight store answers nothing.
+    /// The weight store does not reply.
     pub weights_out: bool,
-    /// All but so many of the newest records of each stream are trimmed, once, when this is set.
+    /// Trims each stream once, when this is set, to this many of its newest records.
     pub trim_to: Option<usize>,
 }
 
-/// A running platform.
+/// A running fake platform.
 pub struct PlatformFake {
-    /// Its faults.
+    /// The switchable faults of the platform.
     pub faults: Faults<PlatformFaults>,
     platform: Arc<Platform>,
     server: Server,
 }
 
 impl PlatformFake {
-    /// Starts one.
+    /// Starts a platform.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -104,7 +104,7 @@
         Ok(PlatformFake { faults: platform.faults(), platform, server })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
@@ -114,17 +114,17 @@
         self.platform.set_hosts(hosts);
     }
 
-    /// Marks a host as being taken away; `false` when it is not listed.
+    /// Marks a host as leaving; `false` if it is not listed.
     pub fn leave(&self, host: &str) -> bool {
         self.platform.leave(host)
     }
 
-    /// Appends taken so far, refused ones left out.
+    /// The number of accepted appends; refused ones do not count.
     pub fn appends(&self) -> u64 {
         self.platform.appends()
     }
 
-    /// Ends it; connections are refused from then on.
+    /// Stops the platform; later connections are refused.
     pub fn stop(&mut self) {
         self.server.stop();
     }
--- a/crates/roseshore_fakes/src/platform/handler.rs
+++ b/crates/roseshore_fakes/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The platform's side of HTTP.
+//! HTTP handlers of the fake platform.
 
 use super::hosts::HostsState;
 use super::log::LogState;
@@ -14,12 +14,12 @@
 use std::thread;
 use tiny_http::{Method, Request};
 
-/// Records of one read where the caller names no bound.
+/// The limit on records per read if the caller gives none.
 const MAX_RECORDS: u64 = 1000;
-/// The longest that a read waits.
+/// The longest wait of a long-polling read, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// The shared state of the stand-in.
+/// The shared state of the fake.
 pub(super) struct Platform {
     log: Mutex<LogState>,
     grown: Condvar,
@@ -90,7 +90,7 @@
         };
         self.grown.notify_all();
         if self.loses_reply(stream) {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         if faults.garbled {
             return http::reply_text(request, 200, "{\"first\":");
@@ -130,9 +130,9 @@
             }
         };
         drop(log);
-        // An outage that began while the read waited takes its reply too.
+        // An outage that began while the read waited also suppresses its reply.
         if self.faults.get().log_out {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         match read {
             Ok(records) => http::reply_json(request, 200, &records),
@@ -154,7 +154,7 @@
     fn show_hosts(&self, request: Request) {
         let faults = self.faults.get();
         if faults.hosts_out {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         let lag = faults.hosts_lag_ms.map_or(self.lag, Duration::from_millis);
         let now = Instant::now();
@@ -163,7 +163,8 @@
         http::reply_json(request, 200, &shown);
     }
 
-    /// When the list froze: as the fault was switched on, or first asked for after that.
+    /// The time at which the list froze: when the fault was switched on, or at the first request
+    /// after that.
     fn freeze(&self, now: Instant) -> Option<Instant> {
         let mut frozen = self.frozen.lock();
         let wanted = self.faults.get().hosts_frozen;
@@ -205,7 +206,7 @@
 
     fn serve_log(&self, stream: &str, request: Request) {
         if self.faults.get().log_out {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         match request.method() {
             Method::Get => self.read(stream, request),
@@ -216,7 +217,7 @@
 
     fn serve_weights(&self, path: &str, request: Request) {
         if self.faults.get().weights_out {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         if path == "/v1/weights/take" {
             return self.take_weights(request);
--- a/crates/roseshore_fakes/src/platform/hosts.rs
+++ b/crates/roseshore_fakes/src/platform/hosts.rs
@@ -1,9 +1,9 @@
-//! The state of the host list, without I/O: changes are shown late.
+//! The state of the host list, without I/O: changes become visible after a delay.
 
 use roseshore_core::prelude::*;
 use roseshore_wire::platform::{Host, HostState, Hosts};
 
-/// The list as it is, and as it was.
+/// The history of the host list.
 #[derive(Debug)]
 pub struct HostsState {
     changes: Vec<Change>,
@@ -16,7 +16,7 @@
 }
 
 impl HostsState {
-    /// A list that is shown from the start.
+    /// Creates a list that is visible immediately.
     pub fn new(hosts: Vec<Host>, now: Instant) -> HostsState {
         HostsState { changes: vec![Change { at: now, list: Hosts { version: 0, hosts } }] }
     }
@@ -27,7 +27,7 @@
         self.changes.push(Change { at: now, list: Hosts { version, hosts } });
     }
 
-    /// Marks a host as being taken away; `false` when it is not listed.
+    /// Marks a host as leaving; `false` if it is not listed.
     pub fn leave(&mut self, host: &str, now: Instant) -> bool {
         let mut hosts = self.newest().hosts.clone();
         let Some(found) = hosts.iter_mut().find(|h| h.host == host) else { return false };
@@ -36,7 +36,7 @@
         true
     }
 
-    /// The list as it was `lag` before `now`; the first one if there was none.
+    /// The list as of `lag` before `now`, or the initial list if none is that old.
     pub fn shown(&self, now: Instant, lag: Duration) -> &Hosts {
         let old = self.changes.iter().rev().find(|c| c.at + lag <= now);
         &old.unwrap_or(&self.changes[0]).list
--- a/crates/roseshore_fakes/src/platform/log.rs
+++ b/crates/roseshore_fakes/src/platform/log.rs
@@ -4,12 +4,12 @@
 use roseshore_wire::platform::{Record, Records, Trimmed};
 use std::collections::{HashMap, VecDeque};
 
-/// What is kept of each stream; the oldest records go first.
+/// The retention of a stream; the oldest records are dropped first.
 #[derive(Clone, Debug, Default)]
 pub struct Retention {
-    /// So many records at most.
+    /// The maximum number of records.
     pub count: Option<usize>,
-    /// Records of this age at most.
+    /// The maximum age of a record.
     pub age: Option<Duration>,
 }
 
@@ -31,24 +31,24 @@
     }
 }
 
-/// All streams and the limit on appends.
+/// All streams and the rate limit on appends.
 #[derive(Debug)]
 pub struct LogState {
     streams: HashMap<String, Stream>,
     keep: Retention,
-    bucket: Bucket,
+    bucket: TokenBucket,
     appends: u64,
 }
 
-/// Appends a second, a tenth of a second's worth at once.
+/// A token bucket for appends; its burst is a tenth of a second's worth.
 #[derive(Debug)]
-struct Bucket {
+struct TokenBucket {
     rate: f64,
     tokens: f64,
     seen: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn take(&mut self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.seen).as_secs_f64();
         self.seen = self.seen.max(now);
@@ -62,13 +62,13 @@
 }
 
 impl LogState {
-    /// Empty streams, with so many appends a second.
+    /// Creates a log without streams that accepts `rate` appends per second.
     pub fn new(rate: f64, keep: Retention, now: Instant) -> LogState {
-        let bucket = Bucket { rate, tokens: (rate / 10.0).max(1.0), seen: now };
+        let bucket = TokenBucket { rate, tokens: (rate / 10.0).max(1.0), seen: now };
         LogState { streams: HashMap::new(), keep, bucket, appends: 0 }
     }
 
-    /// Appends all records and returns the offset of the first, or `None` over the rate.
+    /// Appends all records and returns the offset of the first, or `None` above the rate limit.
     pub fn append(
         &mut self,
         stream: &str,
@@ -82,7 +82,7 @@
         self.appends += 1;
         let known = self.streams.entry(stream.to_owned()).or_default();
         let first = known.end();
-        // The clock of the machine may step back; the times of a stream may not.
+        // The system clock may step back, but the times within a stream must not decrease.
         let time_ms = known.records.back().map_or(time_ms, |r| r.time_ms.max(time_ms));
         for (offset, data) in (first..).zip(records) {
             known.records.push_back(Record { offset, time_ms, data });
@@ -94,10 +94,10 @@
         Some(first)
     }
 
-    /// Reads at most `max` records from `from` on.
+    /// Reads at most `max` records, starting at offset `from`.
     ///
     /// # Errors
-    /// When `from` is no longer kept.
+    /// When the record at `from` has been dropped.
     pub fn read(
         &mut self,
         stream: &str,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Appends taken so far.
+    /// The number of accepted appends.
     pub fn appends(&self) -> u64 {
         self.appends
     }
--- a/crates/roseshore_fakes/src/service.rs
+++ b/crates/roseshore_fakes/src/service.rs
@@ -1,8 +1,8 @@
-//! A stand-in for one replica of a lookup or plain service.
+//! A fake replica of a lookup or plain service.
 //!
-//! The protocol is that of `roseshore_wire::service`. `GET /_ran` shows how often each call ran,
-//! so that tests can prove "at most once"; `GET`/`POST /_fault` shows and switches
-//! [`ServiceFaults`]. A call counts as run the moment its work begins.
+//! The protocol is that of `roseshore_wire::service`. `GET /_ran` returns how often each call ran,
+//! so that tests can verify at-most-once execution; `GET`/`POST /_fault` reads and replaces
+//! [`ServiceFaults`]. A call counts as run as soon as its work begins.
 
 mod handler;
 pub mod records;
@@ -18,23 +18,23 @@
 use std::sync::Arc;
 use work::Ran;
 
-/// Requests that are worked on or wait at once.
+/// The most requests that run or wait at once.
 const WORKERS: usize = 1024;
 
-/// How a replica behaves without faults.
+/// The configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Where it listens.
+    /// The address to listen on.
     pub bind: SocketAddr,
-    /// The sources it answers lookups for.
+    /// The sources that lookups can query.
     pub sources: Vec<Source>,
-    /// Time of one lookup or call.
+    /// The duration of one lookup or call.
     pub call: Duration,
-    /// Lookups and calls that run at once.
+    /// The number of lookups and calls that run at once.
     pub slots: u32,
-    /// Whether repeats of an idempotency key get the first result.
+    /// Whether repeated calls with the same idempotency key get the first result.
     pub remembers: bool,
-    /// The number of its life.
+    /// The incarnation number of the replica.
     pub incarnation: Incarnation,
     /// Whether the fault `die` ends the process.
     pub exits: bool,
@@ -54,42 +54,43 @@
     }
 }
 
-/// What is wrong with a replica now.
+/// The active faults of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// It is gone: the process ends if it may, or else every connection is cut.
+    /// The replica is dead: the process exits if the settings allow it; otherwise every connection
+    /// is cut.
     pub die: bool,
-    /// It answers nothing until this is switched off, and then goes on.
+    /// Requests block until this is switched off, and then continue.
     pub freeze: bool,
-    /// Every call takes so much longer, milliseconds.
+    /// Extra latency of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Calls and lookups are answered with `500` after they ran.
+    /// Calls and lookups run and are then answered with `500`.
     pub error: bool,
-    /// Replies are not HTTP.
+    /// Replies are not valid HTTP.
     pub garbled: bool,
-    /// Replies break off in the body.
+    /// Replies are truncated within the body.
     pub cut_body: bool,
     /// Calls are answered with `503` and "not run", and do not run.
     pub not_run: bool,
-    /// The replies to so many calls to come are lost after they ran.
+    /// The number of upcoming calls that run but whose replies are lost.
     pub lose_replies: u32,
-    /// Lookups are answered with `500`, since the source cannot say.
+    /// Lookups are answered with `500`, as if the source were unavailable.
     pub unknown: bool,
-    /// It asks for no new work, in its report.
+    /// The replica asks in its report for no new work.
     pub leaving: bool,
 }
 
-/// A running replica.
+/// A running fake replica.
 pub struct ServiceFake {
-    /// Its faults.
+    /// The switchable faults of the replica.
     pub faults: Faults<ServiceFaults>,
     service: Arc<Service>,
     server: Server,
 }
 
 impl ServiceFake {
-    /// Starts one.
+    /// Starts a replica.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -100,7 +101,7 @@
         Ok(ServiceFake { faults: service.faults(), service, server })
     }
 
-    /// Where it listens.
+    /// The address that the replica listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
@@ -110,7 +111,7 @@
         self.service.ran()
     }
 
-    /// Ends it; connections are refused from then on.
+    /// Stops the replica; later connections are refused.
     pub fn stop(&mut self) {
         self.server.stop();
     }
--- a/crates/roseshore_fakes/src/service/handler.rs
+++ b/crates/roseshore_fakes/src/service/handler.rs
@@ -1,6 +1,6 @@
-//! The replica's side of HTTP.
+//! HTTP handlers of the fake replica.
 
-use super::work::{Book, Ran, Slots};
+use super::work::{CallLog, Ran, Slots};
 use super::{ServiceFaults, ServiceSettings};
 use crate::fault::{self, Faults};
 use crate::http::{self, Handler};
@@ -14,21 +14,21 @@
 
 const CONTENT: &str = "application/json";
 const FREEZE_STEP: Duration = Duration::from_millis(5);
-/// The exit status of a replica that died by its fault.
-const DIED: i32 = 70;
+/// The exit status of a replica that the fault `die` ended.
+const DIED_STATUS: i32 = 70;
 
-/// The shared state of the stand-in.
+/// The shared state of the fake.
 pub(super) struct Service {
     settings: ServiceSettings,
     faults: Faults<ServiceFaults>,
     slots: Slots,
-    book: Book,
+    calls: CallLog,
 }
 
 impl Service {
     pub(super) fn new(settings: ServiceSettings) -> Service {
         let slots = Slots::new(settings.slots);
-        Service { settings, faults: Faults::default(), slots, book: Book::default() }
+        Service { settings, faults: Faults::default(), slots, calls: CallLog::default() }
     }
 
     pub(super) fn faults(&self) -> Faults<ServiceFaults> {
@@ -36,7 +36,7 @@
     }
 
     pub(super) fn ran(&self) -> Ran {
-        self.book.ran()
+        self.calls.ran()
     }
 
     fn lookup(&self, path: &str, request: Request) {
@@ -45,7 +45,7 @@
         if faults.not_run {
             return http::reply_json(request, 503, &NotStarted { not_run: true });
         }
-        self.book.looked_up();
+        self.calls.looked_up();
         self.work(&faults);
         if faults.unknown {
             return http::reply_text(request, 500, "the source cannot say");
@@ -65,20 +65,20 @@
     fn call(&self, service: &str, mut request: Request) {
         let key = http::header(&request, IDEMPOTENCY_KEY);
         let id = http::header(&request, REQUEST_ID);
-        let Ok(body) = http::read_body(&mut request) else { return http::cut(request) };
+        let Ok(body) = http::read_body(&mut request) else { return http::drop_request(request) };
         let _slot = self.slots.take();
         let faults = self.faults.get();
         if faults.not_run {
             return http::reply_json(request, 503, &NotStarted { not_run: true });
         }
         let run = || {
-            self.book.called(key.as_deref(), id.as_deref());
+            self.calls.called(key.as_deref(), id.as_deref());
             self.work(&faults);
             result(service, &body)
         };
         let (result, replayed) = match &key {
             Some(key) if self.settings.remembers => {
-                let remembered = self.book.once(key, run);
+                let remembered = self.calls.once(key, run);
                 (remembered.result, remembered.replayed)
             }
             _ => (run(), false),
@@ -99,7 +99,7 @@
         replayed: bool,
     ) {
         if self.faults.get().die || self.loses_reply() {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         if faults.error {
             return http::reply_text(request, 500, "an error of the replica");
@@ -144,7 +144,7 @@
     fn switch_faults(&self, request: Request) {
         self.faults.serve(request);
         if self.faults.get().die && self.settings.exits {
-            std::process::exit(DIED);
+            std::process::exit(DIED_STATUS);
         }
     }
 
@@ -166,7 +166,7 @@
         }
         self.wait_frozen();
         if self.faults.get().die {
-            return http::cut(request);
+            return http::drop_request(request);
         }
         let post = *request.method() == Method::Post;
         if let Some(rest) = path.strip_prefix("/v1/lookup/") {
@@ -180,7 +180,7 @@
     }
 }
 
-/// A result from which the caller can tell whose it is.
+/// A result that identifies the service and the call that it belongs to.
 fn result(service: &str, body: &[u8]) -> Vec<u8> {
     let text = String::from_utf8_lossy(body);
     let result = serde_json::json!({ "service": service, "echo": text });
@@ -189,6 +189,6 @@
 
 fn raw(request: Request, bytes: &[u8]) {
     let mut out = request.into_writer();
-    // A caller that hung up is no fault of the stand-in.
+    // A client that disconnected is not an error of the fake.
     let _ = out.write_all(bytes).and_then(|()| out.flush());
 }
--- a/crates/roseshore_fakes/src/service/work.rs
+++ b/crates/roseshore_fakes/src/service/work.rs
@@ -1,38 +1,38 @@
-//! The work of a replica: slots, a queue, and what ran.
+//! Concurrency slots of a replica, and counts and cached results of its calls.
 
 use parking_lot::{Condvar, Mutex};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// How often calls ran.
+/// Execution counts of calls and lookups.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ran {
-    /// Calls in all.
+    /// Total number of calls.
     pub total: u64,
-    /// Lookups in all.
+    /// Total number of lookups.
     pub lookups: u64,
-    /// Calls by idempotency key.
+    /// Number of calls per idempotency key.
     pub keys: BTreeMap<String, u64>,
-    /// Calls by request id.
+    /// Number of calls per request id.
     pub requests: BTreeMap<String, u64>,
 }
 
-/// Calls waiting and being worked on.
+/// The number of waiting and running calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     pub(super) queue: u32,
     pub(super) running: u32,
 }
 
-/// Slots, first come first served as far as the threads are.
+/// Concurrency slots, granted first come, first served as far as thread scheduling allows.
 pub(super) struct Slots {
     count: u32,
     load: Mutex<Load>,
     freed: Condvar,
 }
 
-/// A taken slot; given back when dropped.
+/// An occupied slot, released on drop.
 pub(super) struct Slot<'a> {
     slots: &'a Slots,
 }
@@ -63,17 +63,17 @@
     }
 }
 
-/// A remembered result; locked while the call that makes it runs.
-type Known = Arc<Mutex<Option<Vec<u8>>>>;
+/// A cached result, locked while the call that computes it runs.
+type CachedResult = Arc<Mutex<Option<Vec<u8>>>>;
 
-/// Counts of what ran, and remembered results.
+/// Execution counts and cached results.
 #[derive(Default)]
-pub(super) struct Book {
+pub(super) struct CallLog {
     ran: Mutex<Ran>,
-    results: Mutex<HashMap<String, Known>>,
+    results: Mutex<HashMap<String, CachedResult>>,
 }
 
-impl Book {
+impl CallLog {
     pub(super) fn called(&self, key: Option<&str>, request: Option<&str>) {
         let mut ran = self.ran.lock();
         ran.total += 1;
@@ -93,21 +93,21 @@
         self.ran.lock().clone()
     }
 
-    /// The first result of a key. A key being worked on blocks its repeats until `run` has ended.
-    pub(super) fn once(&self, key: &str, run: impl FnOnce() -> Vec<u8>) -> Remembered {
+    /// Returns the first result of a key. Repeats of a key block while `run` computes its result.
+    pub(super) fn once(&self, key: &str, run: impl FnOnce() -> Vec<u8>) -> CallResult {
         let slot = self.results.lock().entry(key.to_owned()).or_default().clone();
         let mut known = slot.lock();
         if let Some(result) = &*known {
-            return Remembered { result: result.clone(), replayed: true };
+            return CallResult { result: result.clone(), replayed: true };
         }
         let result = run();
         *known = Some(result.clone());
-        Remembered { result, replayed: false }
+        CallResult { result, replayed: false }
     }
 }
 
-/// A result, and whether it is an earlier call's.
-pub(super) struct Remembered {
+/// A result, and whether it comes from an earlier call.
+pub(super) struct CallResult {
     pub(super) result: Vec<u8>,
     pub(super) replayed: bool,
 }
--- a/crates/roseshore_fakes/src/wait.rs
+++ b/crates/roseshore_fakes/src/wait.rs
@@ -1,21 +1,21 @@
-//! Waiting for a condition in tests, which time nothing.
+//! Polling for a condition in tests that measure no times.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a condition may take.
-const BOUND: Duration = Duration::from_secs(30);
-/// Between two looks.
-const LOOK: Duration = Duration::from_millis(5);
+/// The longest wait for a condition.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// The pause between two checks of the condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until a condition holds.
+/// Blocks until a condition holds.
 ///
 /// # Panics
-/// When it does not hold within 30 s; `what` says what was waited for.
+/// When it does not hold within 30 s; the message names `what`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + BOUND;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < end, "condition not met within 30 s: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/roseshore_fakes/tests/engine.rs
+++ b/crates/roseshore_fakes/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in for engines as a process, its text, and its line streams.
+//! Tests of the fake engine as a process, of its text, and of its line streams.
 
 use roseshore_core::prelude::*;
 use roseshore_fakes::engine::rig::{MODEL, VERSION, whole, words};
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use ureq::Agent;
 
-/// A stand-in process that ends with its test.
+/// A fake engine process that ends with its test.
 struct Process {
     child: Child,
     addr: SocketAddr,
@@ -26,7 +26,7 @@
             .args(args)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the stand-in starts");
+            .expect("the fake starts");
         let mut line = String::new();
         let stdout = child.stdout.take().expect("piped");
         BufReader::new(stdout).read_line(&mut line).expect("a line");
@@ -183,7 +183,7 @@
     assert_eq!(text::expected("m", "v", None, &prompt, 3), base[..3]);
 }
 
-/// Writes each line only when the test has read the one before.
+/// Writes each line only after the test has read the previous one.
 struct Stepwise {
     steps: flume::Receiver<()>,
     whole: bool,
--- a/crates/roseshore_fakes/tests/platform.rs
+++ b/crates/roseshore_fakes/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's states, driven by given times, and the stand-ins as programs.
+//! Tests of the platform's states with given times, and of the fakes as programs.
 
 use roseshore_core::prelude::*;
 use roseshore_fakes::platform::hosts::HostsState;
@@ -65,7 +65,7 @@
 
 const HOSTS: &str = r#"[{"host":"h","data_centre":"d","state":"live","peer":null}]"#;
 
-/// A stand-in's process, ended by its id when the test ends.
+/// The process of a fake, ended by its id when the test ends.
 struct Program {
     child: Child,
     addr: String,
@@ -143,7 +143,7 @@
 #[test]
 fn a_replica_told_to_die_ends() {
     let mut program = Program::start(env!("CARGO_BIN_EXE_fake_service"), &[]);
-    // The reply to the order may be lost with the process.
+    // The reply may be lost when the process exits.
     let _ = ureq::post(format!("http://{}/_fault", program.addr)).send(r#"{"die":true}"#);
     assert_eq!(program.child.wait().unwrap().code(), Some(70));
 }
