--- a/crates/roseshore_bench/src/load/tally.rs
+++ b/crates/roseshore_bench/src/load/tally.rs
@@ -1,7 +1,7 @@
 //! Counts the outcomes and latencies of a run's requests.
 
 use hdrhistogram::Histogram;
-use roseshore_harness::caller::Got;
+use roseshore_harness::caller::ClientReply;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -67,7 +67,7 @@
 
 /// Classifies what a caller received. A verdict other than `answered` is a refusal whatever the
 /// HTTP status is.
-pub fn outcome(got: &Got) -> Outcome {
+pub fn outcome(got: &ClientReply) -> Outcome {
     if let Some(verdict) = &got.verdict
         && verdict != "answered"
     {
@@ -108,7 +108,7 @@
 impl Tally {
     /// Records a request that was sent `late` after its scheduled arrival; `counts` is true if it
     /// ended within the measurement window.
-    pub fn add(&mut self, got: &Got, late: Duration, counts: bool) {
+    pub fn add(&mut self, got: &ClientReply, late: Duration, counts: bool) {
         self.sent += 1;
         self.late.add(late);
         let end = outcome(got);
