--- a/crates/roseshore_harness/tests/control.rs
+++ b/crates/roseshore_harness/tests/control.rs
@@ -1,5 +1,5 @@
-//! Configuration under failure, with separate processes: racing operators, lost replies, a data
-//! centre cut off from the platform.
+//! Configuration changes under faults, with separate processes: concurrent operators, lost replies,
+//! and a data centre partitioned from the platform.
 
 use roseshore_core::config::{Change, Command, FORMAT, Kind, Object, ObjectKey, Reason};
 use roseshore_core::fleet::Organisation;
@@ -18,7 +18,7 @@
     World::serving(Plan { fleet, daemons, relayed, ..Plan::default() }).expect("the system starts")
 }
 
-/// A command that creates a customer.
+/// A command that creates an organisation.
 fn command(operator: &str, id: &str, customer: &str, rate: f64) -> Command {
     let object = Object::Organisation(Organisation { share: 1.0, rate, burst: rate });
     let key = ObjectKey::new(Kind::Organisation, customer);
@@ -37,8 +37,8 @@
     serde_json::from_value::<Report>(reply).expect("a report").outcome
 }
 
-/// What became of a command, asked for until it is known.
-fn settled(world: &World, to: SocketAddr, command: &Command, first: Outcome) -> Outcome {
+/// Polls the outcome of a command until it is known.
+fn wait_outcome(world: &World, to: SocketAddr, command: &Command, first: Outcome) -> Outcome {
     let mut outcome = first;
     let known = wait_until(|| {
         if matches!(outcome, Outcome::Unknown { .. }) {
@@ -95,7 +95,7 @@
         world.fault(world.log, &json!({})).expect("the platform answers");
         let [first, second] = outcomes;
         let ends = [(0, first), (1, second)]
-            .map(|(i, it)| settled(&world, world.daemons[i].addr, &commands[i], it));
+            .map(|(i, it)| wait_outcome(&world, world.daemons[i].addr, &commands[i], it));
         let won = |it: &Outcome| matches!(it, Outcome::Accepted { .. });
         let winner = ends.iter().position(won).expect("one is accepted");
         let Outcome::Rejected { reason, .. } = &ends[1 - winner] else {
@@ -129,7 +129,7 @@
         let before = offset();
         relay.cut();
         if round == 1 {
-            // A second fault at the same time: a stage is lost during an answer.
+            // Adds a second fault at the same time: an engine exits in the middle of an answer.
             let addr = world.addr("south-0-0").expect("declared");
             world.fault(addr, &json!({ "die_after": 4 })).expect("the engine answers");
         }
--- a/crates/roseshore_harness/tests/once.rs
+++ b/crates/roseshore_harness/tests/once.rs
@@ -1,5 +1,5 @@
-//! Work that may run once, with separate processes: the log lost around each step of a key, its
-//! claimant frozen or killed, its stages lost.
+//! At-most-once execution with separate processes: the log fails at each step of an idempotency key,
+//! the claiming daemon is frozen or killed, or engine stages fail.
 
 use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CUSTOMER, NOTE, Shape, VERDICT};
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a caller gives a call that meets a fault.
+/// Deadline in milliseconds of a call during which a fault occurs.
 const DEADLINE: u64 = 1_500;
 
 fn world(shape: Shape, daemons: usize) -> World {
@@ -26,22 +26,22 @@
         RequestOptions { deadline: Some(DEADLINE), ..RequestOptions::of(CUSTOMER).keyed(key) };
     let got = world.caller.call(world.daemons[daemon].addr, NOTE, "note", &marks);
     assert!(got.status == 200 || got.verdict.is_some(), "{key}: no word at all: {got:?}");
-    // No other attempt is under way wherever this is asked.
+    // Wherever this is called, no other attempt with the key is in progress, so `not_run` must be true.
     let false_word = got.verdict.as_deref() == Some("not_run") && ran(world, key) > 0;
     assert!(!false_word, "{key}: it ran: {got:?}");
     got
 }
 
-/// Switches the faults of every replica of the plain service.
-fn services(world: &World, faults: &Value) {
+/// Sets the injected faults of every replica of the plain service.
+fn set_faults(world: &World, faults: &Value) {
     let targets = world.plan.fleet.targets.values();
     for target in targets.filter(|t| t.serves.as_deref() == Some(NOTE)) {
         world.fault(target.addr, faults).expect("the replica answers");
     }
 }
 
-/// Sees every daemon come to the one recorded answer of a key that ran once.
-fn settles(world: &World, key: &str, told: &[ClientReply]) {
+/// Checks that every daemon eventually returns the same recorded answer, and that the key ran once.
+fn check_settled(world: &World, key: &str, told: &[ClientReply]) {
     let mut texts: Vec<String> =
         told.iter().filter(|got| got.status == 200).map(|got| got.text.clone()).collect();
     for daemon in 0..world.daemons.len() {
@@ -80,7 +80,7 @@
     Loss::Faults { log_out: false, appends_out: false, reads_out: true, lose_replies: 0 };
 const REPLY: Loss =
     Loss::Faults { log_out: false, appends_out: false, reads_out: false, lose_replies: 1 };
-/// A lost reply, after which nothing can be read.
+/// A lost reply while reads fail, so that its effect cannot be looked up.
 const BOTH: Loss =
     Loss::Faults { log_out: false, appends_out: false, reads_out: true, lose_replies: 1 };
 
@@ -133,7 +133,7 @@
     for case in CASES {
         let key = case.name.replace([' ', ','], "-");
         let slow = if case.step == Step::UnderWay { 300 } else { 0 };
-        services(&world, &json!({ "slow_ms": slow }));
+        set_faults(&world, &json!({ "slow_ms": slow }));
         let first = thread::scope(|scope| {
             if case.step == Step::Claim {
                 case.loss.begin(&world);
@@ -157,8 +157,9 @@
         }
         let told = [first, call(&world, 0, &key), call(&world, 1, &key)];
         case.loss.end(&world);
-        settles(&world, &key, &told);
-        // A daemon that has not heard of the log's return refuses, which the next case must not meet.
+        check_settled(&world, &key, &told);
+        // A daemon that has not noticed the log's return still refuses; wait, so that the next case does
+        // not start in that state.
         for daemon in 0..world.daemons.len() {
             let fresh = format!("back-{daemon}-{key}");
             let back = wait_until(|| call(&world, daemon, &fresh).status == 200);
@@ -173,7 +174,7 @@
     let world = world(Shape::default(), 2);
     for round in 0..ROUNDS {
         let key = format!("asleep-{round}");
-        // The claim is taken, and cannot be read back until the claimant sleeps.
+        // The claim is appended, but cannot be read back until the claimant is frozen.
         READS.begin(&world);
         let first = thread::scope(|scope| {
             let first = scope.spawn(|| call(&world, 0, &key));
@@ -184,19 +185,19 @@
             thread::sleep(Duration::from_millis(DEADLINE));
             world.daemons[0].process.thaw();
             let first = first.join().expect("no panic");
-            // The other one may have run it only if the claim never came to the log.
+            // The other daemon may have run the call only if the claim never reached the log.
             assert!(other.status == 200 || ran(&world, &key) == 0, "{first:?} {other:?}");
             first
         });
         assert!(first.status != 200 || first.replayed, "dispatched late: {first:?}");
-        settles(&world, &key, &[first]);
+        check_settled(&world, &key, &[first]);
     }
 }
 
 #[test]
 fn a_claimant_that_sleeps_after_dispatch_is_not_run_over() {
     let world = world(Shape::default(), 2);
-    services(&world, &json!({ "slow_ms": 400 }));
+    set_faults(&world, &json!({ "slow_ms": 400 }));
     let key = "asleep-under-way";
     thread::scope(|scope| {
         let first = scope.spawn(|| call(&world, 0, key));
@@ -219,18 +220,18 @@
     assert_eq!(ran(&world, key), 1);
 }
 
-/// Answers begun by all first stages.
+/// Number of answers that all first stages have begun.
 fn opened(world: &World) -> u64 {
     let firsts = world.plan.fleet.targets.values().filter(|t| t.layers.is_some_and(|l| l.0 == 0));
     let counts = firsts.map(|t| world.caller.get(t.addr, "/_stats").expect("answers"));
     counts.map(|stats| stats["opened"].as_u64().unwrap_or(0)).sum()
 }
 
-/// Chains of two engines in the tests of unrepeatable answers; all but one are lost.
+/// Number of two-engine chains in the tests of non-idempotent answers; all but one fail.
 const CHAINS: usize = 3;
 const MIXED: Shape = Shape { centres: 1, chains: CHAINS, stages: 2, kind: 0, mixed: true };
 
-/// Lets the last engine of all chains but one die in the middle of an answer.
+/// Makes the last engine of all chains but one exit in the middle of an answer.
 fn lose_chains(world: &World) {
     for chain in 0..CHAINS - 1 {
         let addr = world.addr(&format!("north-{chain}-1")).expect("declared");
@@ -238,12 +239,11 @@
     }
 }
 
-/// What was seen: of three chains two were lost in the middle of an answer, and it was given up 21 ms after it had
-/// begun since no chain was left, while the engines of the third lived.
-/// Order of events: the daemons had just begun, and were ready since they had heard of one chain; the third one's
-/// first report had not come when the second was lost.
-/// Cause: the tests took a daemon that is ready for one that has heard of all targets.
-/// Evidence: with the reports of one engine held back the same answer comes in the same time each time.
+/// Guards against tests that treat a ready daemon as one that knows all targets. Daemons are ready as
+/// soon as they know one chain. When two of three chains failed in the middle of an answer before the
+/// third had sent its first report, the answer was given up 21 ms after its start as no chain was left,
+/// although the engines of the third were alive. Holding back the reports of one engine reproduces the
+/// failure each time.
 #[test]
 fn an_answer_goes_on_over_a_chain_that_was_heard_of_late() {
     let fleet = fleets::fleet(MIXED);
@@ -312,7 +312,7 @@
         let marks = RequestOptions { deadline: Some(DEADLINE), ..marks };
         let again = caller.answer(world.daemons[1].addr, &chat, &marks);
         if service == VERDICT {
-            // Nobody knows its end; that is said, and it is not begun again.
+            // The outcome is unknown: the refusal says so, and the answer is not begun again.
             assert_eq!(again.verdict.as_deref(), Some("may_have_run"), "{name}: {again:?}");
             assert_eq!(opened(&world), before, "{name}");
         } else {
--- a/crates/roseshore_harness/tests/orders.rs
+++ b/crates/roseshore_harness/tests/orders.rs
@@ -1,4 +1,4 @@
-//! A model's version is changed by a command while answers flow, with separate processes.
+//! A command changes the version of a model under load, with separate processes.
 
 use roseshore_core::config::{Change, Command, FORMAT, Kind, Object, ObjectKey};
 use roseshore_fakes::engine::text::expected;
@@ -14,12 +14,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// So many that an answer outlasts the way of an order to its stages.
+/// Long enough that an answer takes more time than an order takes to reach the stages.
 const TOKENS: u32 = 300;
 const CALLERS: usize = 6;
-/// Two looks at targets that are further apart say nothing together; far below the time between
-/// the change of one chain and that of the next.
-const ONE_LOOK: Duration = Duration::from_millis(400);
+/// Reads of the chains' states are comparable only if taken within this time. It is far below the
+/// time between the change of one chain and that of the next.
+const SNAPSHOT_LIMIT: Duration = Duration::from_millis(400);
 
 fn chat() -> Chat<'static> {
     Chat { service: CHAT, prompt: "a long answer", tokens: TOKENS }
@@ -30,7 +30,7 @@
     expected(MODEL, version, None, &words, TOKENS).concat()
 }
 
-/// Puts a version of the model in force by a command.
+/// Submits a command that changes the model's version, and checks that it is accepted.
 fn change(world: &World, version: &str) {
     let daemon = world.daemons[0].addr;
     let config = world.caller.get(daemon, "/v1/admin/config").expect("answers");
@@ -52,41 +52,42 @@
     assert!(matches!(report.outcome, Outcome::Accepted { .. }), "{report:?}");
 }
 
-/// What the callers have seen.
+/// Counts of the answers that the callers received, and their stop flag.
 #[derive(Default)]
-struct Seen {
+struct Tally {
     stop: AtomicBool,
     old: AtomicUsize,
-    /// Answers of the new version, by caller.
+    /// Answers of the new version, per caller.
     new: [AtomicUsize; CALLERS],
 }
 
-impl Seen {
+impl Tally {
     fn all_new(&self) -> bool {
         self.new.iter().all(|n| n.load(Ordering::SeqCst) >= 2)
     }
 }
 
-/// Ends the flows, also when a look at the system fails.
-struct Flowing<'a>(&'a Seen);
+/// Stops the callers on drop, so that they also end when a check panics.
+struct StopOnDrop<'a>(&'a Tally);
 
-impl Drop for Flowing<'_> {
+impl Drop for StopOnDrop<'_> {
     fn drop(&mut self) {
         self.0.stop.store(true, Ordering::SeqCst);
     }
 }
 
-/// Asks one daemon again and again; returns what was not a whole answer of one version, in order.
-fn flow(world: &World, to: SocketAddr, caller: usize, seen: &Seen) -> Vec<ClientReply> {
+/// Sends requests to one daemon until stopped. Returns each reply that is not a complete answer of a
+/// single version, or that has the old version after the new one.
+fn send_requests(world: &World, to: SocketAddr, caller: usize, tally: &Tally) -> Vec<ClientReply> {
     let marks = RequestOptions::of(CUSTOMER);
     let mut wrong = Vec::new();
-    while !seen.stop.load(Ordering::SeqCst) {
+    while !tally.stop.load(Ordering::SeqCst) {
         let got = world.caller.stream(to, &chat(), &marks, |_| ());
-        let new = &seen.new[caller];
+        let new = &tally.new[caller];
         if got.whole && got.joined() == text("v2") {
             new.fetch_add(1, Ordering::SeqCst);
         } else if got.whole && got.joined() == text("v1") && new.load(Ordering::SeqCst) == 0 {
-            seen.old.fetch_add(1, Ordering::SeqCst);
+            tally.old.fetch_add(1, Ordering::SeqCst);
         } else {
             wrong.push(got);
         }
@@ -100,7 +101,8 @@
     serde_json::from_value(load).expect("a report")
 }
 
-/// The version that a chain serves, if it is whole.
+/// The version that a chain serves; `None` if a stage is loading or lacks a role, or
+/// the versions of the stages differ.
 fn chain(world: &World, chain: usize) -> Option<String> {
     let stages = [0, 1].map(|stage| load(world, &format!("north-{chain}-{stage}")).holding);
     let whole = stages.iter().all(|h| !h.loading && h.role == Role::Both);
@@ -108,18 +110,18 @@
     stages[0].version.clone().filter(|_| whole && same)
 }
 
-/// Looks at both chains; whether both serve the new version.
-fn look(world: &World) -> bool {
+/// Whether both chains serve the new version. Checks that at least one chain serves meanwhile.
+fn both_changed(world: &World) -> bool {
     let begun = Instant::now();
     let chains = [chain(world, 0), chain(world, 1)];
     let one = chains.iter().any(Option::is_some);
-    assert!(one || begun.elapsed() > ONE_LOOK, "no chain serves");
+    assert!(one || begun.elapsed() > SNAPSHOT_LIMIT, "no chain serves");
     chains.iter().all(|c| c.as_deref() == Some("v2"))
 }
 
 struct Case {
     name: &'static str,
-    /// Whether the weight store is out at first, and a daemon joins meanwhile.
+    /// Whether the weight store is unavailable at first, and a daemon starts meanwhile.
     held_up: bool,
 }
 
@@ -128,7 +130,7 @@
     Case { name: "weight store out, and a daemon that starts meanwhile", held_up: true },
 ];
 
-/// The daemon that joins answers with the version that still serves.
+/// Starts a daemon, which has to answer with the version that is still served.
 fn join(world: &World) -> Daemon {
     let fresh = world.start_daemon("north", "north-9").expect("starts");
     let answered = wait_until(|| {
@@ -147,25 +149,25 @@
         let engines = vec!["--load-ms".to_owned(), "500".to_owned()];
         let plan = Plan { fleet, daemons: 2, engines, ..Plan::default() };
         let world = World::serving(plan).expect("the system starts");
-        let seen = Seen::default();
+        let tally = Tally::default();
         let wrong = thread::scope(|scope| {
-            let flows: Vec<_> = (0..CALLERS)
+            let senders: Vec<_> = (0..CALLERS)
                 .map(|n| {
-                    let (world, seen, to) = (&world, &seen, world.daemons[n % 2].addr);
-                    scope.spawn(move || flow(world, to, n, seen))
+                    let (world, tally, to) = (&world, &tally, world.daemons[n % 2].addr);
+                    scope.spawn(move || send_requests(world, to, n, tally))
                 })
                 .collect();
-            let guard = Flowing(&seen);
-            let flowing = wait_until(|| seen.old.load(Ordering::SeqCst) >= CALLERS);
+            let guard = StopOnDrop(&tally);
+            let flowing = wait_until(|| tally.old.load(Ordering::SeqCst) >= CALLERS);
             world.fault(world.log, &json!({ "weights_out": case.held_up })).expect("switched");
             change(&world, "v2");
             let fresh = case.held_up.then(|| join(&world));
             world.fault(world.log, &json!({})).expect("switched");
-            let changed = wait_until(|| look(&world));
-            let answered = wait_until(|| seen.all_new());
+            let changed = wait_until(|| both_changed(&world));
+            let answered = wait_until(|| tally.all_new());
             drop((guard, fresh));
             assert!(flowing && changed && answered, "{}: {changed} {answered}", case.name);
-            flows
+            senders
                 .into_iter()
                 .flat_map(|f| f.join().expect("no panic"))
                 .collect::<Vec<ClientReply>>()
--- a/crates/roseshore_harness/tests/whole.rs
+++ b/crates/roseshore_harness/tests/whole.rs
@@ -1,4 +1,4 @@
-//! The whole path with separate processes, and stages lost in the middle of answers.
+//! End-to-end requests with separate processes, including stages that fail in the middle of answers.
 
 use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CHAT, CUSTOMER, NOTE, Shape};
@@ -31,7 +31,7 @@
     }
 }
 
-/// How a stage is lost after some tokens.
+/// How a stage fails after a number of tokens.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Killed,
@@ -42,7 +42,7 @@
 struct Case {
     name: &'static str,
     loss: Loss,
-    /// The stages of the chain that are struck.
+    /// The stages of the chain that the fault is injected into.
     stages: &'static [usize],
     after: u32,
 }
@@ -60,8 +60,8 @@
     Case { name: "two stages killed", loss: Loss::Killed, stages: &[0, 2], after: 5 },
 ];
 
-/// Strikes the stages of every chain but the slowest, which is the last that an answer is sent to.
-fn strike(world: &World, case: &Case, chains: usize) {
+/// Injects the fault into every chain but the slowest, which is the last choice for an answer.
+fn inject_fault(world: &World, case: &Case, chains: usize) {
     let faults = match case.loss {
         Loss::Killed => json!({ "die_after": case.after }),
         Loss::Frozen => json!({ "freeze_after": case.after }),
@@ -81,11 +81,11 @@
     for case in CASES {
         let shape = Shape { chains: CHAINS, stages: 3, mixed: true, ..Shape::default() };
         let world = world(shape, 1);
-        strike(&world, case, CHAINS);
+        inject_fault(&world, case, CHAINS);
         let addr = world.daemons[0].addr;
         let marks = RequestOptions::of(CUSTOMER);
         let mut resumed = false;
-        // Answers are sent until one has met the fault; each of them must be whole.
+        // Requests are sent until the fault has hit an answer; every answer must be complete.
         let met = wait_until(|| {
             let chat = Chat { service: CHAT, prompt: "a b c d", tokens: 20 };
             let got = world.caller.stream(addr, &chat, &marks, |_| ());
