--- a/crates/roseshore_bench/src/answer.rs
+++ b/crates/roseshore_bench/src/answer.rs
@@ -1,4 +1,4 @@
-//! What measurements of answers share: engines, a router, and a caller with a stopwatch.
+//! Shared parts of the answer measurements: simulated engines, a router, and a token timer.
 
 use parking_lot::Mutex;
 use roseshore_adapters::engine::EngineClient;
@@ -17,30 +17,30 @@
 use std::sync::Arc;
 
 const RANGES: [(Layer, Layer); 3] = [(0, 4), (4, 8), (8, 12)];
-/// Bytes that one token takes in the KV cache of one stage.
+/// KV cache size per token and stage, bytes.
 const KV_BYTES: u64 = 16 << 10;
-/// Rate of the links for KV caches, bytes a second.
+/// Rate at which KV caches are transferred, bytes per second.
 const LINK_RATE: f64 = 125e6;
 
-/// Durations, shown as least, median, 95th in 100 and greatest.
+/// Duration samples, printed as minimum, median, 95th percentile and maximum.
 #[derive(Default)]
-pub struct Spread {
+pub struct DurationStats {
     all: Vec<Duration>,
 }
 
-impl Spread {
-    /// Takes one.
+impl DurationStats {
+    /// Adds one sample.
     pub fn add(&mut self, one: Duration) {
         self.all.push(one);
     }
 
-    /// Takes many.
+    /// Adds several samples.
     pub fn add_all(&mut self, many: &[Duration]) {
         self.all.extend(many);
     }
 }
 
-impl fmt::Display for Spread {
+impl fmt::Display for DurationStats {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut all = self.all.clone();
         all.sort();
@@ -54,40 +54,41 @@
     }
 }
 
-/// A fault of the first replica of a stage.
+/// A fault to inject into the first replica of a stage.
 pub struct Fault {
-    /// What it is called.
+    /// Label in the printed table.
     pub name: &'static str,
-    /// The stage.
-    pub row: usize,
-    /// The fault.
+    /// Index of the stage.
+    pub stage: usize,
+    /// Sets the fault.
     pub change: fn(&mut EngineFaults),
 }
 
-/// Notes when tokens come.
-pub struct Listener {
+/// Records the arrival times of an answer's tokens; optionally marks the middle stage's first
+/// replica as leaving after a number of tokens.
+pub struct TokenTimer {
     began: Instant,
     times: Vec<Instant>,
-    leave: Option<(usize, Arc<FirstFree>)>,
+    leave: Option<(usize, Arc<FirstHealthy>)>,
 }
 
-impl Default for Listener {
-    fn default() -> Listener {
-        Listener { began: Instant::now(), times: Vec::new(), leave: None }
+impl Default for TokenTimer {
+    fn default() -> TokenTimer {
+        TokenTimer { began: Instant::now(), times: Vec::new(), leave: None }
     }
 }
 
-impl Listener {
-    /// Time to the first token.
+impl TokenTimer {
+    /// Time from creation to the first token.
     ///
     /// # Panics
-    /// When none came.
+    /// If no token has arrived.
     pub fn first(&self) -> Duration {
         self.times[0] - self.began
     }
 
-    /// A token came.
-    pub fn hear(&mut self) {
+    /// Records the arrival of a token.
+    pub fn record(&mut self) {
         self.times.push(Instant::now());
         if let Some((at, router)) = &self.leave
             && self.times.len() == *at
@@ -96,38 +97,39 @@
         }
     }
 
-    /// Times between tokens.
+    /// Intervals between consecutive tokens.
     pub fn gaps(&self) -> Vec<Duration> {
         self.times.windows(2).map(|pair| pair[1] - pair[0]).collect()
     }
 
-    /// The longest time between two tokens.
+    /// The longest interval between two tokens; zero with fewer than two.
     pub fn longest(&self) -> Duration {
         self.gaps().into_iter().max().unwrap_or_default()
     }
 }
 
-impl TokenSink for Listener {
+impl TokenSink for TokenTimer {
     fn token(&mut self, _: Position, _: &str) -> Result<(), CallerLeft> {
-        self.hear();
+        self.record();
         Ok(())
     }
 }
 
-/// A router that takes the first replica that has not failed.
-pub struct FirstFree {
+/// A router that chooses, for each stage, the first replica that has neither failed nor started to
+/// leave.
+pub struct FirstHealthy {
     rows: Vec<Vec<Stage>>,
     first: Duration,
-    seen: Mutex<Seen>,
+    seen: Mutex<TargetStates>,
 }
 
 #[derive(Default)]
-struct Seen {
+struct TargetStates {
     failed: BTreeSet<TargetId>,
     leaving: BTreeSet<TargetId>,
 }
 
-impl Router for FirstFree {
+impl Router for FirstHealthy {
     fn chain(&self, need: &ChainNeeds) -> Result<(Chain, Permit), Refusal> {
         let seen = self.seen.lock();
         let out = |t: &TargetId| {
@@ -155,19 +157,20 @@
     }
 }
 
-/// Three stages with two replicas each.
-pub struct Bed {
+/// Simulated engines: three stages with two replicas each.
+pub struct TestBed {
     engines: Vec<Vec<EngineFake>>,
     rate: f64,
     cached: bool,
 }
 
-impl Bed {
-    /// Starts the engines, with or without prefix caches.
+impl TestBed {
+    /// Starts the engines, with or without prefix caches. `rate` is their prefill rate, tokens per
+    /// second.
     ///
     /// # Panics
-    /// When no port is free.
-    pub fn new(step: Duration, rate: f64, cached: bool) -> Bed {
+    /// If no port is free.
+    pub fn new(step: Duration, rate: f64, cached: bool) -> TestBed {
         let start = |row: usize, at: usize| {
             let name = format!("e{row}{at}");
             let mut settings = EngineSettings::holding(&name, "m", "v1", RANGES[row]);
@@ -181,27 +184,28 @@
             EngineFake::start(settings).expect("a free port")
         };
         let engines = (0..3).map(|row| (0..2).map(|at| start(row, at)).collect()).collect();
-        Bed { engines, rate, cached }
+        TestBed { engines, rate, cached }
     }
 
-    /// Switches a fault on.
-    pub fn strike(&self, fault: &Fault) {
-        self.engines[fault.row][0].faults().change(fault.change);
+    /// Injects a fault.
+    pub fn inject(&self, fault: &Fault) {
+        self.engines[fault.stage][0].faults().change(fault.change);
     }
 
-    /// Runs one answer.
+    /// Generates one answer through the driver.
     ///
     /// # Panics
-    /// When it is not whole.
-    pub fn run(&self, prompt: u32, tokens: u32) -> Listener {
+    /// If the answer is incomplete.
+    pub fn run(&self, prompt: u32, tokens: u32) -> TokenTimer {
         self.answer(prompt, tokens, None, None)
     }
 
-    /// Runs one answer whose middle stage leaves, with or without its cache moved.
+    /// Generates one answer during which the middle stage hands over to its second replica, either by
+    /// moving the KV cache (`warm`) or by a new prefill.
     ///
     /// # Panics
-    /// When it is not whole.
-    pub fn hand_over(&self, prompt: u32, tokens: u32, warm: bool) -> Listener {
+    /// If the answer is incomplete.
+    pub fn hand_over(&self, prompt: u32, tokens: u32, warm: bool) -> TokenTimer {
         self.answer(prompt, tokens, Some(tokens as usize / 4), Some(warm))
     }
 
@@ -211,9 +215,10 @@
         tokens: u32,
         leave: Option<usize>,
         warm: Option<bool>,
-    ) -> Listener {
+    ) -> TokenTimer {
         let rows = self.engines.iter().map(|r| r.iter().map(EngineFake::stage).collect()).collect();
-        // What the router predicts decides; a prediction out of all proportion forces a way.
+        // The driver compares the predicted time to the first token with the time to move the cache,
+        // so an extreme prediction forces one of the two.
         let first = match warm {
             Some(true) => Duration::from_hours(1),
             Some(false) => Duration::ZERO,
@@ -222,7 +227,7 @@
                 Duration::from_secs_f64(f64::from(prompt) / self.rate) * stages
             }
         };
-        let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
+        let router = Arc::new(FirstHealthy { rows, first, seen: Mutex::default() });
         let mut settings = AnswerSettings::default();
         if warm.is_some() {
             settings.timeouts.prefill = Duration::from_secs(20);
@@ -231,15 +236,16 @@
         let parts =
             AnswerDeps { router: router.clone(), engine, budgets: Arc::default(), settings };
         let leave = leave.map(|at| (at, router));
-        let mut listener = Listener { leave, ..Listener::default() };
-        let whole = run_with(&parts, &ask(tokens), question(prompt, tokens), &mut listener);
+        let mut timer = TokenTimer { leave, ..TokenTimer::default() };
+        let whole =
+            run_with(&parts, &request_info(tokens), answer_request(prompt, tokens), &mut timer);
         assert_eq!(whole.expect("a whole answer").token_count, tokens);
-        listener
+        timer
     }
 
-    /// What the first replicas would be asked.
+    /// The request for an answer from the first replica of each stage, to be sent without the driver.
     pub fn generate(&self, prompt: u32, tokens: u32) -> Generate {
-        let question = question(prompt, tokens);
+        let question = answer_request(prompt, tokens);
         Generate {
             answer: format!("direct{}", rand::random::<u64>()),
             epoch: 1,
@@ -257,7 +263,7 @@
     }
 }
 
-fn ask(tokens: u32) -> RequestInfo {
+fn request_info(tokens: u32) -> RequestInfo {
     let now = Instant::now();
     RequestInfo {
         request: format!("r{}", rand::random::<u64>()),
@@ -270,7 +276,7 @@
     }
 }
 
-fn question(prompt: u32, tokens: u32) -> AnswerRequest {
+fn answer_request(prompt: u32, tokens: u32) -> AnswerRequest {
     AnswerRequest {
         model: "m".to_owned(),
         version: "v1".to_owned(),
@@ -282,11 +288,11 @@
     }
 }
 
-/// Time that the driver takes for `count` tokens that are there already.
+/// Time that the driver needs to process `count` tokens that are all available at once.
 ///
 /// # Panics
-/// When the answer is not whole.
-pub fn flood(count: u32) -> Duration {
+/// If the answer is incomplete.
+pub fn driver_time(count: u32) -> Duration {
     let stage = |(row, layers): (usize, (Layer, Layer))| Stage {
         target: format!("e{row}0"),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -295,24 +301,24 @@
     };
     let rows = RANGES.into_iter().enumerate().map(|s| vec![stage(s)]).collect();
     let first = Duration::from_secs(1);
-    let router = Arc::new(FirstFree { rows, first, seen: Mutex::default() });
+    let router = Arc::new(FirstHealthy { rows, first, seen: Mutex::default() });
     let parts = AnswerDeps {
         router,
-        engine: Arc::new(Flood),
+        engine: Arc::new(InstantEngine),
         budgets: Arc::default(),
         settings: AnswerSettings::default(),
     };
-    let mut listener = Listener::default();
-    let whole = run_with(&parts, &ask(count), question(1, count), &mut listener);
+    let mut timer = TokenTimer::default();
+    let whole = run_with(&parts, &request_info(count), answer_request(1, count), &mut timer);
     assert_eq!(whole.expect("a whole answer").token_count, count);
-    let times = &listener.times;
-    times[times.len() - 1] - times[0]
+    let arrivals = &timer.times;
+    arrivals[arrivals.len() - 1] - arrivals[0]
 }
 
-/// An engine in memory whose tokens are all there when the stream opens.
-struct Flood;
+/// An in-memory engine that queues all tokens before it returns the stream.
+struct InstantEngine;
 
-impl Engine for Flood {
+impl Engine for InstantEngine {
     fn generate(
         &self,
         _: SocketAddr,
@@ -341,30 +347,30 @@
     }
 
     fn load(&self, _: SocketAddr, _: Duration) -> CallResult<Load> {
-        Err(none())
+        Err(unsupported())
     }
 
     fn cancel(&self, _: SocketAddr, _: &Cancel, _: Duration) -> CallResult<()> {
-        Err(none())
+        Err(unsupported())
     }
 
     fn export(&self, _: SocketAddr, _: &KvExport, _: Duration) -> CallResult<Kv> {
-        Err(none())
+        Err(unsupported())
     }
 
     fn import(&self, _: SocketAddr, _: &Kv, _: Duration) -> CallResult<()> {
-        Err(none())
+        Err(unsupported())
     }
 
     fn cache(&self, _: SocketAddr, _: u64, _: Duration) -> CallResult<CacheEvents> {
-        Err(none())
+        Err(unsupported())
     }
 
     fn order(&self, _: SocketAddr, _: &Order, _: Duration) -> CallResult<Holding> {
-        Err(none())
+        Err(unsupported())
     }
 }
 
-fn none() -> CallError {
+fn unsupported() -> CallError {
     CallError::Lost("not part of this engine".to_owned())
 }
--- a/crates/roseshore_bench/src/bin/capacity.rs
+++ b/crates/roseshore_bench/src/bin/capacity.rs
@@ -1,4 +1,4 @@
-//! Measures what the parts of a daemon cost by size, and prints the rows of `docs/CAPACITY.md`.
+//! Measures the resource costs of a daemon's parts by size and prints the rows of `docs/CAPACITY.md`.
 
 use clap::{Arg, Command};
 use roseshore_bench::capacity::{daemons, states, usage};
@@ -18,13 +18,13 @@
     println!("|---|---|---|---|---|");
     if text("part") != "daemons" {
         for role in states::ROLES.iter().filter(|role| role.contains(text("only"))) {
-            for series in states::of(role) {
+            for series in states::measure(role) {
                 println!("{series}");
             }
         }
     }
     if text("part") != "states" {
-        for series in daemons::all(text("only"), |line| eprintln!("{line}"))? {
+        for series in daemons::measure(text("only"), |line| eprintln!("{line}"))? {
             println!("{series}");
         }
     }
--- a/crates/roseshore_bench/src/bin/claims.rs
+++ b/crates/roseshore_bench/src/bin/claims.rs
@@ -1,5 +1,5 @@
-//! Measures unrepeatable work: keys a second and their latency through the log stand-in, with and
-//! without batching, and the time and memory of the fold by its size.
+//! Measures claims on idempotency keys: throughput and latency through the simulated log, with and
+//! without batching, and the time and memory needed to replay the log, by number of keys.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -17,18 +17,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// Daemons before one log.
+/// Number of daemons that share the log.
 const DAEMONS: usize = 8;
-/// The longest time of one run.
+/// Maximum duration of a run, and of the final flush of each daemon.
 const LIMIT: Duration = Duration::from_secs(10);
-/// The longest time that is told apart, microseconds.
+/// Upper bound of the histogram, microseconds; longer times are recorded as this value.
 const MAX_MICROS: u64 = 60_000_000;
-/// Bytes of a page of memory.
-const PAGE: usize = 4096;
+/// Size of a memory page, bytes.
+const PAGE_BYTES: usize = 4096;
 
-struct One(Member);
+struct SingleMember(Member);
 
-impl Members for One {
+impl Members for SingleMember {
     fn own(&self) -> Member {
         self.0.clone()
     }
@@ -46,9 +46,9 @@
     }
 }
 
-struct Nobody;
+struct NoPeers;
 
-impl Peers for Nobody {
+impl Peers for NoPeers {
     fn ask(
         &self,
         _addr: SocketAddr,
@@ -59,12 +59,12 @@
     }
 }
 
-/// One run's figures.
+/// Results of a run.
 struct Figures {
     keys: usize,
     refused: usize,
     took: Duration,
-    /// Whether the log took every outcome.
+    /// Whether every daemon wrote all its outcomes to the log within the limit.
     flushed: bool,
     appends: u64,
     wins: Histogram<u64>,
@@ -94,7 +94,7 @@
     }
     println!("fold: keys | us a record | bytes a key");
     for keys in [10_000, 20_000, 40_000, 80_000] {
-        fold(keys);
+        measure_replay(keys);
     }
     Ok(())
 }
@@ -104,8 +104,8 @@
     let log = Arc::new(HttpPlatform::new(platform.addr(), Duration::from_secs(2)));
     let config = ClaimsConfig { partitions, max_records: 100_000, max_batch };
     let start = |host: usize| {
-        let members = Arc::new(One(member(host)));
-        ClaimsDriver::start(config, log.clone(), Arc::new(Nobody), members)
+        let members = Arc::new(SingleMember(member(host)));
+        ClaimsDriver::start(config, log.clone(), Arc::new(NoPeers), members)
     };
     let drivers = (0..DAEMONS).map(start).collect::<std::io::Result<Vec<_>>>()?;
     let total = callers * 20;
@@ -123,7 +123,7 @@
                     if key >= total {
                         return;
                     }
-                    match one(driver, key) {
+                    match claim_key(driver, key) {
                         Some(won) => wins.lock().saturating_record(won.as_micros() as u64),
                         None => drop(refused.fetch_add(1, Ordering::Relaxed)),
                     }
@@ -138,8 +138,9 @@
     Ok(Figures { keys, refused, took, flushed, appends: platform.appends(), wins })
 }
 
-/// Runs one key; the time until it was won.
-fn one(driver: &ClaimsDriver, key: usize) -> Option<Duration> {
+/// Claims a key and settles its outcome; returns the time to win the claim, or `None` if it was not
+/// won.
+fn claim_key(driver: &ClaimsDriver, key: usize) -> Option<Duration> {
     let began = Instant::now();
     let ClaimResult::Won(claim) = driver.begin(&format!("o/s/{key}"), 7, began + LIMIT) else {
         return None;
@@ -165,8 +166,8 @@
     }
 }
 
-/// Folds a claim and an outcome without a body for each key.
-fn fold(count: u64) {
+/// Replays a claim and an outcome without a body for each key, and prints the time and memory.
+fn measure_replay(count: u64) {
     let owner = Owner { host: "host-17".into(), incarnation: 1 };
     let line =
         |key: u64, act: Act| Record { key: format!("org/service/{key:032x}"), nonce: key, act };
@@ -176,22 +177,22 @@
         let outcome = Outcome { verdict: Verdict::Answered, ..Outcome::unknown() };
         lines.push(line(key, Act::Outcome { digest: 7, outcome, whole: true }).line());
     }
-    let before = resident();
+    let before = resident_bytes();
     let began = Instant::now();
     let mut keys = Keys::new(usize::MAX);
     for (offset, line) in (0..).zip(&lines) {
         keys.apply(offset, offset, line);
     }
     let took = began.elapsed().as_secs_f64() * 1e6 / lines.len() as f64;
-    let bytes = resident().saturating_sub(before) / keys.len().max(1);
+    let bytes = resident_bytes().saturating_sub(before) / keys.len().max(1);
     println!("{count:>10} | {took:>11.2} | {bytes:>11}");
-    // Memory that is given back would be counted as free for the next size.
+    // Leaked, because the next size would reuse freed memory and be measured too low.
     std::mem::forget(keys);
 }
 
-/// Resident memory of this process, bytes; 0 where the system does not say.
-fn resident() -> usize {
+/// Resident memory of this process, bytes; 0 if it cannot be read.
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<usize>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
--- a/crates/roseshore_bench/src/bin/figures.rs
+++ b/crates/roseshore_bench/src/bin/figures.rs
@@ -162,7 +162,7 @@
     for (seed, times) in [(1, 0.5), (2, 1.0), (3, 3.0)] {
         let spent = || {
             let ids = world.daemons.iter().map(|daemon| daemon.process.id());
-            ids.map(usage::processor).sum::<Duration>()
+            ids.map(usage::cpu_time).sum::<Duration>()
         };
         let (begun, before) = (Instant::now(), spent());
         let offer = || offer_streams(daemons.clone(), most * times, LOAD_SPAN, seed);
--- a/crates/roseshore_bench/src/capacity.rs
+++ b/crates/roseshore_bench/src/capacity.rs
@@ -1,7 +1,7 @@
-//! What the parts of a daemon cost by size, measured here and carried on to the target size.
+//! Resource costs of a daemon's parts, measured at several sizes and extrapolated to a planned size.
 //!
-//! A [`Series`] holds one cost at several sizes. A line is fitted through it, and the line's value
-//! at the size of two years from now is what `docs/CAPACITY.md` calls worked out.
+//! A [`Series`] holds one cost at several sizes and is fitted with a line. The line's values at the
+//! size planned for two years from now are in the column `worked out` of `docs/CAPACITY.md`.
 
 pub mod daemons;
 pub mod fit;
@@ -12,51 +12,54 @@
 use fit::{Line, Point, fit};
 use std::fmt;
 
-/// Organisations at the target size.
+/// Organisations at the planned size.
 pub const ORGANISATIONS: f64 = 33_000.0;
-/// Daemons at the target size.
+/// Daemons at the planned size.
 pub const DAEMONS: f64 = 390.0;
-/// Data centres at the target size.
-pub const CENTRES: f64 = 22.0;
-/// Daemons of one data centre at the target size.
-pub const NEAR: f64 = 18.0;
-/// Targets if each replica is one.
+/// Data centres at the planned size.
+pub const DATA_CENTRES: f64 = 22.0;
+/// Daemons in one data centre at the planned size.
+pub const DAEMONS_PER_CENTRE: f64 = 18.0;
+/// Targets at the planned size if each replica is one target.
 pub const REPLICAS: f64 = 2_000.0;
-/// Targets if each accelerator is one.
+/// Targets at the planned size if each accelerator is one target.
 pub const ACCELERATORS: f64 = 8_100.0;
 
-/// One cost at several sizes.
+/// One cost, measured at several sizes.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// The part of the daemon.
+    /// The measured part of the daemon.
     pub role: &'static str,
-    /// What is counted, with its unit.
+    /// The measured quantity, with its unit.
     pub cost: &'static str,
-    /// What the size counts.
+    /// The unit of the size, such as organisations.
     pub size: &'static str,
     /// The measured points.
     pub points: Vec<Point>,
-    /// The sizes to carry it on to.
+    /// Sizes at which the line is evaluated.
     pub goals: Vec<f64>,
 }
 
 impl Series {
-    /// The line through the points; `None` when all sizes are alike.
+    /// The fitted line; `None` unless at least two sizes differ.
     pub fn line(&self) -> Option<Line> {
         fit(&self.points)
     }
 }
 
-/// One row of the table in `docs/CAPACITY.md`.
+/// Formats the series as a row of the table in `docs/CAPACITY.md`.
 impl fmt::Display for Series {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let points = self.points.iter().map(|p| format!("{}: {}", short(p.size), short(p.cost)));
+        let points = self
+            .points
+            .iter()
+            .map(|p| format!("{}: {}", format_short(p.size), format_short(p.cost)));
         let points: Vec<String> = points.collect();
         let (line, goals) = match self.line() {
             Some(line) => {
                 let goals = self.goals.iter().map(|&goal| {
                     let value = line.at(goal);
-                    format!("{}: {}", short(goal), short(value))
+                    format!("{}: {}", format_short(goal), format_short(value))
                 });
                 (line.to_string(), goals.collect::<Vec<_>>().join(", "))
             }
@@ -67,8 +70,9 @@
     }
 }
 
-/// Three figures of a number.
-pub(crate) fn short(value: f64) -> String {
+/// Formats a number with about three significant digits; numbers from 100 and integers are printed
+/// without decimals.
+pub(crate) fn format_short(value: f64) -> String {
     let size = value.abs();
     if size >= 100.0 || value.fract() == 0.0 {
         format!("{value:.0}")
--- a/crates/roseshore_bench/src/capacity/daemons.rs
+++ b/crates/roseshore_bench/src/capacity/daemons.rs
@@ -1,12 +1,15 @@
-//! What real daemons spend at rest, by what they have to know and whom they have to tell.
+//! Resource use of idle daemons, by the size of their configuration and the number of their peers.
 //!
-//! Separate processes, as in service; nothing is asked of them while they are watched. Connections
-//! to the platform and to one target go through a [`Relay`], which counts their bytes; datagrams
-//! are those of the daemons' own metrics. Connections between daemons are not counted.
+//! Daemons run as separate processes, as in production, and receive no requests during the
+//! measurement. Connections to the platform and to one target go through a [`Relay`] that counts
+//! their bytes; datagram bytes come from the daemons' metrics. Connections between daemons are not
+//! counted.
 
 use super::fit::Point;
 use super::relay::Relay;
-use super::{ACCELERATORS, CENTRES, DAEMONS, NEAR, ORGANISATIONS, REPLICAS, Series, usage};
+use super::{
+    ACCELERATORS, DAEMONS, DAEMONS_PER_CENTRE, DATA_CENTRES, ORGANISATIONS, REPLICAS, Series, usage,
+};
 use roseshore_core::fleet::DataCentre;
 use roseshore_core::prelude::*;
 use roseshore_harness::fleets::{self, Shape};
@@ -17,63 +20,63 @@
 use std::net::SocketAddr;
 use std::thread;
 
-/// Time for a system to come to rest after it started.
-const SETTLE: Duration = Duration::from_secs(3);
-/// Time in which it is watched.
-const WATCH: Duration = Duration::from_secs(10);
-/// Objects in one command.
-const CHANGES: usize = 2_000;
+/// Time for a system to become idle after its start.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Length of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(10);
+/// Maximum number of objects in one command.
+const OBJECTS_PER_COMMAND: usize = 2_000;
 
-/// What to start.
+/// Size of the system to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// Engine targets.
+    /// Number of engine targets; even, as a chain has two.
     pub targets: usize,
-    /// Data centres.
+    /// Number of data centres.
     pub centres: usize,
     /// Daemons in each data centre.
     pub daemons: usize,
-    /// Organisations.
+    /// Number of organisations.
     pub organisations: usize,
-    /// Hosts on the host list that run no daemon.
+    /// Number of additional hosts on the host list, which run neither daemons nor targets.
     pub hosts: usize,
 }
 
-/// The smallest system.
-const SMALL: Setup = Setup { targets: 2, centres: 1, daemons: 1, organisations: 1, hosts: 0 };
+/// The smallest system, from which each [`Growth`] varies one size.
+const SMALLEST: Setup = Setup { targets: 2, centres: 1, daemons: 1, organisations: 1, hosts: 0 };
 
-/// What one daemon spends at rest, the mean over all of a system.
+/// Resource use of an idle daemon, the mean over all daemons of a system.
 #[derive(Clone, Copy, Debug)]
 pub struct Rest {
-    /// Processor time, part of one core in 100.
+    /// Processor time, per cent of one core.
     pub processor: f64,
     /// Resident memory, MB.
     pub memory: f64,
-    /// Datagrams, both ways, bytes a second.
+    /// Datagrams in both directions, bytes per second.
     pub datagrams: f64,
-    /// Connections to the platform, both ways, bytes a second.
+    /// Connections to the platform in both directions, bytes per second.
     pub platform: f64,
-    /// Connections to one target, both ways, bytes a second.
+    /// Connections to one target in both directions, bytes per second.
     pub target: f64,
 }
 
-/// A quantity of [`Rest`].
-type Pick = fn(&Rest) -> f64;
+/// Selects a field of [`Rest`].
+type Selector = fn(&Rest) -> f64;
 
-/// One kind of growth and what it is expected to move.
+/// A size that is varied, and the costs that are expected to depend on it.
 struct Growth {
     role: &'static str,
     size: &'static str,
     setups: [(usize, Setup); 4],
-    costs: &'static [(&'static str, Pick)],
+    costs: &'static [(&'static str, Selector)],
     goals: &'static [f64],
 }
 
-const CORE: (&str, Pick) = ("% of a core", |r| r.processor);
-const MEMORY: (&str, Pick) = ("MB resident", |r| r.memory);
-const DATAGRAMS: (&str, Pick) = ("datagram bytes/s", |r| r.datagrams);
-const PLATFORM: (&str, Pick) = ("platform bytes/s", |r| r.platform);
-const TARGET: (&str, Pick) = ("bytes/s to one target", |r| r.target);
+const CORE: (&str, Selector) = ("% of a core", |r| r.processor);
+const MEMORY: (&str, Selector) = ("MB resident", |r| r.memory);
+const DATAGRAMS: (&str, Selector) = ("datagram bytes/s", |r| r.datagrams);
+const PLATFORM: (&str, Selector) = ("platform bytes/s", |r| r.platform);
+const TARGET: (&str, Selector) = ("bytes/s to one target", |r| r.target);
 
 fn growths() -> [Growth; 5] {
     let sizes = |sizes: [usize; 4], setup: fn(usize) -> Setup| sizes.map(|n| (n, setup(n)));
@@ -81,30 +84,30 @@
         Growth {
             role: "daemon: polling",
             size: "targets polled by one daemon",
-            setups: sizes([10, 20, 40, 80], |targets| Setup { targets, ..SMALL }),
+            setups: sizes([10, 20, 40, 80], |targets| Setup { targets, ..SMALLEST }),
             costs: &[CORE, MEMORY, TARGET],
             goals: &[REPLICAS / DAEMONS, ACCELERATORS / DAEMONS],
         },
         Growth {
             role: "daemon: heartbeats",
             size: "daemons of the data centre",
-            setups: sizes([2, 4, 8, 18], |daemons| Setup { daemons, ..SMALL }),
+            setups: sizes([2, 4, 8, 18], |daemons| Setup { daemons, ..SMALLEST }),
             costs: &[CORE, MEMORY, DATAGRAMS],
-            goals: &[NEAR],
+            goals: &[DAEMONS_PER_CENTRE],
         },
         Growth {
             role: "daemon: data centres",
             size: "data centres",
-            setups: sizes([2, 6, 11, 22], |centres| Setup { centres, ..SMALL }),
+            setups: sizes([2, 6, 11, 22], |centres| Setup { centres, ..SMALLEST }),
             costs: &[CORE, MEMORY, DATAGRAMS, PLATFORM],
-            goals: &[CENTRES],
+            goals: &[DATA_CENTRES],
         },
         Growth {
             role: "daemon: configuration",
             size: "organisations",
             setups: sizes([4_000, 8_000, 16_000, 33_000], |organisations| Setup {
                 organisations,
-                ..SMALL
+                ..SMALLEST
             }),
             costs: &[CORE, MEMORY],
             goals: &[ORGANISATIONS],
@@ -112,23 +115,24 @@
         Growth {
             role: "daemon: host list",
             size: "hosts listed",
-            setups: sizes([300, 600, 1_200, 2_400], |hosts| Setup { hosts, ..SMALL }),
+            setups: sizes([300, 600, 1_200, 2_400], |hosts| Setup { hosts, ..SMALLEST }),
             costs: &[CORE, MEMORY, PLATFORM],
             goals: &[DAEMONS + REPLICAS, DAEMONS + ACCELERATORS],
         },
     ]
 }
 
-/// Every series whose role holds `only`, telling `say` of each system as it is done.
+/// Measures every series whose role contains `only`; calls `say` with a progress line after each
+/// system.
 ///
 /// # Errors
-/// When a system does not start.
-pub fn all(only: &str, mut say: impl FnMut(&str)) -> Result<Vec<Series>, ProcessError> {
+/// If a system does not start.
+pub fn measure(only: &str, mut say: impl FnMut(&str)) -> Result<Vec<Series>, ProcessError> {
     let mut series = Vec::new();
     for growth in growths().into_iter().filter(|g| g.role.contains(only)) {
         let mut found = Vec::new();
         for (size, setup) in growth.setups {
-            let rest = watch(setup)?;
+            let rest = measure_system(setup)?;
             say(&format!("{} {size} {}: {rest:.2?}", growth.role, growth.size));
             found.push((size, rest));
         }
@@ -147,25 +151,25 @@
     Ok(series)
 }
 
-/// Starts a system, lets it rest and watches it.
+/// Starts a system, waits until it is idle and measures it.
 ///
 /// # Errors
-/// When it does not start.
-pub fn watch(setup: Setup) -> Result<Rest, ProcessError> {
+/// If it does not start.
+pub fn measure_system(setup: Setup) -> Result<Rest, ProcessError> {
     let relays = [relay()?, relay()?];
     let [platform, target] = &relays;
     let flags = vec!["--log".to_owned(), platform.addr().to_string()];
     let plan = Plan { fleet: fleet(setup), daemons: setup.daemons, flags, ..Plan::default() };
     let mut world = World::start(plan)?;
-    platform.point(world.log);
+    platform.forward_to(world.log);
     let first = world.plan.fleet.targets.values_mut().next();
     let first = first.ok_or_else(|| ProcessError::NotReady("a fleet with targets".into()))?;
-    target.point(first.addr);
+    target.forward_to(first.addr);
     first.addr = target.addr();
     list_hosts(&world, setup.hosts)?;
     declare(&world)?;
-    thread::sleep(SETTLE);
-    Ok(rest(&world, &relays))
+    thread::sleep(SETTLE_TIME);
+    Ok(measure_idle(&world, &relays))
 }
 
 fn relay() -> Result<Relay, ProcessError> {
@@ -187,7 +191,7 @@
     fleet
 }
 
-/// Puts the system's own hosts and `more` others on the host list.
+/// Sets the host list to the system's own hosts and `more` others.
 fn list_hosts(world: &World, more: usize) -> Result<(), ProcessError> {
     let daemons =
         world.daemons.iter().map(|d| (d.host.clone(), d.data_centre.clone(), Some(d.peer)));
@@ -205,9 +209,9 @@
     world.caller.post(world.log, "/_hosts", &hosts).map(drop)
 }
 
-/// Declares the fleet in commands of a bounded size and waits until every daemon is ready.
+/// Submits the fleet in commands of at most [`OBJECTS_PER_COMMAND`] objects and waits until every daemon is ready.
 fn declare(world: &World) -> Result<(), ProcessError> {
-    for (number, part) in objects(&world.plan.fleet).chunks(CHANGES).enumerate() {
+    for (number, part) in objects(&world.plan.fleet).chunks(OBJECTS_PER_COMMAND).enumerate() {
         match world.command(&format!("part-{number}"), part)? {
             Outcome::Accepted { .. } => {}
             other => return Err(ProcessError::Call(format!("part {number}: {other:?}"))),
@@ -221,20 +225,21 @@
     Ok(())
 }
 
-fn rest(world: &World, relays: &[Relay; 2]) -> Rest {
+fn measure_idle(world: &World, relays: &[Relay; 2]) -> Rest {
     let read = || {
         let processor: f64 =
-            world.daemons.iter().map(|d| usage::processor(d.process.id()).as_secs_f64()).sum();
+            world.daemons.iter().map(|d| usage::cpu_time(d.process.id()).as_secs_f64()).sum();
         let datagrams: f64 = world.daemons.iter().map(|d| datagrams(world, d.addr)).sum();
         let [platform, target] = relays;
         [processor, datagrams, platform.bytes() as f64, target.bytes() as f64]
     };
     let (begun, before) = (Instant::now(), read());
-    thread::sleep(WATCH);
+    thread::sleep(MEASURE_TIME);
     let (after, took) = (read(), begun.elapsed().as_secs_f64());
     let count = world.daemons.len() as f64;
     let each = |i: usize| (after[i] - before[i]) / took / count;
-    let memory = world.daemons.iter().map(|d| usage::resident_of(&d.process.id().to_string()));
+    let memory =
+        world.daemons.iter().map(|d| usage::resident_bytes_of(&d.process.id().to_string()));
     Rest {
         processor: each(0) * 100.0,
         memory: memory.sum::<usize>() as f64 / count / 1e6,
@@ -244,7 +249,7 @@
     }
 }
 
-/// Bytes of a daemon's datagrams so far, both ways.
+/// Bytes of a daemon's datagrams so far, in both directions; 0 if its metrics cannot be read.
 fn datagrams(world: &World, addr: SocketAddr) -> f64 {
     let text = world.caller.get(addr, "/metrics").ok();
     let text = text.as_ref().and_then(|text| text.as_str()).unwrap_or_default();
--- a/crates/roseshore_bench/src/capacity/fit.rs
+++ b/crates/roseshore_bench/src/capacity/fit.rs
@@ -1,14 +1,14 @@
-//! A line through measured points, by least squares.
+//! Least-squares fit of a line.
 
-use super::short;
+use super::format_short;
 use std::fmt;
 
-/// What something cost at one size.
+/// A cost measured at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// The size.
+    /// In the unit of [`Series::size`](super::Series::size).
     pub size: f64,
-    /// The cost there.
+    /// In the unit of [`Series::cost`](super::Series::cost).
     pub cost: f64,
 }
 
@@ -17,14 +17,14 @@
 pub struct Line {
     /// The cost at size 0.
     pub base: f64,
-    /// What each unit of size adds.
+    /// Increase of the cost per unit of size.
     pub slope: f64,
-    /// The root of the mean square of the residuals, as a part of the mean cost.
+    /// Root mean square of the residuals, as a fraction of the absolute mean cost.
     pub error: f64,
 }
 
 impl Line {
-    /// The cost at a size.
+    /// The cost that the line gives for a size.
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.slope * size
     }
@@ -32,12 +32,12 @@
 
 impl fmt::Display for Line {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (base, slope) = (short(self.base), short(self.slope));
+        let (base, slope) = (format_short(self.base), format_short(self.slope));
         write!(f, "{base} + {slope}·n, ±{:.0}%", self.error * 100.0)
     }
 }
 
-/// The line with the least squares of residuals; `None` unless two sizes differ.
+/// Fits a line by least squares; `None` unless at least two sizes differ.
 pub fn fit(points: &[Point]) -> Option<Line> {
     let count = points.len() as f64;
     let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
--- a/crates/roseshore_bench/src/capacity/states.rs
+++ b/crates/roseshore_bench/src/capacity/states.rs
@@ -1,15 +1,16 @@
-//! The decisions' state and time at four sizes each, in this process.
+//! Memory and time of the daemon's state machines at four sizes each, measured in this process.
 //!
-//! Memory is the growth of the resident set while several copies of a state are made, so that pages
-//! count little; the copies are kept, for memory given back would look free to the next size.
+//! Memory is the growth of the resident set while several copies of a state are built, so that
+//! rounding to whole pages matters little. The copies are leaked: the next size would reuse freed
+//! memory, and its growth would be measured too low.
 
 use super::fit::Point;
-use super::{ACCELERATORS, CENTRES, DAEMONS, ORGANISATIONS, REPLICAS, Series, usage};
+use super::{ACCELERATORS, DAEMONS, DATA_CENTRES, ORGANISATIONS, REPLICAS, Series, usage};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use roseshore_core::admit::{Admission, AdmitResult, Arrival, Capacity};
 use roseshore_core::config::{
-    Change, Command, Decision, FORMAT, Object, ObjectKey, Outcome as Folding, State,
+    Change, Command, Decision, FORMAT, Object, ObjectKey, Outcome as FoldOutcome, State,
 };
 use roseshore_core::fleet::{DataCentre, TargetKind};
 use roseshore_core::ledger::account::{AccountDelta, Counts, Fold, Row, RowKey};
@@ -24,26 +25,26 @@
 use std::hint::black_box;
 use std::net::SocketAddr;
 
-/// Memory that the copies of a state should fill at least, bytes.
-const FILL: usize = 24 << 20;
-/// Calls in a batch that is timed.
-const BATCH: usize = 500;
-/// Batches; the median counts.
+/// Total size to aim for when choosing the number of copies, bytes.
+const TOTAL_BYTES: usize = 24 << 20;
+/// Calls per timed batch.
+const BATCH_CALLS: usize = 500;
+/// Number of batches, of which the median is reported.
 const BATCHES: usize = 9;
-/// Changes in one command.
+/// Maximum number of changes in one command.
 const CHANGES: usize = 500;
-/// Models at the target size.
+/// Models at the planned size.
 const MODELS: usize = 24;
-/// Data centres of the measured fleets.
-const ZONES: usize = CENTRES as usize;
+/// Number of data centres in the measured fleets.
+const CENTRE_COUNT: usize = DATA_CENTRES as usize;
 
-/// The parts of a daemon that are measured here.
+/// Parts of a daemon that [`measure`] accepts.
 pub const ROLES: [&str; 7] =
     ["configuration", "routing", "membership", "claims", "ledger", "account", "admission"];
 
-/// The series of one of [`ROLES`]; in a process of its own, so that memory that another gave back
-/// is not taken for this one's.
-pub fn of(role: &str) -> Vec<Series> {
+/// Measures one of [`ROLES`]; returns no series for another name. Memory freed by an earlier role can
+/// be reused by a later one and so lower its result; a process per role avoids this.
+pub fn measure(role: &str) -> Vec<Series> {
     match role {
         "configuration" => configuration(),
         "routing" => routing(),
@@ -56,23 +57,23 @@
     }
 }
 
-/// Bytes of one copy of what `make` makes, whose size is about `guess` bytes.
-fn bytes<T>(guess: usize, mut make: impl FnMut() -> T) -> f64 {
-    let copies = (FILL / guess.max(1)).clamp(1, 2000);
-    let before = usage::resident();
+/// Resident bytes per copy of the value that `make` builds; `guess` is its approximate size in bytes.
+fn bytes_per_copy<T>(guess: usize, mut make: impl FnMut() -> T) -> f64 {
+    let copies = (TOTAL_BYTES / guess.max(1)).clamp(1, 2000);
+    let before = usage::resident_bytes();
     let held: Vec<T> = (0..copies).map(|_| make()).collect();
-    let grown = usage::resident().saturating_sub(before);
+    let grown = usage::resident_bytes().saturating_sub(before);
     std::mem::forget(held);
     grown as f64 / copies as f64
 }
 
-/// Microseconds of one call, the median of batches.
-fn micros(mut call: impl FnMut(usize)) -> f64 {
+/// Duration of one call in microseconds, the median over the batches.
+fn median_micros(mut call: impl FnMut(usize)) -> f64 {
     let mut took: Vec<f64> = (0..BATCHES)
         .map(|batch| {
             let begun = Instant::now();
-            (0..BATCH).for_each(|round| call(batch * BATCH + round));
-            begun.elapsed().as_secs_f64() * 1e6 / BATCH as f64
+            (0..BATCH_CALLS).for_each(|round| call(batch * BATCH_CALLS + round));
+            begun.elapsed().as_secs_f64() * 1e6 / BATCH_CALLS as f64
         })
         .collect();
     took.sort_by(f64::total_cmp);
@@ -94,7 +95,7 @@
     let target = Target {
         kind: TargetKind::Engine,
         host: format!("host-{n:05}"),
-        data_centre: format!("z{}", n / 3 % ZONES),
+        data_centre: format!("z{}", n / 3 % CENTRE_COUNT),
         addr: SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8], 8000)),
         serves: None,
         model: Some(format!("m{}", n / 3 % MODELS)),
@@ -107,8 +108,8 @@
 
 fn base_objects() -> Vec<(ObjectKey, Object)> {
     let mut fleet = Fleet::default();
-    for zone in 0..ZONES {
-        let links = (0..ZONES)
+    for zone in 0..CENTRE_COUNT {
+        let links = (0..CENTRE_COUNT)
             .filter(|&other| other != zone)
             .map(|other| (format!("z{other}"), 5.0))
             .collect();
@@ -123,13 +124,13 @@
     fleet.objects()
 }
 
-/// A record of one command.
+/// Serialises a command as a log record.
 fn command(id: CommandId, made_at: Offset, changes: Vec<Change>) -> String {
     let command = Command { format: FORMAT, id, operator: "operator".into(), made_at, changes };
     serde_json::to_string(&command).expect("a command is JSON")
 }
 
-/// The records of commands that put these objects.
+/// Log records of commands that put the objects.
 fn records(objects: &[(ObjectKey, Object)]) -> Vec<String> {
     let record = |(at, part): (usize, &[(ObjectKey, Object)])| {
         let change = |(key, object): &(ObjectKey, Object)| Change {
@@ -142,20 +143,20 @@
     objects.chunks(CHANGES).enumerate().map(record).collect()
 }
 
-fn folded(records: &[String]) -> State {
+fn fold_records(records: &[String]) -> State {
     let mut state = State::default();
     for record in records {
         let folded = state.fold(state.offset(), record).expect("in order");
-        assert_eq!(folded.outcome, Folding::Decided(Decision::Accepted));
+        assert_eq!(folded.outcome, FoldOutcome::Decided(Decision::Accepted));
     }
     state
 }
 
-/// A fold of organisations.
+/// The state of a configuration with `count` organisations.
 fn many_organisations(count: usize) -> State {
     let mut objects = base_objects();
     objects.extend((0..count).map(organisation));
-    folded(&records(&objects))
+    fold_records(&records(&objects))
 }
 
 fn configuration() -> Vec<Series> {
@@ -175,7 +176,7 @@
         };
         objects.extend((0..n).map(object));
         let records = records(&objects);
-        let state = bytes(n * 900, || folded(&records));
+        let state = bytes_per_copy(n * 900, || fold_records(&records));
         std::mem::forget((objects, records));
         state
     });
@@ -183,19 +184,19 @@
         let mut objects = base_objects();
         objects.extend((0..n).map(organisation));
         let records = records(&objects);
-        let state = bytes(n * 600, || folded(&records));
+        let state = bytes_per_copy(n * 600, || fold_records(&records));
         std::mem::forget((objects, records));
         state
     });
     let copy = points(SIZES, |n| {
         let state = many_organisations(n);
-        let copy = bytes(n * 150, || state.fleet().clone());
+        let copy = bytes_per_copy(n * 150, || state.fleet().clone());
         std::mem::forget(state);
         copy
     });
     let fold = points(SIZES, |n| {
         let mut state = many_organisations(n);
-        micros(|round| {
+        median_micros(|round| {
             let (_, object) = organisation(round);
             let key = ObjectKey::new(object.kind(), format!("new-{}", round % 64));
             let base = state.meta(&key).map(|meta| meta.version);
@@ -266,12 +267,12 @@
     };
     let tables = points(SIZES, |n| {
         let fleet = fleet(n);
-        bytes(n * 600, || router(&fleet, now))
+        bytes_per_copy(n * 600, || router(&fleet, now))
     });
     let chain = points(SIZES, |n| {
         let mut router = router(&fleet(n), now);
         let models: Vec<String> = (0..MODELS).map(|m| format!("m{m}")).collect();
-        micros(|round| {
+        median_micros(|round| {
             let need = ChainRequest {
                 model: &models[round % MODELS],
                 version: "2028-11",
@@ -291,7 +292,7 @@
     let report = points(SIZES, |n| {
         let mut router = router(&fleet(n), now);
         let ids: Vec<TargetId> = (0..n).map(|i| target(i).0).collect();
-        micros(|round| {
+        median_micros(|round| {
             let seen = now + Duration::from_micros(1 + round as u64);
             router.report(&ids[round % n], seen, PollResult::Engine(engine(round % n)));
         })
@@ -336,15 +337,15 @@
 fn membership() -> Vec<Series> {
     const SIZES: [usize; 4] = [49, 98, 195, 390];
     let now = Instant::now();
-    let memory = points(SIZES, |n| bytes(n * 500, || members(n, now)));
+    let memory = points(SIZES, |n| bytes_per_copy(n * 500, || members(n, now)));
     let tick = points(SIZES, |n| {
         let mut view = members(n, now);
-        micros(|_| drop(black_box(view.tick(now))))
+        median_micros(|_| drop(black_box(view.tick(now))))
     });
     let heard = points(SIZES, |n| {
         let mut view = members(n, now);
         let from = SocketAddr::from(([10, 0, 0, 1], 8081));
-        micros(|round| {
+        median_micros(|round| {
             drop(black_box(view.on_heartbeat(from, heartbeat(1, round as u64 + 1), now)));
         })
     });
@@ -383,7 +384,7 @@
     };
     let memory = points(SIZES, |n| {
         let lines = lines(n);
-        let memory = bytes(n * 480, || fold(&lines));
+        let memory = bytes_per_copy(n * 480, || fold(&lines));
         std::mem::forget(lines);
         memory
     });
@@ -394,7 +395,7 @@
         begun.elapsed().as_secs_f64() * 1e6
     });
     let series = |cost, points, goals| Series { role: "claims", cost, size: "keys", points, goals };
-    // What one partition remembers today, and a day of keys at 2% of the requests.
+    // The keys that one partition retains at present, and a day of keys at 2% of the requests.
     vec![
         series("bytes of the fold", memory, vec![10_000.0, 26e6]),
         series("us to fold all (claim and outcome)", time, vec![10_000.0]),
@@ -422,14 +423,14 @@
 
 fn ledger() -> Series {
     let points = points([1024, 2048, 3072, 4096], |n| {
-        bytes(n * 250, || {
-            let mut book = RequestHistory::default();
-            (0..n).for_each(|row| book.end(ended(row)));
-            book
+        bytes_per_copy(n * 250, || {
+            let mut history = RequestHistory::default();
+            (0..n).for_each(|row| history.end(ended(row)));
+            history
         })
     });
     let (role, cost, size) = ("ledger", "bytes of the book", "ended rows");
-    // Three rings of 4,096 rows.
+    // Three ring buffers of 4,096 rows each.
     Series { role, cost, size, points, goals: vec![3.0 * 4096.0] }
 }
 
@@ -452,14 +453,14 @@
     };
     let memory = points(SIZES, |n| {
         let part = part(n);
-        bytes(n * 200, || {
+        bytes_per_copy(n * 200, || {
             let mut fold = Fold::default();
             fold.apply(0, Some(&part));
             fold
         })
     });
     let (role, cost, size) = ("account", "bytes of the fold", "rows");
-    // Eight weeks of 2,000 rows.
+    // Eight weeks with 2,000 rows each.
     vec![Series { role, cost, size, points: memory, goals: vec![8.0 * 2_000.0] }]
 }
 
@@ -471,26 +472,26 @@
     for (key, object) in (0..8_000).map(organisation) {
         fleet.put(&key.id, object);
     }
-    let door = |n: usize| {
-        let mut door = Admission::default();
-        door.update_limit("chat", Capacity { slots: 1e6, busy: 0.0 });
+    let limiter = |n: usize| {
+        let mut limiter = Admission::default();
+        limiter.update_limit("chat", Capacity { slots: 1e6, busy: 0.0 });
         for id in &ids[..n] {
-            arrive(&mut door, &fleet, id, now);
+            arrive(&mut limiter, &fleet, id, now);
         }
-        door
+        limiter
     };
-    let memory = points(SIZES, |n| bytes(n * 250, || door(n)));
+    let memory = points(SIZES, |n| bytes_per_copy(n * 250, || limiter(n)));
     let time = points(SIZES, |n| {
-        let mut door = door(n);
+        let mut limiter = limiter(n);
         let mut later = now;
-        micros(|round| {
+        median_micros(|round| {
             later += Duration::from_millis(1);
-            arrive(&mut door, &fleet, &ids[round % n], later);
+            arrive(&mut limiter, &fleet, &ids[round % n], later);
         })
     });
     let tick = points(SIZES, |n| {
-        let mut door = door(n);
-        micros(|_| door.tick(18, now))
+        let mut limiter = limiter(n);
+        median_micros(|_| limiter.tick(18, now))
     });
     let series = |cost, points| {
         let (role, size) = ("admission", "active organisations");
@@ -503,7 +504,7 @@
     ]
 }
 
-fn arrive(door: &mut Admission, fleet: &Fleet, id: &str, now: Instant) {
+fn arrive(limiter: &mut Admission, fleet: &Fleet, id: &str, now: Instant) {
     let who = Arrival {
         organisation: id,
         service: "chat",
@@ -511,7 +512,7 @@
         priority: 4,
         cost: 1,
     };
-    if let AdmitResult::Admitted(pass) = door.arrive(fleet, &who, now, 0.5) {
-        door.release(pass, now, 0.5);
+    if let AdmitResult::Admitted(pass) = limiter.arrive(fleet, &who, now, 0.5) {
+        limiter.release(pass, now, 0.5);
     }
 }
--- a/crates/roseshore_bench/tests/capacity.rs
+++ b/crates/roseshore_bench/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The line through measured points, and what is read of a process.
+//! Tests of the line fit and of reading processor time.
 
 use roseshore_bench::capacity::fit::{Line, Point, fit};
 use roseshore_bench::capacity::usage::ticks;
--- a/crates/roseshore_bench/tests/links.rs
+++ b/crates/roseshore_bench/tests/links.rs
@@ -1,4 +1,4 @@
-//! Every link between the project's pages leads somewhere, and every page is reached from one.
+//! Checks that every link between Markdown pages resolves and that some page links to every page.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
     }
 }
 
-/// The targets of the links to files in a page.
+/// Paths of the files that a page links to.
 fn links(page: &Path) -> Vec<PathBuf> {
     let text = std::fs::read_to_string(page).expect("a page");
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
@@ -43,7 +43,7 @@
         }
     }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
-    // The matrix's pages are linked as a folder.
+    // The pages of the matrix of proofs are linked as a folder, not one by one.
     let proofs = root.join("docs/proofs");
     let lost = all[2..].iter().filter(|p| !p.starts_with(&proofs) && !reached.contains(*p));
     let lost: Vec<String> = lost.map(|p| p.display().to_string()).collect();
