--- a/crates/roseshore_adapters/tests/engine.rs
+++ b/crates/roseshore_adapters/tests/engine.rs
@@ -4,7 +4,7 @@
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
 use roseshore_fakes::closed::Closed;
-use roseshore_fakes::engine::rig::{ADAPTER, Rig, VERSION, whole, words};
+use roseshore_fakes::engine::chain::{ADAPTER, Rig, VERSION, whole, words};
 use roseshore_fakes::engine::{EngineFaults, EngineSettings};
 use roseshore_fakes::wait::wait_until;
 use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
--- a/crates/roseshore_adapters/tests/engine_orders.rs
+++ b/crates/roseshore_adapters/tests/engine_orders.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::rig::{MODEL, Rig, VERSION, whole};
+use roseshore_fakes::engine::chain::{MODEL, Rig, VERSION, whole};
 use roseshore_fakes::engine::text::prefix_hash;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings};
 use roseshore_fakes::http::{self, Handler, Request, Server};
--- a/crates/roseshore_adapters/tests/engine_resume.rs
+++ b/crates/roseshore_adapters/tests/engine_resume.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::rig::{Rig, whole, words};
+use roseshore_fakes::engine::chain::{Rig, whole, words};
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_fakes::wait::wait_until;
 use roseshore_ports::outside::{CallError, Engine, StreamItem};
--- a/crates/roseshore_fakes/src/engine.rs
+++ b/crates/roseshore_fakes/src/engine.rs
@@ -9,12 +9,12 @@
 mod answers;
 mod api;
 mod cache;
+pub mod chain;
 mod core;
 mod faults;
 mod kv;
 mod link;
 mod loader;
-pub mod rig;
 mod run;
 mod settings;
 mod slots;
--- a/crates/roseshore_fakes/tests/engine.rs
+++ b/crates/roseshore_fakes/tests/engine.rs
@@ -1,7 +1,7 @@
 //! Tests of the fake engine as a process, of its text, and of its line streams.
 
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::rig::{MODEL, VERSION, whole, words};
+use roseshore_fakes::engine::chain::{MODEL, VERSION, whole, words};
 use roseshore_fakes::engine::{EngineFaults, Stats, text};
 use roseshore_fakes::http::{Handler, LineWriter, Request, Server};
 use roseshore_wire::engine::{Generate, Load, Output, Stage};
