--- a/crates/roseshore_adapters/tests/engine.rs
+++ b/crates/roseshore_adapters/tests/engine.rs
@@ -4,7 +4,7 @@
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
 use roseshore_fakes::closed::Closed;
-use roseshore_fakes::engine::chain::{ADAPTER, Rig, VERSION, whole, words};
+use roseshore_fakes::engine::chain::{ADAPTER, EngineChain, VERSION, whole, words};
 use roseshore_fakes::engine::{EngineFaults, EngineSettings};
 use roseshore_fakes::wait::wait_until;
 use roseshore_ports::outside::{CallError, CallResult, Engine, StreamItem};
@@ -16,8 +16,8 @@
 const LIMIT: Duration = Duration::from_secs(30);
 const SHORT: Duration = Duration::from_secs(1);
 
-fn rig(stages: u16, tune: impl Fn(&mut EngineSettings)) -> Rig {
-    Rig::start(stages, tune).expect("free ports")
+fn chain(stages: u16, tune: impl Fn(&mut EngineSettings)) -> EngineChain {
+    EngineChain::start(stages, tune).expect("free ports")
 }
 
 fn open(ask: &Generate, limit: Duration) -> CallResult<flume::Receiver<StreamItem>> {
@@ -77,8 +77,8 @@
         case("no tokens", 3, "stop:0", None, (0, "stop")),
     ];
     for case in cases {
-        let rig = rig(case.stages, |_| ());
-        let mut ask = rig.ask("answer", 1);
+        let chain = chain(case.stages, |_| ());
+        let mut ask = chain.ask("answer", 1);
         ask.prompt = words(case.prompt);
         ask.adapter = case.adapter.map(str::to_owned);
         ask.trace = Some(format!("00-{:032x}-{:016x}-01", 7, 9));
@@ -95,7 +95,7 @@
             let ran: Vec<_> = lineage.iter().map(|s| (&s.target, s.layers, s.epoch)).collect();
             assert_eq!(ran, planned, "{}", case.name);
         }
-        assert_eq!(rig.stages[0].stats().trace, ask.trace, "{}", case.name);
+        assert_eq!(chain.stages[0].stats().trace, ask.trace, "{}", case.name);
     }
 }
 
@@ -160,12 +160,12 @@
         let mut faults = EngineFaults::default();
         (case.fault)(&mut faults);
         let frozen = faults.freeze || faults.freeze_after.is_some();
-        let rig = rig(3, |settings| settings.hop_timeout = if frozen { SHORT } else { LIMIT });
-        rig.stages[case.stage].faults().set(faults);
+        let chain = chain(3, |settings| settings.hop_timeout = if frozen { SHORT } else { LIMIT });
+        chain.stages[case.stage].faults().set(faults);
         // If the first stage freezes, only the deadline ends the stream. A frozen later stage is
         // reported by the stage before it.
         let limit = if frozen && case.stage == 0 { SHORT } else { LIMIT };
-        let ask = rig.ask("answer", 1);
+        let ask = chain.ask("answer", 1);
         check(case.name, &ask, open(&ask, limit), case.report);
     }
 }
@@ -242,10 +242,10 @@
         case("no stage", Some(0), |ask| ask.route.clear()),
     ];
     for Case { name, change, stage } in cases {
-        let rig = rig(3, |_| ());
-        let mut ask = rig.ask("answer", 1);
+        let chain = chain(3, |_| ());
+        let mut ask = chain.ask("answer", 1);
         change(&mut ask);
-        let opened = EngineClient::new().generate(rig.addr(), &ask, Instant::now() + LIMIT);
+        let opened = EngineClient::new().generate(chain.addr(), &ask, Instant::now() + LIMIT);
         if stage == Some(0) {
             let Err(CallError::Refused(409, _, body)) = opened else { panic!("{name}") };
             let holding: Holding = serde_json::from_str(&body).expect(name);
@@ -257,7 +257,7 @@
             };
             assert!(received.tokens.is_empty() && lost.starts_with("engine-"), "{name}: {lost}");
         }
-        let steps: u64 = rig.stages.iter().map(|stage| stage.stats().steps).sum();
+        let steps: u64 = chain.stages.iter().map(|stage| stage.stats().steps).sum();
         assert_eq!(steps, 0, "{name}");
     }
 }
@@ -370,7 +370,7 @@
     let cancel = Cancel { answer: "answer".to_owned(), epoch: 1, keep_kv: false };
     let addr = server();
     let stage = Stage { target: "engine-0".to_owned(), addr, layers: (0, 12), incarnation: 1 };
-    let mut ask = Rig { stages: Vec::new() }.ask("answer", 1);
+    let mut ask = EngineChain { stages: Vec::new() }.ask("answer", 1);
     ask.route.push(stage);
     // Lines of a stream are read after the response head, so a fault in them ends the open stream.
     let streamed = client
@@ -403,14 +403,14 @@
 
 #[test]
 fn abandoned_streams_are_closed() {
-    let rig = rig(3, |settings| settings.step = Duration::from_millis(5));
-    let mut ask = rig.ask("answer", 1);
+    let chain = chain(3, |settings| settings.step = Duration::from_millis(5));
+    let mut ask = chain.ask("answer", 1);
     ask.max_tokens = 1_000_000;
     let stream = open(&ask, LIMIT * 10).expect("open");
     assert!(matches!(stream.recv_timeout(LIMIT), Ok(StreamItem::Output(_))));
     drop(stream);
     let client = EngineClient::new();
-    for stage in &rig.stages {
+    for stage in &chain.stages {
         let idle = || client.load(stage.addr(), LIMIT).is_ok_and(|load| load.running == 0);
         wait_until("the stages have stopped", idle);
     }
@@ -420,7 +420,7 @@
 fn an_abandoned_stream_of_a_silent_engine_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let addr = listener.local_addr().expect("bound");
-    let mut ask = Rig { stages: Vec::new() }.ask("answer", 1);
+    let mut ask = EngineChain { stages: Vec::new() }.ask("answer", 1);
     let target = "engine-0".to_owned();
     ask.route.push(Stage { target, addr, layers: (0, 12), incarnation: 1 });
     let engine = thread::spawn(move || {
--- a/crates/roseshore_adapters/tests/engine_orders.rs
+++ b/crates/roseshore_adapters/tests/engine_orders.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::chain::{MODEL, Rig, VERSION, whole};
+use roseshore_fakes::engine::chain::{EngineChain, MODEL, VERSION, whole};
 use roseshore_fakes::engine::text::prefix_hash;
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings};
 use roseshore_fakes::http::{self, Handler, Request, Server};
@@ -16,8 +16,8 @@
 const SHORT: Duration = Duration::from_millis(400);
 
 fn engine(tune: impl Fn(&mut EngineSettings)) -> EngineFake {
-    let mut rig = Rig::start(1, tune).expect("a free port");
-    rig.stages.remove(0)
+    let mut chain = EngineChain::start(1, tune).expect("a free port");
+    chain.stages.remove(0)
 }
 
 fn order(fence: Fence, version: Option<&str>) -> Order {
@@ -105,13 +105,13 @@
 #[test]
 fn an_order_ends_what_runs_on_the_old_weights() {
     let engine = engine(|settings| settings.step = Duration::from_millis(2));
-    let rig = Rig { stages: vec![engine] };
-    let mut ask = rig.ask("answer", 1);
+    let chain = EngineChain { stages: vec![engine] };
+    let mut ask = chain.ask("answer", 1);
     ask.max_tokens = 1_000_000;
     let client = EngineClient::new();
-    let stream = client.generate(rig.addr(), &ask, Instant::now() + LIMIT).expect("open");
+    let stream = client.generate(chain.addr(), &ask, Instant::now() + LIMIT).expect("open");
     assert!(stream.recv_timeout(LIMIT).is_ok());
-    let holding = client.order(rig.addr(), &order(1, None), LIMIT).expect("unload");
+    let holding = client.order(chain.addr(), &order(1, None), LIMIT).expect("unload");
     assert_eq!((holding.model, holding.loading), (None, false));
     let items: Vec<_> = stream.iter().collect();
     let [.., StreamItem::Output(Output::Lost { reason, .. }), StreamItem::Ended(Ok(()))] =
@@ -165,13 +165,13 @@
     assert!(!before.leaving);
     engine.faults().clear();
     assert!(client.load(engine.addr(), LIMIT).expect("load").leaving);
-    let rig = Rig { stages: vec![engine] };
-    let ask = rig.ask("answer", 1);
-    let stream = client.generate(rig.addr(), &ask, Instant::now() + LIMIT).expect("open");
+    let chain = EngineChain { stages: vec![engine] };
+    let ask = chain.ask("answer", 1);
+    let stream = client.generate(chain.addr(), &ask, Instant::now() + LIMIT).expect("open");
     assert_eq!(stream.iter().count(), whole(&ask).len() + 2);
-    assert_eq!(rig.stages[0].stats().late_opened, 1);
-    rig.stages[0].faults().change(|f| f.freeze = true);
-    let silent = client.load(rig.addr(), SHORT).expect_err("frozen");
+    assert_eq!(chain.stages[0].stats().late_opened, 1);
+    chain.stages[0].faults().change(|f| f.freeze = true);
+    let silent = client.load(chain.addr(), SHORT).expect_err("frozen");
     assert!(matches!(silent, CallError::Lost(_)), "{silent:?}");
 }
 
@@ -209,24 +209,24 @@
             (settings.cache_lag, settings.cache_keep) = (case.lag, case.keep);
             settings.cache_block = 2;
         });
-        let rig = Rig { stages: vec![engine] };
+        let chain = EngineChain { stages: vec![engine] };
         let client = EngineClient::new();
         let mut hashes = Vec::new();
         for index in 0..3 {
-            rig.stages[0].faults().change(|f| f.cache_gap = index == case.lost);
-            let mut ask = rig.ask(&format!("answer-{index}"), 1);
+            chain.stages[0].faults().change(|f| f.cache_gap = index == case.lost);
+            let mut ask = chain.ask(&format!("answer-{index}"), 1);
             ask.prompt = ["a", "b", "c", ["x", "y", "z"][index]].map(str::to_owned).to_vec();
             let cached = if index == 0 { 0 } else { 2 };
             if index == 0 {
                 hashes.push(CacheEvent::Stored { hash: prefix_hash(&ask.prompt[..2]), tokens: 2 });
             }
             hashes.push(CacheEvent::Stored { hash: prefix_hash(&ask.prompt), tokens: 4 });
-            let stream = client.generate(rig.addr(), &ask, Instant::now() + LIMIT).expect("open");
+            let stream = client.generate(chain.addr(), &ask, Instant::now() + LIMIT).expect("open");
             let has_cached_count =
                 |i| matches!(i, StreamItem::Output(Output::Done { cached: c, .. }) if c == cached);
             assert!(stream.iter().any(has_cached_count), "{}", case.name);
         }
-        let got = client.cache(rig.addr(), case.from, LIMIT).expect(case.name);
+        let got = client.cache(chain.addr(), case.from, LIMIT).expect(case.name);
         assert_eq!((got.first, got.next), case.seen, "{}", case.name);
         assert_eq!(got.events, hashes[got.first as usize..got.next as usize], "{}", case.name);
     }
--- a/crates/roseshore_adapters/tests/engine_resume.rs
+++ b/crates/roseshore_adapters/tests/engine_resume.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::chain::{Rig, whole, words};
+use roseshore_fakes::engine::chain::{EngineChain, whole, words};
 use roseshore_fakes::engine::{EngineFake, EngineFaults, EngineSettings, text};
 use roseshore_fakes::wait::wait_until;
 use roseshore_ports::outside::{CallError, Engine, StreamItem};
@@ -11,8 +11,8 @@
 const LIMIT: Duration = Duration::from_secs(30);
 const ANSWER: &str = "answer";
 
-fn rig(stages: u16, tune: impl Fn(&mut EngineSettings)) -> Rig {
-    Rig::start(stages, tune).expect("free ports")
+fn chain(stages: u16, tune: impl Fn(&mut EngineSettings)) -> EngineChain {
+    EngineChain::start(stages, tune).expect("free ports")
 }
 
 type Stream = flume::Receiver<StreamItem>;
@@ -77,12 +77,12 @@
         case("four stages, cold, after all", 4, 12, false),
     ];
     for Case { name, stages, after, warm } in cases {
-        let rig = rig(stages, |_| ());
-        let mut ask = rig.ask(ANSWER, 1);
-        rig.stages[0].faults().change(|f| f.cut_after = Some(after as u32));
+        let chain = chain(stages, |_| ());
+        let mut ask = chain.ask(ANSWER, 1);
+        chain.stages[0].faults().change(|f| f.cut_after = Some(after as u32));
         let (mut texts, last) = receive_all(&ask);
         assert_eq!((texts.len(), is_done(last.as_ref())), (after, after == 12), "{name}");
-        rig.stages[0].faults().clear();
+        chain.stages[0].faults().clear();
         ask.epoch = 2;
         ask.done.clone_from(&texts);
         ask.warm = warm;
@@ -97,11 +97,11 @@
 fn resumes_that_must_not_go_on() {
     struct Case {
         name: &'static str,
-        change: fn(&mut Generate, &Rig),
+        change: fn(&mut Generate, &EngineChain),
         reason: &'static str,
     }
-    let free_kv: fn(&mut Generate, &Rig) = |_, rig| {
-        let addr = rig.stages[1].addr();
+    let free_kv: fn(&mut Generate, &EngineChain) = |_, chain| {
+        let addr = chain.stages[1].addr();
         EngineClient::new().cancel(addr, &cancel(1, false), LIMIT).expect("cancel");
     };
     let cases = [
@@ -133,13 +133,13 @@
         },
     ];
     for case in cases {
-        let rig = rig(3, |_| ());
-        let mut ask = rig.ask(ANSWER, 1);
-        rig.stages[0].faults().change(|f| f.cut_after = Some(5));
+        let chain = chain(3, |_| ());
+        let mut ask = chain.ask(ANSWER, 1);
+        chain.stages[0].faults().change(|f| f.cut_after = Some(5));
         ask.done = receive_all(&ask).0;
-        rig.stages[0].faults().clear();
+        chain.stages[0].faults().clear();
         (ask.epoch, ask.warm) = (2, true);
-        (case.change)(&mut ask, &rig);
+        (case.change)(&mut ask, &chain);
         let (texts, last) = receive_all(&ask);
         let reason = lost_reason(last);
         assert!(texts.is_empty() && reason.contains(case.reason), "{}: {reason}", case.name);
@@ -162,16 +162,16 @@
         case("cancelled before a frozen stage", 1, Some(2), true),
     ];
     for Case { name, stage, frozen, keep_kv } in cases {
-        let rig = rig(3, |settings| settings.step = Duration::from_millis(2));
-        let mut ask = rig.ask(ANSWER, 3);
+        let chain = chain(3, |settings| settings.step = Duration::from_millis(2));
+        let mut ask = chain.ask(ANSWER, 3);
         ask.max_tokens = 1_000_000;
         let stream = open(&ask);
         assert_eq!(receive(&stream, 2).0, expected_prefix(&ask, 2), "{name}");
         if let Some(frozen) = frozen {
-            rig.stages[frozen].faults().change(|f| f.freeze_after = Some(0));
+            chain.stages[frozen].faults().change(|f| f.freeze_after = Some(0));
         }
         let client = EngineClient::new();
-        let hit = &rig.stages[stage];
+        let hit = &chain.stages[stage];
         client.cancel(hit.addr(), &cancel(2, true), LIMIT).expect(name);
         assert_eq!(client.load(hit.addr(), LIMIT).expect(name).running, 1, "{name}: older epoch");
         client.cancel(hit.addr(), &cancel(3, keep_kv), LIMIT).expect(name);
@@ -191,8 +191,8 @@
 
 #[test]
 fn a_newer_epoch_takes_over_while_the_older_runs() {
-    let rig = rig(3, |settings| settings.step = Duration::from_millis(2));
-    let mut ask = rig.ask(ANSWER, 1);
+    let chain = chain(3, |settings| settings.step = Duration::from_millis(2));
+    let mut ask = chain.ask(ANSWER, 1);
     ask.max_tokens = 40;
     let old = open(&ask);
     let mut texts = receive(&old, 3).0;
@@ -204,7 +204,7 @@
     let (late, last) = receive(&old, usize::MAX);
     lost_reason(last);
     assert_eq!(late, whole(&ask)[3..3 + late.len()], "late tokens of the old epoch are correct");
-    wait_until("nothing runs", || rig.stages.iter().all(|s| load(s).running == 0));
+    wait_until("nothing runs", || chain.stages.iter().all(|s| load(s).running == 0));
 }
 
 fn load(fake: &EngineFake) -> roseshore_wire::engine::Load {
@@ -254,17 +254,17 @@
         },
     ];
     for case in cases {
-        let rig = rig(3, |_| ());
-        let mut ask = rig.ask(ANSWER, 1);
-        rig.stages[0].faults().change(|f| f.cut_after = Some(5));
+        let chain = chain(3, |_| ());
+        let mut ask = chain.ask(ANSWER, 1);
+        chain.stages[0].faults().change(|f| f.cut_after = Some(5));
         ask.done = receive_all(&ask).0;
-        rig.stages[0].faults().clear();
+        chain.stages[0].faults().clear();
         let client = EngineClient::new();
         let export = KvExport { answer: ANSWER.to_owned() };
-        let mut kv = client.export(rig.stages[1].addr(), &export, LIMIT).expect(case.name);
+        let mut kv = client.export(chain.stages[1].addr(), &export, LIMIT).expect(case.name);
         let covered = text::digest(ask.prompt.iter().chain(&ask.done));
         assert_eq!((kv.tokens, kv.digest), (8, covered), "{}", case.name);
-        let mut settings = Rig::settings(1, 3);
+        let mut settings = EngineChain::settings(1, 3);
         (settings.target, settings.incarnation) = ("spare".to_owned(), 7);
         let spare = EngineFake::start(settings).expect("a free port");
         spare.faults().change(case.fault);
@@ -294,40 +294,40 @@
 
 #[test]
 fn kv_that_cannot_be_exported() {
-    let rig = rig(1, |_| ());
+    let chain = chain(1, |_| ());
     let client = EngineClient::new();
     let export = KvExport { answer: ANSWER.to_owned() };
-    let gone = client.export(rig.addr(), &export, LIMIT).expect_err("gone");
+    let gone = client.export(chain.addr(), &export, LIMIT).expect_err("gone");
     assert!(refused(&gone, 404), "{gone:?}");
-    rig.stages[0].faults().change(|f| f.export_fails = true);
-    let failed = client.export(rig.addr(), &export, LIMIT).expect_err("failed");
+    chain.stages[0].faults().change(|f| f.export_fails = true);
+    let failed = client.export(chain.addr(), &export, LIMIT).expect_err("failed");
     assert!(matches!(failed, CallError::Lost(_)), "{failed:?}");
 }
 
 #[test]
 fn a_full_kv_cache_is_told() {
-    let rig = rig(1, |settings| settings.kv_cap = 8);
-    let mut ask = rig.ask(ANSWER, 1);
+    let chain = chain(1, |settings| settings.kv_cap = 8);
+    let mut ask = chain.ask(ANSWER, 1);
     let (texts, last) = receive_all(&ask);
     assert_eq!(texts, whole(&ask)[..texts.len()]);
     assert!(lost_reason(last).contains("full") && texts.len() == 6, "{texts:?}");
     ask.prompt = words("one two three four five six seven eight nine");
-    let refusal = EngineClient::new().generate(rig.addr(), &ask, Instant::now() + LIMIT);
+    let refusal = EngineClient::new().generate(chain.addr(), &ask, Instant::now() + LIMIT);
     assert!(matches!(refusal, Err(CallError::Refused(503, Some(_), _))));
 }
 
 #[test]
 fn a_request_that_comes_after_its_cancel_does_not_run() {
-    let rig = rig(3, |_| ());
-    for stage in &rig.stages {
+    let chain = chain(3, |_| ());
+    for stage in &chain.stages {
         let answer = format!("cancelled at {}", stage.stage().target);
         let cancel = Cancel { answer: answer.clone(), epoch: 1, keep_kv: false };
         EngineClient::new().cancel(stage.addr(), &cancel, LIMIT).expect("cancel");
-        let (texts, last) = receive_all(&rig.ask(&answer, 1));
+        let (texts, last) = receive_all(&chain.ask(&answer, 1));
         let reason = lost_reason(last);
         assert!(texts.is_empty() && reason.contains("cancelled"), "{answer}: {reason}");
         assert!(
-            is_done(receive_all(&rig.ask(&answer, 2)).1.as_ref()),
+            is_done(receive_all(&chain.ask(&answer, 2)).1.as_ref()),
             "{answer}: a newer epoch runs"
         );
     }
--- a/crates/roseshore_fakes/src/engine/chain.rs
+++ b/crates/roseshore_fakes/src/engine/chain.rs
@@ -16,24 +16,24 @@
 pub const LAYERS: Layer = 12;
 
 /// Engines named `engine-0`, `engine-1` and so on, in order of their layers.
-pub struct Rig {
+pub struct EngineChain {
     /// The engines of the chain.
     pub stages: Vec<EngineFake>,
 }
 
-impl Rig {
+impl EngineChain {
     /// Starts a chain of `count` stages; `tune` adjusts the settings of each.
     ///
     /// # Errors
     /// When a port cannot be bound.
-    pub fn start(count: u16, tune: impl Fn(&mut EngineSettings)) -> io::Result<Rig> {
+    pub fn start(count: u16, tune: impl Fn(&mut EngineSettings)) -> io::Result<EngineChain> {
         let start = |index| {
-            let mut settings = Rig::settings(index, count);
+            let mut settings = EngineChain::settings(index, count);
             tune(&mut settings);
             EngineFake::start(settings)
         };
         let stages = (0..count).map(start).collect::<io::Result<_>>()?;
-        Ok(Rig { stages })
+        Ok(EngineChain { stages })
     }
 
     /// The settings of one stage in a chain of `count`.
--- a/crates/roseshore_fakes/src/service.rs
+++ b/crates/roseshore_fakes/src/service.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use work::Ran;
+use work::CallCounts;
 
 /// The most requests that run or wait at once.
 const WORKERS: usize = 1024;
@@ -107,7 +107,7 @@
     }
 
     /// How often each call ran.
-    pub fn ran(&self) -> Ran {
+    pub fn ran(&self) -> CallCounts {
         self.service.ran()
     }
 
--- a/crates/roseshore_fakes/src/service/handler.rs
+++ b/crates/roseshore_fakes/src/service/handler.rs
@@ -1,6 +1,6 @@
 //! HTTP handlers of the fake replica.
 
-use super::work::{CallLog, Ran, Slots};
+use super::work::{CallCounts, CallLog, Slots};
 use super::{ServiceFaults, ServiceSettings};
 use crate::fault::{self, Faults};
 use crate::http::{self, Handler};
@@ -35,7 +35,7 @@
         self.faults.clone()
     }
 
-    pub(super) fn ran(&self) -> Ran {
+    pub(super) fn ran(&self) -> CallCounts {
         self.calls.ran()
     }
 
--- a/crates/roseshore_fakes/src/service/work.rs
+++ b/crates/roseshore_fakes/src/service/work.rs
@@ -7,7 +7,7 @@
 
 /// Execution counts of calls and lookups.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct CallCounts {
     /// Total number of calls.
     pub total: u64,
     /// Total number of lookups.
@@ -69,7 +69,7 @@
 /// Execution counts and cached results.
 #[derive(Default)]
 pub(super) struct CallLog {
-    ran: Mutex<Ran>,
+    ran: Mutex<CallCounts>,
     results: Mutex<HashMap<String, CachedResult>>,
 }
 
@@ -89,7 +89,7 @@
         self.ran.lock().lookups += 1;
     }
 
-    pub(super) fn ran(&self) -> Ran {
+    pub(super) fn ran(&self) -> CallCounts {
         self.ran.lock().clone()
     }
 
