--- a/crates/roseshore_adapters/tests/engine.rs
+++ b/crates/roseshore_adapters/tests/engine.rs
@@ -3,7 +3,7 @@
 
 use roseshore_adapters::engine::EngineClient;
 use roseshore_core::prelude::*;
-use roseshore_fakes::closed::Closed;
+use roseshore_fakes::closed::ClosedPort;
 use roseshore_fakes::engine::chain::{ADAPTER, EngineChain, VERSION, whole, words};
 use roseshore_fakes::engine::{EngineFaults, EngineSettings};
 use roseshore_fakes::wait::wait_until;
@@ -357,7 +357,7 @@
             assert_eq!(error.verdict(), case.verdict, "{} {call}", case.name);
         }
     }
-    let closed = Closed::start().expect("a free port");
+    let closed = ClosedPort::start().expect("a free port");
     for (call, error) in calls(LIMIT, || closed.addr()) {
         let error = error.expect_err("connection refused");
         assert!(matches!(error, CallError::Unreached(_)), "connection refused {call}: {error:?}");
--- a/crates/roseshore_adapters/tests/platform.rs
+++ b/crates/roseshore_adapters/tests/platform.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::platform::HttpPlatform;
 use roseshore_core::prelude::*;
-use roseshore_fakes::closed::Closed;
+use roseshore_fakes::closed::ClosedPort;
 use roseshore_fakes::platform::log::Retention;
 use roseshore_fakes::platform::{PlatformFake, PlatformFaults, PlatformSettings};
 use roseshore_fakes::wait::wait_until;
@@ -149,7 +149,7 @@
 
 #[test]
 fn a_platform_that_does_not_listen_was_not_reached() {
-    let closed = Closed::start().unwrap();
+    let closed = ClosedPort::start().unwrap();
     let platform = HttpPlatform::new(closed.addr(), LIMIT);
     assert_eq!(outcome(platform.append("s", &texts(1))), Outcome::Unreached);
     assert_eq!(outcome(platform.read("s", 0, 1, Duration::ZERO)), Outcome::Unreached);
--- a/crates/roseshore_adapters/tests/service.rs
+++ b/crates/roseshore_adapters/tests/service.rs
@@ -2,7 +2,7 @@
 
 use roseshore_adapters::service::HttpServices;
 use roseshore_core::prelude::*;
-use roseshore_fakes::closed::Closed;
+use roseshore_fakes::closed::ClosedPort;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
 use roseshore_ports::outside::{CallContext, CallError, CallResult, ServiceReply, Services};
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_replica_that_does_not_listen_was_not_reached() {
-    let closed = Closed::start().unwrap();
+    let closed = ClosedPort::start().unwrap();
     let services = HttpServices::default();
     let call = services.call(closed.addr(), "notes", b"x", None, &context(BOUND));
     assert_eq!(kind(&call), Kind::Unreached);
--- a/crates/roseshore_fakes/src/bin/fake_engine.rs
+++ b/crates/roseshore_fakes/src/bin/fake_engine.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use roseshore_core::prelude::*;
-use roseshore_fakes::engine::{Death, EngineFake, EngineSettings};
+use roseshore_fakes::engine::{EngineFake, EngineSettings, ExitMode};
 use roseshore_wire::engine::Role;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -93,7 +93,7 @@
         load_time: millis("load-ms"),
         layer_bytes: count("layer-bytes"),
         weights: addr(args, "weights"),
-        death: Death::Exit,
+        exit_mode: ExitMode::Exit,
     }
 }
 
--- a/crates/roseshore_fakes/src/engine.rs
+++ b/crates/roseshore_fakes/src/engine.rs
@@ -23,7 +23,7 @@
 pub mod text;
 
 pub use faults::EngineFaults;
-pub use settings::{Death, EngineSettings};
+pub use settings::{EngineSettings, ExitMode};
 pub use stats::Stats;
 
 use crate::fault::Faults;
--- a/crates/roseshore_fakes/src/engine/core.rs
+++ b/crates/roseshore_fakes/src/engine/core.rs
@@ -6,7 +6,7 @@
 use super::kv::KvStore;
 use super::link::{self, Directory};
 use super::loader::HoldingCell;
-use super::settings::{Death, EngineSettings};
+use super::settings::{EngineSettings, ExitMode};
 use super::slots::Slots;
 use super::stats::Counters;
 use crate::fault::Faults;
@@ -89,9 +89,9 @@
     pub(super) fn trigger_faults(&self, steps: u32) {
         let faults = self.faults.get();
         if faults.die_after.is_some_and(|after| steps >= after) {
-            match self.settings.death {
-                Death::Exit => std::process::exit(FAULT_EXIT_CODE),
-                Death::Close => self.end(),
+            match self.settings.exit_mode {
+                ExitMode::Exit => std::process::exit(FAULT_EXIT_CODE),
+                ExitMode::Close => self.end(),
             }
         }
         if faults.freeze_after.is_some_and(|after| steps >= after) {
--- a/crates/roseshore_fakes/src/engine/settings.rs
+++ b/crates/roseshore_fakes/src/engine/settings.rs
@@ -7,7 +7,7 @@
 
 /// How the fault that ends an engine takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Death {
+pub enum ExitMode {
     /// The process exits immediately.
     Exit,
     /// The engine closes its sockets and stops; for engines that run inside a test process.
@@ -70,7 +70,7 @@
     /// The weight store that loads fetch their bytes from, if any.
     pub weights: Option<SocketAddr>,
     /// The effect of the fault that ends the engine.
-    pub death: Death,
+    pub exit_mode: ExitMode,
 }
 
 impl Default for EngineSettings {
@@ -102,7 +102,7 @@
             load_time: Duration::ZERO,
             layer_bytes: 64 << 20,
             weights: None,
-            death: Death::Close,
+            exit_mode: ExitMode::Close,
         }
     }
 }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -6,7 +6,7 @@
 use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
 use roseshore_core::retry::{BURST, MIN_RATE};
-use roseshore_fakes::closed::Closed;
+use roseshore_fakes::closed::ClosedPort;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
 use roseshore_fakes::wait::wait_until;
@@ -323,7 +323,7 @@
 #[test]
 fn replicas_that_do_not_listen_ran_nothing() {
     let mut router = FixedRouter::default();
-    let closed = Closed::start().unwrap();
+    let closed = ClosedPort::start().unwrap();
     let replica = Replica { target: "t0".to_owned(), addr: closed.addr() };
     router.replicas.push((format!("packages/{}", SOURCES[0]), replica));
     let fixture = fixture(&SOURCES[..1], Vec::new());
