--- a/crates/roseshore_fakes/src/bin/fake_engine.rs
+++ b/crates/roseshore_fakes/src/bin/fake_engine.rs
@@ -29,27 +29,27 @@
         text("role", "Stages served")
             .value_parser(["both", "prefill", "decode"])
             .default_value("both"),
-        text("weights", "Address of the weight store that loads ask"),
-        number("incarnation", "Number of the engine's life", "1"),
-        number("step-us", "Time of one step, microseconds", "500"),
+        text("weights", "Address of the weight store that loads fetch from"),
+        number("incarnation", "Incarnation number", "1"),
+        number("step-us", "Duration of one step, microseconds", "500"),
         number("slots", "Steps that run at once", "8"),
-        number("max-running", "Answers that are taken at once", "256"),
+        number("max-running", "Limit on concurrent answers", "256"),
         number("prefill-rate", "Prefill rate, tokens a second", "100000"),
         number("kv-cap", "KV cache, tokens", "1048576"),
         number("kv-bytes", "Bytes of KV cache of one token", "1024"),
         number("link-us", "Delay of the link to the next stage, microseconds", "0"),
         number("link-rate", "Rate of the link for KV caches, bytes a second", "1000000000"),
-        number("hop-ms", "Wait for the next stage, milliseconds", "10000"),
+        number("hop-ms", "Timeout for the next stage, milliseconds", "10000"),
         number("cache-cap", "Prefix cache, tokens", "65536"),
         number("cache-block", "Tokens of one block of the prefix cache", "16"),
-        number("cache-lag-ms", "Lateness of cache events, milliseconds", "0"),
+        number("cache-lag-ms", "Delay of cache events, milliseconds", "0"),
         number("cache-keep", "Cache events that are kept", "1024"),
-        number("load-lag-ms", "Age that a load report may have, milliseconds", "0"),
-        number("load-ms", "Time of a load besides the weight store's, milliseconds", "0"),
+        number("load-lag-ms", "Maximum age of a load report, milliseconds", "0"),
+        number("load-ms", "Duration of a load without the weight store's part, milliseconds", "0"),
         number("layer-bytes", "Bytes of the weights of one layer", "67108864"),
         Arg::new("checks-fence")
             .long("checks-fence")
-            .help("Refuse orders with an old fencing number")
+            .help("Refuse orders with an outdated fencing number")
             .action(ArgAction::SetTrue),
     ])
 }
--- a/crates/roseshore_fakes/src/bin/fake_platform.rs
+++ b/crates/roseshore_fakes/src/bin/fake_platform.rs
@@ -16,7 +16,7 @@
                 .value_name("ADDR")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr))
-                .help("Where to listen; port 0 takes a free one"),
+                .help("Address to listen on; port 0 for any"),
         )
         .arg(
             Arg::new("appends")
@@ -24,7 +24,7 @@
                 .value_name("N")
                 .default_value("400")
                 .value_parser(value_parser!(f64))
-                .help("Appends a second over all streams"),
+                .help("Limit on appends per second over all streams"),
         )
         .arg(
             Arg::new("keep-count")
@@ -38,7 +38,7 @@
                 .long("keep-seconds")
                 .value_name("S")
                 .value_parser(value_parser!(u64))
-                .help("Age to which records are kept"),
+                .help("Maximum age of records, seconds"),
         )
         .arg(
             Arg::new("lag-ms")
@@ -46,7 +46,7 @@
                 .value_name("MS")
                 .default_value("1000")
                 .value_parser(value_parser!(u64))
-                .help("How late the host list shows a change"),
+                .help("Delay with which the host list shows a change, milliseconds"),
         )
         .arg(
             Arg::new("weight-rate")
@@ -54,7 +54,7 @@
                 .value_name("BYTES")
                 .default_value("1073741824")
                 .value_parser(value_parser!(u64))
-                .help("Bytes a second of the weight store"),
+                .help("Rate of the weight store, bytes per second"),
         )
         .arg(
             Arg::new("hosts")
@@ -62,7 +62,7 @@
                 .value_name("JSON")
                 .default_value("[]")
                 .value_parser(parse_hosts)
-                .help("The host list from the start, a JSON array"),
+                .help("Initial host list, a JSON array"),
         )
 }
 
--- a/crates/roseshore_fakes/src/bin/fake_service.rs
+++ b/crates/roseshore_fakes/src/bin/fake_service.rs
@@ -15,7 +15,7 @@
                 .value_name("ADDR")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr))
-                .help("Where to listen; port 0 takes a free one"),
+                .help("Address to listen on; port 0 for any"),
         )
         .arg(
             Arg::new("source")
@@ -23,7 +23,9 @@
                 .value_name("NAME[:PERCENT]")
                 .action(ArgAction::Append)
                 .value_parser(parse_source)
-                .help("A source, and the part of the names `pkg-N` that it holds (default 100)"),
+                .help(
+                    "A source, and the percentage of the names `pkg-N` that it holds (default 100)",
+                ),
         )
         .arg(
             Arg::new("record")
@@ -31,7 +33,7 @@
                 .value_name("SOURCE:NAME=BODY")
                 .action(ArgAction::Append)
                 .value_parser(parse_record)
-                .help("A record besides the generated ones"),
+                .help("A record in addition to the generated ones"),
         )
         .arg(
             Arg::new("call-us")
@@ -39,7 +41,7 @@
                 .value_name("US")
                 .default_value("0")
                 .value_parser(value_parser!(u64))
-                .help("Time of one lookup or call, microseconds"),
+                .help("Duration of one lookup or call, microseconds"),
         )
         .arg(
             Arg::new("slots")
--- a/crates/roseshore_fakes/src/engine/kv.rs
+++ b/crates/roseshore_fakes/src/engine/kv.rs
@@ -79,7 +79,7 @@
     /// were missing.
     ///
     /// # Errors
-    /// When no cache matches.
+    /// When no cache matches, or the cache does not fit.
     pub(super) fn adopt(&self, scope: &KvScope, sequence: &[String]) -> Result<(u64, u32), String> {
         let mut inner = self.inner.lock();
         let cache = inner.caches.get_mut(&scope.answer).ok_or("no KV cache of this answer")?;
