--- a/crates/roseshore_fakes/src/engine.rs
+++ b/crates/roseshore_fakes/src/engine.rs
@@ -9,12 +9,12 @@
 mod answers;
 mod api;
 mod cache;
+pub mod chain;
 mod core;
 mod faults;
 mod kv;
 mod link;
 mod loader;
-pub mod rig;
 mod run;
 mod settings;
 mod slots;
@@ -23,7 +23,7 @@
 pub mod text;
 
 pub use faults::EngineFaults;
-pub use settings::{Death, EngineSettings};
+pub use settings::{EngineSettings, ExitMode};
 pub use stats::Stats;
 
 use crate::fault::Faults;
