--- a/crates/roseshore_harness/tests/faults.rs
+++ b/crates/roseshore_harness/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Promises under failure, with separate processes: killed, frozen, stopped in order, cut off from
-//! the platform.
+//! Guarantees under faults, with separate processes: killed, frozen, shut down in an orderly way, and
+//! partitioned from the platform.
 
 use roseshore_harness::caller::{Chat, ClientReply, RequestOptions};
 use roseshore_harness::fleets::{self, CARDS, CHAT, CUSTOMER, NOTE, Shape};
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// The metric that counts targets that take no new work, up to its value.
-const LEFT: &str = "roseshore_events_total{event=\"E604\"}";
-const END: Duration = Duration::from_secs(30);
+/// The metric that counts targets that take no new work, without its value.
+const LEAVING_METRIC: &str = "roseshore_events_total{event=\"E604\"}";
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(30);
 
 fn world(shape: Shape, daemons: usize) -> World {
     let fleet = fleets::fleet(shape);
@@ -21,7 +21,7 @@
 }
 
 /// Sends the same keyed call to every daemon at once.
-fn everywhere(world: &World, key: &str) -> Vec<ClientReply> {
+fn call_all(world: &World, key: &str) -> Vec<ClientReply> {
     let marks = RequestOptions::of(CUSTOMER).keyed(key);
     thread::scope(|scope| {
         let calls: Vec<_> = world
@@ -38,11 +38,11 @@
     let world = world(Shape { centres: 2, ..Shape::default() }, 2);
     for round in 0..10 {
         let key = format!("key-{round}");
-        for got in everywhere(&world, &key) {
+        for got in call_all(&world, &key) {
             assert!(got.status == 200 || got.code.as_deref() == Some("RS401"), "{got:?}");
         }
         assert_eq!(world.ran(&key).expect("the replicas answer"), 1, "{key}");
-        let again = everywhere(&world, &key);
+        let again = call_all(&world, &key);
         assert!(again.iter().all(|got| got.status == 200 && got.replayed), "{again:?}");
         assert!(again.iter().all(|got| got.text == again[0].text), "{again:?}");
         assert_eq!(world.ran(&key).expect("the replicas answer"), 1, "{key}");
@@ -99,7 +99,7 @@
 #[test]
 fn a_host_that_starts_without_the_platform_gets_its_configuration_from_peers() {
     let mut world = world(Shape::default(), 2);
-    // The list is still served, the log is not.
+    // The host list is still served, but the log is not.
     world.fault(world.log, &json!({ "log_out": true })).expect("switched");
     let fresh = world.start_daemon("north", "north-9").expect("starts");
     world.daemons.push(fresh);
@@ -114,15 +114,15 @@
     let stop = AtomicBool::new(false);
     let whole = AtomicUsize::new(0);
     for round in 0..ROUNDS {
-        let struck = round % 2;
-        let addr = world.daemons[struck].addr;
+        let stopping = round % 2;
+        let addr = world.daemons[stopping].addr;
         stop.store(false, Ordering::SeqCst);
         let cut = thread::scope(|scope| {
             let streams: Vec<_> =
                 (0..8).map(|_| scope.spawn(|| stream_until(&world, addr, &stop, &whole))).collect();
             let before = whole.load(Ordering::SeqCst);
             assert!(wait_until(|| whole.load(Ordering::SeqCst) > before + 8), "under load");
-            world.daemons[struck].process.terminate();
+            world.daemons[stopping].process.terminate();
             let gone = || world.caller.status(addr, "/readyz") != Some(200);
             assert!(wait_until(gone), "the balancer sees it leave");
             stop.store(true, Ordering::SeqCst);
@@ -130,10 +130,11 @@
             results.flatten().collect::<Vec<ClientReply>>()
         });
         assert!(cut.is_empty(), "round {round}: {cut:?}");
-        let status = world.daemons[struck].process.wait(END).expect("it ends by itself");
+        let status =
+            world.daemons[stopping].process.wait(SHUTDOWN_LIMIT).expect("it ends by itself");
         assert!(status.success(), "round {round}: {status:?}");
         let host = format!("north-{}", 10 + round);
-        world.daemons[struck] = world.start_daemon("north", &host).expect("starts");
+        world.daemons[stopping] = world.start_daemon("north", &host).expect("starts");
         world.list_hosts().expect("listed");
         world.ready().expect("ready");
     }
@@ -144,7 +145,8 @@
     }
 }
 
-/// Streams answers until told to stop; returns those that were neither whole nor truly refused.
+/// Streams answers until stopped; returns those that were neither complete nor refused as `not_run`,
+/// except those without any response.
 fn stream_until(
     world: &World,
     addr: SocketAddr,
@@ -169,8 +171,8 @@
 fn a_leaving_target_gets_no_new_work() {
     let world = world(Shape { chains: 2, ..Shape::default() }, 2);
     let marks = RequestOptions::of(CUSTOMER);
-    // A prompt that was asked for before goes where it is cached as long as there is room, so each
-    // request has its own: then nothing but the load decides.
+    // A repeated prompt is routed to the engine that has it cached as long as that has room. Each
+    // request has its own prompt, so that only the load decides.
     let asked = AtomicUsize::new(0);
     let send = || {
         for daemon in &world.daemons {
@@ -188,7 +190,8 @@
     let told = |addr: SocketAddr, rounds: usize| {
         let page = world.caller.get(addr, "/metrics").unwrap_or_default();
         let lines = page.as_str().unwrap_or_default().lines();
-        let mut counts = lines.filter_map(|l| l.strip_prefix(LEFT)?.trim().parse::<usize>().ok());
+        let mut counts =
+            lines.filter_map(|l| l.strip_prefix(LEAVING_METRIC)?.trim().parse::<usize>().ok());
         counts.any(|count| count >= rounds)
     };
     for (round, target) in ["north-0-0", "north-1-0"].into_iter().enumerate() {
@@ -217,7 +220,8 @@
     let daemon = world.daemons[0].addr;
     let leaving = json!({ "host": "host-north-0-0" });
     world.caller.post(world.log, "/_hosts/leave", &leaving).expect("listed");
-    let left = wait_until(|| world.caller.metric(daemon, LEFT).is_some_and(|count| count > 0));
+    let left =
+        wait_until(|| world.caller.metric(daemon, LEAVING_METRIC).is_some_and(|count| count > 0));
     assert!(left, "the daemon did not take the leaving host out of use");
     let chat = Chat { service: CHAT, prompt: "a long answer", tokens: 400 };
     let stage = &world.targets["north-1-0"];
@@ -263,7 +267,7 @@
 fn a_frozen_daemon_wakes_to_the_newest_configuration() {
     let world = world(Shape::default(), 2);
     let offset = |addr| {
-        // A call that fails says nothing of the configuration.
+        // A failed call gives no information on the configuration.
         world.caller.get(addr, "/v1/admin/config").ok()?["offset"].as_u64()
     };
     let frozen = &world.daemons[1];
