--- a/crates/roseshore_adapters/tests/engine_orders.rs
+++ b/crates/roseshore_adapters/tests/engine_orders.rs
@@ -12,7 +12,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// Timeout of calls and streams, except for the call with the timeout [`SHORT`].
 const LIMIT: Duration = Duration::from_secs(30);
+/// Timeout of the call to a frozen engine, which does not answer.
 const SHORT: Duration = Duration::from_millis(400);
 
 fn engine(tune: impl Fn(&mut EngineSettings)) -> EngineFake {
--- a/crates/roseshore_core/src/once/keys.rs
+++ b/crates/roseshore_core/src/once/keys.rs
@@ -355,6 +355,8 @@
     }
 }
 
+/// Whether the key was created later than `time` by more than [`MAX_SKEW`]; `false` if the key does
+/// not say when it was created.
 fn is_created_after(key: &Key, time: Millis) -> bool {
     let limit = time.saturating_add(MAX_SKEW.as_millis() as u64);
     created_at(key).is_some_and(|created_at| created_at > limit)
--- a/crates/roseshore_core/tests/membership.rs
+++ b/crates/roseshore_core/tests/membership.rs
@@ -491,7 +491,8 @@
 fn digest_calls_to_another_data_centre() {
     /// Step of a case; times are in milliseconds since the previous step.
     enum Step {
-        /// At this time with this place in the order, the host that is called, if any.
+        /// A tick: its time, this daemon's index in the rendezvous order, and the number of the
+        /// host that it has to call; `None` if it must not call any.
         At(u64, Option<usize>, Option<u16>),
         /// The call failed.
         Failed,
--- a/crates/roseshore_wire/src/engine.rs
+++ b/crates/roseshore_wire/src/engine.rs
@@ -31,7 +31,7 @@
     pub model: Option<ModelId>,
     /// The version of the weights.
     pub version: Option<VersionId>,
-    /// The first layer, and one past the last one.
+    /// The loaded layers, as `(start, end)`; `end` is not included.
     pub layers: (Layer, Layer),
     /// The loaded adapters.
     pub adapters: BTreeSet<AdapterId>,
@@ -180,7 +180,7 @@
     pub answer: RequestId,
     /// The last epoch that wrote to it.
     pub epoch: Epoch,
-    /// The layers it covers: the first one, and one past the last one.
+    /// The layers it covers, as `(start, end)`; `end` is not included.
     pub layers: (Layer, Layer),
     /// The version of the weights that computed it.
     pub version: VersionId,
@@ -235,7 +235,7 @@
     pub model: Option<ModelId>,
     /// The version to hold.
     pub version: Option<VersionId>,
-    /// The layers to hold: the first one, and one past the last one.
+    /// The layers to hold, as `(start, end)`; `end` is not included.
     pub layers: (Layer, Layer),
     /// The adapters to hold.
     pub adapters: BTreeSet<AdapterId>,
--- a/crates/roseshored/src/settings.rs
+++ b/crates/roseshored/src/settings.rs
@@ -214,7 +214,7 @@
     pub write_timeout: Duration,
     /// Longest wait for requests in flight during a drain.
     pub drain_timeout: Duration,
-    /// Minimum time during a drain in which new requests are still answered with a refusal.
+    /// Minimum length of a drain; until the drain ends, new requests are answered with a refusal.
     pub grace_period: Duration,
     /// Interval between heartbeats.
     pub heartbeat_interval: Duration,
