--- a/crates/roseshore_fakes/src/closed.rs
+++ b/crates/roseshore_fakes/src/closed.rs
@@ -1,31 +1,32 @@
-//! A system that does not listen.
+//! An address that refuses connections.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 
-/// An address on which connections are refused for as long as this lives.
+/// A loopback address that refuses connections as long as this value lives.
 ///
-/// It is that of a connection's near side: nobody listens there, and nobody else can begin to. The
-/// port of a listener that was closed would not do, since the system may give it out again.
-pub struct Closed {
+/// The address is the local side of an open connection: nothing listens on it, and no other process
+/// can bind it. The port of a closed listener is not enough, since the operating system may assign
+/// it again.
+pub struct ClosedPort {
     addr: SocketAddr,
     _listener: TcpListener,
     _connection: TcpStream,
 }
 
-impl Closed {
-    /// Takes such an address on loopback.
+impl ClosedPort {
+    /// Reserves a loopback address.
     ///
     /// # Errors
-    /// When the system gives no port.
-    pub fn start() -> io::Result<Closed> {
+    /// When the operating system assigns no port.
+    pub fn start() -> io::Result<ClosedPort> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
         let connection = TcpStream::connect(listener.local_addr()?)?;
         let addr = connection.local_addr()?;
-        Ok(Closed { addr, _listener: listener, _connection: connection })
+        Ok(ClosedPort { addr, _listener: listener, _connection: connection })
     }
 
-    /// Where it does not listen.
+    /// The address that refuses connections.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
--- a/crates/roseshored/tests/lookups.rs
+++ b/crates/roseshored/tests/lookups.rs
@@ -6,7 +6,7 @@
 use roseshore_core::lookup::SourceReply;
 use roseshore_core::prelude::*;
 use roseshore_core::retry::{BURST, MIN_RATE};
-use roseshore_fakes::closed::Closed;
+use roseshore_fakes::closed::ClosedPort;
 use roseshore_fakes::service::records::Source;
 use roseshore_fakes::service::{ServiceFake, ServiceFaults, ServiceSettings};
 use roseshore_fakes::wait::wait_until;
@@ -126,7 +126,7 @@
     Fixture { fakes, router, deps }
 }
 
-fn ask(limit: Duration) -> RequestInfo {
+fn request(limit: Duration) -> RequestInfo {
     let arrived = Instant::now();
     RequestInfo {
         request: "r1".to_owned(),
@@ -168,7 +168,7 @@
     let deps = deps.clone();
     let lookups = Lookups::new(16).with_compare_ratio(compare_ratio);
     thread::spawn(move || {
-        let _ = result_tx.send(outcome(lookups.run(&deps, &ask(DEADLINE), "pkg", None)));
+        let _ = result_tx.send(outcome(lookups.run(&deps, &request(DEADLINE), "pkg", None)));
     });
     result.recv_timeout(BOUND).expect("the outcome is delayed")
 }
@@ -214,19 +214,19 @@
             None,
         ),
         case(
-            "the only source that could still hold it cannot say",
+            "the only source that could still hold it does not know",
             vec![replica(0, None), replica(1, None), broken(2, None, unknown())],
             LookupOutcome::Silent(unclear),
             None,
         ),
         case(
-            "earlier source cannot say, a later one holds",
+            "an earlier source does not know, a later one holds",
             vec![broken(0, None, unknown()), replica(1, Some("b")), replica(2, None)],
             LookupOutcome::Silent(unclear),
             None,
         ),
         case(
-            "later source cannot say, an earlier one holds",
+            "a later source does not know, an earlier one holds",
             vec![replica(0, Some("a")), broken(1, None, unknown()), replica(2, None)],
             record("a"),
             None,
@@ -239,7 +239,7 @@
         ),
         case("no replica at all", vec![], LookupOutcome::Silent(Verdict::NotRun), None),
         case(
-            "replicas refuse unstarted",
+            "replicas refuse without starting",
             vec![broken(0, Some("a"), ServiceFaults { not_run: true, ..no() })],
             LookupOutcome::Silent(Verdict::NotRun),
             None,
@@ -257,13 +257,13 @@
             Some("t0"),
         ),
         case(
-            "a replica is frozen, another one answers the hedge",
+            "a replica hangs, another one answers the hedge",
             vec![broken(0, None, frozen()), replica(0, Some("a"))],
             record("a"),
             Some("t0"),
         ),
         case(
-            "a source is frozen",
+            "a source hangs",
             vec![broken(0, Some("a"), frozen()), replica(1, Some("b")), replica(2, None)],
             LookupOutcome::Silent(unclear),
             Some("t0"),
@@ -314,7 +314,7 @@
     let fixture =
         fixture(&SOURCES, vec![replica(0, Some("a")), replica(1, None), replica(2, Some("c"))]);
     let lookups = Lookups::new(16).with_compare_ratio(1.0);
-    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
     assert_eq!(outcome, LookupOutcome::Record("a".to_owned()));
     let wanted = "E802 first=packages/first other=packages/third name=pkg";
     wait_until(wanted, || LINES.lock().iter().any(|l| l == wanted));
@@ -323,7 +323,7 @@
 #[test]
 fn replicas_that_do_not_listen_ran_nothing() {
     let mut router = FixedRouter::default();
-    let closed = Closed::start().unwrap();
+    let closed = ClosedPort::start().unwrap();
     let replica = Replica { target: "t0".to_owned(), addr: closed.addr() };
     router.replicas.push((format!("packages/{}", SOURCES[0]), replica));
     let fixture = fixture(&SOURCES[..1], Vec::new());
@@ -341,7 +341,7 @@
     let lookups = Lookups::new(16);
     let (began, count) = (Instant::now(), 200);
     for _ in 0..count {
-        let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+        let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
         assert_eq!(outcome, LookupOutcome::Silent(Verdict::MayHaveRun));
     }
     let extra = fixture.fakes[0].ran().lookups - count;
@@ -355,7 +355,7 @@
     let faults = ServiceFaults { freeze: true, ..ServiceFaults::default() };
     let fixture = fixture(&SOURCES[..1], vec![broken(0, Some("a"), faults)]);
     let lookups = Lookups::new(0);
-    let outcome = outcome(lookups.run(&fixture.deps, &ask(DEADLINE), "pkg", None));
+    let outcome = outcome(lookups.run(&fixture.deps, &request(DEADLINE), "pkg", None));
     assert_eq!(outcome, LookupOutcome::Silent(Verdict::NotRun));
     assert_eq!(fixture.fakes[0].ran().lookups, 0);
 }
@@ -380,13 +380,13 @@
         case("empty name", good(), BOUND, "", Code::BadRequest),
         case("a line break in the name", good(), BOUND, "a\r\nb", Code::BadRequest),
         case("a query in the name", good(), BOUND, "a?b", Code::BadRequest),
-        case("a blank in the name", good(), BOUND, "a b", Code::BadRequest),
+        case("a space in the name", good(), BOUND, "a b", Code::BadRequest),
     ];
     let fixture = fixture(&SOURCES, vec![replica(0, Some("a"))]);
     for case in cases {
         let deps = LookupDeps { fleets: case.fleets, ..fixture.deps.clone() };
         let refusal =
-            Lookups::new(4).run(&deps, &ask(case.limit), case.name_sought, None).unwrap_err();
+            Lookups::new(4).run(&deps, &request(case.limit), case.name_sought, None).unwrap_err();
         assert_eq!((refusal.code, refusal.verdict), (case.code, Verdict::NotRun), "{}", case.name);
     }
     assert_eq!(fixture.fakes[0].ran().lookups, 0);
@@ -403,9 +403,9 @@
     let replicas = vec![("packages".to_owned(), replica)];
     fixture.deps.router = Arc::new(FixedRouter { replicas, ..FixedRouter::default() });
     let lookups = Lookups::new(4);
-    let found = lookups.run(&fixture.deps, &ask(BOUND), "card-1", None).unwrap();
+    let found = lookups.run(&fixture.deps, &request(BOUND), "card-1", None).unwrap();
     assert_eq!(found.body, b"{}");
-    let missing = lookups.run(&fixture.deps, &ask(BOUND), "card-2", None).unwrap_err();
+    let missing = lookups.run(&fixture.deps, &request(BOUND), "card-2", None).unwrap_err();
     assert_eq!(missing.code, Code::NotFound);
 }
 
@@ -433,7 +433,7 @@
         case("204", reply(204, ""), unclear()),
         case("500", reply(500, ""), unclear()),
         case(
-            "503 unstarted",
+            "503 not started",
             reply(503, r#"{"not_run":true}"#),
             SourceReply::Failed(Verdict::NotRun),
         ),
