--- a/crates/roseshored/examples/membership_cost.rs
+++ b/crates/roseshored/examples/membership_cost.rs
@@ -1,8 +1,8 @@
-//! What membership, polling and sharing cost one daemon, at four sizes.
+//! Computes the cost of membership, polling and report sharing for one daemon, at four sizes.
 //!
-//! Sizes of messages are those of the coded messages, with 28 bytes of headers each; times are
-//! measured here, on one thread, the socket calls over loopback. What one daemon spends a second is
-//! worked out from them and the rates that the decisions keep. The targets' HTTP is not in it.
+//! Message sizes are those of the encoded messages, plus 28 bytes of headers each. Times are
+//! measured on one thread, with socket calls over loopback. The cost per second follows from these
+//! and from the rates that the state machines set. HTTP calls to targets are not included.
 
 use roseshore_core::membership::{Heartbeat, ListedHost, Membership, Settings};
 use roseshore_core::polling::{Action, Polling};
@@ -19,12 +19,12 @@
 const HEADERS: usize = 28;
 /// IP and TCP headers of a digest, its reply and the acknowledgements, bytes.
 const TCP_HEADERS: usize = 4 * 40;
-/// Seconds between whole reports of a target that does not change.
-const WHOLE: f64 = 30.0;
+/// Seconds between full reports of a target that does not change.
+const FULL_REPORT_SECONDS: f64 = 30.0;
 const MODELS: usize = 24;
 const ROUNDS: u32 = 2000;
 
-/// A data centre among equals.
+/// A number of equal data centres, with the daemons and targets of each.
 struct Size {
     centres: usize,
     daemons: usize,
@@ -52,47 +52,53 @@
     let mut view = view(size, now);
     let period = settings.period(peers).as_secs_f64();
     let poll = settings.period(peers).max(Duration::from_millis(250)).as_secs_f64();
-    let mine = size.targets as f64 / size.daemons as f64;
+    let own_targets = size.targets as f64 / size.daemons as f64;
 
     let beat = bytes(&Datagram::Beat { heartbeat: heartbeat(1, 9), notes: vec![] });
-    let whole = note_bytes(size, false);
-    let brief = note_bytes(size, true);
-    let each = mine * (brief as f64 / poll + whole as f64 / WHOLE);
-    let way = peers as f64 * ((beat + HEADERS) as f64 / period + each);
+    let full = report_bytes(size, false);
+    let delta = report_bytes(size, true);
+    let per_peer = own_targets * (delta as f64 / poll + full as f64 / FULL_REPORT_SECONDS);
+    let rate = peers as f64 * ((beat + HEADERS) as f64 / period + per_peer);
     let digest = digest_bytes(&view, now) as f64;
     let centres = (size.centres - 1) as f64;
     let digests = centres / settings.digest_period(size.centres - 1).as_secs_f64();
-    let spoken = 2.0 * digests * digest / size.daemons as f64;
+    let exchanged = 2.0 * digests * digest / size.daemons as f64;
     let relayed = 2.0 * digests * (digest + TCP_HEADERS as f64);
 
     println!(
         "\n{} data centres of {} daemons and {} targets",
         size.centres, size.daemons, size.targets
     );
-    println!("  heartbeat {beat} B, whole note {whole} B, short note {brief} B, digest {digest} B");
-    println!("  every {:.0} ms; polls every {:.0} ms, {mine:.1} targets", period * 1e3, poll * 1e3);
-    println!("  heartbeats and notes: {way:.0} B/s out, {way:.0} B/s in");
-    println!("  digests: {spoken:.0} B/s spoken, {relayed:.0} B/s relayed, out and in together");
-    println!("  all: {:.0} B/s out and in together", 2.0 * way + spoken + relayed);
+    println!("  heartbeat {beat} B, full report {full} B, delta {delta} B, digest {digest} B");
+    println!(
+        "  every {:.0} ms; polls every {:.0} ms, {own_targets:.1} targets",
+        period * 1e3,
+        poll * 1e3
+    );
+    println!("  heartbeats and reports: {rate:.0} B/s out, {rate:.0} B/s in");
+    println!(
+        "  digests: {exchanged:.0} B/s exchanged, {relayed:.0} B/s relayed, out and in together"
+    );
+    println!("  total: {:.0} B/s out and in together", 2.0 * rate + exchanged + relayed);
 
     let costs = costs(size, &mut view, now);
     let beats = peers as f64 / period;
-    let notes = (size.targets as f64 - mine) / poll;
-    let parts = [
-        ("heartbeats heard", beats, costs.heard),
+    let notes = (size.targets as f64 - own_targets) / poll;
+    let operations = [
+        ("heartbeats processed", beats, costs.handle),
         ("heartbeats received and decoded", beats, costs.receive),
         ("heartbeats sent", beats, costs.send),
         ("ticks of membership", 10.0, costs.tick),
         ("ticks of polling", 50.0, costs.poll),
-        ("notes completed", notes, costs.unpack),
-        ("reports shortened", mine / poll, costs.pack),
+        ("reports decoded", notes, costs.decode),
+        ("reports encoded", own_targets / poll, costs.encode),
     ];
     let mut sum = 0.0;
-    for (name, rate, cost) in parts {
+    for (name, rate, cost) in operations {
         sum += rate * cost;
         println!("  {name}: {rate:.0}/s of {cost:.2} us");
     }
-    println!("  together {sum:.0} us/s = {:.3} % of a core", sum / 1e4);
+    println!("  in total {sum:.0} us/s = {:.3} % of a core", sum / 1e4);
 }
 
 fn host(centre: usize, n: usize) -> HostId {
@@ -167,12 +173,12 @@
     })
 }
 
-fn note_bytes(size: &Size, short: bool) -> usize {
+fn report_bytes(size: &Size, delta: bool) -> usize {
     let mut encoder = DeltaEncoder::default();
     let now = Instant::now();
     let id = target(size.targets);
     let mut content = encoder.encode(&id, &load(1), now);
-    if short {
+    if delta {
         content = encoder.encode(&id, &load(200), now);
     }
     frame::encode(&TargetLoad { age_ms: 200, content }, MAX_DATAGRAM).expect("short").len() - 1
@@ -191,35 +197,35 @@
         members: view.digest(now),
         summaries: (0..MODELS).map(summary).collect(),
     };
-    let ask = PeerRequest::Digests { digests: vec![digest], speaker: true };
-    frame::encode(&ask, MAX_FRAME).expect("below the bound").len()
+    let request = PeerRequest::Digests { digests: vec![digest], speaker: true };
+    frame::encode(&request, MAX_FRAME).expect("below the bound").len()
 }
 
 fn bytes(datagram: &Datagram) -> usize {
     frame::encode(datagram, MAX_DATAGRAM).expect("below the bound").len()
 }
 
-/// Microseconds of one call of each.
+/// Microseconds per call of each operation.
 struct Costs {
-    heard: f64,
+    handle: f64,
     receive: f64,
     send: f64,
     tick: f64,
     poll: f64,
-    unpack: f64,
-    pack: f64,
+    decode: f64,
+    encode: f64,
 }
 
 fn time(mut body: impl FnMut(u64)) -> f64 {
-    let begun = Instant::now();
+    let started = Instant::now();
     for round in 0..u64::from(ROUNDS) {
         body(round + 2);
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
 fn costs(size: &Size, view: &mut Membership, now: Instant) -> Costs {
-    let heard = time(|round| drop(view.on_heartbeat(addr(0, 1), heartbeat(1, round), now)));
+    let handle = time(|round| drop(view.on_heartbeat(addr(0, 1), heartbeat(1, round), now)));
     let tick = time(|_| drop(view.tick(now)));
     let (send, receive) = sockets(size);
     let mut polling = Polling::new(roseshore_core::polling::Settings::default());
@@ -236,13 +242,13 @@
     let (mut encoder, mut decoder) = (DeltaEncoder::default(), DeltaDecoder::default());
     let id = target(1);
     decoder.decode(encoder.encode(&id, &load(0), now));
-    let pack = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
+    let encode = time(|round| drop(encoder.encode(&id, &load(round as u32), now)));
     let note = encoder.encode(&id, &load(7), now);
-    let unpack = time(|_| drop(black_box(decoder.decode(note.clone()))));
-    Costs { heard, receive, send, tick, poll, unpack, pack }
+    let decode = time(|_| drop(black_box(decoder.decode(note.clone()))));
+    Costs { handle, receive, send, tick, poll, decode, encode }
 }
 
-/// Microseconds to send one datagram, and to receive and decode it.
+/// Microseconds to encode and send one datagram, and to receive and decode it.
 fn sockets(size: &Size) -> (f64, f64) {
     let (a, b) = (socket(), socket());
     let to = b.local_addr().expect("its address");
@@ -256,14 +262,14 @@
     let (mut sent, mut received) = (0.0, 0.0);
     let mut buffer = [0; MAX_DATAGRAM];
     for _ in 0..ROUNDS {
-        let begun = Instant::now();
+        let started = Instant::now();
         let bytes = frame::encode(&datagram, MAX_DATAGRAM).expect("below the bound");
         a.send_to(&bytes, to).expect("sent");
-        sent += begun.elapsed().as_secs_f64();
-        let begun = Instant::now();
+        sent += started.elapsed().as_secs_f64();
+        let started = Instant::now();
         let len = b.recv(&mut buffer).expect("received");
         black_box(frame::decode::<Datagram>(&buffer[..len]).expect("decoded"));
-        received += begun.elapsed().as_secs_f64();
+        received += started.elapsed().as_secs_f64();
     }
     (sent * 1e6 / f64::from(ROUNDS), received * 1e6 / f64::from(ROUNDS))
 }
--- a/crates/roseshored/src/admin/keys.rs
+++ b/crates/roseshored/src/admin/keys.rs
@@ -1,4 +1,4 @@
-//! Operators' questions about keys.
+//! Admin requests about idempotency keys.
 
 use super::{Answer, DEFAULT_WAIT, answer, problem};
 use percent_encoding::percent_decode_str;
@@ -7,7 +7,7 @@
 use roseshore_ports::inside::{KeyStatus, Keys, OperatorDecision, SettleResult};
 use roseshore_wire::admin::{DecisionReport, KeyReport, KeyState, Settle, Settled};
 
-/// The longest note, bytes.
+/// Longest note, bytes.
 const MAX_NOTE: usize = 1000;
 
 /// `GET /v1/admin/keys?organisation=O&service=S&key=K`; the values are percent-encoded.
@@ -29,20 +29,21 @@
 
 /// `POST /v1/admin/keys/settle`.
 pub(super) fn settle(keys: &dyn Keys, body: &[u8]) -> Answer {
-    let ask: Settle = match serde_json::from_slice(body) {
-        Ok(ask) => ask,
+    let request: Settle = match serde_json::from_slice(body) {
+        Ok(request) => request,
         Err(err) => return problem(Code::BadRequest, format!("no settle: {err}")),
     };
-    let key = match join(&ask.organisation, &ask.service, &ask.key) {
+    let key = match join(&request.organisation, &request.service, &request.key) {
         Ok(key) => key,
         Err(message) => return problem(Code::BadRequest, message),
     };
-    if ask.operator.is_empty() || ask.note.is_empty() || ask.note.len() > MAX_NOTE {
+    if request.operator.is_empty() || request.note.is_empty() || request.note.len() > MAX_NOTE {
         let text = "name `operator`, and what you looked at in `note`, 1 to 1000 bytes";
         return problem(Code::BadRequest, text);
     }
-    let word = OperatorDecision { operator: ask.operator, note: ask.note, ran: ask.ran };
-    let settled = match keys.settle_by_operator(&key, word, Instant::now() + DEFAULT_WAIT) {
+    let decision =
+        OperatorDecision { operator: request.operator, note: request.note, ran: request.ran };
+    let settled = match keys.settle_by_operator(&key, decision, Instant::now() + DEFAULT_WAIT) {
         SettleResult::Applied(offset) => Settled::Taken { offset },
         SettleResult::Rejected(refusal) => {
             Settled::Rejected { code: refusal.code, message: refusal.message }
@@ -75,11 +76,11 @@
         }
         State::Ran(_) => KeyState::Ran,
     };
-    let word = known.settlement.as_ref().map(|said| DecisionReport {
-        operator: said.settlement.operator.clone(),
-        note: said.settlement.note.clone(),
-        ran: said.settlement.ran,
-        offset: said.offset,
+    let word = known.settlement.as_ref().map(|record| DecisionReport {
+        operator: record.settlement.operator.clone(),
+        note: record.settlement.note.clone(),
+        ran: record.settlement.ran,
+        offset: record.offset,
     });
     let KeyStatus { offset, current, covered: complete, .. } = *known;
     KeyReport { key, offset, current, complete, state, word }
--- a/crates/roseshored/tests/drain.rs
+++ b/crates/roseshored/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: nothing in flight is cut off, nothing new is begun.
+//! Drain: requests in flight finish, and new ones are refused.
 
 #[path = "support/fakes.rs"]
 mod fakes;
@@ -10,16 +10,16 @@
 use roseshore_core::prelude::*;
 use std::thread;
 
-/// Streams and calls in flight end whole; whatever comes after is refused as not run.
+/// Streams and calls in flight finish completely; later requests are refused as not run.
 #[test]
-fn in_flight_ends_whole() {
+fn in_flight_requests_finish() {
     let daemon = daemon(&["--drain-ms=60000"]);
-    let give = by_hand(&daemon);
-    let mut held = Caller::new(daemon.addr);
-    held.post(CHAT, "", &chat("chat", true));
-    let ask = opened(&daemon);
-    give.send(token(&ask, 0)).expect("a listener");
-    let top = held.head();
+    let tokens = manual_stream(&daemon);
+    let mut streaming = Caller::new(daemon.addr);
+    streaming.post(CHAT, "", &chat("chat", true));
+    let request = wait_for_stream(&daemon);
+    tokens.send(token(&request, 0)).expect("a listener");
+    let head = streaming.head();
     let mut kept = Caller::new(daemon.addr);
     assert_eq!(kept.get("/readyz").status, 200);
     daemon.running.drain();
@@ -35,41 +35,46 @@
     }
     kept.post(CHAT, "", &chat("chat", true));
     assert_eq!(kept.response().refusal(), "RS204 not_run");
-    assert!(kept.closed(), "a kept connection is given up");
-    give.send(token(&ask, 1)).expect("a listener");
-    give.send(done(&ask, 2)).expect("a listener");
-    assert!(held.rest(top).body.ends_with("data: [DONE]\n\n"));
+    assert!(kept.closed(), "a kept connection is closed");
+    tokens.send(token(&request, 1)).expect("a listener");
+    tokens.send(done(&request, 2)).expect("a listener");
+    assert!(streaming.rest(head).body.ends_with("data: [DONE]\n\n"));
     assert_eq!(finish.join().expect("join"), 0);
     assert_eq!(daemon.engine.opened.lock().len(), 1);
 }
 
-/// Work that outlives the bound is counted as cut off.
+/// Requests that outlast the drain limit are counted as cut off.
 #[test]
-fn bound() {
+fn drain_limit() {
     let daemon = daemon(&["--drain-ms=0"]);
-    let _give = by_hand(&daemon);
-    let mut held = Caller::new(daemon.addr);
-    held.post(CHAT, "", &chat("chat", true));
-    opened(&daemon);
+    let _tokens = manual_stream(&daemon);
+    let mut streaming = Caller::new(daemon.addr);
+    streaming.post(CHAT, "", &chat("chat", true));
+    wait_for_stream(&daemon);
     assert_eq!(daemon.running.finish(), 1);
 }
 
-struct Ended {
+struct SignalCase {
     name: &'static str,
     grace: &'static str,
     sent: &'static [&'static str],
     status: i32,
 }
 
-/// One signal drains and ends with 0, a second one ends at once.
+/// One signal drains and exits with 0, a second one ends the process at once.
 #[test]
 fn signals() {
     let cases = [
-        Ended { name: "term", grace: "--grace-ms=0", sent: &["TERM"], status: 0 },
-        Ended { name: "int", grace: "--grace-ms=0", sent: &["INT"], status: 0 },
-        Ended { name: "twice", grace: "--grace-ms=600000", sent: &["TERM", "TERM"], status: 1 },
-        Ended {
-            name: "frozen first",
+        SignalCase { name: "term", grace: "--grace-ms=0", sent: &["TERM"], status: 0 },
+        SignalCase { name: "int", grace: "--grace-ms=0", sent: &["INT"], status: 0 },
+        SignalCase {
+            name: "twice",
+            grace: "--grace-ms=600000",
+            sent: &["TERM", "TERM"],
+            status: 1,
+        },
+        SignalCase {
+            name: "suspended first",
             grace: "--grace-ms=0",
             sent: &["STOP", "CONT", "TERM"],
             status: 0,
@@ -86,19 +91,20 @@
             }
             process.signal(signal);
         }
-        assert_eq!(process.end().code(), Some(case.status), "{}", case.name);
+        assert_eq!(process.wait_for_exit().code(), Some(case.status), "{}", case.name);
     }
 }
 
-/// A daemon that was frozen serves on, connections made meanwhile included.
+/// A daemon that was suspended continues to serve, including connections made while it was
+/// suspended.
 #[test]
-fn frozen_and_thawed() {
+fn suspended_and_resumed() {
     let process = Process::start(&["--grace-ms=0"]);
     for _ in 0..3 {
         process.signal("STOP");
         let mut caller = Caller::new(process.addr);
         caller.send("GET /healthz HTTP/1.1\r\n\r\n");
-        // Longer than the acceptor's tick.
+        // Longer than the interval at which the acceptor checks for connections.
         thread::sleep(Duration::from_millis(250));
         process.signal("CONT");
         assert_eq!(caller.response().status, 200);
--- a/crates/roseshored/tests/fleets.rs
+++ b/crates/roseshored/tests/fleets.rs
@@ -1,8 +1,8 @@
-//! The configuration's driver: several daemons in one process over a log in memory.
+//! The configuration driver: several daemons in one process over a log in memory.
 
 use parking_lot::{Condvar, Mutex};
 use roseshore_core::config::{
-    Command, ReaderLimits, SNAPSHOTS, STREAM, Settled, SnapshotLimits, State,
+    Command, CommandResult, ReaderLimits, SNAPSHOTS, STREAM, SnapshotLimits, State,
 };
 use roseshore_core::prelude::*;
 use roseshore_fakes::wait::wait_until as eventually;
@@ -30,21 +30,21 @@
     platform: BTreeSet<String>,
     /// Data centres that cannot reach the others.
     peers: BTreeSet<String>,
-    /// Appends to come whose reply is lost after the effect.
+    /// Number of next appends whose reply is lost after they took effect.
     lose: u32,
-    /// Reads that are answered before the log is out, if it goes out.
+    /// Number of reads that succeed before the log becomes unreachable; `None` for no limit.
     reads: Option<u32>,
 }
 
-/// What all daemons share: the log, and what is cut.
+/// What all daemons share: the log and the faults.
 #[derive(Default)]
-struct World {
+struct SharedState {
     streams: Mutex<BTreeMap<String, Stream>>,
     grown: Condvar,
     faults: Mutex<Faults>,
 }
 
-impl World {
+impl SharedState {
     fn add(&self, stream: &str, data: &[String]) -> Offset {
         let mut streams = self.streams.lock();
         let records = &mut streams.entry(stream.to_owned()).or_default().records;
@@ -66,16 +66,16 @@
 }
 
 /// The log as one data centre reaches it.
-struct Reach(Arc<World>, String);
+struct DataCentreLog(Arc<SharedState>, String);
 
-impl Reach {
+impl DataCentreLog {
     fn open(&self) -> CallResult<()> {
         let cut = self.0.faults.lock().platform.contains(&self.1);
         if cut { Err(CallError::Unreached("cut off".into())) } else { Ok(()) }
     }
 }
 
-impl Log for Reach {
+impl Log for DataCentreLog {
     fn append(&self, stream: &str, records: &[String]) -> CallResult<Offset> {
         self.open()?;
         let first = self.0.add(stream, records);
@@ -99,7 +99,7 @@
                 break;
             }
         }
-        // A cut holds back the answer to a long poll too.
+        // A cut also fails a long poll that is waiting.
         self.open()?;
         let Stream { records, oldest } = streams.entry(stream.to_owned()).or_default();
         let (oldest, end) = (*oldest as Offset, records.len() as Offset);
@@ -118,22 +118,23 @@
     driver: Arc<FleetDriver>,
 }
 
-/// The daemons; each one's view of the others, by heartbeats that a cut keeps back.
+/// All daemons and the state that they share. A daemon's [`View`] of another one is updated only
+/// while their data centres are connected.
 #[derive(Default)]
-struct Net {
+struct Network {
     nodes: Mutex<Vec<Arc<Node>>>,
-    world: Arc<World>,
+    state: Arc<SharedState>,
 }
 
 struct View {
-    net: Arc<Net>,
+    net: Arc<Network>,
     own: HostId,
     seen: Mutex<BTreeMap<HostId, Member>>,
 }
 
-impl Net {
+impl Network {
     fn connected(&self, a: &str, b: &str) -> bool {
-        let faults = self.world.faults.lock();
+        let faults = self.state.faults.lock();
         a == b || !(faults.peers.contains(a) || faults.peers.contains(b))
     }
 
@@ -181,35 +182,35 @@
 }
 
 impl Peers for View {
-    fn ask(&self, addr: SocketAddr, ask: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
+    fn ask(&self, addr: SocketAddr, request: &PeerRequest, _: Duration) -> CallResult<PeerReply> {
         let own = self.net.node(&self.own);
         let nodes = self.net.nodes.lock().clone();
-        let asked = nodes.iter().find(|it| it.addr == addr);
-        let asked = asked.filter(|it| self.net.connected(&own.centre, &it.centre));
-        let asked = asked.ok_or_else(|| CallError::Unreached("cut off".into()))?;
-        asked.driver.answer(ask).ok_or_else(|| CallError::Lost("no answer".into()))
+        let peer = nodes.iter().find(|it| it.addr == addr);
+        let peer = peer.filter(|it| self.net.connected(&own.centre, &it.centre));
+        let peer = peer.ok_or_else(|| CallError::Unreached("cut off".into()))?;
+        peer.driver.answer(request).ok_or_else(|| CallError::Lost("no answer".into()))
     }
 }
 
-/// Daemons that are stopped when the test ends.
+/// A set of daemons that are stopped on drop.
 struct Cluster {
-    net: Arc<Net>,
+    net: Arc<Network>,
     views: BTreeMap<HostId, Arc<View>>,
 }
 
 impl Cluster {
     fn new() -> Cluster {
-        Cluster { net: Arc::new(Net::default()), views: BTreeMap::new() }
+        Cluster { net: Arc::new(Network::default()), views: BTreeMap::new() }
     }
 
-    fn world(&self) -> &World {
-        &self.net.world
+    fn state(&self) -> &SharedState {
+        &self.net.state
     }
 
     fn start(&mut self, centre: &str) -> Arc<Node> {
         let index = self.views.len();
         let host = format!("{centre}-{index}");
-        let log = Arc::new(Reach(Arc::clone(&self.net.world), centre.into()));
+        let log = Arc::new(DataCentreLog(Arc::clone(&self.net.state), centre.into()));
         let ms = Duration::from_millis;
         let settings = FleetSettings {
             reader: ReaderLimits {
@@ -262,7 +263,7 @@
     command
 }
 
-fn submit(node: &Node, command: &Command, wait: Duration) -> Settled {
+fn submit(node: &Node, command: &Command, wait: Duration) -> CommandResult {
     node.driver.submit(command, Instant::now() + wait)
 }
 
@@ -271,12 +272,12 @@
 }
 
 fn cut(cluster: &Cluster, platform: &[&str], peers: &[&str]) {
-    let mut faults = cluster.world().faults.lock();
+    let mut faults = cluster.state().faults.lock();
     faults.platform = platform.iter().map(|it| (*it).to_owned()).collect();
     faults.peers = peers.iter().map(|it| (*it).to_owned()).collect();
 }
 
-fn noise(count: usize) -> Vec<String> {
+fn invalid_records(count: usize) -> Vec<String> {
     vec!["noise".into(); count]
 }
 
@@ -284,7 +285,7 @@
 fn an_accepted_command_is_in_force_everywhere() {
     let (cluster, nodes) = Cluster::full();
     assert!(nodes.iter().all(|it| it.driver.current().is_none()), "nothing is declared yet");
-    assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), Settled::Accepted(0));
+    assert_eq!(submit(&nodes[4], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
     eventually("every daemon has it", || nodes.iter().all(|it| rate(it) == Some(5.0)));
     let view = &cluster.views[&nodes[4].host];
     let confirmation = nodes[4].driver.wait_confirmed(&**view, 0, Instant::now() + BOUND);
@@ -294,34 +295,36 @@
 }
 
 #[test]
-fn racing_operators_get_one_winner() {
+fn of_concurrent_commands_one_is_accepted() {
     let (_cluster, nodes) = Cluster::full();
     let racers = nodes.iter().enumerate().map(|(index, node)| {
         let node = Arc::clone(node);
         std::thread::spawn(move || submit(&node, &command(&format!("c{index}"), None, 1), BOUND))
     });
     let racers: Vec<_> = racers.collect();
-    let ends: Vec<Settled> = racers.into_iter().map(|it| it.join().expect("an end")).collect();
-    let won = ends.iter().filter(|it| matches!(it, Settled::Accepted(_))).count();
-    let named = |it: &&Settled| matches!(it, Settled::Rejected(Code::CommandConflict, Some(_), why) if why.contains("changed it with command"));
+    let ends: Vec<CommandResult> =
+        racers.into_iter().map(|it| it.join().expect("an end")).collect();
+    let won = ends.iter().filter(|it| matches!(it, CommandResult::Accepted(_))).count();
+    let named = |it: &&CommandResult| matches!(it, CommandResult::Rejected(Code::CommandConflict, Some(_), why) if why.contains("changed it with command"));
     assert_eq!((won, ends.iter().filter(named).count()), (1, nodes.len() - 1), "{ends:?}");
 }
 
 #[test]
 fn a_lost_reply_is_settled_by_reading() {
     let (cluster, nodes) = Cluster::full();
-    cluster.world().faults.lock().lose = 1;
-    assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), Settled::Accepted(0));
+    cluster.state().faults.lock().lose = 1;
+    assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
     assert_eq!(
         submit(&nodes[1], &command("a", None, 5), BOUND),
-        Settled::Accepted(0),
+        CommandResult::Accepted(0),
         "sent again"
     );
     eventually("everywhere", || nodes.iter().all(|it| rate(it) == Some(5.0)));
 }
 
-/// What is cut while a command is accepted elsewhere, and whether the cut data centre gets it.
-struct Cut {
+/// What is cut while a command is accepted elsewhere, and whether the command still reaches the
+/// data centre `landhi`.
+struct CutCase {
     name: &'static str,
     platform: &'static [&'static str],
     peers: &'static [&'static str],
@@ -329,20 +332,35 @@
 }
 
 #[test]
-fn a_cut_data_centre_serves_on_and_rejoins() {
+fn a_cut_off_data_centre_keeps_serving_and_rejoins() {
     let cases = [
-        Cut { name: "cut off from all", platform: &["landhi"], peers: &["landhi"], reached: false },
-        Cut { name: "cut off from the platform", platform: &["landhi"], peers: &[], reached: true },
-        Cut { name: "cut off from the others", platform: &[], peers: &["landhi"], reached: true },
+        CutCase {
+            name: "cut off from all",
+            platform: &["landhi"],
+            peers: &["landhi"],
+            reached: false,
+        },
+        CutCase {
+            name: "cut off from the platform",
+            platform: &["landhi"],
+            peers: &[],
+            reached: true,
+        },
+        CutCase {
+            name: "cut off from the others",
+            platform: &[],
+            peers: &["landhi"],
+            reached: true,
+        },
     ];
     for case in cases {
         let (cluster, nodes) = Cluster::full();
-        assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), Settled::Accepted(0));
+        assert_eq!(submit(&nodes[0], &command("a", None, 5), BOUND), CommandResult::Accepted(0));
         eventually("the first everywhere", || nodes.iter().all(|it| rate(it) == Some(5.0)));
         cut(&cluster, case.platform, case.peers);
         assert_eq!(
             submit(&nodes[0], &command("b", Some(0), 6), BOUND),
-            Settled::Accepted(1),
+            CommandResult::Accepted(1),
             "{}",
             case.name
         );
@@ -351,38 +369,38 @@
         } else {
             let view = &cluster.views[&nodes[0].host];
             let unconfirmed = || nodes[0].driver.confirmation(&**view, 1).unconfirmed;
-            eventually("only the cut one is behind", || unconfirmed() == ["landhi"]);
+            eventually("only the cut-off data centre is behind", || unconfirmed() == ["landhi"]);
             assert_eq!(rate(&nodes[2]), Some(5.0), "{}: serves what it knew", case.name);
         }
         if !case.platform.is_empty() {
             let end = submit(&nodes[2], &command("c", Some(0), 7), BOUND);
-            let plain = matches!(end, Settled::Rejected(Code::LogUnreachable, None, _));
+            let plain = matches!(end, CommandResult::Rejected(Code::LogUnreachable, None, _));
             assert!(plain, "{}: {end:?}", case.name);
         }
         cut(&cluster, &[], &[]);
         eventually("rejoined", || nodes.iter().all(|it| rate(it) == Some(6.0)));
-        assert_eq!(cluster.world().end(STREAM), 2, "{}: the rejected one never comes", case.name);
+        assert_eq!(cluster.state().end(STREAM), 2, "{}: the rejected one never comes", case.name);
     }
 }
 
-/// What a daemon that starts finds.
-struct Start {
+/// The environment in which a daemon starts.
+struct StartCase {
     name: &'static str,
-    /// Records of the log besides the one that declares the organisation.
+    /// Records in the log besides the one that declares the organisation.
     records: usize,
-    /// Whether the log has forgotten them.
+    /// Whether the log has been trimmed.
     trimmed: bool,
-    /// Whether the log is out.
+    /// Whether the log is unreachable.
     out: bool,
-    /// Whether other daemons are there.
+    /// Whether another daemon is running.
     peers: bool,
     ready: bool,
 }
 
 #[test]
-fn a_new_daemon_finds_the_configuration_or_says_that_it_has_none() {
+fn a_new_daemon_loads_the_configuration_or_has_none() {
     let cases = [
-        Start {
+        StartCase {
             name: "the log alone",
             records: 3,
             trimmed: false,
@@ -390,7 +408,7 @@
             peers: false,
             ready: true,
         },
-        Start {
+        StartCase {
             name: "a trimmed log with a snapshot",
             records: 20,
             trimmed: true,
@@ -398,24 +416,24 @@
             peers: false,
             ready: true,
         },
-        Start {
-            name: "the log is out, peers have the records",
+        StartCase {
+            name: "the log is unavailable, peers have the records",
             records: 3,
             trimmed: false,
             out: true,
             peers: true,
             ready: true,
         },
-        Start {
-            name: "the log is out, peers have a snapshot only",
+        StartCase {
+            name: "the log is unavailable, peers have a snapshot only",
             records: 2000,
             trimmed: false,
             out: true,
             peers: true,
             ready: true,
         },
-        Start {
-            name: "the log is out and nobody is there",
+        StartCase {
+            name: "the log is unavailable and no other daemon runs",
             records: 3,
             trimmed: false,
             out: true,
@@ -426,18 +444,18 @@
     for case in cases {
         let mut cluster = Cluster::new();
         let old = cluster.start(CENTRES[0]);
-        assert_eq!(submit(&old, &command("a", None, 5), BOUND), Settled::Accepted(0));
-        cluster.world().add(STREAM, &noise(case.records));
+        assert_eq!(submit(&old, &command("a", None, 5), BOUND), CommandResult::Accepted(0));
+        cluster.state().add(STREAM, &invalid_records(case.records));
         let end = case.records as Offset + 1;
-        eventually("the old one has all", || old.driver.inspect(State::offset) == end);
+        eventually("the first daemon has all records", || old.driver.inspect(State::offset) == end);
         if case.trimmed {
-            eventually("a snapshot", || cluster.world().end(SNAPSHOTS) > 0);
-            cluster.world().trim(STREAM, case.records);
-            // What the snapshot may lack is kept; the hole before it is what matters.
+            eventually("a snapshot", || cluster.state().end(SNAPSHOTS) > 0);
+            cluster.state().trim(STREAM, case.records);
+            // Records that the snapshot may lack are kept; only those before it are trimmed.
             eventually("a late snapshot", || {
-                cluster.world().add(STREAM, &noise(1));
+                cluster.state().add(STREAM, &invalid_records(1));
                 std::thread::sleep(Duration::from_millis(20));
-                cluster.world().end(SNAPSHOTS) > 2
+                cluster.state().end(SNAPSHOTS) > 2
             });
         }
         if !case.peers {
@@ -455,7 +473,7 @@
             std::thread::sleep(Duration::from_millis(300));
             assert!(new.driver.current().is_none(), "{}", case.name);
             cut(&cluster, &[], &[]);
-            eventually("the log is back", || rate(&new) == Some(5.0));
+            eventually("the log is available again", || rate(&new) == Some(5.0));
         }
     }
 }
@@ -464,15 +482,15 @@
 fn a_new_daemon_serves_no_state_older_than_its_source() {
     let mut cluster = Cluster::new();
     let text = |it: &Command| serde_json::to_string(it).expect("JSON");
-    cluster.world().add(STREAM, &[text(&command("a", None, 5))]);
-    cluster.world().add(STREAM, &noise(200));
-    cluster.world().add(STREAM, &[text(&command("b", Some(0), 6))]);
-    cluster.world().faults.lock().reads = Some(1);
+    cluster.state().add(STREAM, &[text(&command("a", None, 5))]);
+    cluster.state().add(STREAM, &invalid_records(200));
+    cluster.state().add(STREAM, &[text(&command("b", Some(0), 6))]);
+    cluster.state().faults.lock().reads = Some(1);
     let new = cluster.start(CENTRES[0]);
     eventually("the first part", || new.driver.inspect(State::offset) > 0);
     assert!(new.driver.inspect(State::offset) < 202, "the rest is out of reach");
-    assert!(new.driver.current().is_none(), "its state is known to be old");
-    cluster.world().faults.lock().reads = None;
-    eventually("the log is back", || new.driver.current().is_some());
+    assert!(new.driver.current().is_none(), "its state is known to be outdated");
+    cluster.state().faults.lock().reads = None;
+    eventually("the log is available again", || new.driver.current().is_some());
     assert_eq!(rate(&new), Some(6.0));
 }
